--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ControlCore.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ControlCore.java
@@ -4,17 +4,17 @@
 import java.util.List;
 import java.util.Set;
 import org.fescuehook.logic.control.ControlPort.Request;
+import org.fescuehook.logic.control.append.RecordOutcome;
 import org.fescuehook.logic.control.append.RecordWriter;
-import org.fescuehook.logic.control.append.Resolution;
 import org.fescuehook.logic.control.configuration.ConfigurationHolder;
 import org.fescuehook.logic.control.gang.GangDuty;
-import org.fescuehook.logic.control.gang.Mode;
-import org.fescuehook.logic.control.ownership.OutageWatch;
+import org.fescuehook.logic.control.gang.GangMode;
+import org.fescuehook.logic.control.ownership.CatchUpTracker;
+import org.fescuehook.logic.control.ownership.LogCompatibility;
+import org.fescuehook.logic.control.ownership.OutageMonitor;
 import org.fescuehook.logic.control.ownership.OwnerDuty;
-import org.fescuehook.logic.control.ownership.PauseWatch;
-import org.fescuehook.logic.control.ownership.PeerWatch;
-import org.fescuehook.logic.control.ownership.ReaderWatch;
-import org.fescuehook.logic.control.ownership.Understanding;
+import org.fescuehook.logic.control.ownership.PauseDetector;
+import org.fescuehook.logic.control.ownership.PeerTracker;
 import org.fescuehook.logic.control.planning.JobEndDuty;
 import org.fescuehook.logic.control.planning.PlanDuty;
 import org.fescuehook.logic.control.request.RequestRouter;
@@ -41,10 +41,10 @@
 public final class ControlCore {
   private final VmId vm;
   private final ControlStream stream = new ControlStream(this::folded);
-  private final ReaderWatch reader;
-  private final PeerWatch peers;
-  private final PauseWatch pauses;
-  private final OutageWatch outages;
+  private final CatchUpTracker reader;
+  private final PeerTracker peers;
+  private final PauseDetector pauses;
+  private final OutageMonitor outages;
   private final RecordWriter writer;
   private final OwnerDuty owner;
   private final GangDuty gangs;
@@ -71,10 +71,10 @@
       Scheduler scheduler,
       DeclarationsReader declarationsReader) {
     vm = identity.vm();
-    reader = new ReaderWatch(preferences.ownerTimeout());
-    peers = new PeerWatch(vm);
-    pauses = new PauseWatch(preferences.ownerTimeout().dividedBy(2));
-    outages = new OutageWatch(vm, reader, peers);
+    reader = new CatchUpTracker(preferences.ownerTimeout());
+    peers = new PeerTracker(vm);
+    pauses = new PauseDetector(preferences.ownerTimeout().dividedBy(2));
+    outages = new OutageMonitor(vm, reader, peers);
     writer = new RecordWriter(vm, incarnation);
     owner = new OwnerDuty(vm, incarnation, preferences, writer, reader, peers);
     gangs = new GangDuty(preferences, writer, peers);
@@ -96,7 +96,7 @@
    * @return what is to be done, in order
    */
   public List<ControlCommand> apply(ControlEvent event, long nowNanos, long wallMillis) {
-    Turn turn = new Turn(nowNanos, wallMillis);
+    DecisionContext turn = new DecisionContext(nowNanos, wallMillis);
     if (pauses.wasPaused(turn)) {
       reader.paused(turn);
     }
@@ -120,7 +120,7 @@
     return turn.commands();
   }
 
-  private void caughtUp(long earliest, long next, Turn turn) {
+  private void caughtUp(long earliest, long next, DecisionContext turn) {
     stream.keptFrom(earliest, turn);
     if (stream.nextOffset() < next) {
       turn.count("fescuehook.control.reads.incomplete");
@@ -134,7 +134,7 @@
   }
 
   /** Takes in a record that was just folded. */
-  private void folded(ControlRecord record, long offset, FoldResult result, Turn turn) {
+  private void folded(ControlRecord record, long offset, FoldResult result, DecisionContext turn) {
     ControlState state = stream.state();
     boolean counted = result == FoldResult.COUNTED;
     if (counted) {
@@ -144,13 +144,13 @@
     resolve(writer.read(record, result, offset), turn);
   }
 
-  private void counted(ControlRecord record, Turn turn) {
+  private void counted(ControlRecord record, DecisionContext turn) {
     ControlState state = stream.state();
     if (state.inForce(record) || record.hasOwnerClaim()) {
       owner.sign(turn);
     }
     if (owner.owns(state)) {
-      DecisionNotes.write(record, turn);
+      DecisionLogger.write(record, turn);
     }
     if (record.hasSnapshotPart()) {
       snapshots.read(record, turn);
@@ -168,28 +168,28 @@
             });
   }
 
-  private void resolve(List<Resolution> resolutions, Turn turn) {
-    for (Resolution resolution : resolutions) {
+  private void resolve(List<RecordOutcome> resolutions, DecisionContext turn) {
+    for (RecordOutcome resolution : resolutions) {
       requests.resolved(resolution, stream.state(), turn);
     }
   }
 
-  private void asked(long ticket, Request request, Turn turn) {
+  private void asked(long ticket, Request request, DecisionContext turn) {
     Set<WorkerId> unavailable = unavailableWorkers(turn);
     boolean readable = stream.complete() && reader.everCurrent();
-    RequestRouter.Situation situation =
-        new RequestRouter.Situation(
+    RequestRouter.ClusterView situation =
+        new RequestRouter.ClusterView(
             stream.state(), configuration.inForce(), readable, unavailable, summary());
     requests.asked(ticket, request, situation, turn);
   }
 
-  private Set<WorkerId> unavailableWorkers(Turn turn) {
+  private Set<WorkerId> unavailableWorkers(DecisionContext turn) {
     Set<WorkerId> unavailable = new HashSet<>(gangs.restingWorkers(turn));
     unavailable.addAll(peers.leavingWorkers());
     return unavailable;
   }
 
-  private void step(Turn turn) {
+  private void step(DecisionContext turn) {
     current = stream.complete() && reader.current(turn);
     outages.step(turn);
     if (stream.complete()) {
@@ -204,11 +204,11 @@
     }
   }
 
-  private void stepDuties(Turn turn) {
+  private void stepDuties(DecisionContext turn) {
     ControlState state = stream.state();
-    Understanding understanding = understanding(state);
+    LogCompatibility understanding = understanding(state);
     owner.step(state, understanding, turn);
-    boolean decides = owner.decides(state, turn) && understanding != Understanding.PARTIAL;
+    boolean decides = owner.decides(state, turn) && understanding != LogCompatibility.PARTIAL;
     changeDeciding(decides, turn);
     gangs.step(state, mode(decides, turn), stream.nextOffset(), turn);
     if (decides) {
@@ -216,21 +216,23 @@
     }
   }
 
-  private Understanding understanding(ControlState state) {
+  private LogCompatibility understanding(ControlState state) {
     if (stream.newerSeen()) {
-      return Understanding.PARTIAL;
+      return LogCompatibility.PARTIAL;
     }
-    return configuration.unreadable(state) ? Understanding.NO_CONFIGURATION : Understanding.WHOLE;
+    return configuration.unreadable(state)
+        ? LogCompatibility.NO_CONFIGURATION
+        : LogCompatibility.WHOLE;
   }
 
-  private Mode mode(boolean decides, Turn turn) {
+  private GangMode mode(boolean decides, DecisionContext turn) {
     if (decides) {
-      return Mode.DECIDE;
+      return GangMode.DECIDE;
     }
     ControlState state = stream.state();
     boolean owns = owner.owns(state);
-    Mode mode = outages.mode(state.owner(), owns, turn);
-    boolean standsIn = mode == Mode.RENEW && !owns;
+    GangMode mode = outages.mode(state.owner(), owns, turn);
+    boolean standsIn = mode == GangMode.RENEW && !owns;
     if (standsIn && !standingIn) {
       String name = state.owner().map(VmId::value).orElse("none");
       turn.note(ControlLogEvent.RENEWING_FOR_OWNER, name, state.jobs().liveCount());
@@ -239,7 +241,7 @@
     return mode;
   }
 
-  private void changeDeciding(boolean decides, Turn turn) {
+  private void changeDeciding(boolean decides, DecisionContext turn) {
     if (decides == deciding) {
       return;
     }
@@ -255,7 +257,7 @@
     }
   }
 
-  private void decide(ControlState state, Turn turn) {
+  private void decide(ControlState state, DecisionContext turn) {
     snapshots.step(state, stream.nextOffset(), turn);
     if (configuration.inForce().isEmpty() || !configuration.readable(state)) {
       return;
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ControlStream.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ControlStream.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import org.fescuehook.logic.control.record.DecodedRecord;
 import org.fescuehook.logic.control.record.RecordCodec;
-import org.fescuehook.logic.control.snapshot.StreamStart;
+import org.fescuehook.logic.control.snapshot.SnapshotLoader;
 import org.fescuehook.logic.control.state.ControlState;
 import org.fescuehook.logic.control.state.FoldResult;
 import org.fescuehook.model.log.LogRecord;
@@ -14,11 +14,11 @@
 
   /** Hears of each record that was folded. */
   interface Listener {
-    void folded(ControlRecord record, long offset, FoldResult result, Turn turn);
+    void folded(ControlRecord record, long offset, FoldResult result, DecisionContext turn);
   }
 
   private final Listener listener;
-  private final StreamStart beginning = new StreamStart();
+  private final SnapshotLoader beginning = new SnapshotLoader();
   private ControlState state = new ControlState();
   private long nextOffset;
   private boolean complete = true;
@@ -52,7 +52,7 @@
   }
 
   /** Takes in a record; one that was read before is ignored. Implements {@code Read}. */
-  void read(LogRecord record, Turn turn) {
+  void read(LogRecord record, DecisionContext turn) {
     if (record.offset() < nextOffset) {
       return;
     }
@@ -64,28 +64,28 @@
       fold(record, turn);
       return;
     }
-    Optional<StreamStart.Beginning> begun = beginning.add(record, turn);
+    Optional<SnapshotLoader.LoadedSnapshot> begun = beginning.add(record, turn);
     if (begun.isPresent()) {
       begin(begun.get(), turn);
     }
   }
 
   /** Takes in that records before {@code earliest} have vanished, maybe before they were read. */
-  void keptFrom(long earliest, Turn turn) {
+  void keptFrom(long earliest, DecisionContext turn) {
     if (earliest > nextOffset) {
       lose(earliest, turn);
       nextOffset = earliest;
     }
   }
 
-  private void lose(long earliest, Turn turn) {
+  private void lose(long earliest, DecisionContext turn) {
     turn.note(ControlLogEvent.RECORDS_VANISHED, nextOffset, earliest);
     turn.count("fescuehook.control.records.vanished");
     complete = false;
     beginning.restart(earliest);
   }
 
-  private void begin(StreamStart.Beginning begun, Turn turn) {
+  private void begin(SnapshotLoader.LoadedSnapshot begun, DecisionContext turn) {
     turn.note(ControlLogEvent.SNAPSHOT_TAKEN, begun.coversUntil());
     state = begun.state();
     complete = true;
@@ -94,7 +94,7 @@
     }
   }
 
-  private void fold(LogRecord record, Turn turn) {
+  private void fold(LogRecord record, DecisionContext turn) {
     switch (RecordCodec.decode(record.data())) {
       case DecodedRecord.Known(ControlRecord known) -> foldKnown(known, record, turn);
       case DecodedRecord.Newer(ControlRecord newer) -> takeNewer(newer, record, turn);
@@ -103,7 +103,7 @@
     }
   }
 
-  private void foldKnown(ControlRecord known, LogRecord record, Turn turn) {
+  private void foldKnown(ControlRecord known, LogRecord record, DecisionContext turn) {
     FoldResult result = state.fold(known, record.offset(), record.appendedMillis());
     if (result != FoldResult.COUNTED) {
       turn.count("fescuehook.control.records.void", "result", result.name());
@@ -116,7 +116,7 @@
    * folding what it knows, but never decides by that state. What needs no owner is harmless to
    * skip.
    */
-  private void takeNewer(ControlRecord newer, LogRecord record, Turn turn) {
+  private void takeNewer(ControlRecord newer, LogRecord record, DecisionContext turn) {
     skip(record, "newer", "version " + newer.getVersion(), turn);
     if (state.inForce(newer)) {
       newerSeen = true;
@@ -124,7 +124,7 @@
     }
   }
 
-  private void skip(LogRecord record, String kind, String detail, Turn turn) {
+  private void skip(LogRecord record, String kind, String detail, DecisionContext turn) {
     skipped++;
     turn.note(ControlLogEvent.RECORD_SKIPPED, record.offset(), detail);
     turn.count("fescuehook.control.records.skipped", "kind", kind);
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/Turn.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/DecisionContext.java
@@ -9,7 +9,7 @@
 import org.fescuehook.wire.ControlRecord;
 
 /** One application of an event: its time, and the commands that it gives. */
-public final class Turn {
+public final class DecisionContext {
   private final long nowNanos;
   private final long wallMillis;
   private final List<ControlCommand> commands = new ArrayList<>();
@@ -20,7 +20,7 @@
    * @param nowNanos monotonic time
    * @param wallMillis milliseconds since 1970
    */
-  public Turn(long nowNanos, long wallMillis) {
+  public DecisionContext(long nowNanos, long wallMillis) {
     this.nowNanos = nowNanos;
     this.wallMillis = wallMillis;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/DecisionNotes.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/DecisionLogger.java
@@ -1,16 +1,16 @@
 package org.fescuehook.logic.control;
 
-import org.fescuehook.logic.control.record.WireWords;
+import org.fescuehook.logic.control.record.WireEnumNames;
 import org.fescuehook.wire.AttemptEnded;
 import org.fescuehook.wire.AttemptPlanned;
 import org.fescuehook.wire.ControlRecord;
 
 /** Writes log lines and counts for decisions that counted. */
-final class DecisionNotes {
+final class DecisionLogger {
 
-  private DecisionNotes() {}
+  private DecisionLogger() {}
 
-  static void write(ControlRecord record, Turn turn) {
+  static void write(ControlRecord record, DecisionContext turn) {
     switch (record.getBodyCase()) {
       case ATTEMPT_PLANNED -> planned(record.getAttemptPlanned(), turn);
       case ATTEMPT_ENDED -> ended(record.getAttemptEnded(), turn);
@@ -18,12 +18,12 @@
           turn.note(
               ControlLogEvent.JOB_ENDED,
               record.getJobEnded().getJob(),
-              WireWords.of(record.getJobEnded().getResult()));
+              WireEnumNames.of(record.getJobEnded().getResult()));
       default -> {}
     }
   }
 
-  private static void planned(AttemptPlanned planned, Turn turn) {
+  private static void planned(AttemptPlanned planned, DecisionContext turn) {
     turn.note(
         ControlLogEvent.ATTEMPT_PLANNED,
         planned.getJob() + "." + planned.getAttempt(),
@@ -31,18 +31,18 @@
         planned.getRule());
   }
 
-  private static void ended(AttemptEnded ended, Turn turn) {
+  private static void ended(AttemptEnded ended, DecisionContext turn) {
     turn.note(
         ControlLogEvent.ATTEMPT_ENDED,
         ended.getJob() + "." + ended.getAttempt(),
-        WireWords.of(ended.getResult()),
-        WireWords.of(ended.getReason()),
+        WireEnumNames.of(ended.getResult()),
+        WireEnumNames.of(ended.getReason()),
         ended.getWorker());
     turn.count(
         "fescuehook.control.attempts.ended",
         "result",
-        WireWords.of(ended.getResult()),
+        WireEnumNames.of(ended.getResult()),
         "reason",
-        WireWords.of(ended.getReason()));
+        WireEnumNames.of(ended.getReason()));
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/append/Resolution.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/append/RecordOutcome.java
@@ -9,10 +9,10 @@
  * @param fate what became of it
  * @param offset its offset if it was read, else -1
  */
-public record Resolution(ControlRecord record, Fate fate, long offset) {
+public record RecordOutcome(ControlRecord record, Kind fate, long offset) {
 
   /** What can become of a record. */
-  public enum Fate {
+  public enum Kind {
     /** It was read and counted. */
     COUNTED,
     /** It was read and did not count. */
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/append/RecordWriter.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/append/RecordWriter.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.fescuehook.logic.control.ControlLimits;
-import org.fescuehook.logic.control.Turn;
-import org.fescuehook.logic.control.append.Resolution.Fate;
+import org.fescuehook.logic.control.DecisionContext;
+import org.fescuehook.logic.control.append.RecordOutcome.Kind;
 import org.fescuehook.logic.control.record.RecordCodec;
 import org.fescuehook.logic.control.state.FoldResult;
 import org.fescuehook.model.fleet.VmId;
@@ -42,17 +42,17 @@
   }
 
   /** Tells whether a decision may be appended now. */
-  public boolean hasRoom(Turn turn) {
+  public boolean hasRoom(DecisionContext turn) {
     return unread.size() < ControlLimits.MOST_UNREAD && rested(turn);
   }
 
   /** After a failure the appender or the log gets a rest, however soon the failure came. */
-  private boolean rested(Turn turn) {
+  private boolean rested(DecisionContext turn) {
     return turn.passed(lastFailureNanos, ControlLimits.APPEND_REST);
   }
 
   /** Tells whether the record of a request may be appended now. */
-  public boolean hasRoomForRequest(Turn turn) {
+  public boolean hasRoomForRequest(DecisionContext turn) {
     return unread.size() < ControlLimits.MOST_UNREAD_REQUESTS && rested(turn);
   }
 
@@ -82,7 +82,7 @@
    * @param body a builder with only the body set
    * @return the sequence of the record
    */
-  public long append(ControlRecord.Builder body, Turn turn) {
+  public long append(ControlRecord.Builder body, DecisionContext turn) {
     lastSequence++;
     ControlRecord record =
         body.setVersion(RecordCodec.VERSION)
@@ -98,12 +98,12 @@
   }
 
   /** Appends a decision under an epoch. */
-  public long append(ControlRecord.Builder body, long epoch, Turn turn) {
+  public long append(ControlRecord.Builder body, long epoch, DecisionContext turn) {
     return append(body.setEpochPlusOne(epoch + 1), turn);
   }
 
   /** Takes in the word that an append failed; returns what is known by it. */
-  public List<Resolution> failed(long sequence, boolean certain, Turn turn) {
+  public List<RecordOutcome> failed(long sequence, boolean certain, DecisionContext turn) {
     lastFailureNanos = turn.now();
     Unread entry = unread.get(sequence);
     if (entry == null) {
@@ -114,27 +114,27 @@
       return List.of();
     }
     unread.remove(sequence);
-    return List.of(new Resolution(entry.record(), Fate.ABSENT, -1));
+    return List.of(new RecordOutcome(entry.record(), Kind.ABSENT, -1));
   }
 
   /** Takes in a record of the log; returns what is known by it of own records. */
-  public List<Resolution> read(ControlRecord record, FoldResult result, long offset) {
+  public List<RecordOutcome> read(ControlRecord record, FoldResult result, long offset) {
     boolean own =
         record.getWriter().equals(vm.value()) && record.getIncarnation().equals(incarnation);
     if (!own || result == FoldResult.DUPLICATE) {
       return List.of();
     }
-    List<Resolution> resolutions = new ArrayList<>();
+    List<RecordOutcome> resolutions = new ArrayList<>();
     Iterator<Map.Entry<Long, Unread>> entries =
         unread.headMap(record.getSequence(), true).entrySet().iterator();
     while (entries.hasNext()) {
       Map.Entry<Long, Unread> entry = entries.next();
       ControlRecord mine = entry.getValue().record();
       if (entry.getKey() == record.getSequence()) {
-        Fate fate = result == FoldResult.COUNTED ? Fate.COUNTED : Fate.NOT_COUNTED;
-        resolutions.add(new Resolution(mine, fate, offset));
+        Kind fate = result == FoldResult.COUNTED ? Kind.COUNTED : Kind.NOT_COUNTED;
+        resolutions.add(new RecordOutcome(mine, fate, offset));
       } else {
-        resolutions.add(new Resolution(mine, Fate.ABSENT, -1));
+        resolutions.add(new RecordOutcome(mine, Kind.ABSENT, -1));
       }
       entries.remove();
     }
@@ -146,7 +146,7 @@
    * not read for long, as when it vanished before: reading it tells what became of those before.
    * Called only while the log can be read.
    */
-  public void settle(Turn turn) {
+  public void settle(DecisionContext turn) {
     if (unread.isEmpty() || !rested(turn)) {
       return;
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/configuration/ConfigurationHolder.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/configuration/ConfigurationHolder.java
@@ -3,9 +3,9 @@
 import java.util.Optional;
 import org.fescuehook.logic.control.ControlCommand;
 import org.fescuehook.logic.control.ControlLogEvent;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.control.DeclarationsReader;
 import org.fescuehook.logic.control.DeclarationsReader.InvalidDeclarationsException;
-import org.fescuehook.logic.control.Turn;
 import org.fescuehook.logic.control.state.ControlState;
 import org.fescuehook.model.configuration.Configuration;
 import org.fescuehook.wire.ConfigurationPublished;
@@ -46,7 +46,7 @@
    *
    * @return whether it changed
    */
-  public boolean take(ControlState state, Turn turn) {
+  public boolean take(ControlState state, DecisionContext turn) {
     if (state.revision() <= seenRevision) {
       return false;
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/AttemptTrack.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/AttemptProgress.java
@@ -11,9 +11,9 @@
 import org.fescuehook.wire.StopReason;
 
 /** What the driving VM knows of one live attempt beyond the log. */
-final class AttemptTrack {
+final class AttemptProgress {
   final AttemptId attempt;
-  final List<MemberTrack> members = new ArrayList<>();
+  final List<MemberProgress> members = new ArrayList<>();
   final long sinceNanos;
   Optional<StopReason> abort = Optional.empty();
   OptionalLong stoppingSince = OptionalLong.empty();
@@ -26,21 +26,21 @@
   boolean releasing;
   boolean abandoned;
 
-  AttemptTrack(JobState job, long nowNanos) {
+  AttemptProgress(JobState job, long nowNanos) {
     this.attempt = job.attempt();
     this.sinceNanos = nowNanos;
     int number = 0;
     for (WorkerId worker : job.workers()) {
-      members.add(new MemberTrack(number, worker, nowNanos));
+      members.add(new MemberProgress(number, worker, nowNanos));
       number++;
     }
   }
 
-  boolean all(Predicate<MemberTrack> condition) {
+  boolean all(Predicate<MemberProgress> condition) {
     return members.stream().allMatch(condition);
   }
 
-  Optional<MemberTrack> first(Predicate<MemberTrack> condition) {
+  Optional<MemberProgress> first(Predicate<MemberProgress> condition) {
     return members.stream().filter(condition).findFirst();
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangStarter.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangCommitter.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.fescuehook.logic.control.ControlLimits;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.control.append.RecordWriter;
 import org.fescuehook.logic.control.state.JobState;
 import org.fescuehook.logic.worker.WorkerPort.WorkerCommand;
@@ -17,19 +17,19 @@
 import org.fescuehook.wire.StopReason;
 
 /** Brings an attempt from its plan, read back, to its commit, or ends it as never started. */
-final class GangStarter {
+final class GangCommitter {
   private final ControlPreferences preferences;
   private final RecordWriter writer;
   private final LeaseReleaser releaser;
 
-  GangStarter(ControlPreferences preferences, RecordWriter writer, LeaseReleaser releaser) {
+  GangCommitter(ControlPreferences preferences, RecordWriter writer, LeaseReleaser releaser) {
     this.preferences = preferences;
     this.writer = writer;
     this.releaser = releaser;
   }
 
   /** Takes the next step of an attempt that is planned and not committed. */
-  void advance(AttemptTrack track, JobState job, long epoch, Turn turn) {
+  void advance(AttemptProgress track, JobState job, long epoch, DecisionContext turn) {
     if (writer.isUnread(track.unread)) {
       keepLeases(track, turn);
       return;
@@ -50,7 +50,7 @@
   }
 
   private Optional<StopReason> reasonToAbort(
-      AttemptTrack track, JobState job, long epoch, Turn turn) {
+      AttemptProgress track, JobState job, long epoch, DecisionContext turn) {
     if (job.plannedEpoch() != epoch) {
       return Optional.of(StopReason.STOP_REASON_OWNER_CHANGED);
     }
@@ -71,9 +71,9 @@
    * Asks each worker for a lease, once: a lease whose grant was lost holds its place until it
    * lapses, so asking again would be refused. Implements {@code Ask}.
    */
-  private void ask(AttemptTrack track, JobState job, Turn turn) {
+  private void ask(AttemptProgress track, JobState job, DecisionContext turn) {
     Capacity unit = job.job().shape().perMember();
-    for (MemberTrack member : track.members) {
+    for (MemberProgress member : track.members) {
       if (member.asked) {
         continue;
       }
@@ -90,8 +90,8 @@
   }
 
   /** While a slow log holds the commit up, the leases that it names must not lapse. */
-  private void keepLeases(AttemptTrack track, Turn turn) {
-    for (MemberTrack member : track.members) {
+  private void keepLeases(AttemptProgress track, DecisionContext turn) {
+    for (MemberProgress member : track.members) {
       if (member.granted() && turn.passed(member.renewedNanos, ControlLimits.COMMIT_KEEP)) {
         member.renewedNanos = turn.now();
         turn.send(
@@ -105,7 +105,7 @@
   }
 
   /** Implements {@code Commit}. */
-  private void commit(AttemptTrack track, long epoch, Turn turn) {
+  private void commit(AttemptProgress track, long epoch, DecisionContext turn) {
     AttemptCommitted.Builder body =
         AttemptCommitted.newBuilder()
             .setJob(track.attempt.job().value())
@@ -118,7 +118,7 @@
    * Ends an attempt that cannot commit any more: its commit was not appended, or is known to be
    * absent. So its leases can be released at once. Implements {@code NeverStarted}.
    */
-  private void abort(AttemptTrack track, StopReason reason, long epoch, Turn turn) {
+  private void abort(AttemptProgress track, StopReason reason, long epoch, DecisionContext turn) {
     AttemptEnded.Builder body =
         AttemptEnded.newBuilder()
             .setJob(track.attempt.job().value())
@@ -132,7 +132,7 @@
           .ifPresent(member -> body.setWorker(member.worker.value()));
     }
     track.unread = writer.append(ControlRecord.newBuilder().setAttemptEnded(body), epoch, turn);
-    for (MemberTrack member : track.members) {
+    for (MemberProgress member : track.members) {
       if (member.granted()) {
         releaser.release(member.worker, member.lease, turn);
       }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangDuty.java
@@ -9,9 +9,9 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.control.append.RecordWriter;
-import org.fescuehook.logic.control.ownership.PeerWatch;
+import org.fescuehook.logic.control.ownership.PeerTracker;
 import org.fescuehook.logic.control.state.ControlState;
 import org.fescuehook.logic.control.state.JobState;
 import org.fescuehook.logic.worker.WorkerPort.LeaseState;
@@ -35,40 +35,40 @@
 
   private final LeaseReleaser releaser;
   private final LeaseRenewer renewer;
-  private final GangStarter starter;
+  private final GangCommitter starter;
   private final GangRunner runner;
   private final GangStopper stopper;
-  private final WorkerRest rest = new WorkerRest();
-  private final Map<JobId, AttemptTrack> tracks = new LinkedHashMap<>();
-  private final Map<String, MemberTrack> asked = new HashMap<>();
+  private final WorkerBackoff rest = new WorkerBackoff();
+  private final Map<JobId, AttemptProgress> tracks = new LinkedHashMap<>();
+  private final Map<String, MemberProgress> asked = new HashMap<>();
   private final Set<JobId> touched = new LinkedHashSet<>();
-  private Mode mode = Mode.OFF;
+  private GangMode mode = GangMode.OFF;
   private long lastRound;
 
   /** Creates a duty that drives nothing. */
-  public GangDuty(ControlPreferences preferences, RecordWriter writer, PeerWatch peers) {
+  public GangDuty(ControlPreferences preferences, RecordWriter writer, PeerTracker peers) {
     releaser = new LeaseReleaser(preferences.leaseTtl());
     renewer = new LeaseRenewer(preferences);
-    starter = new GangStarter(preferences, writer, releaser);
+    starter = new GangCommitter(preferences, writer, releaser);
     runner = new GangRunner(preferences, writer, releaser);
     stopper = new GangStopper(preferences, writer, releaser, peers);
   }
 
   /** Returns workers that refused a lease or gave no answer lately. */
-  public Set<WorkerId> restingWorkers(Turn turn) {
+  public Set<WorkerId> restingWorkers(DecisionContext turn) {
     return rest.resting(turn);
   }
 
   /** A record about a job was folded. */
   public void folded(JobId job) {
-    if (mode != Mode.OFF) {
+    if (mode != GangMode.OFF) {
       touched.add(job);
     }
   }
 
   /** The policy wants an attempt ended that is not committed yet. */
   public void abort(AttemptId attempt, StopReason reason) {
-    AttemptTrack track = tracks.get(attempt.job());
+    AttemptProgress track = tracks.get(attempt.job());
     if (track != null && track.attempt.equals(attempt)) {
       track.abort = Optional.of(reason);
       touched.add(attempt.job());
@@ -80,9 +80,9 @@
    *
    * @param foldedUntil offset after the last record that this VM has folded
    */
-  public void step(ControlState state, Mode now, long foldedUntil, Turn turn) {
+  public void step(ControlState state, GangMode now, long foldedUntil, DecisionContext turn) {
     changeMode(state, now, turn);
-    if (mode == Mode.OFF || mode == Mode.READ) {
+    if (mode == GangMode.OFF || mode == GangMode.READ) {
       return;
     }
     for (JobId job : due(turn)) {
@@ -92,17 +92,17 @@
     releaser.step(turn);
   }
 
-  private void changeMode(ControlState state, Mode now, Turn turn) {
+  private void changeMode(ControlState state, GangMode now, DecisionContext turn) {
     if (now == mode) {
       return;
     }
-    boolean fresh = mode == Mode.OFF;
+    boolean fresh = mode == GangMode.OFF;
     mode = now;
-    if (now == Mode.OFF) {
+    if (now == GangMode.OFF) {
       clear();
       return;
     }
-    if (fresh || now == Mode.DECIDE) {
+    if (fresh || now == GangMode.DECIDE) {
       touched.addAll(tracks.keySet());
       state.jobs().live().forEach(job -> touched.add(job.id()));
       lastRound = turn.now();
@@ -117,7 +117,7 @@
     releaser.clear();
   }
 
-  private List<JobId> due(Turn turn) {
+  private List<JobId> due(DecisionContext turn) {
     if (turn.passed(lastRound, FULL_ROUND)) {
       lastRound = turn.now();
       touched.addAll(tracks.keySet());
@@ -127,9 +127,9 @@
     return due;
   }
 
-  private void advance(JobId id, ControlState state, long foldedUntil, Turn turn) {
+  private void advance(JobId id, ControlState state, long foldedUntil, DecisionContext turn) {
     Optional<JobState> found = state.jobs().find(id).filter(JobState::live);
-    AttemptTrack track = tracks.get(id);
+    AttemptProgress track = tracks.get(id);
     if (track != null && found.filter(job -> job.attempt().equals(track.attempt)).isEmpty()) {
       drop(track, turn);
     }
@@ -137,9 +137,10 @@
       return;
     }
     JobState job = found.get();
-    AttemptTrack current = tracks.computeIfAbsent(id, key -> new AttemptTrack(job, turn.now()));
+    AttemptProgress current =
+        tracks.computeIfAbsent(id, key -> new AttemptProgress(job, turn.now()));
     if (!job.committed()) {
-      if (mode == Mode.DECIDE) {
+      if (mode == GangMode.DECIDE) {
         starter.advance(current, job, state.epoch(), turn);
         current.members.forEach(member -> asked.put(key(current, member), member));
       }
@@ -153,19 +154,19 @@
     }
   }
 
-  private static String key(AttemptTrack track, MemberTrack member) {
+  private static String key(AttemptProgress track, MemberProgress member) {
     return track.attempt + "/" + member.number;
   }
 
   /** Notes the leases of a commit that counted; those of another VM are adopted. */
-  private void takeCommit(AttemptTrack track, JobState job, Turn turn) {
+  private void takeCommit(AttemptProgress track, JobState job, DecisionContext turn) {
     if (track.committed) {
       return;
     }
     track.committed = true;
-    boolean adopted = !track.all(MemberTrack::granted);
+    boolean adopted = !track.all(MemberProgress::granted);
     List<String> leases = job.facts().getCommitted().getLeasesList();
-    for (MemberTrack member : track.members) {
+    for (MemberProgress member : track.members) {
       member.lease = leases.get(member.number);
       asked.remove(key(track, member));
     }
@@ -177,10 +178,10 @@
   }
 
   /** The attempt ended in the log, so its leases serve nobody. Implements {@code Release}. */
-  private void drop(AttemptTrack track, Turn turn) {
+  private void drop(AttemptProgress track, DecisionContext turn) {
     tracks.remove(track.attempt.job());
     renewer.remove(track);
-    for (MemberTrack member : track.members) {
+    for (MemberProgress member : track.members) {
       asked.remove(key(track, member));
       if (member.granted() && !member.gone) {
         releaser.release(member.worker, member.lease, turn);
@@ -189,7 +190,7 @@
   }
 
   /** Takes in the answer of a worker, or that there was none. */
-  public void answered(WorkerReply reply, Turn turn) {
+  public void answered(WorkerReply reply, DecisionContext turn) {
     boolean silence = reply instanceof WorkerReply.Silent;
     renewer.heard(reply.worker(), silence);
     if (!silence) {
@@ -211,8 +212,8 @@
     }
   }
 
-  private void granted(WorkerReply.Granted granted, Turn turn) {
-    MemberTrack member = asked.get(granted.key());
+  private void granted(WorkerReply.Granted granted, DecisionContext turn) {
+    MemberProgress member = asked.get(granted.key());
     if (member == null || member.refused || member.granted()) {
       releaseStray(granted, turn);
       return;
@@ -224,8 +225,8 @@
   }
 
   /** A lease that came late is in no commit: this VM alone knows it, and it did not commit it. */
-  private void releaseStray(WorkerReply.Granted granted, Turn turn) {
-    if (renewer.holder(granted.worker(), granted.lease()).isPresent() || mode == Mode.READ) {
+  private void releaseStray(WorkerReply.Granted granted, DecisionContext turn) {
+    if (renewer.holder(granted.worker(), granted.lease()).isPresent() || mode == GangMode.READ) {
       return;
     }
     turn.count("fescuehook.control.stray.leases");
@@ -233,7 +234,7 @@
   }
 
   private void refuse(String key) {
-    MemberTrack member = asked.get(key);
+    MemberProgress member = asked.get(key);
     if (member != null && !member.granted()) {
       member.refused = true;
       touched.add(jobOf(key));
@@ -245,7 +246,7 @@
     return new JobId(attempt.substring(0, attempt.lastIndexOf('.')));
   }
 
-  private void heard(WorkerReply.States states, State state, Turn turn) {
+  private void heard(WorkerReply.States states, State state, DecisionContext turn) {
     if (state.state() == LeaseState.GONE) {
       releaser.gone(states.worker(), state.lease());
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/Mode.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangMode.java
@@ -1,7 +1,7 @@
 package org.fescuehook.logic.control.gang;
 
 /** What this VM may do about gangs. */
-public enum Mode {
+public enum GangMode {
   /** Nothing: another VM decides. */
   OFF,
   /** Nothing for now, but remember: the owner has still to read to the end. */
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangRunner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangRunner.java
@@ -4,9 +4,9 @@
 import java.util.OptionalLong;
 import org.fescuehook.logic.control.ControlLimits;
 import org.fescuehook.logic.control.ControlLogEvent;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.control.append.RecordWriter;
-import org.fescuehook.logic.control.record.WireWords;
+import org.fescuehook.logic.control.record.WireEnumNames;
 import org.fescuehook.logic.control.state.JobState;
 import org.fescuehook.logic.worker.WorkerPort.WorkerCommand;
 import org.fescuehook.model.preferences.ControlPreferences;
@@ -28,19 +28,20 @@
     this.releaser = releaser;
   }
 
-  private record Fault(StopReason reason, Optional<MemberTrack> member) {}
+  private record Fault(StopReason reason, Optional<MemberProgress> member) {}
 
   /** Takes the next step of an attempt that is committed and not being stopped. */
-  void advance(AttemptTrack track, JobState job, Mode mode, long epoch, Turn turn) {
-    if (track.first(MemberTrack::lost).isPresent()) {
+  void advance(
+      AttemptProgress track, JobState job, GangMode mode, long epoch, DecisionContext turn) {
+    if (track.first(MemberProgress::lost).isPresent()) {
       releaseOthers(track, turn);
     }
     Optional<Fault> fault = fault(track, job, mode, turn);
-    if (fault.isPresent() && mode == Mode.RENEW) {
+    if (fault.isPresent() && mode == GangMode.RENEW) {
       abandon(track, fault.get(), turn);
       return;
     }
-    if (mode == Mode.DECIDE && !writer.isUnread(track.unread) && writer.hasRoom(turn)) {
+    if (mode == GangMode.DECIDE && !writer.isUnread(track.unread) && writer.hasRoom(turn)) {
       if (track.all(member -> member.finished)) {
         finish(track, epoch, turn);
         return;
@@ -55,22 +56,23 @@
     }
   }
 
-  private Optional<Fault> fault(AttemptTrack track, JobState job, Mode mode, Turn turn) {
+  private Optional<Fault> fault(
+      AttemptProgress track, JobState job, GangMode mode, DecisionContext turn) {
     if (track.all(member -> member.finished)) {
       return Optional.empty();
     }
-    Optional<MemberTrack> failed = track.first(member -> member.failed);
+    Optional<MemberProgress> failed = track.first(member -> member.failed);
     if (failed.isPresent()) {
       return Optional.of(new Fault(StopReason.STOP_REASON_MEMBER_FAILED, failed));
     }
-    Optional<MemberTrack> lost = track.first(member -> lostOrSilent(member, turn));
+    Optional<MemberProgress> lost = track.first(member -> lostOrSilent(member, turn));
     if (lost.isPresent()) {
       return Optional.of(new Fault(StopReason.STOP_REASON_MEMBER_LOST, lost));
     }
-    if (mode == Mode.DECIDE && job.facts().getCancelRequested()) {
+    if (mode == GangMode.DECIDE && job.facts().getCancelRequested()) {
       return Optional.of(new Fault(StopReason.STOP_REASON_CANCELLED, Optional.empty()));
     }
-    Optional<MemberTrack> held = track.first(member -> !member.started());
+    Optional<MemberProgress> held = track.first(member -> !member.started());
     if (held.isPresent() && startIsLate(track, turn)) {
       return Optional.of(new Fault(StopReason.STOP_REASON_START_REFUSED, held));
     }
@@ -78,15 +80,15 @@
   }
 
   /** A member whose lease lapsed, ended early, or must have lapsed unless another VM renews it. */
-  private boolean lostOrSilent(MemberTrack member, Turn turn) {
+  private boolean lostOrSilent(MemberProgress member, DecisionContext turn) {
     if (member.lost() || member.checkpointed) {
       return true;
     }
     return !member.finished && turn.passed(member.heardNanos, preferences.leaseTtl());
   }
 
-  private static boolean startIsLate(AttemptTrack track, Turn turn) {
-    boolean partly = track.first(MemberTrack::started).isPresent();
+  private static boolean startIsLate(AttemptProgress track, DecisionContext turn) {
+    boolean partly = track.first(MemberProgress::started).isPresent();
     if (track.startedSince.isEmpty() && partly) {
       track.startedSince = OptionalLong.of(turn.now());
     }
@@ -98,15 +100,15 @@
    * Sends the start to each lease that is not known to run. Only for a commit that was read back
    * and counted, so it may be repeated. Implements {@code Start}.
    */
-  private void start(AttemptTrack track, JobState job, Mode mode, Turn turn) {
-    if (mode != Mode.DECIDE) {
+  private void start(AttemptProgress track, JobState job, GangMode mode, DecisionContext turn) {
+    if (mode != GangMode.DECIDE) {
       return;
     }
     if (track.startedSince.isEmpty()) {
       track.startedSince = OptionalLong.of(turn.now());
       turn.note(ControlLogEvent.ATTEMPT_STARTED, track.attempt, track.members.size());
     }
-    for (MemberTrack member : track.members) {
+    for (MemberProgress member : track.members) {
       if (member.started() || !turn.passed(member.commandedNanos, ControlLimits.COMMAND_RETRY)) {
         continue;
       }
@@ -123,9 +125,9 @@
   }
 
   /** A lease that is gone by its worker's word stays gone, so no VM can want the others to run. */
-  private void releaseOthers(AttemptTrack track, Turn turn) {
+  private void releaseOthers(AttemptProgress track, DecisionContext turn) {
     track.releasing = true;
-    for (MemberTrack member : track.members) {
+    for (MemberProgress member : track.members) {
       if (!member.gone) {
         releaser.release(member.worker, member.lease, turn);
       }
@@ -133,17 +135,18 @@
   }
 
   /** Without the log, a gang that is not whole is left to lapse. */
-  private static void abandon(AttemptTrack track, Fault fault, Turn turn) {
+  private static void abandon(AttemptProgress track, Fault fault, DecisionContext turn) {
     if (track.abandoned) {
       return;
     }
     track.abandoned = true;
     String worker = fault.member().map(member -> member.worker.value()).orElse("none");
-    turn.note(ControlLogEvent.GANG_ABANDONED, track.attempt, worker, WireWords.of(fault.reason()));
+    turn.note(
+        ControlLogEvent.GANG_ABANDONED, track.attempt, worker, WireEnumNames.of(fault.reason()));
   }
 
   /** Implements {@code Stop}. */
-  private void stop(AttemptTrack track, Fault fault, long epoch, Turn turn) {
+  private void stop(AttemptProgress track, Fault fault, long epoch, DecisionContext turn) {
     AttemptStopping.Builder body =
         AttemptStopping.newBuilder()
             .setJob(track.attempt.job().value())
@@ -156,7 +159,7 @@
   }
 
   /** The leases are released only once this record was read, else the result could be lost. */
-  private void finish(AttemptTrack track, long epoch, Turn turn) {
+  private void finish(AttemptProgress track, long epoch, DecisionContext turn) {
     AttemptEnded.Builder body =
         AttemptEnded.newBuilder()
             .setJob(track.attempt.job().value())
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangStopper.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangStopper.java
@@ -4,10 +4,10 @@
 import java.util.OptionalLong;
 import org.fescuehook.logic.control.ControlLimits;
 import org.fescuehook.logic.control.ControlLogEvent;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.control.append.RecordWriter;
-import org.fescuehook.logic.control.ownership.PeerWatch;
-import org.fescuehook.logic.control.record.WireWords;
+import org.fescuehook.logic.control.ownership.PeerTracker;
+import org.fescuehook.logic.control.record.WireEnumNames;
 import org.fescuehook.logic.control.state.JobState;
 import org.fescuehook.logic.worker.WorkerPort.WorkerCommand;
 import org.fescuehook.model.preferences.ControlPreferences;
@@ -26,13 +26,13 @@
   private final ControlPreferences preferences;
   private final RecordWriter writer;
   private final LeaseReleaser releaser;
-  private final PeerWatch peers;
+  private final PeerTracker peers;
 
   GangStopper(
       ControlPreferences preferences,
       RecordWriter writer,
       LeaseReleaser releaser,
-      PeerWatch peers) {
+      PeerTracker peers) {
     this.preferences = preferences;
     this.writer = writer;
     this.releaser = releaser;
@@ -45,16 +45,21 @@
    * @param foldedUntil offset after the last record that this VM has folded
    */
   void advance(
-      AttemptTrack track, JobState job, Mode mode, long epoch, long foldedUntil, Turn turn) {
+      AttemptProgress track,
+      JobState job,
+      GangMode mode,
+      long epoch,
+      long foldedUntil,
+      DecisionContext turn) {
     AttemptStopping stopping = job.facts().getStopping();
     if (track.stoppingSince.isEmpty()) {
       track.stoppingSince = OptionalLong.of(turn.now());
       track.stoppingOffset = foldedUntil - 1;
-      track.awaitsCheckpoint = stopping.getCheckpointFirst() && mode == Mode.DECIDE;
+      track.awaitsCheckpoint = stopping.getCheckpointFirst() && mode == GangMode.DECIDE;
       turn.note(
           ControlLogEvent.ATTEMPT_STOPPING,
           track.attempt,
-          WireWords.of(stopping.getReason()),
+          WireEnumNames.of(stopping.getReason()),
           stopping.getWorker());
     }
     if (awaitsCheckpoint(track, stopping, turn)) {
@@ -63,13 +68,17 @@
     }
     release(track, stopping, turn);
     boolean allGone = track.all(member -> member.gone);
-    if (allGone && mode == Mode.DECIDE && !writer.isUnread(track.unread) && writer.hasRoom(turn)) {
+    if (allGone
+        && mode == GangMode.DECIDE
+        && !writer.isUnread(track.unread)
+        && writer.hasRoom(turn)) {
       end(track, stopping, epoch, turn);
     }
   }
 
   /** Only an owner waits, and from when it read the stop, so renewals end with the notice. */
-  private static boolean awaitsCheckpoint(AttemptTrack track, AttemptStopping stopping, Turn turn) {
+  private static boolean awaitsCheckpoint(
+      AttemptProgress track, AttemptStopping stopping, DecisionContext turn) {
     if (!track.awaitsCheckpoint || track.releasing) {
       return false;
     }
@@ -79,8 +88,8 @@
     return !broken && !done && !turn.passed(track.stoppingSince.getAsLong(), notice);
   }
 
-  private static void askForCheckpoint(AttemptTrack track, Turn turn) {
-    for (MemberTrack member : track.members) {
+  private static void askForCheckpoint(AttemptProgress track, DecisionContext turn) {
+    for (MemberProgress member : track.members) {
       boolean done = member.checkpointed || member.finished;
       if (done
           || !turn.passed(member.commandedNanos, ControlLimits.COMMAND_RETRY.multipliedBy(4))) {
@@ -92,13 +101,13 @@
   }
 
   /** Implements {@code Release} after a stop that counted. */
-  private void release(AttemptTrack track, AttemptStopping stopping, Turn turn) {
+  private void release(AttemptProgress track, AttemptStopping stopping, DecisionContext turn) {
     track.releasing = true;
     if (track.foldedSince.isEmpty()
         && peers.allFolded(track.stoppingOffset, ControlLimits.OUTAGE_RIDE, turn)) {
       track.foldedSince = OptionalLong.of(turn.now());
     }
-    for (MemberTrack member : track.members) {
+    for (MemberProgress member : track.members) {
       if (member.gone) {
         continue;
       }
@@ -119,7 +128,10 @@
    * of the module SilentWorker.
    */
   private boolean cannotBeHeld(
-      AttemptTrack track, MemberTrack member, AttemptStopping stopping, Turn turn) {
+      AttemptProgress track,
+      MemberProgress member,
+      AttemptStopping stopping,
+      DecisionContext turn) {
     Duration ttl = preferences.leaseTtl();
     Duration rest =
         ttl.plus(ttl.dividedBy(DRIFT_DIVISOR))
@@ -133,7 +145,8 @@
   }
 
   /** Implements {@code End}. */
-  private void end(AttemptTrack track, AttemptStopping stopping, long epoch, Turn turn) {
+  private void end(
+      AttemptProgress track, AttemptStopping stopping, long epoch, DecisionContext turn) {
     AttemptEnded.Builder body =
         AttemptEnded.newBuilder()
             .setJob(track.attempt.job().value())
@@ -146,7 +159,7 @@
     track.unread = writer.append(ControlRecord.newBuilder().setAttemptEnded(body), epoch, turn);
   }
 
-  private static AttemptResult result(AttemptTrack track, AttemptStopping stopping) {
+  private static AttemptResult result(AttemptProgress track, AttemptStopping stopping) {
     if (track.all(member -> member.finished)) {
       return AttemptResult.ATTEMPT_RESULT_FINISHED;
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/LeaseReleaser.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/LeaseReleaser.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import org.fescuehook.logic.control.ControlLimits;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.worker.WorkerPort.WorkerCommand;
 import org.fescuehook.model.fleet.WorkerId;
 
@@ -14,10 +14,10 @@
 
   private record Lease(WorkerId worker, String id) {}
 
-  private record Effort(long sinceNanos, long sentNanos) {}
+  private record PendingRelease(long sinceNanos, long sentNanos) {}
 
   private final Duration effortLimit;
-  private final Map<Lease, Effort> efforts = new LinkedHashMap<>();
+  private final Map<Lease, PendingRelease> efforts = new LinkedHashMap<>();
 
   /**
    * Creates a releaser without work.
@@ -29,12 +29,12 @@
   }
 
   /** Releases a lease; does nothing if that is under way. Implements {@code Release}. */
-  void release(WorkerId worker, String id, Turn turn) {
+  void release(WorkerId worker, String id, DecisionContext turn) {
     Lease lease = new Lease(worker, id);
     if (efforts.containsKey(lease)) {
       return;
     }
-    efforts.put(lease, new Effort(turn.now(), turn.now()));
+    efforts.put(lease, new PendingRelease(turn.now(), turn.now()));
     turn.send(worker, new WorkerCommand.Release(id));
   }
 
@@ -49,16 +49,16 @@
   }
 
   /** Repeats what was not answered. */
-  void step(Turn turn) {
-    Iterator<Map.Entry<Lease, Effort>> entries = efforts.entrySet().iterator();
+  void step(DecisionContext turn) {
+    Iterator<Map.Entry<Lease, PendingRelease>> entries = efforts.entrySet().iterator();
     while (entries.hasNext()) {
-      Map.Entry<Lease, Effort> entry = entries.next();
-      Effort effort = entry.getValue();
+      Map.Entry<Lease, PendingRelease> entry = entries.next();
+      PendingRelease effort = entry.getValue();
       if (turn.passed(effort.sinceNanos(), effortLimit)) {
         entries.remove();
       } else if (turn.passed(effort.sentNanos(), ControlLimits.COMMAND_RETRY.multipliedBy(2))) {
         Lease lease = entry.getKey();
-        entry.setValue(new Effort(effort.sinceNanos(), turn.now()));
+        entry.setValue(new PendingRelease(effort.sinceNanos(), turn.now()));
         turn.send(lease.worker(), new WorkerCommand.Release(lease.id()));
       }
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/LeaseRenewer.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/LeaseRenewer.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import org.fescuehook.logic.control.ControlLimits;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.worker.WorkerPort.WorkerCommand;
 import org.fescuehook.model.fleet.WorkerId;
 import org.fescuehook.model.preferences.ControlPreferences;
@@ -24,7 +24,7 @@
   private static final Duration SILENT_RETRY = Duration.ofSeconds(2);
 
   /** A lease and whose it is. */
-  record Holder(AttemptTrack attempt, MemberTrack member) {}
+  record Holder(AttemptProgress attempt, MemberProgress member) {}
 
   private static final class WorkerLeases {
     final Map<String, Holder> holders = new HashMap<>();
@@ -40,8 +40,8 @@
   }
 
   /** Adds the leases of a committed attempt; they are renewed at once. */
-  void add(AttemptTrack attempt, Turn turn) {
-    for (MemberTrack member : attempt.members) {
+  void add(AttemptProgress attempt, DecisionContext turn) {
+    for (MemberProgress member : attempt.members) {
       WorkerLeases leases = workers.computeIfAbsent(member.worker, id -> new WorkerLeases());
       leases.holders.put(member.lease, new Holder(attempt, member));
       leases.dueNanos = turn.now();
@@ -49,17 +49,17 @@
   }
 
   /** Adds the leases of an attempt that another VM committed; renewals are spread over a second. */
-  void adopt(AttemptTrack attempt, Turn turn) {
+  void adopt(AttemptProgress attempt, DecisionContext turn) {
     add(attempt, turn);
-    for (MemberTrack member : attempt.members) {
+    for (MemberProgress member : attempt.members) {
       long spread = Math.floorMod(member.worker.value().hashCode(), ADOPTION_SPREAD.toMillis());
       workers.get(member.worker).dueNanos = turn.now() + Duration.ofMillis(spread).toNanos();
     }
   }
 
   /** Removes the leases of an attempt. */
-  void remove(AttemptTrack attempt) {
-    for (MemberTrack member : attempt.members) {
+  void remove(AttemptProgress attempt) {
+    for (MemberProgress member : attempt.members) {
       WorkerLeases leases = workers.get(member.worker);
       if (leases == null) {
         continue;
@@ -90,11 +90,11 @@
   }
 
   /** Sends the renewals that are due. Implements {@code Renew}. */
-  void step(Turn turn) {
+  void step(DecisionContext turn) {
     workers.forEach((worker, leases) -> renewIfDue(worker, leases, turn));
   }
 
-  private void renewIfDue(WorkerId worker, WorkerLeases leases, Turn turn) {
+  private void renewIfDue(WorkerId worker, WorkerLeases leases, DecisionContext turn) {
     if (turn.now() < leases.dueNanos) {
       return;
     }
@@ -117,7 +117,7 @@
   }
 
   /** An attempt whose checkpoint is awaited counts as young. */
-  private static long age(AttemptTrack attempt, Turn turn) {
+  private static long age(AttemptProgress attempt, DecisionContext turn) {
     return attempt.stoppingSince.isPresent() ? 0 : turn.now() - attempt.sinceNanos;
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/MemberTrack.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/MemberProgress.java
@@ -4,7 +4,7 @@
 import org.fescuehook.model.fleet.WorkerId;
 
 /** What the driving VM knows of one member of an attempt, by its worker's word. */
-final class MemberTrack {
+final class MemberProgress {
   final int number;
   final WorkerId worker;
   String lease = "";
@@ -20,7 +20,7 @@
   long renewedNanos;
   long commandedNanos = Long.MIN_VALUE / 2;
 
-  MemberTrack(int number, WorkerId worker, long nowNanos) {
+  MemberProgress(int number, WorkerId worker, long nowNanos) {
     this.number = number;
     this.worker = worker;
     this.heardNanos = nowNanos;
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/ReaderWatch.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/CatchUpTracker.java
@@ -1,10 +1,10 @@
 package org.fescuehook.logic.control.ownership;
 
 import java.time.Duration;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 
 /** Knows whether this VM has read the control stream to its end, and since when. */
-public final class ReaderWatch {
+public final class CatchUpTracker {
 
   /**
    * Ends of reads that are needed after a pause. The first one may have been read before the pause
@@ -27,12 +27,12 @@
    *
    * @param freshness longest time since the last end of the stream was reached
    */
-  public ReaderWatch(Duration freshness) {
+  public CatchUpTracker(Duration freshness) {
     this.freshness = freshness;
   }
 
   /** The end of the stream was reached. */
-  public void caughtUp(Turn turn) {
+  public void caughtUp(DecisionContext turn) {
     boolean before = current(turn);
     needed = Math.max(0, needed - 1);
     reachable = true;
@@ -49,19 +49,19 @@
   }
 
   /** The thread stood still. */
-  public void paused(Turn turn) {
+  public void paused(DecisionContext turn) {
     needed = NEEDED_AFTER_PAUSE;
     reachable = true;
     wokenNanos = turn.now();
   }
 
   /** Tells whether the state is that of the end of the stream, but for the last moments. */
-  public boolean current(Turn turn) {
+  public boolean current(DecisionContext turn) {
     return needed == 0 && reachable && !turn.passed(lastReadNanos, freshness);
   }
 
   /** Tells whether the log cannot be read, as far as was seen since the last pause. */
-  public boolean outage(Turn turn) {
+  public boolean outage(DecisionContext turn) {
     return !reachable || turn.passed(Math.max(lastReadNanos, wokenNanos), freshness);
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/Understanding.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/LogCompatibility.java
@@ -1,7 +1,7 @@
 package org.fescuehook.logic.control.ownership;
 
 /** How far this VM understands what the log tells. */
-public enum Understanding {
+public enum LogCompatibility {
   /** It can decide all that an owner decides. */
   WHOLE,
   /**
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/OutageWatch.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/OutageMonitor.java
@@ -3,27 +3,27 @@
 import java.util.Optional;
 import org.fescuehook.logic.control.ControlLimits;
 import org.fescuehook.logic.control.ControlLogEvent;
-import org.fescuehook.logic.control.Turn;
-import org.fescuehook.logic.control.gang.Mode;
+import org.fescuehook.logic.control.DecisionContext;
+import org.fescuehook.logic.control.gang.GangMode;
 import org.fescuehook.model.fleet.VmId;
 
 /** Decides what a VM that does not decide may do for running gangs, above all in a log outage. */
-public final class OutageWatch {
+public final class OutageMonitor {
   private final VmId self;
-  private final ReaderWatch reader;
-  private final PeerWatch peers;
+  private final CatchUpTracker reader;
+  private final PeerTracker peers;
   private boolean outage;
   private long sinceNanos;
 
   /** Creates a watch that has seen no outage. */
-  public OutageWatch(VmId self, ReaderWatch reader, PeerWatch peers) {
+  public OutageMonitor(VmId self, CatchUpTracker reader, PeerTracker peers) {
     this.self = self;
     this.reader = reader;
     this.peers = peers;
   }
 
   /** Notes the begin and end of an outage. */
-  public void step(Turn turn) {
+  public void step(DecisionContext turn) {
     boolean now = reader.everCurrent() && reader.outage(turn);
     if (now == outage) {
       return;
@@ -45,18 +45,18 @@
    * last read, and a VM that is out for that long may have read that an attempt is being stopped
    * only then.
    */
-  public Mode mode(Optional<VmId> owner, boolean owns, Turn turn) {
+  public GangMode mode(Optional<VmId> owner, boolean owns, DecisionContext turn) {
     boolean ride = !turn.passed(reader.lastReadNanos(), ControlLimits.OUTAGE_RIDE);
     if (!outage) {
-      return owns ? Mode.READ : Mode.OFF;
+      return owns ? GangMode.READ : GangMode.OFF;
     }
     if (!reader.everCurrent() || !ride) {
-      return Mode.OFF;
+      return GangMode.OFF;
     }
     if (owns) {
-      return Mode.RENEW;
+      return GangMode.RENEW;
     }
-    return standsIn(owner) ? Mode.RENEW : Mode.OFF;
+    return standsIn(owner) ? GangMode.RENEW : GangMode.OFF;
   }
 
   private boolean standsIn(Optional<VmId> owner) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/OwnerDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/OwnerDuty.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import org.fescuehook.logic.control.ControlLimits;
 import org.fescuehook.logic.control.ControlLogEvent;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.control.append.RecordWriter;
 import org.fescuehook.logic.control.state.ControlState;
 import org.fescuehook.model.configuration.Configuration;
@@ -23,8 +23,8 @@
   private final String incarnation;
   private final ControlPreferences preferences;
   private final RecordWriter writer;
-  private final ReaderWatch reader;
-  private final PeerWatch peers;
+  private final CatchUpTracker reader;
+  private final PeerTracker peers;
   private long lastSignNanos = Long.MIN_VALUE / 2;
   private long claim;
   private long release;
@@ -37,8 +37,8 @@
       String incarnation,
       ControlPreferences preferences,
       RecordWriter writer,
-      ReaderWatch reader,
-      PeerWatch peers) {
+      CatchUpTracker reader,
+      PeerTracker peers) {
     this.vm = vm;
     this.incarnation = incarnation;
     this.preferences = preferences;
@@ -48,7 +48,7 @@
   }
 
   /** A record that counted under the epoch in force, or changed it, was read. */
-  public void sign(Turn turn) {
+  public void sign(DecisionContext turn) {
     lastSignNanos = turn.now();
   }
 
@@ -58,7 +58,7 @@
   }
 
   /** Tells whether this VM may decide now: it owns, has read to the end, and stays owner. */
-  public boolean decides(ControlState state, Turn turn) {
+  public boolean decides(ControlState state, DecisionContext turn) {
     return owns(state) && !handingOver && reader.current(turn);
   }
 
@@ -77,7 +77,7 @@
    *
    * @param understanding how far this VM understands the state
    */
-  public void step(ControlState state, Understanding understanding, Turn turn) {
+  public void step(ControlState state, LogCompatibility understanding, DecisionContext turn) {
     if (!reader.current(turn)) {
       return;
     }
@@ -86,14 +86,14 @@
       return;
     }
     boolean free = !writer.isUnread(claim) && writer.hasRoom(turn);
-    boolean may = !handingOver && understanding != Understanding.PARTIAL;
+    boolean may = !handingOver && understanding != LogCompatibility.PARTIAL;
     if (may && free && silent(state, understanding, turn)) {
       claim(state, turn);
     }
   }
 
   /** A record on its way will show that the owner lives, so a slow log is not filled up. */
-  private void hold(ControlState state, Understanding understanding, Turn turn) {
+  private void hold(ControlState state, LogCompatibility understanding, DecisionContext turn) {
     if (handingOver || yields(state, understanding)) {
       releaseOnce(state, turn);
       return;
@@ -108,7 +108,7 @@
   }
 
   /** An unreadable configuration is a reason to yield once: if nobody took over, nobody can. */
-  private boolean yields(ControlState state, Understanding understanding) {
+  private boolean yields(ControlState state, LogCompatibility understanding) {
     return switch (understanding) {
       case WHOLE -> false;
       case PARTIAL -> true;
@@ -117,7 +117,7 @@
   }
 
   /** Implements {@code HandOver}. */
-  private void releaseOnce(ControlState state, Turn turn) {
+  private void releaseOnce(ControlState state, DecisionContext turn) {
     if (writer.isUnread(release) || !writer.hasRoom(turn)) {
       return;
     }
@@ -130,11 +130,11 @@
             turn);
   }
 
-  private boolean silent(ControlState state, Understanding understanding, Turn turn) {
+  private boolean silent(ControlState state, LogCompatibility understanding, DecisionContext turn) {
     Optional<VmId> owner = state.owner();
     long since = Math.max(lastSignNanos, reader.currentSince());
     Duration delay =
-        understanding == Understanding.WHOLE ? Duration.ZERO : ControlLimits.UNREADABLE_DELAY;
+        understanding == LogCompatibility.WHOLE ? Duration.ZERO : ControlLimits.UNREADABLE_DELAY;
     if (owner.isEmpty()) {
       Duration stagger = preferences.claimStagger().multipliedBy(peers.rank(vm));
       return turn.passed(since, delay.plus(stagger));
@@ -147,7 +147,7 @@
     return turn.passed(since, timeout.plus(stagger));
   }
 
-  private void claim(ControlState state, Turn turn) {
+  private void claim(ControlState state, DecisionContext turn) {
     String owner = state.owner().map(VmId::value).orElse("none");
     turn.note(ControlLogEvent.CLAIMING, state.epoch(), owner);
     turn.count("fescuehook.control.claims");
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/PauseWatch.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/PauseDetector.java
@@ -2,10 +2,10 @@
 
 import java.time.Duration;
 import org.fescuehook.logic.control.ControlLogEvent;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 
 /** Notices that the decision thread stood still, by the gap between two events. */
-public final class PauseWatch {
+public final class PauseDetector {
   private final Duration limit;
   private long lastNanos = Long.MIN_VALUE / 2;
   private boolean started;
@@ -15,12 +15,12 @@
    *
    * @param limit gap between two events that counts as a pause
    */
-  public PauseWatch(Duration limit) {
+  public PauseDetector(Duration limit) {
     this.limit = limit;
   }
 
   /** Takes in the time of an event; tells whether a pause lies before it. */
-  public boolean wasPaused(Turn turn) {
+  public boolean wasPaused(DecisionContext turn) {
     boolean paused = started && turn.passed(lastNanos, limit);
     if (paused) {
       long millis = (turn.now() - lastNanos) / 1_000_000;
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/PeerWatch.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/PeerTracker.java
@@ -7,13 +7,13 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.platform.MemberList;
 import org.fescuehook.model.fleet.VmId;
 import org.fescuehook.model.fleet.WorkerId;
 
 /** What this VM knows of the other entry VMs and of leaving workers, by heartbeats and the list. */
-public final class PeerWatch {
+public final class PeerTracker {
   private final VmId self;
   private final Map<VmId, Long> folded = new HashMap<>();
   private final Map<VmId, Long> lastSeen = new HashMap<>();
@@ -30,12 +30,13 @@
   private long lastCompanyNanos = Long.MIN_VALUE / 2;
 
   /** Creates a watch that has heard nothing. */
-  public PeerWatch(VmId self) {
+  public PeerTracker(VmId self) {
     this.self = self;
   }
 
   /** Takes in which peers are heard. */
-  public void heard(Set<VmId> alivePeers, Set<VmId> reaching, Set<VmId> draining, Turn turn) {
+  public void heard(
+      Set<VmId> alivePeers, Set<VmId> reaching, Set<VmId> draining, DecisionContext turn) {
     alive = withoutSelf(alivePeers);
     stopping.removeAll(alive);
     stopping.addAll(withoutSelf(draining));
@@ -59,7 +60,7 @@
   }
 
   /** Takes in the list of VMs. */
-  public void listed(List<MemberList.Member> members, Turn turn) {
+  public void listed(List<MemberList.Member> members, DecisionContext turn) {
     listFetched = true;
     Set<VmId> entries = new HashSet<>();
     Set<VmId> leavingEntries = new HashSet<>();
@@ -103,7 +104,7 @@
   }
 
   /** Tells whether other entry VMs are listed and none was heard for a time. */
-  public boolean isolated(Duration time, Turn turn) {
+  public boolean isolated(Duration time, DecisionContext turn) {
     boolean others = listed.stream().anyMatch(vm -> !vm.equals(self));
     return others && turn.passed(lastCompanyNanos, time);
   }
@@ -157,7 +158,7 @@
    *
    * @param memory time for which a VM that vanished without leaving may live on
    */
-  public boolean allFolded(long offset, Duration memory, Turn turn) {
+  public boolean allFolded(long offset, Duration memory, DecisionContext turn) {
     if (!listFetched) {
       return false;
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/planning/JobEndDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/planning/JobEndDuty.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.control.append.RecordWriter;
 import org.fescuehook.logic.control.state.ControlState;
 import org.fescuehook.logic.control.state.JobState;
@@ -52,7 +52,7 @@
   }
 
   /** Ends the jobs that are to end. */
-  public void step(ControlState state, Declarations declarations, Turn turn) {
+  public void step(ControlState state, Declarations declarations, DecisionContext turn) {
     List<JobId> jobs = new ArrayList<>(touched);
     touched.clear();
     for (JobId id : jobs) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/planning/PlanDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/planning/PlanDuty.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import org.fescuehook.logic.control.ControlLimits;
 import org.fescuehook.logic.control.ControlLogEvent;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.control.append.RecordWriter;
 import org.fescuehook.logic.control.gang.GangDuty;
 import org.fescuehook.logic.control.state.ControlState;
@@ -49,7 +49,10 @@
 
   /** Plans if that is due. */
   public void step(
-      ControlState state, Declarations declarations, Set<WorkerId> unavailable, Turn turn) {
+      ControlState state,
+      Declarations declarations,
+      Set<WorkerId> unavailable,
+      DecisionContext turn) {
     unread.removeIf(sequence -> !writer.isUnread(sequence));
     if (!unread.isEmpty() || !due(state, turn)) {
       return;
@@ -67,7 +70,7 @@
     }
   }
 
-  private void decide(Scheduler.Plan plan, ControlState state, Turn turn) {
+  private void decide(Scheduler.Plan plan, ControlState state, DecisionContext turn) {
     for (Scheduler.Stop stop : plan.stops()) {
       stop(stop, state, turn);
     }
@@ -76,7 +79,7 @@
     }
   }
 
-  private boolean due(ControlState state, Turn turn) {
+  private boolean due(ControlState state, DecisionContext turn) {
     if (changed) {
       return turn.passed(lastPlanNanos, ControlLimits.FASTEST_PLAN);
     }
@@ -85,14 +88,14 @@
     return turn.passed(lastPlanNanos, interval);
   }
 
-  private void append(ControlRecord.Builder record, ControlState state, Turn turn) {
+  private void append(ControlRecord.Builder record, ControlState state, DecisionContext turn) {
     if (writer.hasRoom(turn)) {
       unread.add(writer.append(record, state.epoch(), turn));
     }
   }
 
   /** Implements {@code Plan}. */
-  private void start(Scheduler.Start start, ControlState state, Turn turn) {
+  private void start(Scheduler.Start start, ControlState state, DecisionContext turn) {
     Optional<JobState> job = state.jobs().find(start.job()).filter(JobState::waiting);
     if (job.isEmpty()) {
       return;
@@ -107,7 +110,7 @@
     append(ControlRecord.newBuilder().setAttemptPlanned(planned), state, turn);
   }
 
-  private void stop(Scheduler.Stop stop, ControlState state, Turn turn) {
+  private void stop(Scheduler.Stop stop, ControlState state, DecisionContext turn) {
     Optional<JobState> job =
         state
             .jobs()
@@ -140,7 +143,8 @@
     };
   }
 
-  private void quarantine(WorkerJudge.Judgement judgement, ControlState state, Turn turn) {
+  private void quarantine(
+      WorkerJudge.Judgement judgement, ControlState state, DecisionContext turn) {
     turn.note(
         ControlLogEvent.WORKER_QUARANTINED,
         judgement.worker(),
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/record/WireWords.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/record/WireEnumNames.java
@@ -6,9 +6,9 @@
 import org.fescuehook.wire.StopReason;
 
 /** Words for values of records, as used in documents, log lines and metric tags. */
-public final class WireWords {
+public final class WireEnumNames {
 
-  private WireWords() {}
+  private WireEnumNames() {}
 
   /** Returns the word for how an attempt ended. */
   public static String of(AttemptResult result) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/ExplainDesk.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/ExplainHandler.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Optional;
 import org.fescuehook.logic.control.ControlPort.Answer;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.control.state.JobState;
 import org.fescuehook.logic.scheduling.Scheduler;
 import org.fescuehook.model.job.JobId;
@@ -14,17 +14,17 @@
  * Explains why a job waits. The policy is pure, so any VM that has read the log can ask it, and
  * gives the answer that the owner would give.
  */
-public final class ExplainDesk {
+public final class ExplainHandler {
   private final Scheduler scheduler;
 
   /** Creates a desk. */
-  public ExplainDesk(Scheduler scheduler) {
+  public ExplainHandler(Scheduler scheduler) {
     this.scheduler = scheduler;
   }
 
   /** Answers why a job waits; for a job that does not wait, shows it. */
   public void explain(
-      long ticket, JobId id, Optional<JobState> job, Scheduler.View view, Turn turn) {
+      long ticket, JobId id, Optional<JobState> job, Scheduler.View view, DecisionContext turn) {
     if (job.isEmpty()) {
       Refusals.refuse(ticket, RefusalReason.NOT_FOUND, "no job " + id, turn);
       return;
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/JobDocument.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/JobDocument.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import org.fescuehook.logic.control.record.WireWords;
+import org.fescuehook.logic.control.record.WireEnumNames;
 import org.fescuehook.logic.control.state.JobState;
 import org.fescuehook.wire.JobSnapshot;
 
@@ -29,8 +29,8 @@
       node.put("planned", facts.getStartedMillis());
     }
     if (facts.hasEnded()) {
-      node.put("lastResult", WireWords.of(facts.getEnded().getResult()));
-      node.put("lastReason", WireWords.of(facts.getEnded().getReason()));
+      node.put("lastResult", WireEnumNames.of(facts.getEnded().getResult()));
+      node.put("lastReason", WireEnumNames.of(facts.getEnded().getReason()));
       node.put("exitCode", facts.getEnded().getExitCode());
     }
     if (job.over()) {
@@ -42,7 +42,7 @@
 
   private static String state(JobState job) {
     if (job.over()) {
-      return WireWords.of(job.facts().getJobEnded().getResult());
+      return WireEnumNames.of(job.facts().getJobEnded().getResult());
     }
     if (job.stopping()) {
       return "stopping";
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/JobDesk.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/JobRequestHandler.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import org.fescuehook.logic.control.ControlPort.Answer;
 import org.fescuehook.logic.control.ControlPort.Request;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.control.request.AdmissionChecker.Admission;
 import org.fescuehook.logic.control.state.ControlState;
 import org.fescuehook.logic.control.state.JobState;
@@ -17,9 +17,9 @@
 import org.fescuehook.wire.Shape;
 
 /** Takes submissions and cancellations of jobs. */
-public final class JobDesk {
+public final class JobRequestHandler {
   private final String namePrefix;
-  private final RequestDesk desk;
+  private final RequestAppender desk;
   private final AdmissionChecker admission = new AdmissionChecker();
   private long lastJob;
 
@@ -28,7 +28,7 @@
    *
    * @param namePrefix makes the names of jobs unique over VMs and their incarnations
    */
-  public JobDesk(String namePrefix, RequestDesk desk) {
+  public JobRequestHandler(String namePrefix, RequestAppender desk) {
     this.namePrefix = namePrefix;
     this.desk = desk;
   }
@@ -39,7 +39,7 @@
       Request.Submit submit,
       Declarations declarations,
       ControlState state,
-      Turn turn) {
+      DecisionContext turn) {
     Optional<JobId> first =
         submit
             .requestId()
@@ -58,7 +58,7 @@
     }
   }
 
-  private Job job(Request.Submit submit, Turn turn) {
+  private Job job(Request.Submit submit, DecisionContext turn) {
     return new Job(
         new JobId(namePrefix + "-" + lastJob),
         submit.organisation(),
@@ -97,7 +97,7 @@
   }
 
   /** Takes a cancellation; cancelling again, or a job that is over, changes nothing. */
-  public void cancel(long ticket, JobId id, ControlState state, Turn turn) {
+  public void cancel(long ticket, JobId id, ControlState state, DecisionContext turn) {
     Optional<JobState> job = state.jobs().find(id);
     if (job.isEmpty()) {
       Refusals.refuse(ticket, RefusalReason.NOT_FOUND, "no job " + id, turn);
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/PublicationDesk.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/PublicationHandler.java
@@ -2,21 +2,21 @@
 
 import org.fescuehook.logic.control.ControlPort.Answer;
 import org.fescuehook.logic.control.ControlPort.Request;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.control.DeclarationsReader;
 import org.fescuehook.logic.control.DeclarationsReader.InvalidDeclarationsException;
-import org.fescuehook.logic.control.Turn;
 import org.fescuehook.logic.control.state.ControlState;
 import org.fescuehook.model.request.RefusalReason;
 import org.fescuehook.wire.ConfigurationPublished;
 import org.fescuehook.wire.ControlRecord;
 
 /** Takes publications of configurations. */
-public final class PublicationDesk {
+public final class PublicationHandler {
   private final DeclarationsReader reader;
-  private final RequestDesk desk;
+  private final RequestAppender desk;
 
   /** Creates a desk. */
-  public PublicationDesk(DeclarationsReader reader, RequestDesk desk) {
+  public PublicationHandler(DeclarationsReader reader, RequestAppender desk) {
     this.reader = reader;
     this.desk = desk;
   }
@@ -25,7 +25,8 @@
    * Takes a publication. The declarations in force published again change nothing. Implements
    * {@code Publish}.
    */
-  public void publish(long ticket, Request.Publish publish, ControlState state, Turn turn) {
+  public void publish(
+      long ticket, Request.Publish publish, ControlState state, DecisionContext turn) {
     try {
       reader.check(publish.declarations());
     } catch (InvalidDeclarationsException e) {
@@ -41,9 +42,9 @@
             .setDeclarations(publish.declarations())
             .build();
     boolean stale = publish.baseRevision() != state.revision();
-    boolean same = RequestDesk.winner(body, state) instanceof Answer.Published;
+    boolean same = RequestAppender.winner(body, state) instanceof Answer.Published;
     if (stale || same) {
-      turn.reply(ticket, RequestDesk.winner(body, state));
+      turn.reply(ticket, RequestAppender.winner(body, state));
       return;
     }
     desk.take(ticket, ControlRecord.newBuilder().setConfigurationPublished(body), turn);
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/Refusals.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/Refusals.java
@@ -2,7 +2,7 @@
 
 import org.fescuehook.logic.control.ControlLimits;
 import org.fescuehook.logic.control.ControlPort.Answer;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.model.request.RefusalReason;
 
 /** Answers requests with a refusal, and counts each by its reason. */
@@ -10,7 +10,7 @@
 
   private Refusals() {}
 
-  static void refuse(long ticket, RefusalReason reason, String detail, Turn turn) {
+  static void refuse(long ticket, RefusalReason reason, String detail, DecisionContext turn) {
     int retryAfter = reason.retryable() ? ControlLimits.RETRY_AFTER_SECONDS : 0;
     turn.count("fescuehook.control.refused", "reason", reason.slug());
     turn.reply(ticket, new Answer.Refused(reason, detail, retryAfter));
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/RequestDesk.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/RequestAppender.java
@@ -9,10 +9,10 @@
 import java.util.Map;
 import org.fescuehook.logic.control.ControlLimits;
 import org.fescuehook.logic.control.ControlPort.Answer;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
+import org.fescuehook.logic.control.append.RecordOutcome;
 import org.fescuehook.logic.control.append.RecordWriter;
-import org.fescuehook.logic.control.append.Resolution;
-import org.fescuehook.logic.control.ownership.ReaderWatch;
+import org.fescuehook.logic.control.ownership.CatchUpTracker;
 import org.fescuehook.logic.control.state.ControlState;
 import org.fescuehook.model.job.JobId;
 import org.fescuehook.model.request.RefusalReason;
@@ -25,23 +25,23 @@
  * said only where the record was never appended, or surely will not count; a request whose wait
  * ends before that is told that its outcome is unknown.
  */
-public final class RequestDesk {
+public final class RequestAppender {
 
   private record Pending(long ticket, ControlRecord body, long sinceNanos) {}
 
   private final RecordWriter writer;
-  private final ReaderWatch reader;
+  private final CatchUpTracker reader;
   private final Deque<Pending> queue = new ArrayDeque<>();
   private final Map<Long, Pending> appended = new HashMap<>();
 
   /** Creates a desk without requests. */
-  public RequestDesk(RecordWriter writer, ReaderWatch reader) {
+  public RequestAppender(RecordWriter writer, CatchUpTracker reader) {
     this.writer = writer;
     this.reader = reader;
   }
 
   /** Takes a request whose record, of which only the body is set, is to be appended. */
-  void take(long ticket, ControlRecord.Builder body, Turn turn) {
+  void take(long ticket, ControlRecord.Builder body, DecisionContext turn) {
     if (!reader.current(turn)) {
       Refusals.refuse(ticket, RefusalReason.LOG_UNAVAILABLE, "log unreachable", turn);
       return;
@@ -54,7 +54,7 @@
   }
 
   /** Takes in what became of an own record. */
-  public void resolved(Resolution resolution, ControlState state, Turn turn) {
+  public void resolved(RecordOutcome resolution, ControlState state, DecisionContext turn) {
     Pending pending = appended.remove(resolution.record().getSequence());
     if (pending == null) {
       return;
@@ -99,7 +99,7 @@
   }
 
   /** Appends what there is room for, and ends waits that took too long. */
-  public void step(ControlState state, Turn turn) {
+  public void step(ControlState state, DecisionContext turn) {
     expire(turn);
     if (!reader.current(turn)) {
       refuseQueued(turn);
@@ -132,14 +132,14 @@
     };
   }
 
-  private void refuseQueued(Turn turn) {
+  private void refuseQueued(DecisionContext turn) {
     for (Pending pending : queue) {
       Refusals.refuse(pending.ticket(), RefusalReason.LOG_UNAVAILABLE, "log unreachable", turn);
     }
     queue.clear();
   }
 
-  private void expire(Turn turn) {
+  private void expire(DecisionContext turn) {
     while (!queue.isEmpty() && expired(queue.peekFirst(), turn)) {
       long ticket = queue.removeFirst().ticket();
       Refusals.refuse(ticket, RefusalReason.LOG_UNAVAILABLE, "log too slow", turn);
@@ -160,7 +160,7 @@
     }
   }
 
-  private static boolean expired(Pending pending, Turn turn) {
+  private static boolean expired(Pending pending, DecisionContext turn) {
     return turn.passed(pending.sinceNanos(), ControlLimits.REQUEST_WAIT);
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/RequestRouter.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/RequestRouter.java
@@ -5,12 +5,12 @@
 import org.fescuehook.logic.control.ControlPort.Answer;
 import org.fescuehook.logic.control.ControlPort.Request;
 import org.fescuehook.logic.control.ControlSummary;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.control.DeclarationsReader;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.append.RecordOutcome;
 import org.fescuehook.logic.control.append.RecordWriter;
-import org.fescuehook.logic.control.append.Resolution;
+import org.fescuehook.logic.control.ownership.CatchUpTracker;
 import org.fescuehook.logic.control.ownership.OwnerDuty;
-import org.fescuehook.logic.control.ownership.ReaderWatch;
 import org.fescuehook.logic.control.planning.ViewBuilder;
 import org.fescuehook.logic.control.state.ControlState;
 import org.fescuehook.logic.scheduling.Scheduler;
@@ -33,7 +33,7 @@
    * @param unavailable workers that get nothing new
    * @param summary the state at a glance
    */
-  public record Situation(
+  public record ClusterView(
       ControlState state,
       Optional<Configuration> configuration,
       boolean readable,
@@ -42,13 +42,13 @@
 
   private final VmId vm;
   private final OwnerDuty owner;
-  private final RequestDesk desk;
-  private final JobDesk jobs;
-  private final PublicationDesk publications;
-  private final ShowDesk shows = new ShowDesk();
-  private final ExplainDesk explanations;
-  private final HandOverDesk handOvers = new HandOverDesk();
-  private final UnknownJobDesk unknownJobs;
+  private final RequestAppender desk;
+  private final JobRequestHandler jobs;
+  private final PublicationHandler publications;
+  private final ShowHandler shows = new ShowHandler();
+  private final ExplainHandler explanations;
+  private final HandOverHandler handOvers = new HandOverHandler();
+  private final UnknownJobHandler unknownJobs;
 
   /** Creates a router with its desks. */
   public RequestRouter(
@@ -57,19 +57,19 @@
       Scheduler scheduler,
       DeclarationsReader declarations,
       RecordWriter writer,
-      ReaderWatch reader,
+      CatchUpTracker reader,
       OwnerDuty owner) {
     this.vm = vm;
     this.owner = owner;
-    desk = new RequestDesk(writer, reader);
-    unknownJobs = new UnknownJobDesk(reader);
-    jobs = new JobDesk(vm.value() + "-" + incarnation, desk);
-    publications = new PublicationDesk(declarations, desk);
-    explanations = new ExplainDesk(scheduler);
+    desk = new RequestAppender(writer, reader);
+    unknownJobs = new UnknownJobHandler(reader);
+    jobs = new JobRequestHandler(vm.value() + "-" + incarnation, desk);
+    publications = new PublicationHandler(declarations, desk);
+    explanations = new ExplainHandler(scheduler);
   }
 
   /** Takes a request. */
-  public void asked(long ticket, Request request, Situation situation, Turn turn) {
+  public void asked(long ticket, Request request, ClusterView situation, DecisionContext turn) {
     ControlState state = situation.state();
     switch (request) {
       case Request.Status() ->
@@ -97,7 +97,8 @@
     }
   }
 
-  private void aboutJob(long ticket, JobId job, Request request, ControlState state, Turn turn) {
+  private void aboutJob(
+      long ticket, JobId job, Request request, ControlState state, DecisionContext turn) {
     if (state.jobs().find(job).isEmpty()) {
       unknownJobs.take(ticket, job, request, turn);
       return;
@@ -105,7 +106,8 @@
     aboutKnownJob(ticket, request, state, turn);
   }
 
-  private void aboutKnownJob(long ticket, Request request, ControlState state, Turn turn) {
+  private void aboutKnownJob(
+      long ticket, Request request, ControlState state, DecisionContext turn) {
     switch (request) {
       case Request.Show show -> shows.show(ticket, show, state, turn);
       case Request.Cancel(JobId job) -> jobs.cancel(ticket, job, state, turn);
@@ -113,15 +115,15 @@
     }
   }
 
-  private static boolean ready(Situation situation) {
+  private static boolean ready(ClusterView situation) {
     return situation.readable() && situation.configuration().isPresent();
   }
 
-  private static Declarations declarations(Situation situation) {
+  private static Declarations declarations(ClusterView situation) {
     return situation.configuration().orElseThrow().declarations();
   }
 
-  private void explain(long ticket, JobId job, Situation situation, Turn turn) {
+  private void explain(long ticket, JobId job, ClusterView situation, DecisionContext turn) {
     Scheduler.View view =
         ViewBuilder.build(
             situation.state(), declarations(situation), situation.unavailable(), turn.wallMillis());
@@ -129,18 +131,18 @@
   }
 
   /** Takes in what became of an own record. */
-  public void resolved(Resolution resolution, ControlState state, Turn turn) {
+  public void resolved(RecordOutcome resolution, ControlState state, DecisionContext turn) {
     desk.resolved(resolution, state, turn);
   }
 
   /** A record about a job was folded. */
-  public void folded(JobId job, ControlState state, Turn turn) {
+  public void folded(JobId job, ControlState state, DecisionContext turn) {
     shows.folded(job, state, turn);
   }
 
   /** Appends, answers and ends waits as is due. */
-  public void step(ControlState state, Turn turn) {
-    for (UnknownJobDesk.Found found : unknownJobs.step(state, turn)) {
+  public void step(ControlState state, DecisionContext turn) {
+    for (UnknownJobHandler.Found found : unknownJobs.step(state, turn)) {
       aboutKnownJob(found.ticket(), found.request(), state, turn);
     }
     desk.step(state, turn);
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/ShowDesk.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/ShowHandler.java
@@ -8,14 +8,14 @@
 import org.fescuehook.logic.control.ControlLimits;
 import org.fescuehook.logic.control.ControlPort.Answer;
 import org.fescuehook.logic.control.ControlPort.Request;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.control.state.ControlState;
 import org.fescuehook.logic.control.state.JobState;
 import org.fescuehook.model.job.JobId;
 import org.fescuehook.model.request.RefusalReason;
 
 /** Shows jobs, at once or when they end. */
-public final class ShowDesk {
+public final class ShowHandler {
 
   private record Waiter(long ticket, JobId job, long untilNanos) {}
 
@@ -23,7 +23,7 @@
   private long earliestNanos = Long.MAX_VALUE;
 
   /** Takes a request to show a job. */
-  public void show(long ticket, Request.Show show, ControlState state, Turn turn) {
+  public void show(long ticket, Request.Show show, ControlState state, DecisionContext turn) {
     Optional<JobState> job = state.jobs().find(show.job());
     if (job.isEmpty()) {
       Refusals.refuse(ticket, RefusalReason.NOT_FOUND, "no job " + show.job(), turn);
@@ -42,7 +42,7 @@
   }
 
   /** A record about a job was folded. */
-  public void folded(JobId id, ControlState state, Turn turn) {
+  public void folded(JobId id, ControlState state, DecisionContext turn) {
     List<Waiter> waiting = waiters.get(id);
     if (waiting == null) {
       return;
@@ -58,7 +58,7 @@
   }
 
   /** Ends waits whose time has passed. */
-  public void step(ControlState state, Turn turn) {
+  public void step(ControlState state, DecisionContext turn) {
     if (turn.now() < earliestNanos) {
       return;
     }
@@ -81,7 +81,7 @@
     }
   }
 
-  private static void answer(Waiter waiter, Optional<JobState> job, Turn turn) {
+  private static void answer(Waiter waiter, Optional<JobState> job, DecisionContext turn) {
     if (job.isEmpty()) {
       Refusals.refuse(
           waiter.ticket(), RefusalReason.NOT_FOUND, "job " + waiter.job() + " forgotten", turn);
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/UnknownJobDesk.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/UnknownJobHandler.java
@@ -5,8 +5,8 @@
 import java.util.Iterator;
 import java.util.List;
 import org.fescuehook.logic.control.ControlPort.Request;
-import org.fescuehook.logic.control.Turn;
-import org.fescuehook.logic.control.ownership.ReaderWatch;
+import org.fescuehook.logic.control.DecisionContext;
+import org.fescuehook.logic.control.ownership.CatchUpTracker;
 import org.fescuehook.logic.control.state.ControlState;
 import org.fescuehook.model.job.JobId;
 import org.fescuehook.model.request.RefusalReason;
@@ -15,7 +15,7 @@
  * Holds requests about jobs that this VM does not know. Another VM may just have accepted the job,
  * so it is not denied before the reader had time to come upon it, nor while the log cannot be read.
  */
-final class UnknownJobDesk {
+final class UnknownJobHandler {
   private static final Duration WAIT = Duration.ofMillis(500);
 
   /** A request whose job has turned up. */
@@ -23,19 +23,19 @@
 
   private record Waiter(long ticket, JobId job, Request request, long sinceNanos) {}
 
-  private final ReaderWatch reader;
+  private final CatchUpTracker reader;
   private final List<Waiter> waiters = new ArrayList<>();
 
-  UnknownJobDesk(ReaderWatch reader) {
+  UnknownJobHandler(CatchUpTracker reader) {
     this.reader = reader;
   }
 
-  void take(long ticket, JobId job, Request request, Turn turn) {
+  void take(long ticket, JobId job, Request request, DecisionContext turn) {
     waiters.add(new Waiter(ticket, job, request, turn.now()));
   }
 
   /** Refuses requests that waited long enough; returns those whose jobs are known by now. */
-  List<Found> step(ControlState state, Turn turn) {
+  List<Found> step(ControlState state, DecisionContext turn) {
     List<Found> found = new ArrayList<>();
     Iterator<Waiter> entries = waiters.iterator();
     while (entries.hasNext()) {
@@ -51,7 +51,7 @@
     return found;
   }
 
-  private void refuse(Waiter waiter, Turn turn) {
+  private void refuse(Waiter waiter, DecisionContext turn) {
     if (reader.current(turn)) {
       Refusals.refuse(waiter.ticket(), RefusalReason.NOT_FOUND, "no job " + waiter.job(), turn);
       return;
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/shares/ShareDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/shares/ShareDuty.java
@@ -4,9 +4,9 @@
 import java.util.TreeSet;
 import org.fescuehook.logic.control.ControlLimits;
 import org.fescuehook.logic.control.ControlLogEvent;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.control.append.RecordWriter;
-import org.fescuehook.logic.control.ownership.PeerWatch;
+import org.fescuehook.logic.control.ownership.PeerTracker;
 import org.fescuehook.logic.control.state.ControlState;
 import org.fescuehook.model.configuration.Declarations;
 import org.fescuehook.model.fleet.VmId;
@@ -16,19 +16,19 @@
 /** Publishes the owner's division of slots when the entry VMs or the executors change. */
 public final class ShareDuty {
   private final RecordWriter writer;
-  private final PeerWatch peers;
+  private final PeerTracker peers;
   private SortedSet<VmId> vms = new TreeSet<>();
   private long stableSince = Long.MIN_VALUE / 2;
   private long unread;
 
   /** Creates a duty that has published nothing. */
-  public ShareDuty(RecordWriter writer, PeerWatch peers) {
+  public ShareDuty(RecordWriter writer, PeerTracker peers) {
     this.writer = writer;
     this.peers = peers;
   }
 
   /** Publishes a division if another one is in the log and the set of VMs stands still. */
-  public void step(ControlState state, Declarations declarations, Turn turn) {
+  public void step(ControlState state, Declarations declarations, DecisionContext turn) {
     SortedSet<VmId> known = peers.known();
     if (!known.equals(vms)) {
       vms = known;
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/shares/ShareHolder.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/shares/ShareHolder.java
@@ -6,8 +6,8 @@
 import java.util.TreeMap;
 import org.fescuehook.logic.control.ControlCommand;
 import org.fescuehook.logic.control.ControlLimits;
-import org.fescuehook.logic.control.Turn;
-import org.fescuehook.logic.control.ownership.PeerWatch;
+import org.fescuehook.logic.control.DecisionContext;
+import org.fescuehook.logic.control.ownership.PeerTracker;
 import org.fescuehook.model.fleet.VmId;
 import org.fescuehook.wire.SlotShare;
 import org.fescuehook.wire.SlotShares;
@@ -30,7 +30,7 @@
   }
 
   private final VmId self;
-  private final PeerWatch peers;
+  private final PeerTracker peers;
   private Map<String, Share> inForce = new TreeMap<>();
   private Map<String, Share> target = Map.of();
   private Optional<SlotShares> seen = Optional.empty();
@@ -38,7 +38,7 @@
   private long sinceNanos;
 
   /** Creates a holder of no shares. */
-  public ShareHolder(VmId self, PeerWatch peers) {
+  public ShareHolder(VmId self, PeerTracker peers) {
     this.self = self;
     this.peers = peers;
   }
@@ -48,7 +48,7 @@
    *
    * @param foldedUntil offset after the last folded record
    */
-  public void folded(Optional<SlotShares> published, long foldedUntil, Turn turn) {
+  public void folded(Optional<SlotShares> published, long foldedUntil, DecisionContext turn) {
     if (published.isEmpty() || published.equals(seen)) {
       return;
     }
@@ -78,7 +78,7 @@
   }
 
   /** Raises shares if that is safe; called only while this VM has read to the end. */
-  public void step(Turn turn) {
+  public void step(DecisionContext turn) {
     if (seen.isEmpty() || inForce.equals(target)) {
       return;
     }
@@ -93,13 +93,13 @@
    * Gives all shares up if no peer is heard for long; called only while the log cannot be read. The
    * others may then take this VM for dead and divide its shares among themselves.
    */
-  public void giveUpIfIsolated(Turn turn) {
+  public void giveUpIfIsolated(DecisionContext turn) {
     if (!inForce.isEmpty() && peers.isolated(ControlLimits.SHARE_ISOLATION, turn)) {
       put(new TreeMap<>(), turn);
     }
   }
 
-  private void put(Map<String, Share> shares, Turn turn) {
+  private void put(Map<String, Share> shares, DecisionContext turn) {
     if (shares.equals(inForce)) {
       return;
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/snapshot/SnapshotAssembler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/snapshot/SnapshotAssembler.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import org.fescuehook.logic.control.ControlLogEvent;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.wire.ControlRecord;
 import org.fescuehook.wire.ControlSnapshot;
 import org.fescuehook.wire.SnapshotPart;
@@ -22,7 +22,7 @@
    *
    * @param coversUntil offset of the first record that it does not cover
    */
-  public record Whole(long coversUntil, ControlSnapshot snapshot) {}
+  public record CompleteSnapshot(long coversUntil, ControlSnapshot snapshot) {}
 
   private final Map<Key, TreeMap<Integer, ByteString>> pieces = new HashMap<>();
 
@@ -32,7 +32,7 @@
   }
 
   /** Adds a part; returns the snapshot if that made it whole. */
-  public Optional<Whole> add(ControlRecord record, Turn turn) {
+  public Optional<CompleteSnapshot> add(ControlRecord record, DecisionContext turn) {
     SnapshotPart part = record.getSnapshotPart();
     Key key =
         new Key(
@@ -50,9 +50,9 @@
     return parse(key, ByteString.copyFrom(parts.values()), turn);
   }
 
-  private static Optional<Whole> parse(Key key, ByteString data, Turn turn) {
+  private static Optional<CompleteSnapshot> parse(Key key, ByteString data, DecisionContext turn) {
     try {
-      return Optional.of(new Whole(key.coversUntil(), ControlSnapshot.parseFrom(data)));
+      return Optional.of(new CompleteSnapshot(key.coversUntil(), ControlSnapshot.parseFrom(data)));
     } catch (InvalidProtocolBufferException e) {
       turn.note(ControlLogEvent.SNAPSHOT_UNUSABLE, key.coversUntil(), e.getMessage());
       turn.count("fescuehook.control.snapshots.unusable");
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/snapshot/SnapshotDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/snapshot/SnapshotDuty.java
@@ -3,7 +3,7 @@
 import com.google.protobuf.ByteString;
 import org.fescuehook.logic.control.ControlLimits;
 import org.fescuehook.logic.control.ControlLogEvent;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.control.append.RecordWriter;
 import org.fescuehook.logic.control.state.ControlState;
 import org.fescuehook.model.preferences.ControlPreferences;
@@ -32,7 +32,7 @@
   }
 
   /** A part that counted was read. */
-  public void read(ControlRecord part, Turn turn) {
+  public void read(ControlRecord part, DecisionContext turn) {
     assembler
         .add(part, turn)
         .ifPresent(
@@ -44,7 +44,7 @@
   }
 
   /** The log said which is the oldest record that it keeps. */
-  public void caughtUp(long oldest, Turn turn) {
+  public void caughtUp(long oldest, DecisionContext turn) {
     earliest = oldest;
     if (!timed) {
       lastNanos = turn.now();
@@ -53,7 +53,7 @@
   }
 
   /** Publishes a snapshot if one is due. Implements {@code Snapshot}. */
-  public void step(ControlState state, long foldedUntil, Turn turn) {
+  public void step(ControlState state, long foldedUntil, DecisionContext turn) {
     if (!due(foldedUntil, turn) || !writer.hasRoom(turn)) {
       return;
     }
@@ -75,7 +75,7 @@
     }
   }
 
-  private boolean due(long foldedUntil, Turn turn) {
+  private boolean due(long foldedUntil, DecisionContext turn) {
     if (foldedUntil <= wholeUntil || !timed) {
       return false;
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/snapshot/StreamStart.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/snapshot/SnapshotLoader.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.control.record.DecodedRecord;
 import org.fescuehook.logic.control.record.RecordCodec;
 import org.fescuehook.logic.control.state.ControlState;
@@ -15,7 +15,7 @@
  * every VM, so a snapshot is right whoever wrote it; it is usable if no record after those that it
  * covers has vanished. Whether its writer still owned at its offset does not matter.
  */
-public final class StreamStart {
+public final class SnapshotLoader {
 
   /**
    * Where to go on.
@@ -23,7 +23,7 @@
    * @param state the state that the snapshot tells
    * @param rest records to fold on top of it
    */
-  public record Beginning(ControlState state, long coversUntil, List<LogRecord> rest) {}
+  public record LoadedSnapshot(ControlState state, long coversUntil, List<LogRecord> rest) {}
 
   private final SnapshotAssembler assembler = new SnapshotAssembler();
   private final List<LogRecord> held = new ArrayList<>();
@@ -40,7 +40,7 @@
    * Holds a record; returns the beginning if it completes a usable snapshot. Implements {@code
    * Load}.
    */
-  public Optional<Beginning> add(LogRecord record, Turn turn) {
+  public Optional<LoadedSnapshot> add(LogRecord record, DecisionContext turn) {
     held.add(record);
     if (!(RecordCodec.decode(record.data()) instanceof DecodedRecord.Known(ControlRecord known))) {
       return Optional.empty();
@@ -51,10 +51,10 @@
     return assembler.add(known, turn).map(this::begin);
   }
 
-  private Beginning begin(SnapshotAssembler.Whole whole) {
+  private LoadedSnapshot begin(SnapshotAssembler.CompleteSnapshot whole) {
     List<LogRecord> rest =
         held.stream().filter(record -> record.offset() >= whole.coversUntil()).toList();
     held.clear();
-    return new Beginning(ControlState.restore(whole.snapshot()), whole.coversUntil(), rest);
+    return new LoadedSnapshot(ControlState.restore(whole.snapshot()), whole.coversUntil(), rest);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/state/ControlState.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/state/ControlState.java
@@ -34,8 +34,8 @@
 
   private static final long MILLIS_PER_SECOND = 1000;
 
-  private final JobBook jobs = new JobBook();
-  private final WriterBook writers = new WriterBook();
+  private final JobRegistry jobs = new JobRegistry();
+  private final WriterSequences writers = new WriterSequences();
   private final TreeMap<String, WorkerJudged> judgements = new TreeMap<>();
   private long epoch = NO_EPOCH;
   private String owner = "";
@@ -46,7 +46,7 @@
   private History history = History.EMPTY;
 
   /** Returns the jobs. */
-  public JobBook jobs() {
+  public JobRegistry jobs() {
     return jobs;
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/state/JobBook.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/state/JobRegistry.java
@@ -23,7 +23,7 @@
 import org.fescuehook.wire.JobSubmitted;
 
 /** All jobs: which wait, which have a live attempt, and which have ended and are still shown. */
-public final class JobBook {
+public final class JobRegistry {
 
   /** Ended jobs that are kept. */
   static final int MOST_ENDED = 2000;
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/state/WriterBook.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/state/WriterSequences.java
@@ -10,7 +10,7 @@
  * Holds the last sequence of each incarnation. A record whose sequence is not above it is dropped:
  * it is a duplicate, or was overtaken by a later record of its writer.
  */
-final class WriterBook {
+final class WriterSequences {
 
   /** Incarnations remembered; the one that has been silent longest is forgotten first. */
   static final int MOST_WRITERS = 256;
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/trace/PercentCode.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/trace/PercentCodec.java
@@ -5,12 +5,12 @@
 import java.util.HexFormat;
 
 /** Percent-encoding of text: what is no ASCII letter, digit or one of {@code ._-/:} is escaped. */
-final class PercentCode {
+final class PercentCodec {
   private static final HexFormat HEX = HexFormat.of();
   private static final String PLAIN = "._-/:";
   private static final int HEX_DIGITS = 2;
 
-  private PercentCode() {}
+  private PercentCodec() {}
 
   static String encode(String text) {
     StringBuilder code = new StringBuilder(text.length());
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/trace/TraceFields.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/trace/TraceFields.java
@@ -19,7 +19,7 @@
 
   /** Encodes text so that it holds no space and is not empty. */
   static String encode(String text) {
-    return text.isEmpty() ? EMPTY : PercentCode.encode(text);
+    return text.isEmpty() ? EMPTY : PercentCodec.encode(text);
   }
 
   static String encode(byte[] data) {
@@ -55,7 +55,7 @@
       return "";
     }
     try {
-      return PercentCode.decode(text);
+      return PercentCodec.decode(text);
     } catch (IllegalArgumentException e) {
       throw fault(field, "is not percent-encoded");
     }
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/ownership/PeerWatchTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/ownership/PeerTrackerTest.java
@@ -8,21 +8,21 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.platform.MemberList;
 import org.fescuehook.model.fleet.VmId;
 import org.junit.jupiter.api.Test;
 
-class PeerWatchTest {
+class PeerTrackerTest {
 
   private static final Duration MEMORY = Duration.ofSeconds(75);
   private static final VmId SELF = new VmId("vm-1");
   private static final VmId OTHER = new VmId("vm-2");
 
-  private final PeerWatch watch = new PeerWatch(SELF);
+  private final PeerTracker watch = new PeerTracker(SELF);
 
-  private static Turn at(long seconds) {
-    return new Turn(Duration.ofSeconds(seconds).toNanos(), 0);
+  private static DecisionContext at(long seconds) {
+    return new DecisionContext(Duration.ofSeconds(seconds).toNanos(), 0);
   }
 
   private void listed(long seconds, VmId... vms) {
--- a/spec/Configuration.tla
+++ b/spec/Configuration.tla
@@ -4,8 +4,8 @@
 (* its next record vanished loads a snapshot again; peers tell each other what is in      *)
 (* force. Any append may land at any later time, twice, or never; any reader lags.        *)
 (* Package org.fescuehook.logic.control: state.ControlState (Counts, After), snapshot.    *)
-(* StreamStart (Load), .SnapshotDuty (Snapshot), configuration.ConfigurationHolder (what  *)
-(* is in force), request.PublicationDesk (Publish, accepted).                             *)
+(* SnapshotLoader (Load), .SnapshotDuty (Snapshot), configuration.ConfigurationHolder     *)
+(* (what is in force), request.PublicationHandler (Publish, accepted).                    *)
 EXTENDS Naturals, Sequences, FiniteSets, TLC
 
 CONSTANTS
--- a/spec/Gang.tla
+++ b/spec/Gang.tla
@@ -1,7 +1,7 @@
 -------------------------------- MODULE Gang --------------------------------
 (* Start, run and end of gangs under the ownership of Ownership. What a VM sends to a    *)
 (* worker arrives at any later time, again, or never.                                    *)
-(* Packages org.fescuehook.logic.control.planning (Plan) and .gang: GangStarter (Ask,    *)
+(* Packages org.fescuehook.logic.control.planning (Plan) and .gang: GangCommitter (Ask,  *)
 (* Commit, NeverStarted), GangRunner (Start, Stop, End of a finished gang), GangStopper  *)
 (* (Release, End), LeaseRenewer (Renewed).                                            *)
 EXTENDS Ownership
--- a/spec/Ownership.tla
+++ b/spec/Ownership.tla
@@ -36,7 +36,7 @@
   /\ appends = {}
 
 -----------------------------------------------------------------------------
-(* Which records count, and what they change. Classes ControlState and JobBook. *)
+(* Which records count, and what they change. Classes ControlState and JobRegistry. *)
 
 Record(kind, v, base, a, ids) ==
   [kind |-> kind, by |-> v, epoch |-> View(v).epoch, base |-> base, attempt |-> a, leases |-> ids]
--- a/spec/SilentWorker.tla
+++ b/spec/SilentWorker.tla
@@ -3,7 +3,7 @@
 (* The owner hears nothing of the worker; other entry VMs may reach it, and renew the lease *)
 (* while they take their own cut from the log for an outage. Time is counted in steps.      *)
 (* Package org.fescuehook.logic.control: gang.GangStopper (Stop, Free), gang.LeaseRenewer   *)
-(* (Renew), ownership.OutageWatch (Ride), ownership.PeerWatch (told).                       *)
+(* (Renew), ownership.OutageMonitor (Ride), ownership.PeerTracker (told).                   *)
 EXTENDS Integers, FiniteSets, TLC
 
 CONSTANTS
