--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ControlCore.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ControlCore.java
@@ -41,7 +41,7 @@
 public final class ControlCore {
   private final VmId vm;
   private final ControlStream stream = new ControlStream(this::folded);
-  private final CatchUpTracker reader;
+  private final CatchUpTracker catchUp;
   private final PeerTracker peers;
   private final PauseDetector pauses;
   private final OutageMonitor outages;
@@ -56,7 +56,7 @@
   private final ConfigurationHolder configuration;
   private final RequestRouter requests;
   private boolean deciding;
-  private boolean standingIn;
+  private boolean renewingForOwner;
   private boolean current;
 
   /**
@@ -71,12 +71,12 @@
       Scheduler scheduler,
       DeclarationsReader declarationsReader) {
     vm = identity.vm();
-    reader = new CatchUpTracker(preferences.ownerTimeout());
+    catchUp = new CatchUpTracker(preferences.ownerTimeout());
     peers = new PeerTracker(vm);
     pauses = new PauseDetector(preferences.ownerTimeout().dividedBy(2));
-    outages = new OutageMonitor(vm, reader, peers);
+    outages = new OutageMonitor(vm, catchUp, peers);
     writer = new RecordWriter(vm, incarnation);
-    owner = new OwnerDuty(vm, incarnation, preferences, writer, reader, peers);
+    owner = new OwnerDuty(vm, incarnation, preferences, writer, catchUp, peers);
     gangs = new GangDuty(preferences, writer, peers);
     plans = new PlanDuty(scheduler, new WorkerJudge(), writer, gangs);
     jobEnds = new JobEndDuty(writer);
@@ -85,7 +85,7 @@
     snapshots = new SnapshotDuty(preferences, writer);
     configuration = new ConfigurationHolder(declarationsReader);
     requests =
-        new RequestRouter(vm, incarnation, scheduler, declarationsReader, writer, reader, owner);
+        new RequestRouter(vm, incarnation, scheduler, declarationsReader, writer, catchUp, owner);
   }
 
   /**
@@ -96,67 +96,68 @@
    * @return what is to be done, in order
    */
   public List<ControlCommand> apply(ControlEvent event, long nowNanos, long wallMillis) {
-    DecisionContext turn = new DecisionContext(nowNanos, wallMillis);
-    if (pauses.wasPaused(turn)) {
-      reader.paused(turn);
+    DecisionContext context = new DecisionContext(nowNanos, wallMillis);
+    if (pauses.wasPaused(context)) {
+      catchUp.paused(context);
     }
     switch (event) {
-      case ControlEvent.RecordRead(var record) -> stream.read(record, turn);
-      case ControlEvent.CaughtUp(long earliest, long next) -> caughtUp(earliest, next, turn);
-      case ControlEvent.LogUnreachable() -> reader.unreachable();
+      case ControlEvent.RecordRead(var record) -> stream.read(record, context);
+      case ControlEvent.CaughtUp(long earliest, long next) -> caughtUp(earliest, next, context);
+      case ControlEvent.LogUnreachable() -> catchUp.unreachable();
       case ControlEvent.AppendFailed(long sequence, boolean certain) ->
-          resolve(writer.failed(sequence, certain, turn), turn);
-      case ControlEvent.WorkerAnswered(var reply) -> gangs.answered(reply, turn);
-      case ControlEvent.MembersListed(var members) -> peers.listed(members, turn);
+          resolve(writer.failed(sequence, certain, context), context);
+      case ControlEvent.WorkerAnswered(var reply) -> gangs.answered(reply, context);
+      case ControlEvent.MembersListed(var members) -> peers.listed(members, context);
       case ControlEvent.PeersHeard(var alive, var reachingLog, var draining) ->
-          peers.heard(alive, reachingLog, draining, turn);
+          peers.heard(alive, reachingLog, draining, context);
       case ControlEvent.PeersFolded(var nextOffsets) -> peers.folded(nextOffsets);
-      case ControlEvent.Asked(long ticket, Request request) -> asked(ticket, request, turn);
+      case ControlEvent.Asked(long ticket, Request request) -> asked(ticket, request, context);
       case ControlEvent.Tick() -> {}
     }
     if (!(event instanceof ControlEvent.RecordRead)) {
-      step(turn);
+      step(context);
     }
-    return turn.commands();
+    return context.commands();
   }
 
-  private void caughtUp(long earliest, long next, DecisionContext turn) {
-    stream.keptFrom(earliest, turn);
+  private void caughtUp(long earliest, long next, DecisionContext context) {
+    stream.noteEarliest(earliest, context);
     if (stream.nextOffset() < next) {
-      turn.count("fescuehook.control.reads.incomplete");
+      context.count("fescuehook.control.reads.incomplete");
       return;
     }
-    reader.caughtUp(turn);
-    snapshots.caughtUp(earliest, turn);
-    if (stream.complete() && configuration.take(stream.state(), turn)) {
+    catchUp.caughtUp(context);
+    snapshots.caughtUp(earliest, context);
+    if (stream.complete() && configuration.update(stream.state(), context)) {
       plans.stateChanged();
     }
   }
 
   /** Takes in a record that was just folded. */
-  private void folded(ControlRecord record, long offset, FoldResult result, DecisionContext turn) {
+  private void folded(
+      ControlRecord record, long offset, FoldResult result, DecisionContext context) {
     ControlState state = stream.state();
     boolean counted = result == FoldResult.COUNTED;
     if (counted) {
-      counted(record, turn);
+      counted(record, context);
     }
-    shareHolder.folded(state.shares(), offset + 1, turn);
-    resolve(writer.read(record, result, offset), turn);
+    shareHolder.folded(state.shares(), offset + 1, context);
+    resolve(writer.read(record, result, offset), context);
   }
 
-  private void counted(ControlRecord record, DecisionContext turn) {
+  private void counted(ControlRecord record, DecisionContext context) {
     ControlState state = stream.state();
     if (state.inForce(record) || record.hasOwnerClaim()) {
-      owner.sign(turn);
+      owner.ownerSeen(context);
     }
     if (owner.owns(state)) {
-      DecisionLogger.write(record, turn);
+      DecisionLogger.log(record, context);
     }
     if (record.hasSnapshotPart()) {
-      snapshots.read(record, turn);
+      snapshots.read(record, context);
     }
     if (record.hasOwnerClaim() && current) {
-      turn.note(ControlLogEvent.OWNER_CHANGED, record.getWriter(), state.epoch());
+      context.note(ControlLogEvent.OWNER_CHANGED, record.getWriter(), state.epoch());
     }
     RecordSubject.job(record)
         .ifPresent(
@@ -164,59 +165,59 @@
               gangs.folded(job);
               jobEnds.folded(job);
               plans.stateChanged();
-              requests.folded(job, state, turn);
+              requests.folded(job, state, context);
             });
   }
 
-  private void resolve(List<RecordOutcome> resolutions, DecisionContext turn) {
-    for (RecordOutcome resolution : resolutions) {
-      requests.resolved(resolution, stream.state(), turn);
+  private void resolve(List<RecordOutcome> outcomes, DecisionContext context) {
+    for (RecordOutcome outcome : outcomes) {
+      requests.resolved(outcome, stream.state(), context);
     }
   }
 
-  private void asked(long ticket, Request request, DecisionContext turn) {
-    Set<WorkerId> unavailable = unavailableWorkers(turn);
-    boolean readable = stream.complete() && reader.everCurrent();
-    RequestRouter.ClusterView situation =
+  private void asked(long ticket, Request request, DecisionContext context) {
+    Set<WorkerId> unavailable = unavailableWorkers(context);
+    boolean readable = stream.complete() && catchUp.everCurrent();
+    RequestRouter.ClusterView cluster =
         new RequestRouter.ClusterView(
             stream.state(), configuration.inForce(), readable, unavailable, summary());
-    requests.asked(ticket, request, situation, turn);
+    requests.asked(ticket, request, cluster, context);
   }
 
-  private Set<WorkerId> unavailableWorkers(DecisionContext turn) {
-    Set<WorkerId> unavailable = new HashSet<>(gangs.restingWorkers(turn));
+  private Set<WorkerId> unavailableWorkers(DecisionContext context) {
+    Set<WorkerId> unavailable = new HashSet<>(gangs.workersInBackoff(context));
     unavailable.addAll(peers.leavingWorkers());
     return unavailable;
   }
 
-  private void step(DecisionContext turn) {
-    current = stream.complete() && reader.current(turn);
-    outages.step(turn);
+  private void step(DecisionContext context) {
+    current = stream.complete() && catchUp.current(context);
+    outages.step(context);
     if (stream.complete()) {
-      stepDuties(turn);
+      stepDuties(context);
     }
-    requests.step(stream.state(), turn);
+    requests.step(stream.state(), context);
     if (current) {
-      shareHolder.step(turn);
-      writer.settle(turn);
+      shareHolder.step(context);
+      writer.appendBarrierIfDue(context);
     } else {
-      shareHolder.giveUpIfIsolated(turn);
+      shareHolder.giveUpIfIsolated(context);
     }
   }
 
-  private void stepDuties(DecisionContext turn) {
+  private void stepDuties(DecisionContext context) {
     ControlState state = stream.state();
-    LogCompatibility understanding = understanding(state);
-    owner.step(state, understanding, turn);
-    boolean decides = owner.decides(state, turn) && understanding != LogCompatibility.PARTIAL;
-    changeDeciding(decides, turn);
-    gangs.step(state, mode(decides, turn), stream.nextOffset(), turn);
+    LogCompatibility compatibility = compatibility(state);
+    owner.step(state, compatibility, context);
+    boolean decides = owner.decides(state, context) && compatibility != LogCompatibility.PARTIAL;
+    changeDeciding(decides, context);
+    gangs.step(state, mode(decides, context), stream.nextOffset(), context);
     if (decides) {
-      decide(state, turn);
+      decide(state, context);
     }
   }
 
-  private LogCompatibility understanding(ControlState state) {
+  private LogCompatibility compatibility(ControlState state) {
     if (stream.newerSeen()) {
       return LogCompatibility.PARTIAL;
     }
@@ -225,47 +226,47 @@
         : LogCompatibility.WHOLE;
   }
 
-  private GangMode mode(boolean decides, DecisionContext turn) {
+  private GangMode mode(boolean decides, DecisionContext context) {
     if (decides) {
       return GangMode.DECIDE;
     }
     ControlState state = stream.state();
     boolean owns = owner.owns(state);
-    GangMode mode = outages.mode(state.owner(), owns, turn);
-    boolean standsIn = mode == GangMode.RENEW && !owns;
-    if (standsIn && !standingIn) {
+    GangMode mode = outages.mode(state.owner(), owns, context);
+    boolean renewsForOwner = mode == GangMode.RENEW && !owns;
+    if (renewsForOwner && !renewingForOwner) {
       String name = state.owner().map(VmId::value).orElse("none");
-      turn.note(ControlLogEvent.RENEWING_FOR_OWNER, name, state.jobs().liveCount());
+      context.note(ControlLogEvent.RENEWING_FOR_OWNER, name, state.jobs().liveCount());
     }
-    standingIn = standsIn;
+    renewingForOwner = renewsForOwner;
     return mode;
   }
 
-  private void changeDeciding(boolean decides, DecisionContext turn) {
+  private void changeDeciding(boolean decides, DecisionContext context) {
     if (decides == deciding) {
       return;
     }
     deciding = decides;
     ControlState state = stream.state();
     if (decides) {
-      turn.note(ControlLogEvent.BECAME_OWNER, state.epoch(), state.jobs().liveCount());
+      context.note(ControlLogEvent.BECAME_OWNER, state.epoch(), state.jobs().liveCount());
       jobEnds.begin(state);
       plans.stateChanged();
     } else {
-      turn.note(ControlLogEvent.LOST_OWNERSHIP, state.epoch());
+      context.note(ControlLogEvent.LOST_OWNERSHIP, state.epoch());
       jobEnds.end();
     }
   }
 
-  private void decide(ControlState state, DecisionContext turn) {
-    snapshots.step(state, stream.nextOffset(), turn);
+  private void decide(ControlState state, DecisionContext context) {
+    snapshots.step(state, stream.nextOffset(), context);
     if (configuration.inForce().isEmpty() || !configuration.readable(state)) {
       return;
     }
     Declarations declarations = configuration.inForce().get().declarations();
-    jobEnds.step(state, declarations, turn);
-    plans.step(state, declarations, unavailableWorkers(turn), turn);
-    shares.step(state, declarations, turn);
+    jobEnds.step(state, declarations, context);
+    plans.step(state, declarations, unavailableWorkers(context), context);
+    shares.step(state, declarations, context);
   }
 
   /** Returns the offset after the last folded record; the next read starts there. */
@@ -295,7 +296,7 @@
         current,
         state.jobs().waitingCount(),
         state.jobs().liveCount(),
-        writer.unreadCount(),
+        writer.pendingCount(),
         stream.skipped());
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ControlStream.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ControlStream.java
@@ -14,11 +14,11 @@
 
   /** Hears of each record that was folded. */
   interface Listener {
-    void folded(ControlRecord record, long offset, FoldResult result, DecisionContext turn);
+    void folded(ControlRecord record, long offset, FoldResult result, DecisionContext context);
   }
 
   private final Listener listener;
-  private final SnapshotLoader beginning = new SnapshotLoader();
+  private final SnapshotLoader snapshotLoader = new SnapshotLoader();
   private ControlState state = new ControlState();
   private long nextOffset;
   private boolean complete = true;
@@ -52,63 +52,63 @@
   }
 
   /** Takes in a record; one that was read before is ignored. Implements {@code Read}. */
-  void read(LogRecord record, DecisionContext turn) {
+  void read(LogRecord record, DecisionContext context) {
     if (record.offset() < nextOffset) {
       return;
     }
     if (record.offset() > nextOffset) {
-      lose(record.offset(), turn);
+      awaitSnapshot(record.offset(), context);
     }
     nextOffset = record.offset() + 1;
     if (complete) {
-      fold(record, turn);
+      fold(record, context);
       return;
     }
-    Optional<SnapshotLoader.LoadedSnapshot> begun = beginning.add(record, turn);
-    if (begun.isPresent()) {
-      begin(begun.get(), turn);
+    Optional<SnapshotLoader.LoadedSnapshot> loaded = snapshotLoader.add(record, context);
+    if (loaded.isPresent()) {
+      restore(loaded.get(), context);
     }
   }
 
   /** Takes in that records before {@code earliest} have vanished, maybe before they were read. */
-  void keptFrom(long earliest, DecisionContext turn) {
+  void noteEarliest(long earliest, DecisionContext context) {
     if (earliest > nextOffset) {
-      lose(earliest, turn);
+      awaitSnapshot(earliest, context);
       nextOffset = earliest;
     }
   }
 
-  private void lose(long earliest, DecisionContext turn) {
-    turn.note(ControlLogEvent.RECORDS_VANISHED, nextOffset, earliest);
-    turn.count("fescuehook.control.records.vanished");
+  private void awaitSnapshot(long earliest, DecisionContext context) {
+    context.note(ControlLogEvent.RECORDS_VANISHED, nextOffset, earliest);
+    context.count("fescuehook.control.records.vanished");
     complete = false;
-    beginning.restart(earliest);
+    snapshotLoader.restart(earliest);
   }
 
-  private void begin(SnapshotLoader.LoadedSnapshot begun, DecisionContext turn) {
-    turn.note(ControlLogEvent.SNAPSHOT_TAKEN, begun.coversUntil());
-    state = begun.state();
+  private void restore(SnapshotLoader.LoadedSnapshot loaded, DecisionContext context) {
+    context.note(ControlLogEvent.SNAPSHOT_TAKEN, loaded.coversUntil());
+    state = loaded.state();
     complete = true;
-    for (LogRecord record : begun.rest()) {
-      fold(record, turn);
+    for (LogRecord record : loaded.remaining()) {
+      fold(record, context);
     }
   }
 
-  private void fold(LogRecord record, DecisionContext turn) {
+  private void fold(LogRecord record, DecisionContext context) {
     switch (RecordCodec.decode(record.data())) {
-      case DecodedRecord.Known(ControlRecord known) -> foldKnown(known, record, turn);
-      case DecodedRecord.Newer(ControlRecord newer) -> takeNewer(newer, record, turn);
-      case DecodedRecord.Foreign(String detail) -> skip(record, "foreign", detail, turn);
-      case DecodedRecord.Corrupt(String detail) -> skip(record, "corrupt", detail, turn);
+      case DecodedRecord.Known(ControlRecord known) -> foldKnown(known, record, context);
+      case DecodedRecord.Newer(ControlRecord newer) -> skipNewer(newer, record, context);
+      case DecodedRecord.Foreign(String detail) -> skip(record, "foreign", detail, context);
+      case DecodedRecord.Corrupt(String detail) -> skip(record, "corrupt", detail, context);
     }
   }
 
-  private void foldKnown(ControlRecord known, LogRecord record, DecisionContext turn) {
+  private void foldKnown(ControlRecord known, LogRecord record, DecisionContext context) {
     FoldResult result = state.fold(known, record.offset(), record.appendedMillis());
     if (result != FoldResult.COUNTED) {
-      turn.count("fescuehook.control.records.void", "result", result.name());
+      context.count("fescuehook.control.records.void", "result", result.name());
     }
-    listener.folded(known, record.offset(), result, turn);
+    listener.folded(known, record.offset(), result, context);
   }
 
   /**
@@ -116,17 +116,17 @@
    * folding what it knows, but never decides by that state. What needs no owner is harmless to
    * skip.
    */
-  private void takeNewer(ControlRecord newer, LogRecord record, DecisionContext turn) {
-    skip(record, "newer", "version " + newer.getVersion(), turn);
+  private void skipNewer(ControlRecord newer, LogRecord record, DecisionContext context) {
+    skip(record, "newer", "version " + newer.getVersion(), context);
     if (state.inForce(newer)) {
       newerSeen = true;
-      turn.note(ControlLogEvent.NEWER_RECORD, record.offset(), newer.getVersion());
+      context.note(ControlLogEvent.NEWER_RECORD, record.offset(), newer.getVersion());
     }
   }
 
-  private void skip(LogRecord record, String kind, String detail, DecisionContext turn) {
+  private void skip(LogRecord record, String kind, String detail, DecisionContext context) {
     skipped++;
-    turn.note(ControlLogEvent.RECORD_SKIPPED, record.offset(), detail);
-    turn.count("fescuehook.control.records.skipped", "kind", kind);
+    context.note(ControlLogEvent.RECORD_SKIPPED, record.offset(), detail);
+    context.count("fescuehook.control.records.skipped", "kind", kind);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/DecisionContext.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/DecisionContext.java
@@ -26,7 +26,7 @@
   }
 
   /** Returns the monotonic time, in nanoseconds. */
-  public long now() {
+  public long nowNanos() {
     return nowNanos;
   }
 
@@ -36,7 +36,7 @@
   }
 
   /** Tells whether {@code wait} has passed since a monotonic time. */
-  public boolean passed(long sinceNanos, Duration wait) {
+  public boolean hasElapsed(long sinceNanos, Duration wait) {
     return nowNanos - sinceNanos >= wait.toNanos();
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/DecisionLogger.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/DecisionLogger.java
@@ -10,12 +10,12 @@
 
   private DecisionLogger() {}
 
-  static void write(ControlRecord record, DecisionContext turn) {
+  static void log(ControlRecord record, DecisionContext context) {
     switch (record.getBodyCase()) {
-      case ATTEMPT_PLANNED -> planned(record.getAttemptPlanned(), turn);
-      case ATTEMPT_ENDED -> ended(record.getAttemptEnded(), turn);
+      case ATTEMPT_PLANNED -> planned(record.getAttemptPlanned(), context);
+      case ATTEMPT_ENDED -> ended(record.getAttemptEnded(), context);
       case JOB_ENDED ->
-          turn.note(
+          context.note(
               ControlLogEvent.JOB_ENDED,
               record.getJobEnded().getJob(),
               WireEnumNames.of(record.getJobEnded().getResult()));
@@ -23,22 +23,22 @@
     }
   }
 
-  private static void planned(AttemptPlanned planned, DecisionContext turn) {
-    turn.note(
+  private static void planned(AttemptPlanned planned, DecisionContext context) {
+    context.note(
         ControlLogEvent.ATTEMPT_PLANNED,
         planned.getJob() + "." + planned.getAttempt(),
         planned.getWorkersList(),
         planned.getRule());
   }
 
-  private static void ended(AttemptEnded ended, DecisionContext turn) {
-    turn.note(
+  private static void ended(AttemptEnded ended, DecisionContext context) {
+    context.note(
         ControlLogEvent.ATTEMPT_ENDED,
         ended.getJob() + "." + ended.getAttempt(),
         WireEnumNames.of(ended.getResult()),
         WireEnumNames.of(ended.getReason()),
         ended.getWorker());
-    turn.count(
+    context.count(
         "fescuehook.control.attempts.ended",
         "result",
         WireEnumNames.of(ended.getResult()),
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/append/RecordOutcome.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/append/RecordOutcome.java
@@ -6,10 +6,10 @@
  * What became of an own record.
  *
  * @param record the record
- * @param fate what became of it
+ * @param kind what became of it
  * @param offset its offset if it was read, else -1
  */
-public record RecordOutcome(ControlRecord record, Kind fate, long offset) {
+public record RecordOutcome(ControlRecord record, Kind kind, long offset) {
 
   /** What can become of a record. */
   public enum Kind {
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/append/RecordWriter.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/append/RecordWriter.java
@@ -24,13 +24,13 @@
 public final class RecordWriter {
 
   private static final Duration BARRIER_INTERVAL = Duration.ofMillis(500);
-  private static final Duration LONG_UNREAD = Duration.ofSeconds(30);
+  private static final Duration UNREAD_TIMEOUT = Duration.ofSeconds(30);
 
-  private record Unread(ControlRecord record, boolean unknown) {}
+  private record PendingRecord(ControlRecord record, boolean outcomeUnknown) {}
 
   private final VmId vm;
   private final String incarnation;
-  private final TreeMap<Long, Unread> unread = new TreeMap<>();
+  private final TreeMap<Long, PendingRecord> pending = new TreeMap<>();
   private long lastSequence;
   private long lastAppendNanos = Long.MIN_VALUE / 2;
   private long lastFailureNanos = Long.MIN_VALUE / 2;
@@ -42,33 +42,33 @@
   }
 
   /** Tells whether a decision may be appended now. */
-  public boolean hasRoom(DecisionContext turn) {
-    return unread.size() < ControlLimits.MOST_UNREAD && rested(turn);
+  public boolean hasCapacity(DecisionContext context) {
+    return pending.size() < ControlLimits.MAX_PENDING_APPENDS && backoffElapsed(context);
   }
 
   /** After a failure the appender or the log gets a rest, however soon the failure came. */
-  private boolean rested(DecisionContext turn) {
-    return turn.passed(lastFailureNanos, ControlLimits.APPEND_REST);
+  private boolean backoffElapsed(DecisionContext context) {
+    return context.hasElapsed(lastFailureNanos, ControlLimits.APPEND_BACKOFF);
   }
 
   /** Tells whether the record of a request may be appended now. */
-  public boolean hasRoomForRequest(DecisionContext turn) {
-    return unread.size() < ControlLimits.MOST_UNREAD_REQUESTS && rested(turn);
+  public boolean hasCapacityForRequest(DecisionContext context) {
+    return pending.size() < ControlLimits.MAX_PENDING_REQUEST_APPENDS && backoffElapsed(context);
   }
 
   /** Returns the number of records whose outcome is not known. */
-  public int unreadCount() {
-    return unread.size();
+  public int pendingCount() {
+    return pending.size();
   }
 
   /** Tells whether the outcome of a record is not known yet. */
-  public boolean isUnread(long sequence) {
-    return unread.containsKey(sequence);
+  public boolean isPending(long sequence) {
+    return pending.containsKey(sequence);
   }
 
   /** Tells whether a record is on its way to the log, or there and not read yet. */
-  public boolean onItsWay() {
-    return unread.values().stream().anyMatch(entry -> !entry.unknown());
+  public boolean hasAppendInFlight() {
+    return pending.values().stream().anyMatch(entry -> !entry.outcomeUnknown());
   }
 
   /** Returns the monotonic time of the last append. */
@@ -82,38 +82,38 @@
    * @param body a builder with only the body set
    * @return the sequence of the record
    */
-  public long append(ControlRecord.Builder body, DecisionContext turn) {
+  public long append(ControlRecord.Builder body, DecisionContext context) {
     lastSequence++;
     ControlRecord record =
         body.setVersion(RecordCodec.VERSION)
             .setWriter(vm.value())
             .setIncarnation(incarnation)
             .setSequence(lastSequence)
-            .setWrittenMillis(turn.wallMillis())
+            .setWrittenMillis(context.wallMillis())
             .build();
-    unread.put(lastSequence, new Unread(record, false));
-    lastAppendNanos = turn.now();
-    turn.append(record);
+    pending.put(lastSequence, new PendingRecord(record, false));
+    lastAppendNanos = context.nowNanos();
+    context.append(record);
     return lastSequence;
   }
 
   /** Appends a decision under an epoch. */
-  public long append(ControlRecord.Builder body, long epoch, DecisionContext turn) {
-    return append(body.setEpochPlusOne(epoch + 1), turn);
+  public long append(ControlRecord.Builder body, long epoch, DecisionContext context) {
+    return append(body.setEpochPlusOne(epoch + 1), context);
   }
 
   /** Takes in the word that an append failed; returns what is known by it. */
-  public List<RecordOutcome> failed(long sequence, boolean certain, DecisionContext turn) {
-    lastFailureNanos = turn.now();
-    Unread entry = unread.get(sequence);
+  public List<RecordOutcome> failed(long sequence, boolean certain, DecisionContext context) {
+    lastFailureNanos = context.nowNanos();
+    PendingRecord entry = pending.get(sequence);
     if (entry == null) {
       return List.of();
     }
     if (!certain) {
-      unread.put(sequence, new Unread(entry.record(), true));
+      pending.put(sequence, new PendingRecord(entry.record(), true));
       return List.of();
     }
-    unread.remove(sequence);
+    pending.remove(sequence);
     return List.of(new RecordOutcome(entry.record(), Kind.ABSENT, -1));
   }
 
@@ -124,21 +124,21 @@
     if (!own || result == FoldResult.DUPLICATE) {
       return List.of();
     }
-    List<RecordOutcome> resolutions = new ArrayList<>();
-    Iterator<Map.Entry<Long, Unread>> entries =
-        unread.headMap(record.getSequence(), true).entrySet().iterator();
+    List<RecordOutcome> outcomes = new ArrayList<>();
+    Iterator<Map.Entry<Long, PendingRecord>> entries =
+        pending.headMap(record.getSequence(), true).entrySet().iterator();
     while (entries.hasNext()) {
-      Map.Entry<Long, Unread> entry = entries.next();
+      Map.Entry<Long, PendingRecord> entry = entries.next();
       ControlRecord mine = entry.getValue().record();
       if (entry.getKey() == record.getSequence()) {
-        Kind fate = result == FoldResult.COUNTED ? Kind.COUNTED : Kind.NOT_COUNTED;
-        resolutions.add(new RecordOutcome(mine, fate, offset));
+        Kind kind = result == FoldResult.COUNTED ? Kind.COUNTED : Kind.NOT_COUNTED;
+        outcomes.add(new RecordOutcome(mine, kind, offset));
       } else {
-        resolutions.add(new RecordOutcome(mine, Kind.ABSENT, -1));
+        outcomes.add(new RecordOutcome(mine, Kind.ABSENT, -1));
       }
       entries.remove();
     }
-    return resolutions;
+    return outcomes;
   }
 
   /**
@@ -146,15 +146,16 @@
    * not read for long, as when it vanished before: reading it tells what became of those before.
    * Called only while the log can be read.
    */
-  public void settle(DecisionContext turn) {
-    if (unread.isEmpty() || !rested(turn)) {
+  public void appendBarrierIfDue(DecisionContext context) {
+    if (pending.isEmpty() || !backoffElapsed(context)) {
       return;
     }
-    boolean unknown = unread.lastEntry().getValue().unknown();
-    Duration wait = unknown ? BARRIER_INTERVAL : LONG_UNREAD;
-    if (turn.passed(lastAppendNanos, wait)) {
+    boolean outcomeUnknown = pending.lastEntry().getValue().outcomeUnknown();
+    Duration wait = outcomeUnknown ? BARRIER_INTERVAL : UNREAD_TIMEOUT;
+    if (context.hasElapsed(lastAppendNanos, wait)) {
       append(
-          ControlRecord.newBuilder().setOwnerHeartbeat(OwnerHeartbeat.getDefaultInstance()), turn);
+          ControlRecord.newBuilder().setOwnerHeartbeat(OwnerHeartbeat.getDefaultInstance()),
+          context);
     }
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/configuration/ConfigurationHolder.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/configuration/ConfigurationHolder.java
@@ -17,7 +17,7 @@
 public final class ConfigurationHolder {
   private final DeclarationsReader reader;
   private Optional<Configuration> inForce = Optional.empty();
-  private long seenRevision = Configuration.NO_REVISION;
+  private long latestRevision = Configuration.NO_REVISION;
 
   /** Creates a holder without a configuration. */
   public ConfigurationHolder(DeclarationsReader reader) {
@@ -31,7 +31,7 @@
 
   /** Tells whether the revision in force in the log was tried and cannot be read here. */
   public boolean unreadable(ControlState state) {
-    return seenRevision == state.revision() && !readable(state);
+    return latestRevision == state.revision() && !readable(state);
   }
 
   /** Tells whether the revision in force in the log is in force here. */
@@ -46,11 +46,11 @@
    *
    * @return whether it changed
    */
-  public boolean take(ControlState state, DecisionContext turn) {
-    if (state.revision() <= seenRevision) {
+  public boolean update(ControlState state, DecisionContext context) {
+    if (state.revision() <= latestRevision) {
       return false;
     }
-    seenRevision = state.revision();
+    latestRevision = state.revision();
     ConfigurationPublished published = state.configuration();
     Configuration configuration;
     try {
@@ -63,17 +63,17 @@
               published.getDeclarations(),
               reader.parse(published.getDeclarations()));
     } catch (InvalidDeclarationsException e) {
-      turn.note(ControlLogEvent.CONFIGURATION_UNREADABLE, seenRevision, e.getMessage());
-      turn.count("fescuehook.control.configuration.unreadable");
+      context.note(ControlLogEvent.CONFIGURATION_UNREADABLE, latestRevision, e.getMessage());
+      context.count("fescuehook.control.configuration.unreadable");
       return false;
     }
     inForce = Optional.of(configuration);
-    turn.note(
+    context.note(
         ControlLogEvent.CONFIGURATION_IN_FORCE,
         configuration.revision(),
         configuration.author(),
         configuration.reason());
-    turn.add(new ControlCommand.ConfigurationInForce(configuration));
+    context.add(new ControlCommand.ConfigurationInForce(configuration));
     return true;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/AttemptProgress.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/AttemptProgress.java
@@ -14,13 +14,13 @@
 final class AttemptProgress {
   final AttemptId attempt;
   final List<MemberProgress> members = new ArrayList<>();
-  final long sinceNanos;
-  Optional<StopReason> abort = Optional.empty();
+  final long createdNanos;
+  Optional<StopReason> abortReason = Optional.empty();
   OptionalLong stoppingSince = OptionalLong.empty();
-  OptionalLong foldedSince = OptionalLong.empty();
+  OptionalLong appliedByAllSince = OptionalLong.empty();
   OptionalLong startedSince = OptionalLong.empty();
   long stoppingOffset;
-  long unread;
+  long pendingSequence;
   boolean committed;
   boolean awaitsCheckpoint;
   boolean releasing;
@@ -28,7 +28,7 @@
 
   AttemptProgress(JobState job, long nowNanos) {
     this.attempt = job.attempt();
-    this.sinceNanos = nowNanos;
+    this.createdNanos = nowNanos;
     int number = 0;
     for (WorkerId worker : job.workers()) {
       members.add(new MemberProgress(number, worker, nowNanos));
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangCommitter.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangCommitter.java
@@ -29,39 +29,39 @@
   }
 
   /** Takes the next step of an attempt that is planned and not committed. */
-  void advance(AttemptProgress track, JobState job, long epoch, DecisionContext turn) {
-    if (writer.isUnread(track.unread)) {
-      keepLeases(track, turn);
+  void advance(AttemptProgress progress, JobState job, long epoch, DecisionContext context) {
+    if (writer.isPending(progress.pendingSequence)) {
+      renewUncommittedLeases(progress, context);
       return;
     }
-    if (!writer.hasRoom(turn)) {
+    if (!writer.hasCapacity(context)) {
       return;
     }
-    Optional<StopReason> reason = reasonToAbort(track, job, epoch, turn);
+    Optional<StopReason> reason = reasonToAbort(progress, job, epoch, context);
     if (reason.isPresent()) {
-      abort(track, reason.get(), epoch, turn);
+      abort(progress, reason.get(), epoch, context);
       return;
     }
-    if (track.all(member -> member.granted())) {
-      commit(track, epoch, turn);
+    if (progress.all(member -> member.granted())) {
+      commit(progress, epoch, context);
       return;
     }
-    ask(track, job, turn);
+    requestLeases(progress, job, context);
   }
 
   private Optional<StopReason> reasonToAbort(
-      AttemptProgress track, JobState job, long epoch, DecisionContext turn) {
+      AttemptProgress progress, JobState job, long epoch, DecisionContext context) {
     if (job.plannedEpoch() != epoch) {
       return Optional.of(StopReason.STOP_REASON_OWNER_CHANGED);
     }
     if (job.facts().getCancelRequested()) {
       return Optional.of(StopReason.STOP_REASON_CANCELLED);
     }
-    if (track.abort.isPresent()) {
-      return track.abort;
+    if (progress.abortReason.isPresent()) {
+      return progress.abortReason;
     }
-    boolean refused = track.first(member -> member.refused).isPresent();
-    if (refused || turn.passed(track.sinceNanos, preferences.grantTimeout())) {
+    boolean refused = progress.first(member -> member.refused).isPresent();
+    if (refused || context.hasElapsed(progress.createdNanos, preferences.grantTimeout())) {
       return Optional.of(StopReason.STOP_REASON_START_REFUSED);
     }
     return Optional.empty();
@@ -71,17 +71,17 @@
    * Asks each worker for a lease, once: a lease whose grant was lost holds its place until it
    * lapses, so asking again would be refused. Implements {@code Ask}.
    */
-  private void ask(AttemptProgress track, JobState job, DecisionContext turn) {
+  private void requestLeases(AttemptProgress progress, JobState job, DecisionContext context) {
     Capacity unit = job.job().shape().perMember();
-    for (MemberProgress member : track.members) {
-      if (member.asked) {
+    for (MemberProgress member : progress.members) {
+      if (member.leaseRequested) {
         continue;
       }
-      member.asked = true;
-      turn.send(
+      member.leaseRequested = true;
+      context.send(
           member.worker,
           new WorkerCommand.Grant(
-              track.attempt + "/" + member.number,
+              progress.attempt + "/" + member.number,
               unit.accelerators(),
               unit.cores(),
               unit.memoryMegabytes(),
@@ -90,11 +90,13 @@
   }
 
   /** While a slow log holds the commit up, the leases that it names must not lapse. */
-  private void keepLeases(AttemptProgress track, DecisionContext turn) {
-    for (MemberProgress member : track.members) {
-      if (member.granted() && turn.passed(member.renewedNanos, ControlLimits.COMMIT_KEEP)) {
-        member.renewedNanos = turn.now();
-        turn.send(
+  private void renewUncommittedLeases(AttemptProgress progress, DecisionContext context) {
+    for (MemberProgress member : progress.members) {
+      if (member.granted()
+          && context.hasElapsed(
+              member.lastRenewalNanos, ControlLimits.UNCOMMITTED_RENEWAL_INTERVAL)) {
+        member.lastRenewalNanos = context.nowNanos();
+        context.send(
             member.worker, new WorkerCommand.Renew(List.of(member.lease), grantTtl().toMillis()));
       }
     }
@@ -105,36 +107,39 @@
   }
 
   /** Implements {@code Commit}. */
-  private void commit(AttemptProgress track, long epoch, DecisionContext turn) {
+  private void commit(AttemptProgress progress, long epoch, DecisionContext context) {
     AttemptCommitted.Builder body =
         AttemptCommitted.newBuilder()
-            .setJob(track.attempt.job().value())
-            .setAttempt(track.attempt.number());
-    track.members.forEach(member -> body.addLeases(member.lease));
-    track.unread = writer.append(ControlRecord.newBuilder().setAttemptCommitted(body), epoch, turn);
+            .setJob(progress.attempt.job().value())
+            .setAttempt(progress.attempt.number());
+    progress.members.forEach(member -> body.addLeases(member.lease));
+    progress.pendingSequence =
+        writer.append(ControlRecord.newBuilder().setAttemptCommitted(body), epoch, context);
   }
 
   /**
    * Ends an attempt that cannot commit any more: its commit was not appended, or is known to be
    * absent. So its leases can be released at once. Implements {@code NeverStarted}.
    */
-  private void abort(AttemptProgress track, StopReason reason, long epoch, DecisionContext turn) {
+  private void abort(
+      AttemptProgress progress, StopReason reason, long epoch, DecisionContext context) {
     AttemptEnded.Builder body =
         AttemptEnded.newBuilder()
-            .setJob(track.attempt.job().value())
-            .setAttempt(track.attempt.number())
+            .setJob(progress.attempt.job().value())
+            .setAttempt(progress.attempt.number())
             .setResult(AttemptResult.ATTEMPT_RESULT_NEVER_STARTED)
             .setReason(reason);
     if (reason == StopReason.STOP_REASON_START_REFUSED) {
-      track
+      progress
           .first(member -> member.refused)
-          .or(() -> track.first(member -> !member.granted()))
+          .or(() -> progress.first(member -> !member.granted()))
           .ifPresent(member -> body.setWorker(member.worker.value()));
     }
-    track.unread = writer.append(ControlRecord.newBuilder().setAttemptEnded(body), epoch, turn);
-    for (MemberProgress member : track.members) {
+    progress.pendingSequence =
+        writer.append(ControlRecord.newBuilder().setAttemptEnded(body), epoch, context);
+    for (MemberProgress member : progress.members) {
       if (member.granted()) {
-        releaser.release(member.worker, member.lease, turn);
+        releaser.release(member.worker, member.lease, context);
       }
     }
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangDuty.java
@@ -31,19 +31,19 @@
  */
 public final class GangDuty {
 
-  private static final Duration FULL_ROUND = Duration.ofMillis(500);
+  private static final Duration FULL_PASS_INTERVAL = Duration.ofMillis(500);
 
   private final LeaseReleaser releaser;
   private final LeaseRenewer renewer;
   private final GangCommitter starter;
   private final GangRunner runner;
   private final GangStopper stopper;
-  private final WorkerBackoff rest = new WorkerBackoff();
-  private final Map<JobId, AttemptProgress> tracks = new LinkedHashMap<>();
-  private final Map<String, MemberProgress> asked = new HashMap<>();
-  private final Set<JobId> touched = new LinkedHashSet<>();
+  private final WorkerBackoff backoff = new WorkerBackoff();
+  private final Map<JobId, AttemptProgress> attempts = new LinkedHashMap<>();
+  private final Map<String, MemberProgress> requestedLeases = new HashMap<>();
+  private final Set<JobId> changedJobs = new LinkedHashSet<>();
   private GangMode mode = GangMode.OFF;
-  private long lastRound;
+  private long lastFullPassNanos;
 
   /** Creates a duty that drives nothing. */
   public GangDuty(ControlPreferences preferences, RecordWriter writer, PeerTracker peers) {
@@ -55,23 +55,23 @@
   }
 
   /** Returns workers that refused a lease or gave no answer lately. */
-  public Set<WorkerId> restingWorkers(DecisionContext turn) {
-    return rest.resting(turn);
+  public Set<WorkerId> workersInBackoff(DecisionContext context) {
+    return backoff.workersInBackoff(context);
   }
 
   /** A record about a job was folded. */
   public void folded(JobId job) {
     if (mode != GangMode.OFF) {
-      touched.add(job);
+      changedJobs.add(job);
     }
   }
 
   /** The policy wants an attempt ended that is not committed yet. */
   public void abort(AttemptId attempt, StopReason reason) {
-    AttemptProgress track = tracks.get(attempt.job());
-    if (track != null && track.attempt.equals(attempt)) {
-      track.abort = Optional.of(reason);
-      touched.add(attempt.job());
+    AttemptProgress progress = attempts.get(attempt.job());
+    if (progress != null && progress.attempt.equals(attempt)) {
+      progress.abortReason = Optional.of(reason);
+      changedJobs.add(attempt.job());
     }
   }
 
@@ -80,164 +80,165 @@
    *
    * @param foldedUntil offset after the last record that this VM has folded
    */
-  public void step(ControlState state, GangMode now, long foldedUntil, DecisionContext turn) {
-    changeMode(state, now, turn);
+  public void step(ControlState state, GangMode now, long foldedUntil, DecisionContext context) {
+    changeMode(state, now, context);
     if (mode == GangMode.OFF || mode == GangMode.READ) {
       return;
     }
-    for (JobId job : due(turn)) {
-      advance(job, state, foldedUntil, turn);
+    for (JobId job : due(context)) {
+      advance(job, state, foldedUntil, context);
     }
-    renewer.step(turn);
-    releaser.step(turn);
+    renewer.step(context);
+    releaser.step(context);
   }
 
-  private void changeMode(ControlState state, GangMode now, DecisionContext turn) {
+  private void changeMode(ControlState state, GangMode now, DecisionContext context) {
     if (now == mode) {
       return;
     }
-    boolean fresh = mode == GangMode.OFF;
+    boolean wasOff = mode == GangMode.OFF;
     mode = now;
     if (now == GangMode.OFF) {
       clear();
       return;
     }
-    if (fresh || now == GangMode.DECIDE) {
-      touched.addAll(tracks.keySet());
-      state.jobs().live().forEach(job -> touched.add(job.id()));
-      lastRound = turn.now();
+    if (wasOff || now == GangMode.DECIDE) {
+      changedJobs.addAll(attempts.keySet());
+      state.jobs().live().forEach(job -> changedJobs.add(job.id()));
+      lastFullPassNanos = context.nowNanos();
     }
   }
 
   private void clear() {
-    tracks.clear();
-    asked.clear();
-    touched.clear();
+    attempts.clear();
+    requestedLeases.clear();
+    changedJobs.clear();
     renewer.clear();
     releaser.clear();
   }
 
-  private List<JobId> due(DecisionContext turn) {
-    if (turn.passed(lastRound, FULL_ROUND)) {
-      lastRound = turn.now();
-      touched.addAll(tracks.keySet());
+  private List<JobId> due(DecisionContext context) {
+    if (context.hasElapsed(lastFullPassNanos, FULL_PASS_INTERVAL)) {
+      lastFullPassNanos = context.nowNanos();
+      changedJobs.addAll(attempts.keySet());
     }
-    List<JobId> due = new ArrayList<>(touched);
-    touched.clear();
+    List<JobId> due = new ArrayList<>(changedJobs);
+    changedJobs.clear();
     return due;
   }
 
-  private void advance(JobId id, ControlState state, long foldedUntil, DecisionContext turn) {
+  private void advance(JobId id, ControlState state, long foldedUntil, DecisionContext context) {
     Optional<JobState> found = state.jobs().find(id).filter(JobState::live);
-    AttemptProgress track = tracks.get(id);
-    if (track != null && found.filter(job -> job.attempt().equals(track.attempt)).isEmpty()) {
-      drop(track, turn);
+    AttemptProgress progress = attempts.get(id);
+    if (progress != null && found.filter(job -> job.attempt().equals(progress.attempt)).isEmpty()) {
+      stopTracking(progress, context);
     }
     if (found.isEmpty()) {
       return;
     }
     JobState job = found.get();
     AttemptProgress current =
-        tracks.computeIfAbsent(id, key -> new AttemptProgress(job, turn.now()));
+        attempts.computeIfAbsent(id, key -> new AttemptProgress(job, context.nowNanos()));
     if (!job.committed()) {
       if (mode == GangMode.DECIDE) {
-        starter.advance(current, job, state.epoch(), turn);
-        current.members.forEach(member -> asked.put(key(current, member), member));
+        starter.advance(current, job, state.epoch(), context);
+        current.members.forEach(member -> requestedLeases.put(key(current, member), member));
       }
       return;
     }
-    takeCommit(current, job, turn);
+    recordCommit(current, job, context);
     if (job.stopping()) {
-      stopper.advance(current, job, mode, state.epoch(), foldedUntil, turn);
+      stopper.advance(current, job, mode, state.epoch(), foldedUntil, context);
     } else {
-      runner.advance(current, job, mode, state.epoch(), turn);
+      runner.advance(current, job, mode, state.epoch(), context);
     }
   }
 
-  private static String key(AttemptProgress track, MemberProgress member) {
-    return track.attempt + "/" + member.number;
+  private static String key(AttemptProgress progress, MemberProgress member) {
+    return progress.attempt + "/" + member.number;
   }
 
   /** Notes the leases of a commit that counted; those of another VM are adopted. */
-  private void takeCommit(AttemptProgress track, JobState job, DecisionContext turn) {
-    if (track.committed) {
+  private void recordCommit(AttemptProgress progress, JobState job, DecisionContext context) {
+    if (progress.committed) {
       return;
     }
-    track.committed = true;
-    boolean adopted = !track.all(MemberProgress::granted);
+    progress.committed = true;
+    boolean adopted = !progress.all(MemberProgress::granted);
     List<String> leases = job.facts().getCommitted().getLeasesList();
-    for (MemberProgress member : track.members) {
+    for (MemberProgress member : progress.members) {
       member.lease = leases.get(member.number);
-      asked.remove(key(track, member));
+      requestedLeases.remove(key(progress, member));
     }
     if (adopted) {
-      renewer.adopt(track, turn);
+      renewer.adopt(progress, context);
     } else {
-      renewer.add(track, turn);
+      renewer.add(progress, context);
     }
   }
 
   /** The attempt ended in the log, so its leases serve nobody. Implements {@code Release}. */
-  private void drop(AttemptProgress track, DecisionContext turn) {
-    tracks.remove(track.attempt.job());
-    renewer.remove(track);
-    for (MemberProgress member : track.members) {
-      asked.remove(key(track, member));
+  private void stopTracking(AttemptProgress progress, DecisionContext context) {
+    attempts.remove(progress.attempt.job());
+    renewer.remove(progress);
+    for (MemberProgress member : progress.members) {
+      requestedLeases.remove(key(progress, member));
       if (member.granted() && !member.gone) {
-        releaser.release(member.worker, member.lease, turn);
+        releaser.release(member.worker, member.lease, context);
       }
     }
   }
 
   /** Takes in the answer of a worker, or that there was none. */
-  public void answered(WorkerReply reply, DecisionContext turn) {
+  public void answered(WorkerReply reply, DecisionContext context) {
     boolean silence = reply instanceof WorkerReply.Silent;
     renewer.heard(reply.worker(), silence);
     if (!silence) {
-      rest.answered(reply.worker());
+      backoff.answered(reply.worker());
     }
     switch (reply) {
-      case WorkerReply.Granted granted -> granted(granted, turn);
+      case WorkerReply.Granted granted -> granted(granted, context);
       case WorkerReply.GrantRefused refused -> {
-        rest.refused(refused.worker(), turn);
-        refuse(refused.key());
+        backoff.refused(refused.worker(), context);
+        markRefused(refused.key());
       }
-      case WorkerReply.States states -> states.states().forEach(s -> heard(states, s, turn));
+      case WorkerReply.States states ->
+          states.states().forEach(s -> updateMember(states, s, context));
       case WorkerReply.Silent silent -> {
-        rest.silent(silent.worker(), turn);
+        backoff.silent(silent.worker(), context);
         if (silent.command() instanceof WorkerCommand.Grant grant) {
-          refuse(grant.key());
+          markRefused(grant.key());
         }
       }
     }
   }
 
-  private void granted(WorkerReply.Granted granted, DecisionContext turn) {
-    MemberProgress member = asked.get(granted.key());
+  private void granted(WorkerReply.Granted granted, DecisionContext context) {
+    MemberProgress member = requestedLeases.get(granted.key());
     if (member == null || member.refused || member.granted()) {
-      releaseStray(granted, turn);
+      releaseStray(granted, context);
       return;
     }
     member.lease = granted.lease();
-    member.heardNanos = turn.now();
-    member.renewedNanos = turn.now();
-    touched.add(jobOf(granted.key()));
+    member.lastReplyNanos = context.nowNanos();
+    member.lastRenewalNanos = context.nowNanos();
+    changedJobs.add(jobOf(granted.key()));
   }
 
   /** A lease that came late is in no commit: this VM alone knows it, and it did not commit it. */
-  private void releaseStray(WorkerReply.Granted granted, DecisionContext turn) {
+  private void releaseStray(WorkerReply.Granted granted, DecisionContext context) {
     if (renewer.holder(granted.worker(), granted.lease()).isPresent() || mode == GangMode.READ) {
       return;
     }
-    turn.count("fescuehook.control.stray.leases");
-    releaser.release(granted.worker(), granted.lease(), turn);
+    context.count("fescuehook.control.stray.leases");
+    releaser.release(granted.worker(), granted.lease(), context);
   }
 
-  private void refuse(String key) {
-    MemberProgress member = asked.get(key);
+  private void markRefused(String key) {
+    MemberProgress member = requestedLeases.get(key);
     if (member != null && !member.granted()) {
       member.refused = true;
-      touched.add(jobOf(key));
+      changedJobs.add(jobOf(key));
     }
   }
 
@@ -246,7 +247,7 @@
     return new JobId(attempt.substring(0, attempt.lastIndexOf('.')));
   }
 
-  private void heard(WorkerReply.States states, State state, DecisionContext turn) {
+  private void updateMember(WorkerReply.States states, State state, DecisionContext context) {
     if (state.state() == LeaseState.GONE) {
       releaser.gone(states.worker(), state.lease());
     }
@@ -254,8 +255,8 @@
         .holder(states.worker(), state.lease())
         .ifPresent(
             holder -> {
-              holder.member().heard(state, turn.now());
-              touched.add(holder.attempt().attempt.job());
+              holder.member().update(state, context.nowNanos());
+              changedJobs.add(holder.attempt().attempt.job());
             });
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangRunner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangRunner.java
@@ -28,143 +28,154 @@
     this.releaser = releaser;
   }
 
-  private record Fault(StopReason reason, Optional<MemberProgress> member) {}
+  private record StopTrigger(StopReason reason, Optional<MemberProgress> member) {}
 
   /** Takes the next step of an attempt that is committed and not being stopped. */
   void advance(
-      AttemptProgress track, JobState job, GangMode mode, long epoch, DecisionContext turn) {
-    if (track.first(MemberProgress::lost).isPresent()) {
-      releaseOthers(track, turn);
+      AttemptProgress progress, JobState job, GangMode mode, long epoch, DecisionContext context) {
+    if (progress.first(MemberProgress::lost).isPresent()) {
+      releaseOthers(progress, context);
     }
-    Optional<Fault> fault = fault(track, job, mode, turn);
-    if (fault.isPresent() && mode == GangMode.RENEW) {
-      abandon(track, fault.get(), turn);
+    Optional<StopTrigger> trigger = trigger(progress, job, mode, context);
+    if (trigger.isPresent() && mode == GangMode.RENEW) {
+      abandon(progress, trigger.get(), context);
       return;
     }
-    if (mode == GangMode.DECIDE && !writer.isUnread(track.unread) && writer.hasRoom(turn)) {
-      if (track.all(member -> member.finished)) {
-        finish(track, epoch, turn);
+    if (mode == GangMode.DECIDE
+        && !writer.isPending(progress.pendingSequence)
+        && writer.hasCapacity(context)) {
+      if (progress.all(member -> member.finished)) {
+        finish(progress, epoch, context);
         return;
       }
-      if (fault.isPresent()) {
-        stop(track, fault.get(), epoch, turn);
+      if (trigger.isPresent()) {
+        stop(progress, trigger.get(), epoch, context);
         return;
       }
     }
-    if (fault.isEmpty()) {
-      start(track, job, mode, turn);
+    if (trigger.isEmpty()) {
+      start(progress, job, mode, context);
     }
   }
 
-  private Optional<Fault> fault(
-      AttemptProgress track, JobState job, GangMode mode, DecisionContext turn) {
-    if (track.all(member -> member.finished)) {
+  private Optional<StopTrigger> trigger(
+      AttemptProgress progress, JobState job, GangMode mode, DecisionContext context) {
+    if (progress.all(member -> member.finished)) {
       return Optional.empty();
     }
-    Optional<MemberProgress> failed = track.first(member -> member.failed);
+    Optional<MemberProgress> failed = progress.first(member -> member.failed);
     if (failed.isPresent()) {
-      return Optional.of(new Fault(StopReason.STOP_REASON_MEMBER_FAILED, failed));
+      return Optional.of(new StopTrigger(StopReason.STOP_REASON_MEMBER_FAILED, failed));
     }
-    Optional<MemberProgress> lost = track.first(member -> lostOrSilent(member, turn));
+    Optional<MemberProgress> lost = progress.first(member -> lostOrSilent(member, context));
     if (lost.isPresent()) {
-      return Optional.of(new Fault(StopReason.STOP_REASON_MEMBER_LOST, lost));
+      return Optional.of(new StopTrigger(StopReason.STOP_REASON_MEMBER_LOST, lost));
     }
     if (mode == GangMode.DECIDE && job.facts().getCancelRequested()) {
-      return Optional.of(new Fault(StopReason.STOP_REASON_CANCELLED, Optional.empty()));
+      return Optional.of(new StopTrigger(StopReason.STOP_REASON_CANCELLED, Optional.empty()));
     }
-    Optional<MemberProgress> held = track.first(member -> !member.started());
-    if (held.isPresent() && startIsLate(track, turn)) {
-      return Optional.of(new Fault(StopReason.STOP_REASON_START_REFUSED, held));
+    Optional<MemberProgress> held = progress.first(member -> !member.started());
+    if (held.isPresent() && startTimedOut(progress, context)) {
+      return Optional.of(new StopTrigger(StopReason.STOP_REASON_START_REFUSED, held));
     }
     return Optional.empty();
   }
 
   /** A member whose lease lapsed, ended early, or must have lapsed unless another VM renews it. */
-  private boolean lostOrSilent(MemberProgress member, DecisionContext turn) {
+  private boolean lostOrSilent(MemberProgress member, DecisionContext context) {
     if (member.lost() || member.checkpointed) {
       return true;
     }
-    return !member.finished && turn.passed(member.heardNanos, preferences.leaseTtl());
+    return !member.finished && context.hasElapsed(member.lastReplyNanos, preferences.leaseTtl());
   }
 
-  private static boolean startIsLate(AttemptProgress track, DecisionContext turn) {
-    boolean partly = track.first(MemberProgress::started).isPresent();
-    if (track.startedSince.isEmpty() && partly) {
-      track.startedSince = OptionalLong.of(turn.now());
+  private static boolean startTimedOut(AttemptProgress progress, DecisionContext context) {
+    boolean partly = progress.first(MemberProgress::started).isPresent();
+    if (progress.startedSince.isEmpty() && partly) {
+      progress.startedSince = OptionalLong.of(context.nowNanos());
     }
-    return track.startedSince.isPresent()
-        && turn.passed(track.startedSince.getAsLong(), ControlLimits.START_TIMEOUT);
+    return progress.startedSince.isPresent()
+        && context.hasElapsed(progress.startedSince.getAsLong(), ControlLimits.START_TIMEOUT);
   }
 
   /**
    * Sends the start to each lease that is not known to run. Only for a commit that was read back
    * and counted, so it may be repeated. Implements {@code Start}.
    */
-  private void start(AttemptProgress track, JobState job, GangMode mode, DecisionContext turn) {
+  private void start(
+      AttemptProgress progress, JobState job, GangMode mode, DecisionContext context) {
     if (mode != GangMode.DECIDE) {
       return;
     }
-    if (track.startedSince.isEmpty()) {
-      track.startedSince = OptionalLong.of(turn.now());
-      turn.note(ControlLogEvent.ATTEMPT_STARTED, track.attempt, track.members.size());
+    if (progress.startedSince.isEmpty()) {
+      progress.startedSince = OptionalLong.of(context.nowNanos());
+      context.note(ControlLogEvent.ATTEMPT_STARTED, progress.attempt, progress.members.size());
     }
-    for (MemberProgress member : track.members) {
-      if (member.started() || !turn.passed(member.commandedNanos, ControlLimits.COMMAND_RETRY)) {
+    for (MemberProgress member : progress.members) {
+      if (member.started()
+          || !context.hasElapsed(member.lastCommandNanos, ControlLimits.COMMAND_RETRY_INTERVAL)) {
         continue;
       }
-      member.commandedNanos = turn.now();
-      turn.send(
+      member.lastCommandNanos = context.nowNanos();
+      context.send(
           member.worker,
           new WorkerCommand.Start(
               member.lease,
               job.id().value(),
-              track.attempt.toString(),
+              progress.attempt.toString(),
               member.number,
               job.job().command()));
     }
   }
 
   /** A lease that is gone by its worker's word stays gone, so no VM can want the others to run. */
-  private void releaseOthers(AttemptProgress track, DecisionContext turn) {
-    track.releasing = true;
-    for (MemberProgress member : track.members) {
+  private void releaseOthers(AttemptProgress progress, DecisionContext context) {
+    progress.releasing = true;
+    for (MemberProgress member : progress.members) {
       if (!member.gone) {
-        releaser.release(member.worker, member.lease, turn);
+        releaser.release(member.worker, member.lease, context);
       }
     }
   }
 
   /** Without the log, a gang that is not whole is left to lapse. */
-  private static void abandon(AttemptProgress track, Fault fault, DecisionContext turn) {
-    if (track.abandoned) {
+  private static void abandon(
+      AttemptProgress progress, StopTrigger trigger, DecisionContext context) {
+    if (progress.abandoned) {
       return;
     }
-    track.abandoned = true;
-    String worker = fault.member().map(member -> member.worker.value()).orElse("none");
-    turn.note(
-        ControlLogEvent.GANG_ABANDONED, track.attempt, worker, WireEnumNames.of(fault.reason()));
+    progress.abandoned = true;
+    String worker = trigger.member().map(member -> member.worker.value()).orElse("none");
+    context.note(
+        ControlLogEvent.GANG_ABANDONED,
+        progress.attempt,
+        worker,
+        WireEnumNames.of(trigger.reason()));
   }
 
   /** Implements {@code Stop}. */
-  private void stop(AttemptProgress track, Fault fault, long epoch, DecisionContext turn) {
+  private void stop(
+      AttemptProgress progress, StopTrigger trigger, long epoch, DecisionContext context) {
     AttemptStopping.Builder body =
         AttemptStopping.newBuilder()
-            .setJob(track.attempt.job().value())
-            .setAttempt(track.attempt.number())
-            .setReason(fault.reason());
-    fault
+            .setJob(progress.attempt.job().value())
+            .setAttempt(progress.attempt.number())
+            .setReason(trigger.reason());
+    trigger
         .member()
         .ifPresent(member -> body.setWorker(member.worker.value()).setExitCode(member.exitCode));
-    track.unread = writer.append(ControlRecord.newBuilder().setAttemptStopping(body), epoch, turn);
+    progress.pendingSequence =
+        writer.append(ControlRecord.newBuilder().setAttemptStopping(body), epoch, context);
   }
 
   /** The leases are released only once this record was read, else the result could be lost. */
-  private void finish(AttemptProgress track, long epoch, DecisionContext turn) {
+  private void finish(AttemptProgress progress, long epoch, DecisionContext context) {
     AttemptEnded.Builder body =
         AttemptEnded.newBuilder()
-            .setJob(track.attempt.job().value())
-            .setAttempt(track.attempt.number())
+            .setJob(progress.attempt.job().value())
+            .setAttempt(progress.attempt.number())
             .setResult(AttemptResult.ATTEMPT_RESULT_FINISHED);
-    track.unread = writer.append(ControlRecord.newBuilder().setAttemptEnded(body), epoch, turn);
+    progress.pendingSequence =
+        writer.append(ControlRecord.newBuilder().setAttemptEnded(body), epoch, context);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangStopper.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangStopper.java
@@ -45,77 +45,79 @@
    * @param foldedUntil offset after the last record that this VM has folded
    */
   void advance(
-      AttemptProgress track,
+      AttemptProgress progress,
       JobState job,
       GangMode mode,
       long epoch,
       long foldedUntil,
-      DecisionContext turn) {
+      DecisionContext context) {
     AttemptStopping stopping = job.facts().getStopping();
-    if (track.stoppingSince.isEmpty()) {
-      track.stoppingSince = OptionalLong.of(turn.now());
-      track.stoppingOffset = foldedUntil - 1;
-      track.awaitsCheckpoint = stopping.getCheckpointFirst() && mode == GangMode.DECIDE;
-      turn.note(
+    if (progress.stoppingSince.isEmpty()) {
+      progress.stoppingSince = OptionalLong.of(context.nowNanos());
+      progress.stoppingOffset = foldedUntil - 1;
+      progress.awaitsCheckpoint = stopping.getCheckpointFirst() && mode == GangMode.DECIDE;
+      context.note(
           ControlLogEvent.ATTEMPT_STOPPING,
-          track.attempt,
+          progress.attempt,
           WireEnumNames.of(stopping.getReason()),
           stopping.getWorker());
     }
-    if (awaitsCheckpoint(track, stopping, turn)) {
-      askForCheckpoint(track, turn);
+    if (stillAwaitsCheckpoint(progress, stopping, context)) {
+      requestCheckpoints(progress, context);
       return;
     }
-    release(track, stopping, turn);
-    boolean allGone = track.all(member -> member.gone);
+    release(progress, stopping, context);
+    boolean allGone = progress.all(member -> member.gone);
     if (allGone
         && mode == GangMode.DECIDE
-        && !writer.isUnread(track.unread)
-        && writer.hasRoom(turn)) {
-      end(track, stopping, epoch, turn);
+        && !writer.isPending(progress.pendingSequence)
+        && writer.hasCapacity(context)) {
+      end(progress, stopping, epoch, context);
     }
   }
 
   /** Only an owner waits, and from when it read the stop, so renewals end with the notice. */
-  private static boolean awaitsCheckpoint(
-      AttemptProgress track, AttemptStopping stopping, DecisionContext turn) {
-    if (!track.awaitsCheckpoint || track.releasing) {
+  private static boolean stillAwaitsCheckpoint(
+      AttemptProgress progress, AttemptStopping stopping, DecisionContext context) {
+    if (!progress.awaitsCheckpoint || progress.releasing) {
       return false;
     }
-    boolean broken = track.first(member -> member.gone || member.failed).isPresent();
-    boolean done = track.all(member -> member.checkpointed || member.finished);
+    boolean broken = progress.first(member -> member.gone || member.failed).isPresent();
+    boolean done = progress.all(member -> member.checkpointed || member.finished);
     Duration notice = Duration.ofMillis(stopping.getNoticeMillis());
-    return !broken && !done && !turn.passed(track.stoppingSince.getAsLong(), notice);
+    return !broken && !done && !context.hasElapsed(progress.stoppingSince.getAsLong(), notice);
   }
 
-  private static void askForCheckpoint(AttemptProgress track, DecisionContext turn) {
-    for (MemberProgress member : track.members) {
+  private static void requestCheckpoints(AttemptProgress progress, DecisionContext context) {
+    for (MemberProgress member : progress.members) {
       boolean done = member.checkpointed || member.finished;
       if (done
-          || !turn.passed(member.commandedNanos, ControlLimits.COMMAND_RETRY.multipliedBy(4))) {
+          || !context.hasElapsed(
+              member.lastCommandNanos, ControlLimits.COMMAND_RETRY_INTERVAL.multipliedBy(4))) {
         continue;
       }
-      member.commandedNanos = turn.now();
-      turn.send(member.worker, new WorkerCommand.Checkpoint(member.lease));
+      member.lastCommandNanos = context.nowNanos();
+      context.send(member.worker, new WorkerCommand.Checkpoint(member.lease));
     }
   }
 
   /** Implements {@code Release} after a stop that counted. */
-  private void release(AttemptProgress track, AttemptStopping stopping, DecisionContext turn) {
-    track.releasing = true;
-    if (track.foldedSince.isEmpty()
-        && peers.allFolded(track.stoppingOffset, ControlLimits.OUTAGE_RIDE, turn)) {
-      track.foldedSince = OptionalLong.of(turn.now());
+  private void release(
+      AttemptProgress progress, AttemptStopping stopping, DecisionContext context) {
+    progress.releasing = true;
+    if (progress.appliedByAllSince.isEmpty()
+        && peers.allFolded(progress.stoppingOffset, ControlLimits.OUTAGE_RENEWAL_LIMIT, context)) {
+      progress.appliedByAllSince = OptionalLong.of(context.nowNanos());
     }
-    for (MemberProgress member : track.members) {
+    for (MemberProgress member : progress.members) {
       if (member.gone) {
         continue;
       }
-      releaser.release(member.worker, member.lease, turn);
-      if (cannotBeHeld(track, member, stopping, turn)) {
+      releaser.release(member.worker, member.lease, context);
+      if (mustHaveLapsed(progress, member, stopping, context)) {
         member.gone = true;
-        turn.note(ControlLogEvent.SILENT_LEASE_GONE, track.attempt, member.worker);
-        turn.count("fescuehook.control.silent.leases");
+        context.note(ControlLogEvent.SILENT_LEASE_GONE, progress.attempt, member.worker);
+        context.count("fescuehook.control.silent.leases");
       }
     }
   }
@@ -127,40 +129,42 @@
    * which a replica of the log may hide a record from a read that succeeds. Implements {@code Free}
    * of the module SilentWorker.
    */
-  private boolean cannotBeHeld(
-      AttemptProgress track,
+  private boolean mustHaveLapsed(
+      AttemptProgress progress,
       MemberProgress member,
       AttemptStopping stopping,
-      DecisionContext turn) {
+      DecisionContext context) {
     Duration ttl = preferences.leaseTtl();
-    Duration rest =
+    Duration lapseTime =
         ttl.plus(ttl.dividedBy(DRIFT_DIVISOR))
             .plus(ControlLimits.WORKER_REQUEST_TIMEOUT)
             .plusMillis(stopping.getNoticeMillis());
-    if (track.foldedSince.isPresent()) {
-      return turn.passed(Math.max(track.foldedSince.getAsLong(), member.renewedNanos), rest);
+    if (progress.appliedByAllSince.isPresent()) {
+      return context.hasElapsed(
+          Math.max(progress.appliedByAllSince.getAsLong(), member.lastRenewalNanos), lapseTime);
     }
-    Duration unread = ControlLimits.OUTAGE_RIDE.plus(ControlLimits.REPLICA_LAG);
-    return turn.passed(track.stoppingSince.getAsLong(), rest.plus(unread));
+    Duration renewalBound = ControlLimits.OUTAGE_RENEWAL_LIMIT.plus(ControlLimits.MAX_REPLICA_LAG);
+    return context.hasElapsed(progress.stoppingSince.getAsLong(), lapseTime.plus(renewalBound));
   }
 
   /** Implements {@code End}. */
   private void end(
-      AttemptProgress track, AttemptStopping stopping, long epoch, DecisionContext turn) {
+      AttemptProgress progress, AttemptStopping stopping, long epoch, DecisionContext context) {
     AttemptEnded.Builder body =
         AttemptEnded.newBuilder()
-            .setJob(track.attempt.job().value())
-            .setAttempt(track.attempt.number())
-            .setResult(result(track, stopping))
+            .setJob(progress.attempt.job().value())
+            .setAttempt(progress.attempt.number())
+            .setResult(result(progress, stopping))
             .setReason(stopping.getReason())
             .setWorker(stopping.getWorker())
             .setExitCode(stopping.getExitCode())
-            .setCheckpointed(track.all(member -> member.checkpointed || member.finished));
-    track.unread = writer.append(ControlRecord.newBuilder().setAttemptEnded(body), epoch, turn);
+            .setCheckpointed(progress.all(member -> member.checkpointed || member.finished));
+    progress.pendingSequence =
+        writer.append(ControlRecord.newBuilder().setAttemptEnded(body), epoch, context);
   }
 
-  private static AttemptResult result(AttemptProgress track, AttemptStopping stopping) {
-    if (track.all(member -> member.finished)) {
+  private static AttemptResult result(AttemptProgress progress, AttemptStopping stopping) {
+    if (progress.all(member -> member.finished)) {
       return AttemptResult.ATTEMPT_RESULT_FINISHED;
     }
     if (stopping.getReason() == StopReason.STOP_REASON_MEMBER_FAILED) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/LeaseReleaser.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/LeaseReleaser.java
@@ -16,50 +16,51 @@
 
   private record PendingRelease(long sinceNanos, long sentNanos) {}
 
-  private final Duration effortLimit;
-  private final Map<Lease, PendingRelease> efforts = new LinkedHashMap<>();
+  private final Duration leaseTtl;
+  private final Map<Lease, PendingRelease> pendingReleases = new LinkedHashMap<>();
 
   /**
    * Creates a releaser without work.
    *
    * @param effortLimit time after which a lease that nobody renews has lapsed
    */
-  LeaseReleaser(Duration effortLimit) {
-    this.effortLimit = effortLimit;
+  LeaseReleaser(Duration leaseTtl) {
+    this.leaseTtl = leaseTtl;
   }
 
   /** Releases a lease; does nothing if that is under way. Implements {@code Release}. */
-  void release(WorkerId worker, String id, DecisionContext turn) {
+  void release(WorkerId worker, String id, DecisionContext context) {
     Lease lease = new Lease(worker, id);
-    if (efforts.containsKey(lease)) {
+    if (pendingReleases.containsKey(lease)) {
       return;
     }
-    efforts.put(lease, new PendingRelease(turn.now(), turn.now()));
-    turn.send(worker, new WorkerCommand.Release(id));
+    pendingReleases.put(lease, new PendingRelease(context.nowNanos(), context.nowNanos()));
+    context.send(worker, new WorkerCommand.Release(id));
   }
 
   /** A lease is gone by its worker's word. */
   void gone(WorkerId worker, String id) {
-    efforts.remove(new Lease(worker, id));
+    pendingReleases.remove(new Lease(worker, id));
   }
 
   /** Forgets all. */
   void clear() {
-    efforts.clear();
+    pendingReleases.clear();
   }
 
   /** Repeats what was not answered. */
-  void step(DecisionContext turn) {
-    Iterator<Map.Entry<Lease, PendingRelease>> entries = efforts.entrySet().iterator();
+  void step(DecisionContext context) {
+    Iterator<Map.Entry<Lease, PendingRelease>> entries = pendingReleases.entrySet().iterator();
     while (entries.hasNext()) {
       Map.Entry<Lease, PendingRelease> entry = entries.next();
-      PendingRelease effort = entry.getValue();
-      if (turn.passed(effort.sinceNanos(), effortLimit)) {
+      PendingRelease pending = entry.getValue();
+      if (context.hasElapsed(pending.sinceNanos(), leaseTtl)) {
         entries.remove();
-      } else if (turn.passed(effort.sentNanos(), ControlLimits.COMMAND_RETRY.multipliedBy(2))) {
+      } else if (context.hasElapsed(
+          pending.sentNanos(), ControlLimits.COMMAND_RETRY_INTERVAL.multipliedBy(2))) {
         Lease lease = entry.getKey();
-        entry.setValue(new PendingRelease(effort.sinceNanos(), turn.now()));
-        turn.send(lease.worker(), new WorkerCommand.Release(lease.id()));
+        entry.setValue(new PendingRelease(pending.sinceNanos(), context.nowNanos()));
+        context.send(lease.worker(), new WorkerCommand.Release(lease.id()));
       }
     }
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/LeaseRenewer.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/LeaseRenewer.java
@@ -21,14 +21,14 @@
 
   private static final int AGE_DIVISOR = 4;
   private static final Duration ADOPTION_SPREAD = Duration.ofSeconds(1);
-  private static final Duration SILENT_RETRY = Duration.ofSeconds(2);
+  private static final Duration SILENT_RENEWAL_INTERVAL = Duration.ofSeconds(2);
 
   /** A lease and whose it is. */
   record Holder(AttemptProgress attempt, MemberProgress member) {}
 
   private static final class WorkerLeases {
     final Map<String, Holder> holders = new HashMap<>();
-    long dueNanos;
+    long nextRenewalNanos;
     boolean silent;
   }
 
@@ -40,20 +40,21 @@
   }
 
   /** Adds the leases of a committed attempt; they are renewed at once. */
-  void add(AttemptProgress attempt, DecisionContext turn) {
+  void add(AttemptProgress attempt, DecisionContext context) {
     for (MemberProgress member : attempt.members) {
       WorkerLeases leases = workers.computeIfAbsent(member.worker, id -> new WorkerLeases());
       leases.holders.put(member.lease, new Holder(attempt, member));
-      leases.dueNanos = turn.now();
+      leases.nextRenewalNanos = context.nowNanos();
     }
   }
 
   /** Adds the leases of an attempt that another VM committed; renewals are spread over a second. */
-  void adopt(AttemptProgress attempt, DecisionContext turn) {
-    add(attempt, turn);
+  void adopt(AttemptProgress attempt, DecisionContext context) {
+    add(attempt, context);
     for (MemberProgress member : attempt.members) {
       long spread = Math.floorMod(member.worker.value().hashCode(), ADOPTION_SPREAD.toMillis());
-      workers.get(member.worker).dueNanos = turn.now() + Duration.ofMillis(spread).toNanos();
+      workers.get(member.worker).nextRenewalNanos =
+          context.nowNanos() + Duration.ofMillis(spread).toNanos();
     }
   }
 
@@ -90,12 +91,12 @@
   }
 
   /** Sends the renewals that are due. Implements {@code Renew}. */
-  void step(DecisionContext turn) {
-    workers.forEach((worker, leases) -> renewIfDue(worker, leases, turn));
+  void step(DecisionContext context) {
+    workers.forEach((worker, leases) -> renewIfDue(worker, leases, context));
   }
 
-  private void renewIfDue(WorkerId worker, WorkerLeases leases, DecisionContext turn) {
-    if (turn.now() < leases.dueNanos) {
+  private void renewIfDue(WorkerId worker, WorkerLeases leases, DecisionContext context) {
+    if (context.nowNanos() < leases.nextRenewalNanos) {
       return;
     }
     List<String> ids = new ArrayList<>();
@@ -104,31 +105,31 @@
       Holder holder = entry.getValue();
       if (holder.attempt().renewable() && !holder.member().gone) {
         ids.add(entry.getKey());
-        holder.member().renewedNanos = turn.now();
-        youngest = Math.min(youngest, age(holder.attempt(), turn));
+        holder.member().lastRenewalNanos = context.nowNanos();
+        youngest = Math.min(youngest, age(holder.attempt(), context));
       }
     }
-    leases.dueNanos = turn.now() + interval(leases, youngest).toNanos();
+    leases.nextRenewalNanos = context.nowNanos() + interval(leases, youngest).toNanos();
     if (ids.isEmpty()) {
       return;
     }
     ids.sort(null);
-    turn.send(worker, new WorkerCommand.Renew(ids, preferences.leaseTtl().toMillis()));
+    context.send(worker, new WorkerCommand.Renew(ids, preferences.leaseTtl().toMillis()));
   }
 
   /** An attempt whose checkpoint is awaited counts as young. */
-  private static long age(AttemptProgress attempt, DecisionContext turn) {
-    return attempt.stoppingSince.isPresent() ? 0 : turn.now() - attempt.sinceNanos;
+  private static long age(AttemptProgress attempt, DecisionContext context) {
+    return attempt.stoppingSince.isPresent() ? 0 : context.nowNanos() - attempt.createdNanos;
   }
 
   private Duration interval(WorkerLeases leases, long youngestNanos) {
     Duration longest = preferences.renewInterval();
-    if (leases.silent && SILENT_RETRY.compareTo(longest) < 0) {
-      longest = SILENT_RETRY;
+    if (leases.silent && SILENT_RENEWAL_INTERVAL.compareTo(longest) < 0) {
+      longest = SILENT_RENEWAL_INTERVAL;
     }
     Duration byAge = Duration.ofNanos(youngestNanos / AGE_DIVISOR);
-    if (byAge.compareTo(ControlLimits.FASTEST_RENEWAL) < 0) {
-      byAge = ControlLimits.FASTEST_RENEWAL;
+    if (byAge.compareTo(ControlLimits.MIN_RENEWAL_INTERVAL) < 0) {
+      byAge = ControlLimits.MIN_RENEWAL_INTERVAL;
     }
     return byAge.compareTo(longest) < 0 ? byAge : longest;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/MemberProgress.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/MemberProgress.java
@@ -8,7 +8,7 @@
   final int number;
   final WorkerId worker;
   String lease = "";
-  boolean asked;
+  boolean leaseRequested;
   boolean refused;
   boolean running;
   boolean finished;
@@ -16,15 +16,15 @@
   boolean checkpointed;
   boolean gone;
   int exitCode;
-  long heardNanos;
-  long renewedNanos;
-  long commandedNanos = Long.MIN_VALUE / 2;
+  long lastReplyNanos;
+  long lastRenewalNanos;
+  long lastCommandNanos = Long.MIN_VALUE / 2;
 
   MemberProgress(int number, WorkerId worker, long nowNanos) {
     this.number = number;
     this.worker = worker;
-    this.heardNanos = nowNanos;
-    this.renewedNanos = nowNanos;
+    this.lastReplyNanos = nowNanos;
+    this.lastRenewalNanos = nowNanos;
   }
 
   boolean granted() {
@@ -41,8 +41,8 @@
     return gone && !finished && !failed && !checkpointed;
   }
 
-  void heard(State state, long nowNanos) {
-    heardNanos = nowNanos;
+  void update(State state, long nowNanos) {
+    lastReplyNanos = nowNanos;
     switch (state.state()) {
       case HELD -> {}
       case RUNNING -> running = true;
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/WorkerBackoff.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/WorkerBackoff.java
@@ -15,23 +15,23 @@
   private final Map<WorkerId, Long> refusedUntil = new HashMap<>();
   private final Map<WorkerId, Long> silentUntil = new HashMap<>();
 
-  void refused(WorkerId worker, DecisionContext turn) {
-    refusedUntil.put(worker, turn.now() + ControlLimits.REFUSED_REST.toNanos());
+  void refused(WorkerId worker, DecisionContext context) {
+    refusedUntil.put(worker, context.nowNanos() + ControlLimits.REFUSED_BACKOFF.toNanos());
   }
 
-  void silent(WorkerId worker, DecisionContext turn) {
-    silentUntil.put(worker, turn.now() + ControlLimits.SILENT_REST.toNanos());
+  void silent(WorkerId worker, DecisionContext context) {
+    silentUntil.put(worker, context.nowNanos() + ControlLimits.SILENT_BACKOFF.toNanos());
   }
 
   void answered(WorkerId worker) {
     silentUntil.remove(worker);
   }
 
-  Set<WorkerId> resting(DecisionContext turn) {
-    refusedUntil.values().removeIf(until -> until <= turn.now());
-    silentUntil.values().removeIf(until -> until <= turn.now());
-    Set<WorkerId> resting = new HashSet<>(refusedUntil.keySet());
-    resting.addAll(silentUntil.keySet());
-    return resting;
+  Set<WorkerId> workersInBackoff(DecisionContext context) {
+    refusedUntil.values().removeIf(until -> until <= context.nowNanos());
+    silentUntil.values().removeIf(until -> until <= context.nowNanos());
+    Set<WorkerId> workers = new HashSet<>(refusedUntil.keySet());
+    workers.addAll(silentUntil.keySet());
+    return workers;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/CatchUpTracker.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/CatchUpTracker.java
@@ -10,16 +10,16 @@
    * Ends of reads that are needed after a pause. The first one may have been read before the pause
    * and only been taken in after it.
    */
-  private static final int NEEDED_AFTER_PAUSE = 2;
+  private static final int CATCH_UPS_AFTER_PAUSE = 2;
 
   private static final long NEVER = Long.MIN_VALUE / 2;
 
-  private final Duration freshness;
-  private int needed = 1;
+  private final Duration staleAfter;
+  private int neededCatchUps = 1;
   private boolean reachable = true;
   private long lastReadNanos = NEVER;
-  private long currentSince = NEVER;
-  private long wokenNanos = NEVER;
+  private long currentSinceNanos = NEVER;
+  private long resumedNanos = NEVER;
   private boolean everCurrent;
 
   /**
@@ -27,20 +27,20 @@
    *
    * @param freshness longest time since the last end of the stream was reached
    */
-  public CatchUpTracker(Duration freshness) {
-    this.freshness = freshness;
+  public CatchUpTracker(Duration staleAfter) {
+    this.staleAfter = staleAfter;
   }
 
   /** The end of the stream was reached. */
-  public void caughtUp(DecisionContext turn) {
-    boolean before = current(turn);
-    needed = Math.max(0, needed - 1);
+  public void caughtUp(DecisionContext context) {
+    boolean wasCurrent = current(context);
+    neededCatchUps = Math.max(0, neededCatchUps - 1);
     reachable = true;
-    lastReadNanos = turn.now();
-    if (!before) {
-      currentSince = turn.now();
+    lastReadNanos = context.nowNanos();
+    if (!wasCurrent) {
+      currentSinceNanos = context.nowNanos();
     }
-    everCurrent = everCurrent || needed == 0;
+    everCurrent = everCurrent || neededCatchUps == 0;
   }
 
   /** A read failed. */
@@ -49,20 +49,20 @@
   }
 
   /** The thread stood still. */
-  public void paused(DecisionContext turn) {
-    needed = NEEDED_AFTER_PAUSE;
+  public void paused(DecisionContext context) {
+    neededCatchUps = CATCH_UPS_AFTER_PAUSE;
     reachable = true;
-    wokenNanos = turn.now();
+    resumedNanos = context.nowNanos();
   }
 
   /** Tells whether the state is that of the end of the stream, but for the last moments. */
-  public boolean current(DecisionContext turn) {
-    return needed == 0 && reachable && !turn.passed(lastReadNanos, freshness);
+  public boolean current(DecisionContext context) {
+    return neededCatchUps == 0 && reachable && !context.hasElapsed(lastReadNanos, staleAfter);
   }
 
   /** Tells whether the log cannot be read, as far as was seen since the last pause. */
-  public boolean outage(DecisionContext turn) {
-    return !reachable || turn.passed(Math.max(lastReadNanos, wokenNanos), freshness);
+  public boolean outage(DecisionContext context) {
+    return !reachable || context.hasElapsed(Math.max(lastReadNanos, resumedNanos), staleAfter);
   }
 
   /** Tells whether the end of the stream was ever reached. */
@@ -71,8 +71,8 @@
   }
 
   /** Returns since when the state is that of the end of the stream. */
-  public long currentSince() {
-    return currentSince;
+  public long currentSinceNanos() {
+    return currentSinceNanos;
   }
 
   /** Returns when the end of the stream was reached last. */
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/OutageMonitor.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/OutageMonitor.java
@@ -10,31 +10,31 @@
 /** Decides what a VM that does not decide may do for running gangs, above all in a log outage. */
 public final class OutageMonitor {
   private final VmId self;
-  private final CatchUpTracker reader;
+  private final CatchUpTracker catchUp;
   private final PeerTracker peers;
   private boolean outage;
   private long sinceNanos;
 
   /** Creates a watch that has seen no outage. */
-  public OutageMonitor(VmId self, CatchUpTracker reader, PeerTracker peers) {
+  public OutageMonitor(VmId self, CatchUpTracker catchUp, PeerTracker peers) {
     this.self = self;
-    this.reader = reader;
+    this.catchUp = catchUp;
     this.peers = peers;
   }
 
   /** Notes the begin and end of an outage. */
-  public void step(DecisionContext turn) {
-    boolean now = reader.everCurrent() && reader.outage(turn);
-    if (now == outage) {
+  public void step(DecisionContext context) {
+    boolean outageNow = catchUp.everCurrent() && catchUp.outage(context);
+    if (outageNow == outage) {
       return;
     }
-    outage = now;
-    if (now) {
-      sinceNanos = turn.now();
-      turn.note(ControlLogEvent.LOG_LOST);
-      turn.count("fescuehook.control.log.lost");
+    outage = outageNow;
+    if (outageNow) {
+      sinceNanos = context.nowNanos();
+      context.note(ControlLogEvent.LOG_LOST);
+      context.count("fescuehook.control.log.lost");
     } else {
-      turn.note(ControlLogEvent.LOG_BACK, (turn.now() - sinceNanos) / 1_000_000);
+      context.note(ControlLogEvent.LOG_BACK, (context.nowNanos() - sinceNanos) / 1_000_000);
     }
   }
 
@@ -45,21 +45,22 @@
    * last read, and a VM that is out for that long may have read that an attempt is being stopped
    * only then.
    */
-  public GangMode mode(Optional<VmId> owner, boolean owns, DecisionContext turn) {
-    boolean ride = !turn.passed(reader.lastReadNanos(), ControlLimits.OUTAGE_RIDE);
+  public GangMode mode(Optional<VmId> owner, boolean owns, DecisionContext context) {
+    boolean mayRenew =
+        !context.hasElapsed(catchUp.lastReadNanos(), ControlLimits.OUTAGE_RENEWAL_LIMIT);
     if (!outage) {
       return owns ? GangMode.READ : GangMode.OFF;
     }
-    if (!reader.everCurrent() || !ride) {
+    if (!catchUp.everCurrent() || !mayRenew) {
       return GangMode.OFF;
     }
     if (owns) {
       return GangMode.RENEW;
     }
-    return standsIn(owner) ? GangMode.RENEW : GangMode.OFF;
+    return renewsForOwner(owner) ? GangMode.RENEW : GangMode.OFF;
   }
 
-  private boolean standsIn(Optional<VmId> owner) {
+  private boolean renewsForOwner(Optional<VmId> owner) {
     if (owner.isEmpty()) {
       return peers.rank(self) == 0 && !peers.anyReachesLog();
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/OwnerDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/OwnerDuty.java
@@ -23,13 +23,13 @@
   private final String incarnation;
   private final ControlPreferences preferences;
   private final RecordWriter writer;
-  private final CatchUpTracker reader;
+  private final CatchUpTracker catchUp;
   private final PeerTracker peers;
-  private long lastSignNanos = Long.MIN_VALUE / 2;
-  private long claim;
-  private long release;
+  private long lastOwnerSeenNanos = Long.MIN_VALUE / 2;
+  private long claimSequence;
+  private long releaseSequence;
   private boolean handingOver;
-  private long yieldedRevision = Configuration.NO_REVISION;
+  private long releasedAtRevision = Configuration.NO_REVISION;
 
   /** Creates the duty of a VM that owns nothing. */
   public OwnerDuty(
@@ -37,19 +37,19 @@
       String incarnation,
       ControlPreferences preferences,
       RecordWriter writer,
-      CatchUpTracker reader,
+      CatchUpTracker catchUp,
       PeerTracker peers) {
     this.vm = vm;
     this.incarnation = incarnation;
     this.preferences = preferences;
     this.writer = writer;
-    this.reader = reader;
+    this.catchUp = catchUp;
     this.peers = peers;
   }
 
   /** A record that counted under the epoch in force, or changed it, was read. */
-  public void sign(DecisionContext turn) {
-    lastSignNanos = turn.now();
+  public void ownerSeen(DecisionContext context) {
+    lastOwnerSeenNanos = context.nowNanos();
   }
 
   /** Tells whether this VM is the owner as far as it has read. */
@@ -58,8 +58,8 @@
   }
 
   /** Tells whether this VM may decide now: it owns, has read to the end, and stays owner. */
-  public boolean decides(ControlState state, DecisionContext turn) {
-    return owns(state) && !handingOver && reader.current(turn);
+  public boolean decides(ControlState state, DecisionContext context) {
+    return owns(state) && !handingOver && catchUp.current(context);
   }
 
   /** Gives ownership up for good; this VM never claims again. */
@@ -75,83 +75,87 @@
   /**
    * Claims, holds or releases ownership as is due. Implements {@code Claim}.
    *
-   * @param understanding how far this VM understands the state
+   * @param compatibility how far this VM understands the state
    */
-  public void step(ControlState state, LogCompatibility understanding, DecisionContext turn) {
-    if (!reader.current(turn)) {
+  public void step(ControlState state, LogCompatibility compatibility, DecisionContext context) {
+    if (!catchUp.current(context)) {
       return;
     }
     if (owns(state)) {
-      hold(state, understanding, turn);
+      keepOwnership(state, compatibility, context);
       return;
     }
-    boolean free = !writer.isUnread(claim) && writer.hasRoom(turn);
-    boolean may = !handingOver && understanding != LogCompatibility.PARTIAL;
-    if (may && free && silent(state, understanding, turn)) {
-      claim(state, turn);
+    boolean noClaimPending = !writer.isPending(claimSequence) && writer.hasCapacity(context);
+    boolean mayClaim = !handingOver && compatibility != LogCompatibility.PARTIAL;
+    if (mayClaim && noClaimPending && ownerTimedOut(state, compatibility, context)) {
+      claim(state, context);
     }
   }
 
   /** A record on its way will show that the owner lives, so a slow log is not filled up. */
-  private void hold(ControlState state, LogCompatibility understanding, DecisionContext turn) {
-    if (handingOver || yields(state, understanding)) {
-      releaseOnce(state, turn);
+  private void keepOwnership(
+      ControlState state, LogCompatibility compatibility, DecisionContext context) {
+    if (handingOver || mustRelease(state, compatibility)) {
+      releaseOnce(state, context);
       return;
     }
-    boolean due = turn.passed(writer.lastAppendNanos(), preferences.ownerHeartbeat());
-    if (due && !writer.onItsWay() && writer.hasRoom(turn)) {
+    boolean due = context.hasElapsed(writer.lastAppendNanos(), preferences.ownerHeartbeat());
+    if (due && !writer.hasAppendInFlight() && writer.hasCapacity(context)) {
       writer.append(
           ControlRecord.newBuilder().setOwnerHeartbeat(OwnerHeartbeat.getDefaultInstance()),
           state.epoch(),
-          turn);
+          context);
     }
   }
 
   /** An unreadable configuration is a reason to yield once: if nobody took over, nobody can. */
-  private boolean yields(ControlState state, LogCompatibility understanding) {
-    return switch (understanding) {
+  private boolean mustRelease(ControlState state, LogCompatibility compatibility) {
+    return switch (compatibility) {
       case WHOLE -> false;
       case PARTIAL -> true;
-      case NO_CONFIGURATION -> yieldedRevision != state.revision();
+      case NO_CONFIGURATION -> releasedAtRevision != state.revision();
     };
   }
 
   /** Implements {@code HandOver}. */
-  private void releaseOnce(ControlState state, DecisionContext turn) {
-    if (writer.isUnread(release) || !writer.hasRoom(turn)) {
+  private void releaseOnce(ControlState state, DecisionContext context) {
+    if (writer.isPending(releaseSequence) || !writer.hasCapacity(context)) {
       return;
     }
-    yieldedRevision = state.revision();
-    turn.note(ControlLogEvent.RELEASED_OWNERSHIP, state.epoch());
-    release =
+    releasedAtRevision = state.revision();
+    context.note(ControlLogEvent.RELEASED_OWNERSHIP, state.epoch());
+    releaseSequence =
         writer.append(
             ControlRecord.newBuilder().setOwnerRelease(OwnerRelease.getDefaultInstance()),
             state.epoch(),
-            turn);
+            context);
   }
 
-  private boolean silent(ControlState state, LogCompatibility understanding, DecisionContext turn) {
+  private boolean ownerTimedOut(
+      ControlState state, LogCompatibility compatibility, DecisionContext context) {
     Optional<VmId> owner = state.owner();
-    long since = Math.max(lastSignNanos, reader.currentSince());
+    long silentSinceNanos = Math.max(lastOwnerSeenNanos, catchUp.currentSinceNanos());
     Duration delay =
-        understanding == LogCompatibility.WHOLE ? Duration.ZERO : ControlLimits.UNREADABLE_DELAY;
+        compatibility == LogCompatibility.WHOLE
+            ? Duration.ZERO
+            : ControlLimits.UNREADABLE_CONFIGURATION_DELAY;
     if (owner.isEmpty()) {
       Duration stagger = preferences.claimStagger().multipliedBy(peers.rank(vm));
-      return turn.passed(since, delay.plus(stagger));
+      return context.hasElapsed(silentSinceNanos, delay.plus(stagger));
     }
     Duration timeout = preferences.ownerTimeout().plus(delay);
     if (peers.reachesLog(owner.get())) {
-      timeout = timeout.multipliedBy(ControlLimits.HEARD_OWNER_FACTOR);
+      timeout = timeout.multipliedBy(ControlLimits.HEARD_OWNER_TIMEOUT_FACTOR);
     }
     Duration stagger = preferences.claimStagger().multipliedBy(peers.rank(owner.get()));
-    return turn.passed(since, timeout.plus(stagger));
+    return context.hasElapsed(silentSinceNanos, timeout.plus(stagger));
   }
 
-  private void claim(ControlState state, DecisionContext turn) {
+  private void claim(ControlState state, DecisionContext context) {
     String owner = state.owner().map(VmId::value).orElse("none");
-    turn.note(ControlLogEvent.CLAIMING, state.epoch(), owner);
-    turn.count("fescuehook.control.claims");
+    context.note(ControlLogEvent.CLAIMING, state.epoch(), owner);
+    context.count("fescuehook.control.claims");
     OwnerClaim body = OwnerClaim.newBuilder().setBasedOnEpochPlusOne(state.epoch() + 1).build();
-    claim = writer.append(ControlRecord.newBuilder().setOwnerClaim(body), turn);
+    claimSequence = writer.append(ControlRecord.newBuilder().setOwnerClaim(body), context);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/PauseDetector.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/PauseDetector.java
@@ -20,15 +20,15 @@
   }
 
   /** Takes in the time of an event; tells whether a pause lies before it. */
-  public boolean wasPaused(DecisionContext turn) {
-    boolean paused = started && turn.passed(lastNanos, limit);
+  public boolean wasPaused(DecisionContext context) {
+    boolean paused = started && context.hasElapsed(lastNanos, limit);
     if (paused) {
-      long millis = (turn.now() - lastNanos) / 1_000_000;
-      turn.note(ControlLogEvent.WOKE_AFTER_PAUSE, millis);
-      turn.count("fescuehook.control.pauses");
+      long millis = (context.nowNanos() - lastNanos) / 1_000_000;
+      context.note(ControlLogEvent.WOKE_AFTER_PAUSE, millis);
+      context.count("fescuehook.control.pauses");
     }
     started = true;
-    lastNanos = turn.now();
+    lastNanos = context.nowNanos();
     return paused;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/PeerTracker.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/PeerTracker.java
@@ -27,7 +27,7 @@
 
   private Set<WorkerId> leavingWorkers = Set.of();
   private boolean listFetched;
-  private long lastCompanyNanos = Long.MIN_VALUE / 2;
+  private long lastPeerHeardNanos = Long.MIN_VALUE / 2;
 
   /** Creates a watch that has heard nothing. */
   public PeerTracker(VmId self) {
@@ -36,14 +36,14 @@
 
   /** Takes in which peers are heard. */
   public void heard(
-      Set<VmId> alivePeers, Set<VmId> reaching, Set<VmId> draining, DecisionContext turn) {
+      Set<VmId> alivePeers, Set<VmId> reaching, Set<VmId> draining, DecisionContext context) {
     alive = withoutSelf(alivePeers);
     stopping.removeAll(alive);
     stopping.addAll(withoutSelf(draining));
     reachingLog = withoutSelf(reaching);
-    alive.forEach(vm -> lastSeen.put(vm, turn.now()));
+    alive.forEach(vm -> lastSeen.put(vm, context.nowNanos()));
     if (!alive.isEmpty()) {
-      lastCompanyNanos = turn.now();
+      lastPeerHeardNanos = context.nowNanos();
     }
   }
 
@@ -60,7 +60,7 @@
   }
 
   /** Takes in the list of VMs. */
-  public void listed(List<MemberList.Member> members, DecisionContext turn) {
+  public void listed(List<MemberList.Member> members, DecisionContext context) {
     listFetched = true;
     Set<VmId> entries = new HashSet<>();
     Set<VmId> leavingEntries = new HashSet<>();
@@ -81,8 +81,8 @@
         case EXECUTOR -> {}
       }
     }
-    forgetThoseThatLeft(entries);
-    entries.forEach(vm -> lastSeen.put(vm, turn.now()));
+    forgetStoppedVms(entries);
+    entries.forEach(vm -> lastSeen.put(vm, context.nowNanos()));
     listed = Set.copyOf(entries);
     leaving = Set.copyOf(leavingEntries);
     leavingWorkers = Set.copyOf(workers);
@@ -92,10 +92,10 @@
    * A VM that was leaving when it was last listed, or that was stopping when it was last heard, has
    * stopped; any other may live on unlisted.
    */
-  private void forgetThoseThatLeft(Set<VmId> entries) {
-    Set<VmId> left = new HashSet<>(leaving);
-    left.addAll(stopping);
-    for (VmId vm : left) {
+  private void forgetStoppedVms(Set<VmId> entries) {
+    Set<VmId> stopped = new HashSet<>(leaving);
+    stopped.addAll(stopping);
+    for (VmId vm : stopped) {
       if (!entries.contains(vm) && !alive.contains(vm)) {
         lastSeen.remove(vm);
         stopping.remove(vm);
@@ -104,9 +104,9 @@
   }
 
   /** Tells whether other entry VMs are listed and none was heard for a time. */
-  public boolean isolated(Duration time, DecisionContext turn) {
+  public boolean isolated(Duration time, DecisionContext context) {
     boolean others = listed.stream().anyMatch(vm -> !vm.equals(self));
-    return others && turn.passed(lastCompanyNanos, time);
+    return others && context.hasElapsed(lastPeerHeardNanos, time);
   }
 
   /** Tells whether a peer is heard. */
@@ -158,7 +158,7 @@
    *
    * @param memory time for which a VM that vanished without leaving may live on
    */
-  public boolean allFolded(long offset, Duration memory, DecisionContext turn) {
+  public boolean allFolded(long offset, Duration retention, DecisionContext context) {
     if (!listFetched) {
       return false;
     }
@@ -168,7 +168,7 @@
       }
     }
     for (Map.Entry<VmId, Long> seen : lastSeen.entrySet()) {
-      if (!turn.passed(seen.getValue(), memory) && !hasFolded(seen.getKey(), offset)) {
+      if (!context.hasElapsed(seen.getValue(), retention) && !hasFolded(seen.getKey(), offset)) {
         return false;
       }
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/planning/JobEndDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/planning/JobEndDuty.java
@@ -22,8 +22,8 @@
 /** Ends jobs that finished, were cancelled, or failed too often. */
 public final class JobEndDuty {
   private final RecordWriter writer;
-  private final Set<JobId> touched = new LinkedHashSet<>();
-  private final Map<JobId, Long> appended = new HashMap<>();
+  private final Set<JobId> changedJobs = new LinkedHashSet<>();
+  private final Map<JobId, Long> pendingSequences = new HashMap<>();
   private boolean deciding;
 
   /** Creates a duty without work. */
@@ -34,39 +34,39 @@
   /** A record about a job was folded. */
   public void folded(JobId job) {
     if (deciding) {
-      touched.add(job);
+      changedJobs.add(job);
     }
   }
 
   /** This VM decides from now on, so every waiting job is looked at. */
   public void begin(ControlState state) {
     deciding = true;
-    state.jobs().waiting().forEach(job -> touched.add(job.id()));
+    state.jobs().waiting().forEach(job -> changedJobs.add(job.id()));
   }
 
   /** This VM no longer decides. */
   public void end() {
     deciding = false;
-    touched.clear();
-    appended.clear();
+    changedJobs.clear();
+    pendingSequences.clear();
   }
 
   /** Ends the jobs that are to end. */
-  public void step(ControlState state, Declarations declarations, DecisionContext turn) {
-    List<JobId> jobs = new ArrayList<>(touched);
-    touched.clear();
+  public void step(ControlState state, Declarations declarations, DecisionContext context) {
+    List<JobId> jobs = new ArrayList<>(changedJobs);
+    changedJobs.clear();
     for (JobId id : jobs) {
       Optional<JobState> job = state.jobs().find(id).filter(JobState::waiting);
       Optional<JobEnded.Builder> end = job.flatMap(found -> result(found, declarations));
       if (end.isEmpty()) {
-        appended.remove(id);
+        pendingSequences.remove(id);
         continue;
       }
-      touched.add(id);
-      if (!writer.isUnread(appended.getOrDefault(id, 0L)) && writer.hasRoom(turn)) {
+      changedJobs.add(id);
+      if (!writer.isPending(pendingSequences.getOrDefault(id, 0L)) && writer.hasCapacity(context)) {
         ControlRecord.Builder record =
             ControlRecord.newBuilder().setJobEnded(end.get().setJob(id.value()));
-        appended.put(id, writer.append(record, state.epoch(), turn));
+        pendingSequences.put(id, writer.append(record, state.epoch(), context));
       }
     }
   }
@@ -80,7 +80,7 @@
     if (job.facts().getCancelRequested()) {
       return Optional.of(end.setResult(JobResult.JOB_RESULT_CANCELLED));
     }
-    if (ViewBuilder.gaveUp(job, declarations)) {
+    if (ViewBuilder.attemptsExhausted(job, declarations)) {
       String detail =
           "failed "
               + job.facts().getFailures()
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/planning/PlanDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/planning/PlanDuty.java
@@ -30,7 +30,7 @@
   private final WorkerJudge judge;
   private final RecordWriter writer;
   private final GangDuty gangs;
-  private final Set<Long> unread = new HashSet<>();
+  private final Set<Long> pendingSequences = new HashSet<>();
   private long lastPlanNanos = Long.MIN_VALUE / 2;
   private boolean changed = true;
 
@@ -52,50 +52,51 @@
       ControlState state,
       Declarations declarations,
       Set<WorkerId> unavailable,
-      DecisionContext turn) {
-    unread.removeIf(sequence -> !writer.isUnread(sequence));
-    if (!unread.isEmpty() || !due(state, turn)) {
+      DecisionContext context) {
+    pendingSequences.removeIf(sequence -> !writer.isPending(sequence));
+    if (!pendingSequences.isEmpty() || !due(state, context)) {
       return;
     }
-    lastPlanNanos = turn.now();
+    lastPlanNanos = context.nowNanos();
     changed = false;
-    Scheduler.View view = ViewBuilder.build(state, declarations, unavailable, turn.wallMillis());
+    Scheduler.View view = ViewBuilder.build(state, declarations, unavailable, context.wallMillis());
     try {
-      decide(scheduler.plan(view), state, turn);
-      judge.judge(view).forEach(judgement -> quarantine(judgement, state, turn));
+      decide(scheduler.plan(view), state, context);
+      judge.judge(view).forEach(judgement -> quarantine(judgement, state, context));
     } catch (RuntimeException e) {
       // A fault of the policy must not keep the leases of running gangs from being renewed.
-      turn.note(ControlLogEvent.PLAN_FAILED, e.toString());
-      turn.count("fescuehook.control.plans.failed");
+      context.note(ControlLogEvent.PLAN_FAILED, e.toString());
+      context.count("fescuehook.control.plans.failed");
     }
   }
 
-  private void decide(Scheduler.Plan plan, ControlState state, DecisionContext turn) {
+  private void decide(Scheduler.Plan plan, ControlState state, DecisionContext context) {
     for (Scheduler.Stop stop : plan.stops()) {
-      stop(stop, state, turn);
+      stop(stop, state, context);
     }
     for (Scheduler.Start start : plan.starts()) {
-      start(start, state, turn);
+      start(start, state, context);
     }
   }
 
-  private boolean due(ControlState state, DecisionContext turn) {
+  private boolean due(ControlState state, DecisionContext context) {
     if (changed) {
-      return turn.passed(lastPlanNanos, ControlLimits.FASTEST_PLAN);
+      return context.hasElapsed(lastPlanNanos, ControlLimits.MIN_PLAN_INTERVAL);
     }
     boolean waiting = state.jobs().waitingCount() > 0;
-    Duration interval = waiting ? ControlLimits.SLOWEST_PLAN : ControlLimits.IDLE_PLAN;
-    return turn.passed(lastPlanNanos, interval);
+    Duration interval =
+        waiting ? ControlLimits.MAX_PLAN_INTERVAL : ControlLimits.IDLE_PLAN_INTERVAL;
+    return context.hasElapsed(lastPlanNanos, interval);
   }
 
-  private void append(ControlRecord.Builder record, ControlState state, DecisionContext turn) {
-    if (writer.hasRoom(turn)) {
-      unread.add(writer.append(record, state.epoch(), turn));
+  private void append(ControlRecord.Builder record, ControlState state, DecisionContext context) {
+    if (writer.hasCapacity(context)) {
+      pendingSequences.add(writer.append(record, state.epoch(), context));
     }
   }
 
   /** Implements {@code Plan}. */
-  private void start(Scheduler.Start start, ControlState state, DecisionContext turn) {
+  private void start(Scheduler.Start start, ControlState state, DecisionContext context) {
     Optional<JobState> job = state.jobs().find(start.job()).filter(JobState::waiting);
     if (job.isEmpty()) {
       return;
@@ -107,10 +108,10 @@
             .setRule(start.rule())
             .setBorrowed(start.borrowed());
     start.placement().members().forEach(worker -> planned.addWorkers(worker.value()));
-    append(ControlRecord.newBuilder().setAttemptPlanned(planned), state, turn);
+    append(ControlRecord.newBuilder().setAttemptPlanned(planned), state, context);
   }
 
-  private void stop(Scheduler.Stop stop, ControlState state, DecisionContext turn) {
+  private void stop(Scheduler.Stop stop, ControlState state, DecisionContext context) {
     Optional<JobState> job =
         state
             .jobs()
@@ -132,7 +133,7 @@
             .setReason(reason)
             .setCheckpointFirst(stop.checkpointFirst())
             .setNoticeMillis(stop.noticeMillis());
-    append(ControlRecord.newBuilder().setAttemptStopping(stopping), state, turn);
+    append(ControlRecord.newBuilder().setAttemptStopping(stopping), state, context);
   }
 
   private static StopReason reason(Scheduler.StopCause cause) {
@@ -144,8 +145,8 @@
   }
 
   private void quarantine(
-      WorkerJudge.Judgement judgement, ControlState state, DecisionContext turn) {
-    turn.note(
+      WorkerJudge.Judgement judgement, ControlState state, DecisionContext context) {
+    context.note(
         ControlLogEvent.WORKER_QUARANTINED,
         judgement.worker(),
         judgement.untilMillis(),
@@ -157,6 +158,6 @@
             .setUntilMillis(judgement.untilMillis())
             .setEvidence(judgement.evidence())
             .build();
-    append(ControlRecord.newBuilder().setWorkerJudged(judged), state, turn);
+    append(ControlRecord.newBuilder().setWorkerJudged(judged), state, context);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/planning/ViewBuilder.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/planning/ViewBuilder.java
@@ -43,10 +43,10 @@
   /** Tells whether a waiting job is to have a further attempt. */
   static boolean runnable(JobState job, Declarations declarations) {
     boolean finished = job.facts().getEnded().getResult() == AttemptResult.ATTEMPT_RESULT_FINISHED;
-    return !job.facts().getCancelRequested() && !finished && !gaveUp(job, declarations);
+    return !job.facts().getCancelRequested() && !finished && !attemptsExhausted(job, declarations);
   }
 
-  static boolean gaveUp(JobState job, Declarations declarations) {
+  static boolean attemptsExhausted(JobState job, Declarations declarations) {
     return job.facts().getFailures() >= declarations.policy().maxAttempts();
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/ExplainHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/ExplainHandler.java
@@ -24,13 +24,13 @@
 
   /** Answers why a job waits; for a job that does not wait, shows it. */
   public void explain(
-      long ticket, JobId id, Optional<JobState> job, Scheduler.View view, DecisionContext turn) {
+      long ticket, JobId id, Optional<JobState> job, Scheduler.View view, DecisionContext context) {
     if (job.isEmpty()) {
-      Refusals.refuse(ticket, RefusalReason.NOT_FOUND, "no job " + id, turn);
+      Refusals.refuse(ticket, RefusalReason.NOT_FOUND, "no job " + id, context);
       return;
     }
     if (!job.get().waiting()) {
-      turn.reply(ticket, new Answer.Document(JobDocument.json(job.get())));
+      context.reply(ticket, new Answer.Document(JobDocument.json(job.get())));
       return;
     }
     Scheduler.Explanation reason = scheduler.plan(view).reasons().get(id);
@@ -46,6 +46,6 @@
       node.put("missing", reason.missing());
       node.put("expectedStart", reason.expectedStartMillis());
     }
-    turn.reply(ticket, new Answer.Document(node.toString()));
+    context.reply(ticket, new Answer.Document(node.toString()));
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/JobRequestHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/JobRequestHandler.java
@@ -19,7 +19,7 @@
 /** Takes submissions and cancellations of jobs. */
 public final class JobRequestHandler {
   private final String namePrefix;
-  private final RequestAppender desk;
+  private final RequestAppender appender;
   private final AdmissionChecker admission = new AdmissionChecker();
   private long lastJob;
 
@@ -28,9 +28,9 @@
    *
    * @param namePrefix makes the names of jobs unique over VMs and their incarnations
    */
-  public JobRequestHandler(String namePrefix, RequestAppender desk) {
+  public JobRequestHandler(String namePrefix, RequestAppender appender) {
     this.namePrefix = namePrefix;
-    this.desk = desk;
+    this.appender = appender;
   }
 
   /** Takes a submission; repeated under the same caller's id it gives the first one's job. */
@@ -39,26 +39,27 @@
       Request.Submit submit,
       Declarations declarations,
       ControlState state,
-      DecisionContext turn) {
+      DecisionContext context) {
     Optional<JobId> first =
         submit
             .requestId()
             .flatMap(id -> state.jobs().findByRequest(submit.organisation().value(), id));
     if (first.isPresent()) {
-      turn.reply(ticket, new Answer.Accepted(first.get()));
+      context.reply(ticket, new Answer.Accepted(first.get()));
       return;
     }
     lastJob++;
-    Job job = job(submit, turn);
-    switch (admission.check(job, declarations, state, turn.wallMillis())) {
+    Job job = job(submit, context);
+    switch (admission.check(job, declarations, state, context.wallMillis())) {
       case Admission.Admitted(int rule) ->
-          desk.take(ticket, ControlRecord.newBuilder().setJobSubmitted(body(job, rule)), turn);
+          appender.accept(
+              ticket, ControlRecord.newBuilder().setJobSubmitted(body(job, rule)), context);
       case Admission.Denied(RefusalReason reason, String detail) ->
-          Refusals.refuse(ticket, reason, detail, turn);
+          Refusals.refuse(ticket, reason, detail, context);
     }
   }
 
-  private Job job(Request.Submit submit, DecisionContext turn) {
+  private Job job(Request.Submit submit, DecisionContext context) {
     return new Job(
         new JobId(namePrefix + "-" + lastJob),
         submit.organisation(),
@@ -67,7 +68,7 @@
         submit.urgent(),
         submit.checkpointable(),
         submit.declaredSeconds(),
-        turn.wallMillis(),
+        context.wallMillis(),
         submit.command());
   }
 
@@ -97,17 +98,17 @@
   }
 
   /** Takes a cancellation; cancelling again, or a job that is over, changes nothing. */
-  public void cancel(long ticket, JobId id, ControlState state, DecisionContext turn) {
+  public void cancel(long ticket, JobId id, ControlState state, DecisionContext context) {
     Optional<JobState> job = state.jobs().find(id);
     if (job.isEmpty()) {
-      Refusals.refuse(ticket, RefusalReason.NOT_FOUND, "no job " + id, turn);
+      Refusals.refuse(ticket, RefusalReason.NOT_FOUND, "no job " + id, context);
       return;
     }
     if (job.get().over() || job.get().facts().getCancelRequested()) {
-      turn.reply(ticket, new Answer.Done());
+      context.reply(ticket, new Answer.Done());
       return;
     }
     JobCancelRequested body = JobCancelRequested.newBuilder().setJob(id.value()).build();
-    desk.take(ticket, ControlRecord.newBuilder().setJobCancelRequested(body), turn);
+    appender.accept(ticket, ControlRecord.newBuilder().setJobCancelRequested(body), context);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/PublicationHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/PublicationHandler.java
@@ -13,12 +13,12 @@
 /** Takes publications of configurations. */
 public final class PublicationHandler {
   private final DeclarationsReader reader;
-  private final RequestAppender desk;
+  private final RequestAppender appender;
 
   /** Creates a desk. */
-  public PublicationHandler(DeclarationsReader reader, RequestAppender desk) {
+  public PublicationHandler(DeclarationsReader reader, RequestAppender appender) {
     this.reader = reader;
-    this.desk = desk;
+    this.appender = appender;
   }
 
   /**
@@ -26,12 +26,12 @@
    * {@code Publish}.
    */
   public void publish(
-      long ticket, Request.Publish publish, ControlState state, DecisionContext turn) {
+      long ticket, Request.Publish publish, ControlState state, DecisionContext context) {
     try {
       reader.check(publish.declarations());
     } catch (InvalidDeclarationsException e) {
       String faults = String.valueOf(e.getMessage());
-      Refusals.refuse(ticket, RefusalReason.BAD_REQUEST, faults, turn);
+      Refusals.refuse(ticket, RefusalReason.BAD_REQUEST, faults, context);
       return;
     }
     ConfigurationPublished body =
@@ -44,9 +44,9 @@
     boolean stale = publish.baseRevision() != state.revision();
     boolean same = RequestAppender.winner(body, state) instanceof Answer.Published;
     if (stale || same) {
-      turn.reply(ticket, RequestAppender.winner(body, state));
+      context.reply(ticket, RequestAppender.winner(body, state));
       return;
     }
-    desk.take(ticket, ControlRecord.newBuilder().setConfigurationPublished(body), turn);
+    appender.accept(ticket, ControlRecord.newBuilder().setConfigurationPublished(body), context);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/Refusals.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/Refusals.java
@@ -10,9 +10,9 @@
 
   private Refusals() {}
 
-  static void refuse(long ticket, RefusalReason reason, String detail, DecisionContext turn) {
+  static void refuse(long ticket, RefusalReason reason, String detail, DecisionContext context) {
     int retryAfter = reason.retryable() ? ControlLimits.RETRY_AFTER_SECONDS : 0;
-    turn.count("fescuehook.control.refused", "reason", reason.slug());
-    turn.reply(ticket, new Answer.Refused(reason, detail, retryAfter));
+    context.count("fescuehook.control.refused", "reason", reason.slug());
+    context.reply(ticket, new Answer.Refused(reason, detail, retryAfter));
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/RequestAppender.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/RequestAppender.java
@@ -30,43 +30,43 @@
   private record Pending(long ticket, ControlRecord body, long sinceNanos) {}
 
   private final RecordWriter writer;
-  private final CatchUpTracker reader;
+  private final CatchUpTracker catchUp;
   private final Deque<Pending> queue = new ArrayDeque<>();
   private final Map<Long, Pending> appended = new HashMap<>();
 
   /** Creates a desk without requests. */
-  public RequestAppender(RecordWriter writer, CatchUpTracker reader) {
+  public RequestAppender(RecordWriter writer, CatchUpTracker catchUp) {
     this.writer = writer;
-    this.reader = reader;
+    this.catchUp = catchUp;
   }
 
   /** Takes a request whose record, of which only the body is set, is to be appended. */
-  void take(long ticket, ControlRecord.Builder body, DecisionContext turn) {
-    if (!reader.current(turn)) {
-      Refusals.refuse(ticket, RefusalReason.LOG_UNAVAILABLE, "log unreachable", turn);
+  void accept(long ticket, ControlRecord.Builder body, DecisionContext context) {
+    if (!catchUp.current(context)) {
+      Refusals.refuse(ticket, RefusalReason.LOG_UNAVAILABLE, "log unreachable", context);
       return;
     }
-    if (queue.size() >= ControlLimits.MOST_QUEUED_REQUESTS) {
-      Refusals.refuse(ticket, RefusalReason.QUEUE_FULL, "too many requests wait", turn);
+    if (queue.size() >= ControlLimits.MAX_QUEUED_REQUESTS) {
+      Refusals.refuse(ticket, RefusalReason.QUEUE_FULL, "too many requests wait", context);
       return;
     }
-    queue.addLast(new Pending(ticket, body.build(), turn.now()));
+    queue.addLast(new Pending(ticket, body.build(), context.nowNanos()));
   }
 
   /** Takes in what became of an own record. */
-  public void resolved(RecordOutcome resolution, ControlState state, DecisionContext turn) {
-    Pending pending = appended.remove(resolution.record().getSequence());
+  public void resolved(RecordOutcome outcome, ControlState state, DecisionContext context) {
+    Pending pending = appended.remove(outcome.record().getSequence());
     if (pending == null) {
       return;
     }
-    switch (resolution.fate()) {
-      case COUNTED -> turn.reply(pending.ticket(), accepted(pending.body(), resolution.offset()));
-      case NOT_COUNTED -> turn.reply(pending.ticket(), overtaken(pending.body(), state));
+    switch (outcome.kind()) {
+      case COUNTED -> context.reply(pending.ticket(), succeeded(pending.body(), outcome.offset()));
+      case NOT_COUNTED -> context.reply(pending.ticket(), superseded(pending.body(), state));
       case ABSENT -> queue.addFirst(pending);
     }
   }
 
-  private static Answer accepted(ControlRecord body, long offset) {
+  private static Answer succeeded(ControlRecord body, long offset) {
     return switch (body.getBodyCase()) {
       case JOB_SUBMITTED -> new Answer.Accepted(new JobId(body.getJobSubmitted().getJob()));
       case CONFIGURATION_PUBLISHED -> new Answer.Published(offset);
@@ -75,7 +75,7 @@
   }
 
   /** Another record made this one void: the same submission, another publication, or an end. */
-  private static Answer overtaken(ControlRecord body, ControlState state) {
+  private static Answer superseded(ControlRecord body, ControlState state) {
     return switch (body.getBodyCase()) {
       case JOB_SUBMITTED -> new Answer.Accepted(firstSubmission(body.getJobSubmitted(), state));
       case CONFIGURATION_PUBLISHED -> winner(body.getConfigurationPublished(), state);
@@ -99,18 +99,18 @@
   }
 
   /** Appends what there is room for, and ends waits that took too long. */
-  public void step(ControlState state, DecisionContext turn) {
-    expire(turn);
-    if (!reader.current(turn)) {
-      refuseQueued(turn);
+  public void step(ControlState state, DecisionContext context) {
+    expire(context);
+    if (!catchUp.current(context)) {
+      refuseQueued(context);
       return;
     }
-    while (!queue.isEmpty() && writer.hasRoomForRequest(turn)) {
+    while (!queue.isEmpty() && writer.hasCapacityForRequest(context)) {
       Pending pending = queue.removeFirst();
       if (isVoid(pending.body(), state)) {
-        turn.reply(pending.ticket(), overtaken(pending.body(), state));
+        context.reply(pending.ticket(), superseded(pending.body(), state));
       } else {
-        appended.put(writer.append(pending.body().toBuilder(), turn), pending);
+        appended.put(writer.append(pending.body().toBuilder(), context), pending);
       }
     }
   }
@@ -132,39 +132,39 @@
     };
   }
 
-  private void refuseQueued(DecisionContext turn) {
+  private void refuseQueued(DecisionContext context) {
     for (Pending pending : queue) {
-      Refusals.refuse(pending.ticket(), RefusalReason.LOG_UNAVAILABLE, "log unreachable", turn);
+      Refusals.refuse(pending.ticket(), RefusalReason.LOG_UNAVAILABLE, "log unreachable", context);
     }
     queue.clear();
   }
 
-  private void expire(DecisionContext turn) {
-    while (!queue.isEmpty() && expired(queue.peekFirst(), turn)) {
+  private void expire(DecisionContext context) {
+    while (!queue.isEmpty() && expired(queue.peekFirst(), context)) {
       long ticket = queue.removeFirst().ticket();
-      Refusals.refuse(ticket, RefusalReason.LOG_UNAVAILABLE, "log too slow", turn);
+      Refusals.refuse(ticket, RefusalReason.LOG_UNAVAILABLE, "log too slow", context);
     }
-    List<Pending> unknown = new ArrayList<>();
+    List<Pending> timedOut = new ArrayList<>();
     Iterator<Pending> entries = appended.values().iterator();
     while (entries.hasNext()) {
       Pending pending = entries.next();
-      if (expired(pending, turn)) {
-        unknown.add(pending);
+      if (expired(pending, context)) {
+        timedOut.add(pending);
         entries.remove();
       }
     }
-    unknown.sort((a, b) -> Long.compare(a.ticket(), b.ticket()));
-    for (Pending pending : unknown) {
-      String detail = "the log did not answer in time; " + mayBe(pending.body());
-      Refusals.refuse(pending.ticket(), RefusalReason.OUTCOME_UNKNOWN, detail, turn);
+    timedOut.sort((a, b) -> Long.compare(a.ticket(), b.ticket()));
+    for (Pending pending : timedOut) {
+      String detail = "the log did not answer in time; " + possibleEffect(pending.body());
+      Refusals.refuse(pending.ticket(), RefusalReason.OUTCOME_UNKNOWN, detail, context);
     }
   }
 
-  private static boolean expired(Pending pending, DecisionContext turn) {
-    return turn.passed(pending.sinceNanos(), ControlLimits.REQUEST_WAIT);
+  private static boolean expired(Pending pending, DecisionContext context) {
+    return context.hasElapsed(pending.sinceNanos(), ControlLimits.REQUEST_TIMEOUT);
   }
 
-  private static String mayBe(ControlRecord body) {
+  private static String possibleEffect(ControlRecord body) {
     return switch (body.getBodyCase()) {
       case JOB_SUBMITTED -> "the job may be accepted as " + body.getJobSubmitted().getJob();
       case CONFIGURATION_PUBLISHED -> "the configuration may be published";
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/RequestRouter.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/RequestRouter.java
@@ -42,13 +42,13 @@
 
   private final VmId vm;
   private final OwnerDuty owner;
-  private final RequestAppender desk;
-  private final JobRequestHandler jobs;
-  private final PublicationHandler publications;
-  private final ShowHandler shows = new ShowHandler();
-  private final ExplainHandler explanations;
-  private final HandOverHandler handOvers = new HandOverHandler();
-  private final UnknownJobHandler unknownJobs;
+  private final RequestAppender appender;
+  private final JobRequestHandler jobHandler;
+  private final PublicationHandler publicationHandler;
+  private final ShowHandler showHandler = new ShowHandler();
+  private final ExplainHandler explainHandler;
+  private final HandOverHandler handOverHandler = new HandOverHandler();
+  private final UnknownJobHandler unknownJobHandler;
 
   /** Creates a router with its desks. */
   public RequestRouter(
@@ -57,96 +57,95 @@
       Scheduler scheduler,
       DeclarationsReader declarations,
       RecordWriter writer,
-      CatchUpTracker reader,
+      CatchUpTracker catchUp,
       OwnerDuty owner) {
     this.vm = vm;
     this.owner = owner;
-    desk = new RequestAppender(writer, reader);
-    unknownJobs = new UnknownJobHandler(reader);
-    jobs = new JobRequestHandler(vm.value() + "-" + incarnation, desk);
-    publications = new PublicationHandler(declarations, desk);
-    explanations = new ExplainHandler(scheduler);
+    appender = new RequestAppender(writer, catchUp);
+    unknownJobHandler = new UnknownJobHandler(catchUp);
+    jobHandler = new JobRequestHandler(vm.value() + "-" + incarnation, appender);
+    publicationHandler = new PublicationHandler(declarations, appender);
+    explainHandler = new ExplainHandler(scheduler);
   }
 
   /** Takes a request. */
-  public void asked(long ticket, Request request, ClusterView situation, DecisionContext turn) {
-    ControlState state = situation.state();
+  public void asked(long ticket, Request request, ClusterView cluster, DecisionContext context) {
+    ControlState state = cluster.state();
     switch (request) {
       case Request.Status() ->
-          turn.reply(
+          context.reply(
               ticket,
               new Answer.Document(
-                  StatusDocument.json(vm, situation.summary(), state, turn.wallMillis())));
+                  StatusDocument.json(vm, cluster.summary(), state, context.wallMillis())));
       case Request.HandOver() -> {
         owner.handOver();
-        handOvers.take(ticket, turn);
+        handOverHandler.accept(ticket, context);
       }
-      case Request.Publish publish when situation.readable() ->
-          publications.publish(ticket, publish, state, turn);
-      case Request.Show show when situation.readable() ->
-          aboutJob(ticket, show.job(), request, state, turn);
-      case Request.Cancel cancel when situation.readable() ->
-          aboutJob(ticket, cancel.job(), request, state, turn);
-      case Request.Submit submit when ready(situation) ->
-          jobs.submit(ticket, submit, declarations(situation), state, turn);
-      case Request.Explain(JobId job) when ready(situation) ->
-          explain(ticket, job, situation, turn);
+      case Request.Publish publish when cluster.readable() ->
+          publicationHandler.publish(ticket, publish, state, context);
+      case Request.Show show when cluster.readable() ->
+          aboutJob(ticket, show.job(), request, state, context);
+      case Request.Cancel cancel when cluster.readable() ->
+          aboutJob(ticket, cancel.job(), request, state, context);
+      case Request.Submit submit when ready(cluster) ->
+          jobHandler.submit(ticket, submit, declarations(cluster), state, context);
+      case Request.Explain(JobId job) when ready(cluster) -> explain(ticket, job, cluster, context);
       default ->
           Refusals.refuse(
-              ticket, RefusalReason.NOT_READY, "state or configuration not read yet", turn);
+              ticket, RefusalReason.NOT_READY, "state or configuration not read yet", context);
     }
   }
 
   private void aboutJob(
-      long ticket, JobId job, Request request, ControlState state, DecisionContext turn) {
+      long ticket, JobId job, Request request, ControlState state, DecisionContext context) {
     if (state.jobs().find(job).isEmpty()) {
-      unknownJobs.take(ticket, job, request, turn);
+      unknownJobHandler.accept(ticket, job, request, context);
       return;
     }
-    aboutKnownJob(ticket, request, state, turn);
+    aboutKnownJob(ticket, request, state, context);
   }
 
   private void aboutKnownJob(
-      long ticket, Request request, ControlState state, DecisionContext turn) {
+      long ticket, Request request, ControlState state, DecisionContext context) {
     switch (request) {
-      case Request.Show show -> shows.show(ticket, show, state, turn);
-      case Request.Cancel(JobId job) -> jobs.cancel(ticket, job, state, turn);
+      case Request.Show show -> showHandler.show(ticket, show, state, context);
+      case Request.Cancel(JobId job) -> jobHandler.cancel(ticket, job, state, context);
       default -> throw new IllegalArgumentException("not about a job: " + request);
     }
   }
 
-  private static boolean ready(ClusterView situation) {
-    return situation.readable() && situation.configuration().isPresent();
+  private static boolean ready(ClusterView cluster) {
+    return cluster.readable() && cluster.configuration().isPresent();
   }
 
-  private static Declarations declarations(ClusterView situation) {
-    return situation.configuration().orElseThrow().declarations();
+  private static Declarations declarations(ClusterView cluster) {
+    return cluster.configuration().orElseThrow().declarations();
   }
 
-  private void explain(long ticket, JobId job, ClusterView situation, DecisionContext turn) {
+  private void explain(long ticket, JobId job, ClusterView cluster, DecisionContext context) {
     Scheduler.View view =
         ViewBuilder.build(
-            situation.state(), declarations(situation), situation.unavailable(), turn.wallMillis());
-    explanations.explain(ticket, job, situation.state().jobs().find(job), view, turn);
+            cluster.state(), declarations(cluster), cluster.unavailable(), context.wallMillis());
+    explainHandler.explain(ticket, job, cluster.state().jobs().find(job), view, context);
   }
 
   /** Takes in what became of an own record. */
-  public void resolved(RecordOutcome resolution, ControlState state, DecisionContext turn) {
-    desk.resolved(resolution, state, turn);
+  public void resolved(RecordOutcome outcome, ControlState state, DecisionContext context) {
+    appender.resolved(outcome, state, context);
   }
 
   /** A record about a job was folded. */
-  public void folded(JobId job, ControlState state, DecisionContext turn) {
-    shows.folded(job, state, turn);
+  public void folded(JobId job, ControlState state, DecisionContext context) {
+    showHandler.folded(job, state, context);
   }
 
   /** Appends, answers and ends waits as is due. */
-  public void step(ControlState state, DecisionContext turn) {
-    for (UnknownJobHandler.Found found : unknownJobs.step(state, turn)) {
-      aboutKnownJob(found.ticket(), found.request(), state, turn);
+  public void step(ControlState state, DecisionContext context) {
+    for (UnknownJobHandler.Found found : unknownJobHandler.step(state, context)) {
+      aboutKnownJob(found.ticket(), found.request(), state, context);
     }
-    desk.step(state, turn);
-    shows.step(state, turn);
-    handOvers.step(owner.handedOver(state), turn);
+    appender.step(state, context);
+    showHandler.step(state, context);
+    handOverHandler.step(owner.handedOver(state), context);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/ShowHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/ShowHandler.java
@@ -23,18 +23,18 @@
   private long earliestNanos = Long.MAX_VALUE;
 
   /** Takes a request to show a job. */
-  public void show(long ticket, Request.Show show, ControlState state, DecisionContext turn) {
+  public void show(long ticket, Request.Show show, ControlState state, DecisionContext context) {
     Optional<JobState> job = state.jobs().find(show.job());
     if (job.isEmpty()) {
-      Refusals.refuse(ticket, RefusalReason.NOT_FOUND, "no job " + show.job(), turn);
+      Refusals.refuse(ticket, RefusalReason.NOT_FOUND, "no job " + show.job(), context);
       return;
     }
     if (job.get().over() || show.waitMillis() <= 0) {
-      turn.reply(ticket, new Answer.Document(JobDocument.json(job.get())));
+      context.reply(ticket, new Answer.Document(JobDocument.json(job.get())));
       return;
     }
-    long wait = Math.min(show.waitMillis(), ControlLimits.LONGEST_SHOW.toMillis());
-    long until = turn.now() + wait * 1_000_000;
+    long wait = Math.min(show.waitMillis(), ControlLimits.MAX_SHOW_WAIT.toMillis());
+    long until = context.nowNanos() + wait * 1_000_000;
     earliestNanos = Math.min(earliestNanos, until);
     waiters
         .computeIfAbsent(show.job(), id -> new ArrayList<>())
@@ -42,7 +42,7 @@
   }
 
   /** A record about a job was folded. */
-  public void folded(JobId id, ControlState state, DecisionContext turn) {
+  public void folded(JobId id, ControlState state, DecisionContext context) {
     List<Waiter> waiting = waiters.get(id);
     if (waiting == null) {
       return;
@@ -53,20 +53,20 @@
     }
     waiters.remove(id);
     for (Waiter waiter : waiting) {
-      answer(waiter, job, turn);
+      answer(waiter, job, context);
     }
   }
 
   /** Ends waits whose time has passed. */
-  public void step(ControlState state, DecisionContext turn) {
-    if (turn.now() < earliestNanos) {
+  public void step(ControlState state, DecisionContext context) {
+    if (context.nowNanos() < earliestNanos) {
       return;
     }
     List<Waiter> ended = new ArrayList<>();
     earliestNanos = Long.MAX_VALUE;
     for (List<Waiter> list : waiters.values()) {
       for (Waiter waiter : list) {
-        if (turn.now() >= waiter.untilNanos()) {
+        if (context.nowNanos() >= waiter.untilNanos()) {
           ended.add(waiter);
         } else {
           earliestNanos = Math.min(earliestNanos, waiter.untilNanos());
@@ -77,16 +77,16 @@
     waiters.values().removeIf(List::isEmpty);
     ended.sort((a, b) -> Long.compare(a.ticket(), b.ticket()));
     for (Waiter waiter : ended) {
-      answer(waiter, state.jobs().find(waiter.job()), turn);
+      answer(waiter, state.jobs().find(waiter.job()), context);
     }
   }
 
-  private static void answer(Waiter waiter, Optional<JobState> job, DecisionContext turn) {
+  private static void answer(Waiter waiter, Optional<JobState> job, DecisionContext context) {
     if (job.isEmpty()) {
       Refusals.refuse(
-          waiter.ticket(), RefusalReason.NOT_FOUND, "job " + waiter.job() + " forgotten", turn);
+          waiter.ticket(), RefusalReason.NOT_FOUND, "job " + waiter.job() + " forgotten", context);
       return;
     }
-    turn.reply(waiter.ticket(), new Answer.Document(JobDocument.json(job.get())));
+    context.reply(waiter.ticket(), new Answer.Document(JobDocument.json(job.get())));
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/UnknownJobHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/UnknownJobHandler.java
@@ -23,19 +23,19 @@
 
   private record Waiter(long ticket, JobId job, Request request, long sinceNanos) {}
 
-  private final CatchUpTracker reader;
+  private final CatchUpTracker catchUp;
   private final List<Waiter> waiters = new ArrayList<>();
 
-  UnknownJobHandler(CatchUpTracker reader) {
-    this.reader = reader;
+  UnknownJobHandler(CatchUpTracker catchUp) {
+    this.catchUp = catchUp;
   }
 
-  void take(long ticket, JobId job, Request request, DecisionContext turn) {
-    waiters.add(new Waiter(ticket, job, request, turn.now()));
+  void accept(long ticket, JobId job, Request request, DecisionContext context) {
+    waiters.add(new Waiter(ticket, job, request, context.nowNanos()));
   }
 
   /** Refuses requests that waited long enough; returns those whose jobs are known by now. */
-  List<Found> step(ControlState state, DecisionContext turn) {
+  List<Found> step(ControlState state, DecisionContext context) {
     List<Found> found = new ArrayList<>();
     Iterator<Waiter> entries = waiters.iterator();
     while (entries.hasNext()) {
@@ -43,20 +43,20 @@
       if (state.jobs().find(waiter.job()).isPresent()) {
         found.add(new Found(waiter.ticket(), waiter.request()));
         entries.remove();
-      } else if (turn.passed(waiter.sinceNanos(), WAIT)) {
-        refuse(waiter, turn);
+      } else if (context.hasElapsed(waiter.sinceNanos(), WAIT)) {
+        refuse(waiter, context);
         entries.remove();
       }
     }
     return found;
   }
 
-  private void refuse(Waiter waiter, DecisionContext turn) {
-    if (reader.current(turn)) {
-      Refusals.refuse(waiter.ticket(), RefusalReason.NOT_FOUND, "no job " + waiter.job(), turn);
+  private void refuse(Waiter waiter, DecisionContext context) {
+    if (catchUp.current(context)) {
+      Refusals.refuse(waiter.ticket(), RefusalReason.NOT_FOUND, "no job " + waiter.job(), context);
       return;
     }
     String detail = "job " + waiter.job() + " is not known here, and the log is unreachable";
-    Refusals.refuse(waiter.ticket(), RefusalReason.LOG_UNAVAILABLE, detail, turn);
+    Refusals.refuse(waiter.ticket(), RefusalReason.LOG_UNAVAILABLE, detail, context);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/shares/ShareDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/shares/ShareDuty.java
@@ -18,8 +18,8 @@
   private final RecordWriter writer;
   private final PeerTracker peers;
   private SortedSet<VmId> vms = new TreeSet<>();
-  private long stableSince = Long.MIN_VALUE / 2;
-  private long unread;
+  private long stableSinceNanos = Long.MIN_VALUE / 2;
+  private long pendingSequence;
 
   /** Creates a duty that has published nothing. */
   public ShareDuty(RecordWriter writer, PeerTracker peers) {
@@ -28,24 +28,27 @@
   }
 
   /** Publishes a division if another one is in the log and the set of VMs stands still. */
-  public void step(ControlState state, Declarations declarations, DecisionContext turn) {
+  public void step(ControlState state, Declarations declarations, DecisionContext context) {
     SortedSet<VmId> known = peers.known();
     if (!known.equals(vms)) {
       vms = known;
-      stableSince = turn.now();
+      stableSinceNanos = context.nowNanos();
     }
-    boolean stable = turn.passed(stableSince, ControlLimits.SHARE_DEBOUNCE);
-    if (!stable || writer.isUnread(unread) || !writer.hasRoom(turn)) {
+    boolean stable = context.hasElapsed(stableSinceNanos, ControlLimits.SHARE_DEBOUNCE_TIME);
+    if (!stable || writer.isPending(pendingSequence) || !writer.hasCapacity(context)) {
       return;
     }
     SlotShares wanted =
         SlotShareDivider.divide(
-            declarations.fleet().executors(), vms, (int) ControlLimits.SHARE_SETTLE.toMillis());
+            declarations.fleet().executors(),
+            vms,
+            (int) ControlLimits.SHARE_SETTLE_TIME.toMillis());
     if (state.shares().filter(wanted::equals).isPresent()) {
-      stableSince = turn.now();
+      stableSinceNanos = context.nowNanos();
       return;
     }
-    turn.note(ControlLogEvent.SHARES_PUBLISHED, declarations.fleet().executors().size(), vms);
-    unread = writer.append(ControlRecord.newBuilder().setSlotShares(wanted), state.epoch(), turn);
+    context.note(ControlLogEvent.SHARES_PUBLISHED, declarations.fleet().executors().size(), vms);
+    pendingSequence =
+        writer.append(ControlRecord.newBuilder().setSlotShares(wanted), state.epoch(), context);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/shares/ShareHolder.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/shares/ShareHolder.java
@@ -33,7 +33,7 @@
   private final PeerTracker peers;
   private Map<String, Share> inForce = new TreeMap<>();
   private Map<String, Share> target = Map.of();
-  private Optional<SlotShares> seen = Optional.empty();
+  private Optional<SlotShares> latest = Optional.empty();
   private long offset;
   private long sinceNanos;
 
@@ -48,13 +48,13 @@
    *
    * @param foldedUntil offset after the last folded record
    */
-  public void folded(Optional<SlotShares> published, long foldedUntil, DecisionContext turn) {
-    if (published.isEmpty() || published.equals(seen)) {
+  public void folded(Optional<SlotShares> published, long foldedUntil, DecisionContext context) {
+    if (published.isEmpty() || published.equals(latest)) {
       return;
     }
-    seen = published;
+    latest = published;
     offset = foldedUntil - 1;
-    sinceNanos = turn.now();
+    sinceNanos = context.nowNanos();
     target = ownShares(published.get());
     Map<String, Share> lowered = new TreeMap<>();
     inForce.forEach(
@@ -64,7 +64,7 @@
             lowered.put(executor, least);
           }
         });
-    put(lowered, turn);
+    put(lowered, context);
   }
 
   private Map<String, Share> ownShares(SlotShares published) {
@@ -78,14 +78,14 @@
   }
 
   /** Raises shares if that is safe; called only while this VM has read to the end. */
-  public void step(DecisionContext turn) {
-    if (seen.isEmpty() || inForce.equals(target)) {
+  public void step(DecisionContext context) {
+    if (latest.isEmpty() || inForce.equals(target)) {
       return;
     }
-    Duration settle = Duration.ofMillis(seen.get().getSettleMillis());
-    if (turn.passed(sinceNanos, settle)
-        && peers.allFolded(offset, ControlLimits.SHARE_MEMORY, turn)) {
-      put(new TreeMap<>(target), turn);
+    Duration settle = Duration.ofMillis(latest.get().getSettleMillis());
+    if (context.hasElapsed(sinceNanos, settle)
+        && peers.allFolded(offset, ControlLimits.SHARE_RETENTION, context)) {
+      put(new TreeMap<>(target), context);
     }
   }
 
@@ -93,13 +93,13 @@
    * Gives all shares up if no peer is heard for long; called only while the log cannot be read. The
    * others may then take this VM for dead and divide its shares among themselves.
    */
-  public void giveUpIfIsolated(DecisionContext turn) {
-    if (!inForce.isEmpty() && peers.isolated(ControlLimits.SHARE_ISOLATION, turn)) {
-      put(new TreeMap<>(), turn);
+  public void giveUpIfIsolated(DecisionContext context) {
+    if (!inForce.isEmpty() && peers.isolated(ControlLimits.SHARE_ISOLATION_TIMEOUT, context)) {
+      put(new TreeMap<>(), context);
     }
   }
 
-  private void put(Map<String, Share> shares, DecisionContext turn) {
+  private void put(Map<String, Share> shares, DecisionContext context) {
     if (shares.equals(inForce)) {
       return;
     }
@@ -113,6 +113,6 @@
                     .setVm(self.value())
                     .setSlots(share.slots())
                     .setConnections(share.connections())));
-    turn.add(new ControlCommand.SharesInForce(message.build()));
+    context.add(new ControlCommand.SharesInForce(message.build()));
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/snapshot/SnapshotAssembler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/snapshot/SnapshotAssembler.java
@@ -24,21 +24,21 @@
    */
   public record CompleteSnapshot(long coversUntil, ControlSnapshot snapshot) {}
 
-  private final Map<Key, TreeMap<Integer, ByteString>> pieces = new HashMap<>();
+  private final Map<Key, TreeMap<Integer, ByteString>> partsByKey = new HashMap<>();
 
   /** Forgets all parts. */
   public void clear() {
-    pieces.clear();
+    partsByKey.clear();
   }
 
   /** Adds a part; returns the snapshot if that made it whole. */
-  public Optional<CompleteSnapshot> add(ControlRecord record, DecisionContext turn) {
+  public Optional<CompleteSnapshot> add(ControlRecord record, DecisionContext context) {
     SnapshotPart part = record.getSnapshotPart();
     Key key =
         new Key(
             record.getWriter(), record.getIncarnation(), part.getCoversUntil(), part.getParts());
-    pieces.keySet().removeIf(old -> old.coversUntil() < part.getCoversUntil());
-    TreeMap<Integer, ByteString> parts = pieces.computeIfAbsent(key, k -> new TreeMap<>());
+    partsByKey.keySet().removeIf(old -> old.coversUntil() < part.getCoversUntil());
+    TreeMap<Integer, ByteString> parts = partsByKey.computeIfAbsent(key, k -> new TreeMap<>());
     if (part.getPart() >= part.getParts()) {
       return Optional.empty();
     }
@@ -46,16 +46,17 @@
     if (parts.size() < part.getParts()) {
       return Optional.empty();
     }
-    pieces.remove(key);
-    return parse(key, ByteString.copyFrom(parts.values()), turn);
+    partsByKey.remove(key);
+    return parse(key, ByteString.copyFrom(parts.values()), context);
   }
 
-  private static Optional<CompleteSnapshot> parse(Key key, ByteString data, DecisionContext turn) {
+  private static Optional<CompleteSnapshot> parse(
+      Key key, ByteString data, DecisionContext context) {
     try {
       return Optional.of(new CompleteSnapshot(key.coversUntil(), ControlSnapshot.parseFrom(data)));
     } catch (InvalidProtocolBufferException e) {
-      turn.note(ControlLogEvent.SNAPSHOT_UNUSABLE, key.coversUntil(), e.getMessage());
-      turn.count("fescuehook.control.snapshots.unusable");
+      context.note(ControlLogEvent.SNAPSHOT_UNUSABLE, key.coversUntil(), e.getMessage());
+      context.count("fescuehook.control.snapshots.unusable");
       return Optional.empty();
     }
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/snapshot/SnapshotDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/snapshot/SnapshotDuty.java
@@ -20,10 +20,10 @@
   private final ControlPreferences preferences;
   private final RecordWriter writer;
   private final SnapshotAssembler assembler = new SnapshotAssembler();
-  private long wholeUntil = NONE;
+  private long completeUntil = NONE;
   private long earliest;
-  private long lastNanos = Long.MIN_VALUE / 2;
-  private boolean timed;
+  private long intervalStartNanos = Long.MIN_VALUE / 2;
+  private boolean intervalStarted;
 
   /** Creates a duty that has seen no snapshot. */
   public SnapshotDuty(ControlPreferences preferences, RecordWriter writer) {
@@ -32,36 +32,36 @@
   }
 
   /** A part that counted was read. */
-  public void read(ControlRecord part, DecisionContext turn) {
+  public void read(ControlRecord part, DecisionContext context) {
     assembler
-        .add(part, turn)
+        .add(part, context)
         .ifPresent(
-            whole -> {
-              wholeUntil = Math.max(wholeUntil, whole.coversUntil());
-              lastNanos = turn.now();
-              timed = true;
+            complete -> {
+              completeUntil = Math.max(completeUntil, complete.coversUntil());
+              intervalStartNanos = context.nowNanos();
+              intervalStarted = true;
             });
   }
 
   /** The log said which is the oldest record that it keeps. */
-  public void caughtUp(long oldest, DecisionContext turn) {
+  public void caughtUp(long oldest, DecisionContext context) {
     earliest = oldest;
-    if (!timed) {
-      lastNanos = turn.now();
-      timed = true;
+    if (!intervalStarted) {
+      intervalStartNanos = context.nowNanos();
+      intervalStarted = true;
     }
   }
 
   /** Publishes a snapshot if one is due. Implements {@code Snapshot}. */
-  public void step(ControlState state, long foldedUntil, DecisionContext turn) {
-    if (!due(foldedUntil, turn) || !writer.hasRoom(turn)) {
+  public void step(ControlState state, long foldedUntil, DecisionContext context) {
+    if (!due(foldedUntil, context) || !writer.hasCapacity(context)) {
       return;
     }
-    lastNanos = turn.now();
+    intervalStartNanos = context.nowNanos();
     ByteString data = state.snapshot().toByteString();
     int size = ControlLimits.SNAPSHOT_PART_BYTES;
     int parts = Math.max(1, (data.size() + size - 1) / size);
-    turn.note(ControlLogEvent.SNAPSHOT_PUBLISHED, foldedUntil, data.size());
+    context.note(ControlLogEvent.SNAPSHOT_PUBLISHED, foldedUntil, data.size());
     for (int part = 0; part < parts; part++) {
       ByteString piece = data.substring(part * size, Math.min(data.size(), (part + 1) * size));
       SnapshotPart body =
@@ -71,24 +71,25 @@
               .setParts(parts)
               .setData(piece)
               .build();
-      writer.append(ControlRecord.newBuilder().setSnapshotPart(body), state.epoch(), turn);
+      writer.append(ControlRecord.newBuilder().setSnapshotPart(body), state.epoch(), context);
     }
   }
 
-  private boolean due(long foldedUntil, DecisionContext turn) {
-    if (foldedUntil <= wholeUntil || !timed) {
+  private boolean due(long foldedUntil, DecisionContext context) {
+    if (foldedUntil <= completeUntil || !intervalStarted) {
       return false;
     }
-    if (turn.passed(lastNanos, preferences.snapshotInterval())) {
+    if (context.hasElapsed(intervalStartNanos, preferences.snapshotInterval())) {
       return true;
     }
-    return nearRetention(foldedUntil) && turn.passed(lastNanos, ControlLimits.FASTEST_SNAPSHOT);
+    return nearRetentionLimit(foldedUntil)
+        && context.hasElapsed(intervalStartNanos, ControlLimits.MIN_SNAPSHOT_INTERVAL);
   }
 
-  private boolean nearRetention(long foldedUntil) {
+  private boolean nearRetentionLimit(long foldedUntil) {
     if (earliest <= 0) {
       return false;
     }
-    return wholeUntil == NONE || wholeUntil - earliest < foldedUntil - wholeUntil;
+    return completeUntil == NONE || completeUntil - earliest < foldedUntil - completeUntil;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/snapshot/SnapshotLoader.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/snapshot/SnapshotLoader.java
@@ -23,16 +23,16 @@
    * @param state the state that the snapshot tells
    * @param rest records to fold on top of it
    */
-  public record LoadedSnapshot(ControlState state, long coversUntil, List<LogRecord> rest) {}
+  public record LoadedSnapshot(ControlState state, long coversUntil, List<LogRecord> remaining) {}
 
   private final SnapshotAssembler assembler = new SnapshotAssembler();
-  private final List<LogRecord> held = new ArrayList<>();
+  private final List<LogRecord> buffered = new ArrayList<>();
   private long start;
 
   /** Begins anew with the record at an offset. */
   public void restart(long offset) {
     start = offset;
-    held.clear();
+    buffered.clear();
     assembler.clear();
   }
 
@@ -40,21 +40,22 @@
    * Holds a record; returns the beginning if it completes a usable snapshot. Implements {@code
    * Load}.
    */
-  public Optional<LoadedSnapshot> add(LogRecord record, DecisionContext turn) {
-    held.add(record);
+  public Optional<LoadedSnapshot> add(LogRecord record, DecisionContext context) {
+    buffered.add(record);
     if (!(RecordCodec.decode(record.data()) instanceof DecodedRecord.Known(ControlRecord known))) {
       return Optional.empty();
     }
     if (!known.hasSnapshotPart() || known.getSnapshotPart().getCoversUntil() < start) {
       return Optional.empty();
     }
-    return assembler.add(known, turn).map(this::begin);
+    return assembler.add(known, context).map(this::load);
   }
 
-  private LoadedSnapshot begin(SnapshotAssembler.CompleteSnapshot whole) {
-    List<LogRecord> rest =
-        held.stream().filter(record -> record.offset() >= whole.coversUntil()).toList();
-    held.clear();
-    return new LoadedSnapshot(ControlState.restore(whole.snapshot()), whole.coversUntil(), rest);
+  private LoadedSnapshot load(SnapshotAssembler.CompleteSnapshot complete) {
+    List<LogRecord> remaining =
+        buffered.stream().filter(record -> record.offset() >= complete.coversUntil()).toList();
+    buffered.clear();
+    return new LoadedSnapshot(
+        ControlState.restore(complete.snapshot()), complete.coversUntil(), remaining);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/state/ControlState.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/state/ControlState.java
@@ -102,7 +102,7 @@
    * @param millis time of the append by the log's clock
    */
   public FoldResult fold(ControlRecord record, long offset, long millis) {
-    if (!writers.note(record, offset)) {
+    if (!writers.accept(record, offset)) {
       return DUPLICATE;
     }
     return switch (record.getBodyCase()) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/state/JobRegistry.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/state/JobRegistry.java
@@ -26,10 +26,10 @@
 public final class JobRegistry {
 
   /** Ended jobs that are kept. */
-  static final int MOST_ENDED = 2000;
+  static final int MAX_ENDED_JOBS = 2000;
 
   /** Time for which an ended job is kept, by the log's clock. */
-  static final long ENDED_KEPT_MILLIS = 24L * 60 * 60 * 1000;
+  static final long ENDED_RETENTION_MILLIS = 24L * 60 * 60 * 1000;
 
   private static final long MILLIS_PER_SECOND = 1000;
 
@@ -214,8 +214,8 @@
   private void forgetEnded(long millis) {
     while (!ended.isEmpty()) {
       JobState oldest = jobs.get(ended.firstEntry().getValue());
-      boolean old = oldest.facts().getEndedMillis() < millis - ENDED_KEPT_MILLIS;
-      if (!old && ended.size() <= MOST_ENDED) {
+      boolean old = oldest.facts().getEndedMillis() < millis - ENDED_RETENTION_MILLIS;
+      if (!old && ended.size() <= MAX_ENDED_JOBS) {
         return;
       }
       forget(oldest);
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/state/WriterSequences.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/state/WriterSequences.java
@@ -13,21 +13,21 @@
 final class WriterSequences {
 
   /** Incarnations remembered; the one that has been silent longest is forgotten first. */
-  static final int MOST_WRITERS = 256;
+  static final int MAX_INCARNATIONS = 256;
 
   private record Writer(String name, String incarnation) {}
 
-  private final Map<Writer, WriterSequence> last = new LinkedHashMap<>();
+  private final Map<Writer, WriterSequence> lastByWriter = new LinkedHashMap<>();
 
   /** Notes a record; returns false if it is dropped. */
-  boolean note(ControlRecord record, long offset) {
+  boolean accept(ControlRecord record, long offset) {
     Writer writer = new Writer(record.getWriter(), record.getIncarnation());
-    WriterSequence before = last.get(writer);
+    WriterSequence before = lastByWriter.get(writer);
     if (before != null && record.getSequence() <= before.getSequence()) {
       return false;
     }
-    last.remove(writer);
-    last.put(
+    lastByWriter.remove(writer);
+    lastByWriter.put(
         writer,
         WriterSequence.newBuilder()
             .setWriter(writer.name())
@@ -35,20 +35,20 @@
             .setSequence(record.getSequence())
             .setOffset(offset)
             .build());
-    if (last.size() > MOST_WRITERS) {
-      last.remove(last.keySet().iterator().next());
+    if (lastByWriter.size() > MAX_INCARNATIONS) {
+      lastByWriter.remove(lastByWriter.keySet().iterator().next());
     }
     return true;
   }
 
   List<WriterSequence> facts() {
-    return List.copyOf(last.values());
+    return List.copyOf(lastByWriter.values());
   }
 
   void restore(List<WriterSequence> facts) {
-    last.clear();
+    lastByWriter.clear();
     for (WriterSequence fact : facts) {
-      last.put(new Writer(fact.getWriter(), fact.getIncarnation()), fact);
+      lastByWriter.put(new Writer(fact.getWriter(), fact.getIncarnation()), fact);
     }
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/UnknownJobHandlerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/UnknownJobDeskTest.java
@@ -18,7 +18,7 @@
  * 0.8 s for a heartbeat; in a store that takes 0.88 s an answer the next one that is sent after the
  * question is confirmed 1.8 s later.
  */
-class UnknownJobHandlerTest {
+class UnknownJobDeskTest {
 
   private final UnknownJobDesk desk = new UnknownJobDesk();
   private final Map<String, Optional<JobPhase>> accepted =
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/ControlCoreTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/ControlCoreTest.java
@@ -78,7 +78,7 @@
         vm.answers.values().stream()
             .map(answer -> answer instanceof Answer.Refused r ? r.reason().slug() : "accepted")
             .collect(Collectors.groupingBy(kind -> kind, Collectors.counting()));
-    long taken = ControlLimits.MOST_QUEUED_REQUESTS + ControlLimits.MOST_UNREAD_REQUESTS;
+    long taken = ControlLimits.MAX_QUEUED_REQUESTS + ControlLimits.MAX_PENDING_REQUEST_APPENDS;
     assertEquals(Map.of("accepted", taken, "queue-full", 1200 - taken), kinds);
     assertEquals(taken, s.appends(vm, ControlRecord::hasJobSubmitted).size());
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/state/ControlStateTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/state/ControlStateTest.java
@@ -166,7 +166,7 @@
     JobEnded ended = JobEnded.newBuilder().setJob("old").build();
     decide(ControlRecord.newBuilder().setJobEnded(ended));
     fold(submission("new", ""));
-    offset += JobRegistry.ENDED_KEPT_MILLIS / 1000 + 1;
+    offset += JobRegistry.ENDED_RETENTION_MILLIS / 1000 + 1;
     decide(ControlRecord.newBuilder().setJobEnded(ended.toBuilder().setJob("new")));
     assertTrue(state.jobs().find(new JobId("old")).isEmpty());
     assertEquals(COUNTED, fold(submission("again", "id")));
