--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ControlCommand.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ControlCommand.java
@@ -7,27 +7,27 @@
 import org.fescuehook.wire.ControlRecord;
 import org.fescuehook.wire.SlotShares;
 
-/** What the decision core wants done. */
+/** An effect that the decision core requests from its host. */
 public sealed interface ControlCommand {
 
-  /** Append a record to the control stream. */
+  /** Appends a record to the control stream. */
   record Append(ControlRecord record) implements ControlCommand {}
 
-  /** Send a command to a worker. */
+  /** Sends a command to a worker. */
   record Send(WorkerId worker, WorkerPort.WorkerCommand command) implements ControlCommand {}
 
-  /** Answer a request. */
+  /** Answers the request that has this ticket. */
   record Reply(long ticket, ControlPort.Answer answer) implements ControlCommand {}
 
-  /** Put a configuration in force on this VM. */
+  /** Puts a configuration in force on this VM. */
   record ConfigurationInForce(Configuration configuration) implements ControlCommand {}
 
-  /** Put shares of executors' slots in force on this VM. */
+  /** Puts this VM's shares of the executors' slots and connections in force. */
   record SharesInForce(SlotShares shares) implements ControlCommand {}
 
-  /** Write a log line. */
+  /** Writes a log line. */
   record Note(NumberedEvent event, Object[] arguments) implements ControlCommand {}
 
-  /** Count one under a metric name, with tag pairs. */
+  /** Increments a counter, which has a metric name and pairs of tag name and tag value. */
   record Count(String name, String[] tags) implements ControlCommand {}
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ControlCore.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ControlCore.java
@@ -35,8 +35,9 @@
 import org.fescuehook.wire.ControlRecord;
 
 /**
- * Folds the control stream and decides. Pure and single-threaded: the same events at the same times
- * give the same commands.
+ * Applies the records of the control stream and makes the decisions of the owner. The core does no
+ * input or output and is confined to one thread: the same events at the same times give the same
+ * commands, so a recorded trace can be replayed.
  */
 public final class ControlCore {
   private final VmId vm;
@@ -60,9 +61,9 @@
   private boolean current;
 
   /**
-   * Creates a core that has read nothing.
+   * Creates a core that has not read any record.
    *
-   * @param incarnation distinguishes starts of the same VM; never used twice
+   * @param incarnation identifies this process among all processes of the VM; never reused
    */
   public ControlCore(
       IdentityPreferences identity,
@@ -93,7 +94,7 @@
    *
    * @param nowNanos monotonic time
    * @param wallMillis milliseconds since 1970
-   * @return what is to be done, in order
+   * @return the commands to execute, in order
    */
   public List<ControlCommand> apply(ControlEvent event, long nowNanos, long wallMillis) {
     DecisionContext context = new DecisionContext(nowNanos, wallMillis);
@@ -133,7 +134,7 @@
     }
   }
 
-  /** Takes in a record that was just folded. */
+  /** Handles a record that was just applied to the state. */
   private void folded(
       ControlRecord record, long offset, FoldResult result, DecisionContext context) {
     ControlState state = stream.state();
@@ -269,22 +270,22 @@
     shares.step(state, declarations, context);
   }
 
-  /** Returns the offset after the last folded record; the next read starts there. */
+  /** Returns the offset after the last applied record; the next read starts there. */
   public long nextOffset() {
     return stream.nextOffset();
   }
 
-  /** Tells whether this VM is the owner as far as it has read. */
+  /** Returns whether this VM is the owner according to the records read so far. */
   public boolean owner() {
     return owner.owns(stream.state());
   }
 
-  /** Returns the state as far as it was read. */
+  /** Returns the state after the records read so far. */
   ControlState state() {
     return stream.state();
   }
 
-  /** Returns the state at a glance. */
+  /** Returns a summary of the state, for operators and metrics. */
   public ControlSummary summary() {
     ControlState state = stream.state();
     return new ControlSummary(
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ControlEvent.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ControlEvent.java
@@ -8,37 +8,46 @@
 import org.fescuehook.model.fleet.VmId;
 import org.fescuehook.model.log.LogRecord;
 
-/** What the decision core reacts to. */
+/** An input of the decision core. */
 public sealed interface ControlEvent {
 
-  /** A record of the control stream, in the order of offsets. */
+  /** A record of the control stream was read; records come in the order of their offsets. */
   record RecordRead(LogRecord record) implements ControlEvent {}
 
-  /** A read reached the end of the stream. */
+  /**
+   * A read reached the end of the stream; {@code earliest} is the offset of the oldest record still
+   * stored, {@code next} the offset after the newest.
+   */
   record CaughtUp(long earliest, long next) implements ControlEvent {}
 
-  /** A read failed. */
+  /** A read of the control stream failed. */
   record LogUnreachable() implements ControlEvent {}
 
-  /** An append ended without the offset being known; {@code certain} if it is surely not there. */
+  /**
+   * An append ended without a known offset; {@code certain} if the record is known not to be in the
+   * log.
+   */
   record AppendFailed(long sequence, boolean certain) implements ControlEvent {}
 
-  /** A worker answered, or did not. */
+  /** A worker answered a command, or did not answer it in time. */
   record WorkerAnswered(WorkerPort.WorkerReply reply) implements ControlEvent {}
 
-  /** The list of VMs was fetched. */
+  /** The member list of VMs was fetched. */
   record MembersListed(List<MemberList.Member> members) implements ControlEvent {}
 
-  /** Which peers have been heard within their timeout, and which of those reach the log. */
+  /**
+   * The peers whose heartbeats arrived within the peer timeout, those of them that reach the log,
+   * and those that are draining.
+   */
   record PeersHeard(Set<VmId> alive, Set<VmId> reachingLog, Set<VmId> draining)
       implements ControlEvent {}
 
-  /** Offset after the last record that each peer heard lately has folded. */
+  /** The offset after the last record that each recently heard peer has applied. */
   record PeersFolded(Map<VmId, Long> nextOffsets) implements ControlEvent {}
 
-  /** A caller or operator asks; the answer carries the same ticket. */
+  /** A caller or operator sent a request; the answer carries the same ticket. */
   record Asked(long ticket, ControlPort.Request request) implements ControlEvent {}
 
-  /** Time has passed. */
+  /** A periodic event that lets time-dependent work proceed. */
   record Tick() implements ControlEvent {}
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ControlLimits.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ControlLimits.java
@@ -2,91 +2,114 @@
 
 import java.time.Duration;
 
-/** Times and sizes of the decision core that are no settings. */
+/** Times and sizes of the decision core that are not configurable. */
 public final class ControlLimits {
 
-  /** Own records whose outcome is not known yet, at most. */
+  /** Maximum number of records appended by this VM whose outcome is not known yet. */
   public static final int MAX_PENDING_APPENDS = 64;
 
-  /** Unread records that requests of callers may take up; the rest is left for decisions. */
+  /**
+   * Maximum number of pending records that come from requests; the remaining capacity is reserved
+   * for decisions of the owner.
+   */
   public static final int MAX_PENDING_REQUEST_APPENDS = 32;
 
-  /** Requests that wait for room among the unread records, at most. */
+  /** Maximum number of requests that wait for capacity among the pending records. */
   public static final int MAX_QUEUED_REQUESTS = 1000;
 
-  /** Time without appends after one failed. */
+  /** Time for which nothing is appended after an append failed. */
   public static final Duration APPEND_BACKOFF = Duration.ofMillis(100);
 
-  /** Longest wait of a request for its record; its outcome is unknown to the caller after that. */
+  /**
+   * Longest time that a request waits until its record is read back; after that the caller is told
+   * that the outcome is unknown.
+   */
   public static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(10);
 
-  /** Longest wait for the end of a job that one request may ask for. */
+  /** Longest time that one request may wait for the end of a job. */
   public static final Duration MAX_SHOW_WAIT = Duration.ofMinutes(5);
 
-  /** Time without a successful read of the log for which a VM goes on renewing leases. */
+  /**
+   * Time since its last successful read of the log for which a VM goes on renewing leases. Known as
+   * {@code Ride} in the module SilentWorker.
+   */
   public static final Duration OUTAGE_RENEWAL_LIMIT = Duration.ofHours(1);
 
-  /** Longest time for which a replica of the log may hide a record. */
+  /**
+   * Longest time for which a lagging replica of the log may not yet show a record that was
+   * appended.
+   */
   public static final Duration MAX_REPLICA_LAG = Duration.ofMinutes(1);
 
-  /** Longest time that a command to a worker is on its way. */
+  /** Longest time that a command may take to reach a worker. */
   public static final Duration WORKER_REQUEST_TIMEOUT = Duration.ofSeconds(5);
 
-  /** Added to the grant timeout for the first, short time of a lease. */
+  /** Margin added to the grant timeout for the first, short time to live of a lease. */
   public static final Duration GRANT_TTL_MARGIN = Duration.ofSeconds(3);
 
-  /** Interval between renewals of the short leases of an attempt whose commit is not read yet. */
+  /**
+   * Interval between renewals of the short leases of an attempt whose commit has not been read back
+   * yet.
+   */
   public static final Duration UNCOMMITTED_RENEWAL_INTERVAL = Duration.ofSeconds(2);
 
-  /** Interval between repetitions of a start, checkpoint or release that was not answered. */
+  /** Basic interval after which an unanswered start, checkpoint or release is sent again. */
   public static final Duration COMMAND_RETRY_INTERVAL = Duration.ofMillis(500);
 
-  /** Time after which a committed gang with a member that was not seen started is stopped. */
+  /**
+   * Time after which a committed gang is stopped if a member is still not known to have started.
+   */
   public static final Duration START_TIMEOUT = Duration.ofSeconds(4);
 
-  /** Shortest interval between renewals at one worker. */
+  /** Shortest interval between renewals sent to one worker. */
   public static final Duration MIN_RENEWAL_INTERVAL = Duration.ofMillis(500);
 
-  /** Time for which a worker that refused a lease gets no further request for one. */
+  /** Time for which a worker that refused a lease gets no further request for a lease. */
   public static final Duration REFUSED_BACKOFF = Duration.ofSeconds(3);
 
-  /** Time for which a worker that gave no answer gets no request for a lease. */
+  /** Time for which a worker that did not answer gets no request for a lease. */
   public static final Duration SILENT_BACKOFF = Duration.ofSeconds(15);
 
   /** Shortest interval between two plans of the scheduling policy. */
   public static final Duration MIN_PLAN_INTERVAL = Duration.ofMillis(100);
 
-  /** Interval between two plans while no job waits and nothing changed. */
+  /** Interval between two plans while no job waits and the state has not changed. */
   public static final Duration IDLE_PLAN_INTERVAL = Duration.ofSeconds(10);
 
   /** Longest interval between two plans while a job waits. */
   public static final Duration MAX_PLAN_INTERVAL = Duration.ofSeconds(1);
 
-  /** Added to the owner's timeout for a VM that cannot read the configuration in force. */
+  /**
+   * Delay added to the owner timeout on a VM that cannot parse the configuration in force, so that
+   * a VM that can parse it claims ownership first.
+   */
   public static final Duration UNREADABLE_CONFIGURATION_DELAY = Duration.ofSeconds(5);
 
-  /** Multiple of the owner's timeout while the owner's peer heartbeats say that it has the log. */
+  /** Factor of the owner timeout while the owner's peer heartbeats say that it reaches the log. */
   public static final int HEARD_OWNER_TIMEOUT_FACTOR = 10;
 
-  /** Shortest time after which a raised slot share is used. */
+  /** Shortest time between publication of a raised slot share and its use. */
   public static final Duration SHARE_SETTLE_TIME = Duration.ofSeconds(2);
 
-  /** Time without log and peers after which a VM gives its slot shares up. */
+  /** Time without the log and without any peer after which a VM gives up its slot shares. */
   public static final Duration SHARE_ISOLATION_TIMEOUT = Duration.ofSeconds(60);
 
-  /** Time for which a VM that vanished may still use its slot shares. */
+  /**
+   * Time for which a VM that vanished without leaving may still use its slot shares. Longer than
+   * {@link #SHARE_ISOLATION_TIMEOUT}, after which that VM itself gives them up.
+   */
   public static final Duration SHARE_RETENTION = Duration.ofSeconds(75);
 
-  /** Time for which the set of entry VMs has to stand still before shares are divided anew. */
+  /** Time for which the set of entry VMs has to stay unchanged before shares are divided again. */
   public static final Duration SHARE_DEBOUNCE_TIME = Duration.ofSeconds(1);
 
   /** Shortest interval between two snapshots. */
   public static final Duration MIN_SNAPSHOT_INTERVAL = Duration.ofSeconds(10);
 
-  /** Largest piece of a snapshot in one record, in bytes. */
+  /** Largest part of a snapshot that one record holds, in bytes. */
   public static final int SNAPSHOT_PART_BYTES = 256 * 1024;
 
-  /** Advice in refusals that a retry can help, in seconds. */
+  /** Retry-after value of retryable refusals, in seconds. */
   public static final int RETRY_AFTER_SECONDS = 2;
 
   private ControlLimits() {}
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ControlPort.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ControlPort.java
@@ -7,18 +7,18 @@
 import org.fescuehook.model.organisation.OrganisationId;
 import org.fescuehook.model.request.RefusalReason;
 
-/** Hands requests of callers and operators to the decision thread. */
+/** Submits requests of callers and operators to the decision thread. */
 public interface ControlPort {
 
   /**
-   * Offers a request without waiting.
+   * Submits a request without blocking.
    *
-   * @param sink called once, on the decision thread
-   * @return false if the ring is full; the request was not taken then
+   * @param sink receives the answer; called once, on the decision thread
+   * @return false if the ring buffer is full and the request was not accepted
    */
   boolean offer(Request request, Consumer<Answer> sink);
 
-  /** Requests. */
+  /** A request to the decision core. */
   sealed interface Request {
 
     /** Submits a job. */
@@ -35,45 +35,44 @@
     /** Cancels a job; idempotent. */
     record Cancel(JobId job) implements Request {}
 
-    /** Shows a job, waiting up to {@code waitMillis} for its end. */
+    /** Returns the state of a job, after waiting up to {@code waitMillis} for its end. */
     record Show(JobId job, long waitMillis) implements Request {}
 
     /** Explains why a job waits or was refused. */
     record Explain(JobId job) implements Request {}
 
-    /** Publishes declarations on top of a revision. */
+    /** Publishes declarations that replace those of the base revision. */
     record Publish(long baseRevision, String author, String reason, String declarations)
         implements Request {}
 
-    /** Asks for the state of the system, for operators. */
+    /** Returns the state of the system, for operators. */
     record Status() implements Request {}
 
-    /** Stops deciding: hands ownership over. */
+    /** Releases ownership for good, so that another VM takes over. */
     record HandOver() implements Request {}
   }
 
-  /** Answers. */
+  /** The answer to a request. */
   sealed interface Answer {
 
-    /** The job is in the log. */
+    /** The job's submission is in the log. */
     record Accepted(JobId job) implements Answer {}
 
-    /** A document for the asker, as JSON text. */
+    /** The requested document, as JSON text. */
     record Document(String json) implements Answer {}
 
     /** The configuration is in the log and in force here. */
     record Published(long revision) implements Answer {}
 
-    /** Another publication won. */
+    /** Another publication replaced the base revision first. */
     record Conflict(long winner, String author) implements Answer {}
 
-    /** Done; nothing to tell. */
+    /** The request took effect and has no result. */
     record Done() implements Answer {}
 
     /**
-     * Refused.
-     *
-     * @param retryAfterSeconds when to come back; 0 for no advice
+     * * The request was refused. * * @param retryAfterSeconds time after which to retry; 0 if no
+     * time is recommended
      */
     record Refused(RefusalReason reason, String detail, int retryAfterSeconds) implements Answer {}
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ControlStream.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ControlStream.java
@@ -9,10 +9,13 @@
 import org.fescuehook.model.log.LogRecord;
 import org.fescuehook.wire.ControlRecord;
 
-/** Reads the control stream in order, from its first record or from a snapshot, and folds it. */
+/**
+ * Applies the records of the control stream to the state, in the order of their offsets. It begins
+ * at the first record, or at a snapshot if earlier records have been removed from the log.
+ */
 final class ControlStream {
 
-  /** Hears of each record that was folded. */
+  /** Is notified of each record that was applied. */
   interface Listener {
     void folded(ControlRecord record, long offset, FoldResult result, DecisionContext context);
   }
@@ -37,12 +40,17 @@
     return nextOffset;
   }
 
-  /** Tells whether the state holds all that the stream told; false while a snapshot is awaited. */
+  /**
+   * Returns whether the state reflects all records read so far; false while the stream waits for a
+   * snapshot.
+   */
   boolean complete() {
     return complete;
   }
 
-  /** Tells whether a newer version decided something that this version does not understand. */
+  /**
+   * Returns whether an owner of a newer version wrote a decision that this version cannot apply.
+   */
   boolean newerSeen() {
     return newerSeen;
   }
@@ -51,7 +59,10 @@
     return skipped;
   }
 
-  /** Takes in a record; one that was read before is ignored. Implements {@code Read}. */
+  /**
+   * Reads a record; ignores one that was read before. Implements the action {@code Read} of the
+   * module Ownership.
+   */
   void read(LogRecord record, DecisionContext context) {
     if (record.offset() < nextOffset) {
       return;
@@ -70,7 +81,10 @@
     }
   }
 
-  /** Takes in that records before {@code earliest} have vanished, maybe before they were read. */
+  /**
+   * Notes that the log no longer stores the records before {@code earliest}. If this VM has not
+   * read all of them, it waits for a snapshot.
+   */
   void noteEarliest(long earliest, DecisionContext context) {
     if (earliest > nextOffset) {
       awaitSnapshot(earliest, context);
@@ -112,9 +126,10 @@
   }
 
   /**
-   * A decision that this version cannot fold leaves its state behind the others'. It goes on
-   * folding what it knows, but never decides by that state. What needs no owner is harmless to
-   * skip.
+   * Skips a record that this version cannot apply. If it is a decision of the owner, this VM's
+   * state now differs from that of VMs with a newer version; it goes on applying the records that
+   * it knows, but never decides based on that state. Records that need no owner can be skipped
+   * without harm.
    */
   private void skipNewer(ControlRecord newer, LogRecord record, DecisionContext context) {
     skip(record, "newer", "version " + newer.getVersion(), context);
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/DecisionLogger.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/DecisionLogger.java
@@ -5,7 +5,7 @@
 import org.fescuehook.wire.AttemptPlanned;
 import org.fescuehook.wire.ControlRecord;
 
-/** Writes log lines and counts for decisions that counted. */
+/** Logs and counts the owner's decisions that took effect. */
 final class DecisionLogger {
 
   private DecisionLogger() {}
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/append/RecordOutcome.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/append/RecordOutcome.java
@@ -3,21 +3,21 @@
 import org.fescuehook.wire.ControlRecord;
 
 /**
- * What became of an own record.
+ * The outcome of a record that this VM appended.
  *
  * @param record the record
- * @param kind what became of it
- * @param offset its offset if it was read, else -1
+ * @param kind kind of the outcome
+ * @param offset offset of the record if it was read; -1 otherwise
  */
 public record RecordOutcome(ControlRecord record, Kind kind, long offset) {
 
-  /** What can become of a record. */
+  /** Kinds of outcomes. */
   public enum Kind {
-    /** It was read and counted. */
+    /** The record was read and took effect. */
     COUNTED,
-    /** It was read and did not count. */
+    /** The record was read and had no effect. */
     NOT_COUNTED,
-    /** It is not in the log, or will be dropped if it ever gets there. */
+    /** The record is not in the log, or will be dropped if it still arrives there. */
     ABSENT
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/append/RecordWriter.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/append/RecordWriter.java
@@ -16,10 +16,11 @@
 import org.fescuehook.wire.OwnerHeartbeat;
 
 /**
- * Appends own records and holds each until reading tells what became of it. Nothing is appended
- * again blindly: the reply to an append is not used but for the certain word that it failed. A
- * record is known to be absent once a later own record was read, since the fold drops what was
- * overtaken.
+ * Appends records of this VM and tracks each until its outcome is read from the log. The reply to
+ * an append is used only if it reports a certain failure, so nothing is appended again while it may
+ * be in the log. A record that was not read is known to be absent once a later record of this VM
+ * was read, because a record that arrives after a later one of its writer is dropped (see {@code
+ * WriterSequences}).
  */
 public final class RecordWriter {
 
@@ -35,38 +36,44 @@
   private long lastAppendNanos = Long.MIN_VALUE / 2;
   private long lastFailureNanos = Long.MIN_VALUE / 2;
 
-  /** Creates a writer that has written nothing. */
+  /** Creates a writer that has appended nothing. */
   public RecordWriter(VmId vm, String incarnation) {
     this.vm = vm;
     this.incarnation = incarnation;
   }
 
-  /** Tells whether a decision may be appended now. */
+  /** Returns whether a decision may be appended now. */
   public boolean hasCapacity(DecisionContext context) {
     return pending.size() < ControlLimits.MAX_PENDING_APPENDS && backoffElapsed(context);
   }
 
-  /** After a failure the appender or the log gets a rest, however soon the failure came. */
+  /**
+   * Returns whether the backoff after the last failed append has elapsed. It keeps appends that
+   * fail at once from being repeated in a tight loop.
+   */
   private boolean backoffElapsed(DecisionContext context) {
     return context.hasElapsed(lastFailureNanos, ControlLimits.APPEND_BACKOFF);
   }
 
-  /** Tells whether the record of a request may be appended now. */
+  /** Returns whether the record of a request may be appended now. */
   public boolean hasCapacityForRequest(DecisionContext context) {
     return pending.size() < ControlLimits.MAX_PENDING_REQUEST_APPENDS && backoffElapsed(context);
   }
 
-  /** Returns the number of records whose outcome is not known. */
+  /** Returns the number of records whose outcome is not known yet. */
   public int pendingCount() {
     return pending.size();
   }
 
-  /** Tells whether the outcome of a record is not known yet. */
+  /** Returns whether the outcome of the record with this sequence number is not known yet. */
   public boolean isPending(long sequence) {
     return pending.containsKey(sequence);
   }
 
-  /** Tells whether a record is on its way to the log, or there and not read yet. */
+  /**
+   * Returns whether the append of a record is in flight, or the record is in the log and not read
+   * yet.
+   */
   public boolean hasAppendInFlight() {
     return pending.values().stream().anyMatch(entry -> !entry.outcomeUnknown());
   }
@@ -77,10 +84,10 @@
   }
 
   /**
-   * Appends a record that needs no owner.
+   * Appends a record that is not a decision of the owner.
    *
-   * @param body a builder with only the body set
-   * @return the sequence of the record
+   * @param body builder in which only the body is set
+   * @return the sequence number of the record
    */
   public long append(ControlRecord.Builder body, DecisionContext context) {
     lastSequence++;
@@ -97,12 +104,12 @@
     return lastSequence;
   }
 
-  /** Appends a decision under an epoch. */
+  /** Appends a decision of the owner under an epoch. */
   public long append(ControlRecord.Builder body, long epoch, DecisionContext context) {
     return append(body.setEpochPlusOne(epoch + 1), context);
   }
 
-  /** Takes in the word that an append failed; returns what is known by it. */
+  /** Handles that an append failed; returns the outcomes that are known thereby. */
   public List<RecordOutcome> failed(long sequence, boolean certain, DecisionContext context) {
     lastFailureNanos = context.nowNanos();
     PendingRecord entry = pending.get(sequence);
@@ -117,7 +124,10 @@
     return List.of(new RecordOutcome(entry.record(), Kind.ABSENT, -1));
   }
 
-  /** Takes in a record of the log; returns what is known by it of own records. */
+  /**
+   * Handles a record that was read; returns the outcomes of this VM's records that are known
+   * thereby.
+   */
   public List<RecordOutcome> read(ControlRecord record, FoldResult result, long offset) {
     boolean own =
         record.getWriter().equals(vm.value()) && record.getIncarnation().equals(incarnation);
@@ -142,9 +152,10 @@
   }
 
   /**
-   * Appends a record that counts for nothing, if the last own record has an unknown outcome or was
-   * not read for long, as when it vanished before: reading it tells what became of those before.
-   * Called only while the log can be read.
+   * Appends a barrier, which is a record without effect, if the append of the last pending record
+   * failed with an unknown outcome, or that record was not read for {@link #UNREAD_TIMEOUT}, for
+   * example because the log's retention removed it first. Once the barrier is read, the outcome of
+   * all records before it is known. Called only while the log can be read.
    */
   public void appendBarrierIfDue(DecisionContext context) {
     if (pending.isEmpty() || !backoffElapsed(context)) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/append/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/append/package-info.java
@@ -1,4 +1,4 @@
-/** Own records on their way to the log, until reading tells what became of them. */
+/** Records that this VM appends, tracked until their outcome is read from the log. */
 @NullMarked
 package org.fescuehook.logic.control.append;
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/configuration/ConfigurationHolder.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/configuration/ConfigurationHolder.java
@@ -11,15 +11,16 @@
 import org.fescuehook.wire.ConfigurationPublished;
 
 /**
- * Holds the configuration in force on this VM. It is changed only at the end of the stream, so that
- * a VM that reads old records puts no old configuration in force, and only to a higher revision.
+ * Holds the configuration in force on this VM. It changes only to a higher revision, and only once
+ * the end of the stream is reached, so that a VM that reads old records does not put an old
+ * configuration in force.
  */
 public final class ConfigurationHolder {
   private final DeclarationsReader reader;
   private Optional<Configuration> inForce = Optional.empty();
   private long latestRevision = Configuration.NO_REVISION;
 
-  /** Creates a holder without a configuration. */
+  /** Creates a holder without configuration. */
   public ConfigurationHolder(DeclarationsReader reader) {
     this.reader = reader;
   }
@@ -29,22 +30,22 @@
     return inForce;
   }
 
-  /** Tells whether the revision in force in the log was tried and cannot be read here. */
+  /** Returns whether this VM failed to parse the revision in force in the log. */
   public boolean unreadable(ControlState state) {
     return latestRevision == state.revision() && !readable(state);
   }
 
-  /** Tells whether the revision in force in the log is in force here. */
+  /** Returns whether the revision in force in the log is in force on this VM. */
   public boolean readable(ControlState state) {
     return inForce.map(Configuration::revision).orElse(Configuration.NO_REVISION)
         == state.revision();
   }
 
   /**
-   * Puts the configuration of the log in force if it is newer. Implements what {@code Read} of the
-   * module Configuration puts in force.
+   * Puts the configuration of the log in force if it is newer. Implements the part of the action
+   * {@code Read} of the module Configuration that puts a configuration in force.
    *
-   * @return whether it changed
+   * @return whether the configuration in force changed
    */
   public boolean update(ControlState state, DecisionContext context) {
     if (state.revision() <= latestRevision) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/AttemptProgress.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/AttemptProgress.java
@@ -10,7 +10,7 @@
 import org.fescuehook.model.job.AttemptId;
 import org.fescuehook.wire.StopReason;
 
-/** What the driving VM knows of one live attempt beyond the log. */
+/** Progress of one live attempt: what the VM that steps it knows beyond the records in the log. */
 final class AttemptProgress {
   final AttemptId attempt;
   final List<MemberProgress> members = new ArrayList<>();
@@ -44,7 +44,7 @@
     return members.stream().filter(condition).findFirst();
   }
 
-  /** Tells whether the leases of this attempt are to be renewed by this VM. */
+  /** Returns whether this VM renews the leases of this attempt. */
   boolean renewable() {
     return committed && !releasing && !abandoned;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangCommitter.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangCommitter.java
@@ -16,7 +16,7 @@
 import org.fescuehook.wire.ControlRecord;
 import org.fescuehook.wire.StopReason;
 
-/** Brings an attempt from its plan, read back, to its commit, or ends it as never started. */
+/** Requests the leases of a planned attempt and commits it, or ends it as never started. */
 final class GangCommitter {
   private final ControlPreferences preferences;
   private final RecordWriter writer;
@@ -28,7 +28,7 @@
     this.releaser = releaser;
   }
 
-  /** Takes the next step of an attempt that is planned and not committed. */
+  /** Takes the next step of an attempt that is planned and not yet committed. */
   void advance(AttemptProgress progress, JobState job, long epoch, DecisionContext context) {
     if (writer.isPending(progress.pendingSequence)) {
       renewUncommittedLeases(progress, context);
@@ -68,8 +68,9 @@
   }
 
   /**
-   * Asks each worker for a lease, once: a lease whose grant was lost holds its place until it
-   * lapses, so asking again would be refused. Implements {@code Ask}.
+   * Requests a lease from each worker, once. If the reply to a grant is lost, the lease occupies
+   * its capacity until it expires, so a second request would be refused. Implements the action
+   * {@code Ask} of the module Gang.
    */
   private void requestLeases(AttemptProgress progress, JobState job, DecisionContext context) {
     Capacity unit = job.job().shape().perMember();
@@ -89,7 +90,10 @@
     }
   }
 
-  /** While a slow log holds the commit up, the leases that it names must not lapse. */
+  /**
+   * Renews the leases named by a pending commit, so that they do not expire while a slow log delays
+   * the commit.
+   */
   private void renewUncommittedLeases(AttemptProgress progress, DecisionContext context) {
     for (MemberProgress member : progress.members) {
       if (member.granted()
@@ -106,7 +110,9 @@
     return preferences.grantTimeout().plus(ControlLimits.GRANT_TTL_MARGIN);
   }
 
-  /** Implements {@code Commit}. */
+  /**
+   * * Appends the commit of the attempt. Implements the action {@code Commit} of the module Gang.
+   */
   private void commit(AttemptProgress progress, long epoch, DecisionContext context) {
     AttemptCommitted.Builder body =
         AttemptCommitted.newBuilder()
@@ -118,8 +124,9 @@
   }
 
   /**
-   * Ends an attempt that cannot commit any more: its commit was not appended, or is known to be
-   * absent. So its leases can be released at once. Implements {@code NeverStarted}.
+   * Ends an attempt that can no longer commit because its commit was not appended or is known to be
+   * absent from the log. Its leases can therefore be released at once. Implements the action {@code
+   * NeverStarted} of the module Gang.
    */
   private void abort(
       AttemptProgress progress, StopReason reason, long epoch, DecisionContext context) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangDuty.java
@@ -25,9 +25,9 @@
 import org.fescuehook.wire.StopReason;
 
 /**
- * Drives the live attempts: leases, commit, start, renewal, stop and end. What to do next is worked
- * out anew each time from the log's state and the workers' words, so that nothing depends on which
- * VM did the steps before.
+ * Steps the live attempts through lease requests, commit, start, renewal, stop and end. The next
+ * step is derived each time from the state in the log and from the workers' replies, so it does not
+ * matter which VM took the previous steps.
  */
 public final class GangDuty {
 
@@ -45,7 +45,7 @@
   private GangMode mode = GangMode.OFF;
   private long lastFullPassNanos;
 
-  /** Creates a duty that drives nothing. */
+  /** Creates a duty without attempts. */
   public GangDuty(ControlPreferences preferences, RecordWriter writer, PeerTracker peers) {
     releaser = new LeaseReleaser(preferences.leaseTtl());
     renewer = new LeaseRenewer(preferences);
@@ -54,19 +54,22 @@
     stopper = new GangStopper(preferences, writer, releaser, peers);
   }
 
-  /** Returns workers that refused a lease or gave no answer lately. */
+  /**
+   * Returns the workers that recently refused a lease or did not answer; no leases are requested
+   * from them.
+   */
   public Set<WorkerId> workersInBackoff(DecisionContext context) {
     return backoff.workersInBackoff(context);
   }
 
-  /** A record about a job was folded. */
+  /** Handles that a record about a job was applied. */
   public void folded(JobId job) {
     if (mode != GangMode.OFF) {
       changedJobs.add(job);
     }
   }
 
-  /** The policy wants an attempt ended that is not committed yet. */
+  /** Requests that an attempt be ended that is not committed yet. */
   public void abort(AttemptId attempt, StopReason reason) {
     AttemptProgress progress = attempts.get(attempt.job());
     if (progress != null && progress.attempt.equals(attempt)) {
@@ -76,9 +79,9 @@
   }
 
   /**
-   * Takes all steps that are due.
+   * Takes all steps that are due in the given mode.
    *
-   * @param foldedUntil offset after the last record that this VM has folded
+   * @param foldedUntil offset after the last record that this VM has applied
    */
   public void step(ControlState state, GangMode now, long foldedUntil, DecisionContext context) {
     changeMode(state, now, context);
@@ -158,7 +161,10 @@
     return progress.attempt + "/" + member.number;
   }
 
-  /** Notes the leases of a commit that counted; those of another VM are adopted. */
+  /**
+   * Records the leases of a commit that took effect, and begins to renew them. Leases that another
+   * VM was granted are adopted.
+   */
   private void recordCommit(AttemptProgress progress, JobState job, DecisionContext context) {
     if (progress.committed) {
       return;
@@ -177,7 +183,10 @@
     }
   }
 
-  /** The attempt ended in the log, so its leases serve nobody. Implements {@code Release}. */
+  /**
+   * Releases the leases of an attempt whose end is in the log. Implements the action {@code
+   * Release} of the module Gang.
+   */
   private void stopTracking(AttemptProgress progress, DecisionContext context) {
     attempts.remove(progress.attempt.job());
     renewer.remove(progress);
@@ -189,7 +198,7 @@
     }
   }
 
-  /** Takes in the answer of a worker, or that there was none. */
+  /** Handles the reply of a worker, or that it did not reply. */
   public void answered(WorkerReply reply, DecisionContext context) {
     boolean silence = reply instanceof WorkerReply.Silent;
     renewer.heard(reply.worker(), silence);
@@ -225,7 +234,10 @@
     changedJobs.add(jobOf(granted.key()));
   }
 
-  /** A lease that came late is in no commit: this VM alone knows it, and it did not commit it. */
+  /**
+   * Releases a lease that was granted too late to be part of a commit. No other VM can know it, so
+   * releasing it is safe.
+   */
   private void releaseStray(WorkerReply.Granted granted, DecisionContext context) {
     if (renewer.holder(granted.worker(), granted.lease()).isPresent() || mode == GangMode.READ) {
       return;
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangMode.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangMode.java
@@ -1,13 +1,19 @@
 package org.fescuehook.logic.control.gang;
 
-/** What this VM may do about gangs. */
+/** Determines what this VM may do with running gangs. */
 public enum GangMode {
-  /** Nothing: another VM decides. */
+  /** Does nothing, because another VM decides. */
   OFF,
-  /** Nothing for now, but remember: the owner has still to read to the end. */
+  /**
+   * Sends nothing, but keeps the progress of the attempts: this VM is the owner and has yet to read
+   * the log to its end.
+   */
   READ,
-  /** Renew leases and release what is known to be broken; append nothing, start no gang. */
+  /**
+   * Renews leases and releases those of gangs that are known to be incomplete; appends nothing and
+   * starts no gang.
+   */
   RENEW,
-  /** All that an owner does. */
+  /** Does everything that the owner does. */
   DECIDE
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangRunner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangRunner.java
@@ -16,7 +16,10 @@
 import org.fescuehook.wire.ControlRecord;
 import org.fescuehook.wire.StopReason;
 
-/** Starts a committed gang, and watches it until it ends or has to be stopped. */
+/**
+ * Starts the members of a committed gang, and monitors them until the gang ends or has to be
+ * stopped.
+ */
 final class GangRunner {
   private final ControlPreferences preferences;
   private final RecordWriter writer;
@@ -81,7 +84,11 @@
     return Optional.empty();
   }
 
-  /** A member whose lease lapsed, ended early, or must have lapsed unless another VM renews it. */
+  /**
+   * Returns whether a member's lease expired or the member ended early by a checkpoint, or whether
+   * the worker has not answered for the time to live of a lease. In the latter case the lease has
+   * expired unless another VM renews it.
+   */
   private boolean lostOrSilent(MemberProgress member, DecisionContext context) {
     if (member.lost() || member.checkpointed) {
       return true;
@@ -99,8 +106,9 @@
   }
 
   /**
-   * Sends the start to each lease that is not known to run. Only for a commit that was read back
-   * and counted, so it may be repeated. Implements {@code Start}.
+   * Sends a start for each lease that is not known to run. This is only done for a commit that was
+   * read back and took effect, and a start is idempotent, so it is repeated until it is answered.
+   * Implements the action {@code Start} of the module Gang.
    */
   private void start(
       AttemptProgress progress, JobState job, GangMode mode, DecisionContext context) {
@@ -128,7 +136,10 @@
     }
   }
 
-  /** A lease that is gone by its worker's word stays gone, so no VM can want the others to run. */
+  /**
+   * Releases the remaining leases of a gang that lost one. A worker never restores a lease that it
+   * reported as gone, so the gang cannot become complete again on any VM.
+   */
   private void releaseOthers(AttemptProgress progress, DecisionContext context) {
     progress.releasing = true;
     for (MemberProgress member : progress.members) {
@@ -138,7 +149,7 @@
     }
   }
 
-  /** Without the log, a gang that is not whole is left to lapse. */
+  /** Stops renewing an incomplete gang while the log is unreachable, so that its leases expire. */
   private static void abandon(
       AttemptProgress progress, StopTrigger trigger, DecisionContext context) {
     if (progress.abandoned) {
@@ -153,7 +164,10 @@
         WireEnumNames.of(trigger.reason()));
   }
 
-  /** Implements {@code Stop}. */
+  /**
+   * * Appends the decision to stop the attempt. Implements the action {@code Stop} of the module
+   * Gang.
+   */
   private void stop(
       AttemptProgress progress, StopTrigger trigger, long epoch, DecisionContext context) {
     AttemptStopping.Builder body =
@@ -168,7 +182,10 @@
         writer.append(ControlRecord.newBuilder().setAttemptStopping(body), epoch, context);
   }
 
-  /** The leases are released only once this record was read, else the result could be lost. */
+  /**
+   * Appends that the attempt finished. Its leases are released only after this record was read
+   * back, because the result could be lost otherwise.
+   */
   private void finish(AttemptProgress progress, long epoch, DecisionContext context) {
     AttemptEnded.Builder body =
         AttemptEnded.newBuilder()
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangStopper.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangStopper.java
@@ -17,10 +17,10 @@
 import org.fescuehook.wire.ControlRecord;
 import org.fescuehook.wire.StopReason;
 
-/** Stops a gang whose stop was read back, and ends its attempt once every lease is gone. */
+/** Stops a gang whose stop record was read back, and ends its attempt once every lease is gone. */
 final class GangStopper {
 
-  /** Share of the lease time that is added for clocks of different speed. */
+  /** Divisor of the lease's time to live that gives the margin for clock drift: one tenth. */
   private static final int DRIFT_DIVISOR = 10;
 
   private final ControlPreferences preferences;
@@ -42,7 +42,7 @@
   /**
    * Takes the next step of an attempt that is being stopped.
    *
-   * @param foldedUntil offset after the last record that this VM has folded
+   * @param foldedUntil offset after the last record that this VM has applied
    */
   void advance(
       AttemptProgress progress,
@@ -76,7 +76,10 @@
     }
   }
 
-  /** Only an owner waits, and from when it read the stop, so renewals end with the notice. */
+  /**
+   * Returns whether the attempt still has time to write its checkpoint. Only the owner waits, for
+   * the notice period from the time at which it read the stop; renewals end with that period.
+   */
   private static boolean stillAwaitsCheckpoint(
       AttemptProgress progress, AttemptStopping stopping, DecisionContext context) {
     if (!progress.awaitsCheckpoint || progress.releasing) {
@@ -101,7 +104,10 @@
     }
   }
 
-  /** Implements {@code Release} after a stop that counted. */
+  /**
+   * Releases the leases of an attempt that is being stopped. Implements the action {@code Release}
+   * of the module Gang, after a stop that took effect.
+   */
   private void release(
       AttemptProgress progress, AttemptStopping stopping, DecisionContext context) {
     progress.releasing = true;
@@ -123,11 +129,12 @@
   }
 
   /**
-   * Tells whether the lease of a silent worker must have lapsed. No VM renews what it has read as
-   * being stopped, and none goes on for longer than the outage ride without reading. So the lease
-   * lapses its time after the last VM has read the stop, or after the outage ride and the time for
-   * which a replica of the log may hide a record from a read that succeeds. Implements {@code Free}
-   * of the module SilentWorker.
+   * Returns whether the lease of a worker that does not answer must have expired. No VM renews a
+   * lease after it has read the stop of the attempt, and none renews for longer than {@link
+   * ControlLimits#OUTAGE_RENEWAL_LIMIT} after its last read of the log. The lease therefore expires
+   * its time to live after the last VM has read the stop. If it is unknown whether all have, that
+   * limit is added, and so is the time for which a lagging replica of the log may hide the stop
+   * from a successful read. Implements the action {@code Free} of the module SilentWorker.
    */
   private boolean mustHaveLapsed(
       AttemptProgress progress,
@@ -147,7 +154,7 @@
     return context.hasElapsed(progress.stoppingSince.getAsLong(), lapseTime.plus(renewalBound));
   }
 
-  /** Implements {@code End}. */
+  /** * Appends the end of the attempt. Implements the action {@code End} of the module Gang. */
   private void end(
       AttemptProgress progress, AttemptStopping stopping, long epoch, DecisionContext context) {
     AttemptEnded.Builder body =
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/LeaseReleaser.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/LeaseReleaser.java
@@ -9,7 +9,10 @@
 import org.fescuehook.logic.worker.WorkerPort.WorkerCommand;
 import org.fescuehook.model.fleet.WorkerId;
 
-/** Releases leases, again and again until the worker's word or until they have lapsed. */
+/**
+ * Releases leases. A release is repeated until the worker confirms that the lease is gone, or until
+ * the lease must have expired.
+ */
 final class LeaseReleaser {
 
   private record Lease(WorkerId worker, String id) {}
@@ -20,15 +23,18 @@
   private final Map<Lease, PendingRelease> pendingReleases = new LinkedHashMap<>();
 
   /**
-   * Creates a releaser without work.
+   * Creates a releaser without pending releases.
    *
-   * @param effortLimit time after which a lease that nobody renews has lapsed
+   * @param leaseTtl time after which a lease that is not renewed has expired
    */
   LeaseReleaser(Duration leaseTtl) {
     this.leaseTtl = leaseTtl;
   }
 
-  /** Releases a lease; does nothing if that is under way. Implements {@code Release}. */
+  /**
+   * Releases a lease; does nothing if its release is already pending. Implements the action {@code
+   * Release} of the module Gang.
+   */
   void release(WorkerId worker, String id, DecisionContext context) {
     Lease lease = new Lease(worker, id);
     if (pendingReleases.containsKey(lease)) {
@@ -38,17 +44,17 @@
     context.send(worker, new WorkerCommand.Release(id));
   }
 
-  /** A lease is gone by its worker's word. */
+  /** Handles that the worker reported a lease as gone. */
   void gone(WorkerId worker, String id) {
     pendingReleases.remove(new Lease(worker, id));
   }
 
-  /** Forgets all. */
+  /** Forgets all pending releases. */
   void clear() {
     pendingReleases.clear();
   }
 
-  /** Repeats what was not answered. */
+  /** Repeats the releases that were not answered. */
   void step(DecisionContext context) {
     Iterator<Map.Entry<Lease, PendingRelease>> entries = pendingReleases.entrySet().iterator();
     while (entries.hasNext()) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/LeaseRenewer.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/LeaseRenewer.java
@@ -14,8 +14,9 @@
 import org.fescuehook.model.preferences.ControlPreferences;
 
 /**
- * Renews leases, all of one worker in one command. A young attempt is renewed more often, so that
- * the end of a short task is seen soon; the interval grows with its age up to the declared one.
+ * Renews leases, all those on one worker with one command. The leases of a young attempt are
+ * renewed more often, because the reply shows the end of a short task; the interval grows with the
+ * attempt's age up to the configured renewal interval.
  */
 final class LeaseRenewer {
 
@@ -23,7 +24,7 @@
   private static final Duration ADOPTION_SPREAD = Duration.ofSeconds(1);
   private static final Duration SILENT_RENEWAL_INTERVAL = Duration.ofSeconds(2);
 
-  /** A lease and whose it is. */
+  /** The attempt and the member that hold a lease. */
   record Holder(AttemptProgress attempt, MemberProgress member) {}
 
   private static final class WorkerLeases {
@@ -48,7 +49,10 @@
     }
   }
 
-  /** Adds the leases of an attempt that another VM committed; renewals are spread over a second. */
+  /**
+   * Adds the leases of an attempt that another VM committed. The first renewals are spread over
+   * {@link #ADOPTION_SPREAD}, so that a new owner does not send to all workers at once.
+   */
   void adopt(AttemptProgress attempt, DecisionContext context) {
     add(attempt, context);
     for (MemberProgress member : attempt.members) {
@@ -58,7 +62,7 @@
     }
   }
 
-  /** Removes the leases of an attempt. */
+  /** Removes the leases of an attempt from renewal. */
   void remove(AttemptProgress attempt) {
     for (MemberProgress member : attempt.members) {
       WorkerLeases leases = workers.get(member.worker);
@@ -72,17 +76,20 @@
     }
   }
 
-  /** Forgets all. */
+  /** Removes all leases from renewal. */
   void clear() {
     workers.clear();
   }
 
-  /** Returns whose a lease is. */
+  /** Returns the attempt and the member that hold a lease. */
   Optional<Holder> holder(WorkerId worker, String lease) {
     return Optional.ofNullable(workers.get(worker)).map(leases -> leases.holders.get(lease));
   }
 
-  /** A worker answered, or did not. */
+  /**
+   * Records whether a worker answered its last command; a silent worker is sent renewals more
+   * often.
+   */
   void heard(WorkerId worker, boolean silent) {
     WorkerLeases leases = workers.get(worker);
     if (leases != null) {
@@ -90,7 +97,10 @@
     }
   }
 
-  /** Sends the renewals that are due. Implements {@code Renew}. */
+  /**
+   * Sends the renewals that are due. Implements the action {@code Renew} of the module
+   * SilentWorker, which is {@code Renewed} in the module Gang.
+   */
   void step(DecisionContext context) {
     workers.forEach((worker, leases) -> renewIfDue(worker, leases, context));
   }
@@ -117,7 +127,10 @@
     context.send(worker, new WorkerCommand.Renew(ids, preferences.leaseTtl().toMillis()));
   }
 
-  /** An attempt whose checkpoint is awaited counts as young. */
+  /**
+   * Returns the age of an attempt in nanoseconds; 0 if it is being stopped, so that a checkpoint is
+   * seen soon.
+   */
   private static long age(AttemptProgress attempt, DecisionContext context) {
     return attempt.stoppingSince.isPresent() ? 0 : context.nowNanos() - attempt.createdNanos;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/MemberProgress.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/MemberProgress.java
@@ -3,7 +3,7 @@
 import org.fescuehook.logic.worker.WorkerPort.State;
 import org.fescuehook.model.fleet.WorkerId;
 
-/** What the driving VM knows of one member of an attempt, by its worker's word. */
+/** Progress of one member of an attempt, as reported by its worker. */
 final class MemberProgress {
   final int number;
   final WorkerId worker;
@@ -31,12 +31,12 @@
     return !lease.isEmpty();
   }
 
-  /** Tells whether the task began, by its worker's word. */
+  /** Returns whether the worker reported that the task started. */
   boolean started() {
     return running || finished || failed || checkpointed;
   }
 
-  /** Tells whether the lease vanished before its task ended. */
+  /** Returns whether the lease was gone before its task ended. */
   boolean lost() {
     return gone && !finished && !failed && !checkpointed;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/WorkerBackoff.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/WorkerBackoff.java
@@ -9,7 +9,8 @@
 import org.fescuehook.model.fleet.WorkerId;
 
 /**
- * Workers that get no requests for leases for a while, since they refused one or gave no answer.
+ * Tracks the workers that get no requests for leases for a time because they refused one or did not
+ * answer.
  */
 final class WorkerBackoff {
   private final Map<WorkerId, Long> refusedUntil = new HashMap<>();
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/package-info.java
@@ -1,4 +1,7 @@
-/** Start, renewal and end of gangs, as the owner and, in a log outage, its stand-in drive them. */
+/**
+ * Start, renewal and end of gangs, by the owner or, during an outage of the log, by the VM that
+ * renews in its place.
+ */
 @NullMarked
 package org.fescuehook.logic.control.gang;
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/CatchUpTracker.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/CatchUpTracker.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 import org.fescuehook.logic.control.DecisionContext;
 
-/** Knows whether this VM has read the control stream to its end, and since when. */
+/** Tracks whether this VM has read the control stream to its end, and since when. */
 public final class CatchUpTracker {
 
   /**
-   * Ends of reads that are needed after a pause. The first one may have been read before the pause
-   * and only been taken in after it.
+   * Number of times that the end of the stream has to be reached after a pause. The first of these
+   * reads may have been done before the pause and only be handled after it.
    */
   private static final int CATCH_UPS_AFTER_PAUSE = 2;
 
@@ -23,15 +23,16 @@
   private boolean everCurrent;
 
   /**
-   * Creates a watch that has seen no read.
+   * Creates a tracker that has seen no read.
    *
-   * @param freshness longest time since the last end of the stream was reached
+   * @param staleAfter time after which the state is stale if the end of the stream was not reached
+   *     again
    */
   public CatchUpTracker(Duration staleAfter) {
     this.staleAfter = staleAfter;
   }
 
-  /** The end of the stream was reached. */
+  /** Handles that a read reached the end of the stream. */
   public void caughtUp(DecisionContext context) {
     boolean wasCurrent = current(context);
     neededCatchUps = Math.max(0, neededCatchUps - 1);
@@ -43,39 +44,42 @@
     everCurrent = everCurrent || neededCatchUps == 0;
   }
 
-  /** A read failed. */
+  /** Handles that a read failed. */
   public void unreachable() {
     reachable = false;
   }
 
-  /** The thread stood still. */
+  /** Handles that the decision thread was suspended. */
   public void paused(DecisionContext context) {
     neededCatchUps = CATCH_UPS_AFTER_PAUSE;
     reachable = true;
     resumedNanos = context.nowNanos();
   }
 
-  /** Tells whether the state is that of the end of the stream, but for the last moments. */
+  /** Returns whether the state is up to date: the end of the stream was reached recently. */
   public boolean current(DecisionContext context) {
     return neededCatchUps == 0 && reachable && !context.hasElapsed(lastReadNanos, staleAfter);
   }
 
-  /** Tells whether the log cannot be read, as far as was seen since the last pause. */
+  /**
+   * Returns whether the log cannot be read. Time before the last pause is ignored, since nothing
+   * was read while the thread was suspended.
+   */
   public boolean outage(DecisionContext context) {
     return !reachable || context.hasElapsed(Math.max(lastReadNanos, resumedNanos), staleAfter);
   }
 
-  /** Tells whether the end of the stream was ever reached. */
+  /** Returns whether the end of the stream was ever reached. */
   public boolean everCurrent() {
     return everCurrent;
   }
 
-  /** Returns since when the state is that of the end of the stream. */
+  /** Returns the monotonic time since which the state is up to date. */
   public long currentSinceNanos() {
     return currentSinceNanos;
   }
 
-  /** Returns when the end of the stream was reached last. */
+  /** Returns the monotonic time at which the end of the stream was last reached. */
   public long lastReadNanos() {
     return lastReadNanos;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/LogCompatibility.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/LogCompatibility.java
@@ -1,14 +1,17 @@
 package org.fescuehook.logic.control.ownership;
 
-/** How far this VM understands what the log tells. */
+/** States how much of the log this version of the program can interpret. */
 public enum LogCompatibility {
-  /** It can decide all that an owner decides. */
+  /** It interprets everything, and can be the owner. */
   WHOLE,
   /**
-   * It cannot read the configuration in force. It leaves ownership to others if it can, and keeps
-   * running gangs going if nobody else does.
+   * It cannot parse the configuration in force. It leaves ownership to other VMs if one can take
+   * it, and otherwise, as the owner, keeps the running gangs alive.
    */
   NO_CONFIGURATION,
-  /** A newer version made decisions that it does not know, so its state may be wrong. */
+  /**
+   * An owner of a newer version wrote decisions that this version does not know, so its state may
+   * be wrong.
+   */
   PARTIAL
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/OutageMonitor.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/OutageMonitor.java
@@ -7,7 +7,10 @@
 import org.fescuehook.logic.control.gang.GangMode;
 import org.fescuehook.model.fleet.VmId;
 
-/** Decides what a VM that does not decide may do for running gangs, above all in a log outage. */
+/**
+ * Detects outages of the log, and determines what a VM that does not decide may do for running
+ * gangs.
+ */
 public final class OutageMonitor {
   private final VmId self;
   private final CatchUpTracker catchUp;
@@ -15,14 +18,14 @@
   private boolean outage;
   private long sinceNanos;
 
-  /** Creates a watch that has seen no outage. */
+  /** Creates a monitor that has seen no outage. */
   public OutageMonitor(VmId self, CatchUpTracker catchUp, PeerTracker peers) {
     this.self = self;
     this.catchUp = catchUp;
     this.peers = peers;
   }
 
-  /** Notes the begin and end of an outage. */
+  /** Detects and logs the begin and the end of an outage. */
   public void step(DecisionContext context) {
     boolean outageNow = catchUp.everCurrent() && catchUp.outage(context);
     if (outageNow == outage) {
@@ -39,11 +42,11 @@
   }
 
   /**
-   * Returns what this VM may do while it does not decide. Its bound is {@code Ride}. Without the
-   * log the owner goes on renewing. If the owner is not heard and nobody heard has the log, the
-   * first VM by name renews in its place. Nobody renews for longer than the outage ride after its
-   * last read, and a VM that is out for that long may have read that an attempt is being stopped
-   * only then.
+   * Returns what this VM may do while it does not decide. During an outage the owner goes on
+   * renewing leases. If the owner is not heard and no peer that is heard reaches the log, the first
+   * VM by name renews in its place. No VM renews for longer than {@link
+   * ControlLimits#OUTAGE_RENEWAL_LIMIT} after its last read, because a VM without the log does not
+   * learn that an attempt is being stopped. That limit is {@code Ride} in the module SilentWorker.
    */
   public GangMode mode(Optional<VmId> owner, boolean owns, DecisionContext context) {
     boolean mayRenew =
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/OwnerDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/OwnerDuty.java
@@ -15,9 +15,7 @@
 import org.fescuehook.wire.OwnerHeartbeat;
 import org.fescuehook.wire.OwnerRelease;
 
-/**
- * Claims ownership when the owner is silent, holds it by heartbeats, and gives it up when asked.
- */
+/** Claims ownership if the owner is silent, keeps it by heartbeats, and releases it on request. */
 public final class OwnerDuty {
   private final VmId vm;
   private final String incarnation;
@@ -31,7 +29,7 @@
   private boolean handingOver;
   private long releasedAtRevision = Configuration.NO_REVISION;
 
-  /** Creates the duty of a VM that owns nothing. */
+  /** Creates the duty of a VM that is not the owner. */
   public OwnerDuty(
       VmId vm,
       String incarnation,
@@ -47,35 +45,42 @@
     this.peers = peers;
   }
 
-  /** A record that counted under the epoch in force, or changed it, was read. */
+  /**
+   * Records a sign of life of the owner: a record that took effect under the epoch in force, or
+   * changed the epoch.
+   */
   public void ownerSeen(DecisionContext context) {
     lastOwnerSeenNanos = context.nowNanos();
   }
 
-  /** Tells whether this VM is the owner as far as it has read. */
+  /** Returns whether this VM is the owner according to the records read so far. */
   public boolean owns(ControlState state) {
     return state.ownedBy(vm, incarnation);
   }
 
-  /** Tells whether this VM may decide now: it owns, has read to the end, and stays owner. */
+  /**
+   * Returns whether this VM may decide now: it is the owner, has read to the end of the log, and is
+   * not handing ownership over.
+   */
   public boolean decides(ControlState state, DecisionContext context) {
     return owns(state) && !handingOver && catchUp.current(context);
   }
 
-  /** Gives ownership up for good; this VM never claims again. */
+  /** Releases ownership for good; this process never claims it again. */
   public void handOver() {
     handingOver = true;
   }
 
-  /** Tells whether ownership was given up and nothing is left to do. */
+  /** Returns whether a requested hand-over is complete. */
   public boolean handedOver(ControlState state) {
     return handingOver && !owns(state);
   }
 
   /**
-   * Claims, holds or releases ownership as is due. Implements {@code Claim}.
+   * Claims, keeps or releases ownership, whichever is due. Implements the action {@code Claim} of
+   * the module Ownership.
    *
-   * @param compatibility how far this VM understands the state
+   * @param compatibility how much of the log this version can interpret
    */
   public void step(ControlState state, LogCompatibility compatibility, DecisionContext context) {
     if (!catchUp.current(context)) {
@@ -92,7 +97,10 @@
     }
   }
 
-  /** A record on its way will show that the owner lives, so a slow log is not filled up. */
+  /**
+   * Appends a heartbeat if one is due. While another append is in flight none is added: that record
+   * will show that the owner is alive, and a slow log is not loaded further.
+   */
   private void keepOwnership(
       ControlState state, LogCompatibility compatibility, DecisionContext context) {
     if (handingOver || mustRelease(state, compatibility)) {
@@ -108,7 +116,11 @@
     }
   }
 
-  /** An unreadable configuration is a reason to yield once: if nobody took over, nobody can. */
+  /**
+   * Returns whether this VM has to release ownership. Because of a configuration that cannot be
+   * parsed it does so once per revision: if no other VM claims ownership then, none can parse the
+   * configuration either.
+   */
   private boolean mustRelease(ControlState state, LogCompatibility compatibility) {
     return switch (compatibility) {
       case WHOLE -> false;
@@ -117,7 +129,10 @@
     };
   }
 
-  /** Implements {@code HandOver}. */
+  /**
+   * * Releases ownership, unless a release is pending. Implements the action {@code HandOver} of
+   * the module Ownership.
+   */
   private void releaseOnce(ControlState state, DecisionContext context) {
     if (writer.isPending(releaseSequence) || !writer.hasCapacity(context)) {
       return;
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/PauseDetector.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/PauseDetector.java
@@ -4,14 +4,14 @@
 import org.fescuehook.logic.control.ControlLogEvent;
 import org.fescuehook.logic.control.DecisionContext;
 
-/** Notices that the decision thread stood still, by the gap between two events. */
+/** Detects by the gap between two events that the decision thread was suspended. */
 public final class PauseDetector {
   private final Duration limit;
   private long lastNanos = Long.MIN_VALUE / 2;
   private boolean started;
 
   /**
-   * Creates a watch.
+   * Creates a detector.
    *
    * @param limit gap between two events that counts as a pause
    */
@@ -19,7 +19,7 @@
     this.limit = limit;
   }
 
-  /** Takes in the time of an event; tells whether a pause lies before it. */
+  /** Records the time of an event, and returns whether the thread was suspended before it. */
   public boolean wasPaused(DecisionContext context) {
     boolean paused = started && context.hasElapsed(lastNanos, limit);
     if (paused) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/PeerTracker.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/PeerTracker.java
@@ -12,7 +12,7 @@
 import org.fescuehook.model.fleet.VmId;
 import org.fescuehook.model.fleet.WorkerId;
 
-/** What this VM knows of the other entry VMs and of leaving workers, by heartbeats and the list. */
+/** Tracks the other entry VMs and the leaving workers, from heartbeats and from the member list. */
 public final class PeerTracker {
   private final VmId self;
   private final Map<VmId, Long> folded = new HashMap<>();
@@ -22,19 +22,19 @@
   private Set<VmId> listed = Set.of();
   private Set<VmId> leaving = Set.of();
 
-  /** VMs that said in their last heartbeat that they are stopping. */
+  /** VMs whose last heartbeat said that they are stopping. */
   private final Set<VmId> stopping = new HashSet<>();
 
   private Set<WorkerId> leavingWorkers = Set.of();
   private boolean listFetched;
   private long lastPeerHeardNanos = Long.MIN_VALUE / 2;
 
-  /** Creates a watch that has heard nothing. */
+  /** Creates a tracker that knows no peer. */
   public PeerTracker(VmId self) {
     this.self = self;
   }
 
-  /** Takes in which peers are heard. */
+  /** Updates which peers are heard, which of them reach the log, and which are draining. */
   public void heard(
       Set<VmId> alivePeers, Set<VmId> reaching, Set<VmId> draining, DecisionContext context) {
     alive = withoutSelf(alivePeers);
@@ -53,13 +53,13 @@
     return Set.copyOf(others);
   }
 
-  /** Takes in how far peers have folded the stream. */
+  /** Updates how far peers have applied the control stream. */
   public void folded(Map<VmId, Long> nextOffsets) {
     folded.putAll(nextOffsets);
     folded.keySet().retainAll(lastSeen.keySet());
   }
 
-  /** Takes in the list of VMs. */
+  /** Updates the members from a fetched member list. */
   public void listed(List<MemberList.Member> members, DecisionContext context) {
     listFetched = true;
     Set<VmId> entries = new HashSet<>();
@@ -89,8 +89,9 @@
   }
 
   /**
-   * A VM that was leaving when it was last listed, or that was stopping when it was last heard, has
-   * stopped; any other may live on unlisted.
+   * Forgets VMs that have stopped: those that are neither listed nor heard any more and were
+   * leaving when last listed or stopping when last heard. Any other VM may still run without being
+   * listed.
    */
   private void forgetStoppedVms(Set<VmId> entries) {
     Set<VmId> stopped = new HashSet<>(leaving);
@@ -103,60 +104,61 @@
     }
   }
 
-  /** Tells whether other entry VMs are listed and none was heard for a time. */
+  /** Returns whether other entry VMs are listed but none of them was heard for a time. */
   public boolean isolated(Duration time, DecisionContext context) {
     boolean others = listed.stream().anyMatch(vm -> !vm.equals(self));
     return others && context.hasElapsed(lastPeerHeardNanos, time);
   }
 
-  /** Tells whether a peer is heard. */
+  /** Returns whether a peer is heard. */
   public boolean alive(VmId vm) {
     return alive.contains(vm);
   }
 
-  /** Tells whether a peer is heard and says that it reaches the log. */
+  /** Returns whether a peer is heard and reports that it reaches the log. */
   public boolean reachesLog(VmId vm) {
     return alive.contains(vm) && reachingLog.contains(vm);
   }
 
-  /** Tells whether any peer heard says that it reaches the log. */
+  /** Returns whether any peer that is heard reports that it reaches the log. */
   public boolean anyReachesLog() {
     return alive.stream().anyMatch(reachingLog::contains);
   }
 
-  /** Returns the peers heard and this VM, in the order of their names. */
+  /** Returns the peers that are heard and this VM, ordered by name. */
   public TreeSet<VmId> present() {
     TreeSet<VmId> present = new TreeSet<>(alive);
     present.add(self);
     return present;
   }
 
-  /** Returns the entry VMs that are listed or heard, and this one, in the order of names. */
+  /** Returns the entry VMs that are listed or heard, and this VM, ordered by name. */
   public TreeSet<VmId> known() {
     TreeSet<VmId> known = present();
     known.addAll(listed);
     return known;
   }
 
-  /** Tells whether an entry VM is listed as leaving. */
+  /** Returns whether an entry VM is listed as leaving. */
   public boolean leaving(VmId vm) {
     return leaving.contains(vm);
   }
 
-  /** Returns workers that are listed as leaving. */
+  /** Returns the workers that are listed as leaving. */
   public Set<WorkerId> leavingWorkers() {
     return leavingWorkers;
   }
 
-  /** Tells whether a peer is known to have folded the record at an offset. */
+  /** Returns whether a VM is known to have applied the record at an offset. */
   public boolean hasFolded(VmId vm, long offset) {
     return vm.equals(self) || folded.getOrDefault(vm, 0L) > offset;
   }
 
   /**
-   * Tells whether every entry VM that may exist is known to have folded the record at an offset.
+   * Returns whether every entry VM that may still run is known to have applied the record at an
+   * offset. This corresponds to the variable {@code told} of the module SilentWorker.
    *
-   * @param memory time for which a VM that vanished without leaving may live on
+   * @param retention time for which a VM that vanished without leaving may still run
    */
   public boolean allFolded(long offset, Duration retention, DecisionContext context) {
     if (!listFetched) {
@@ -175,7 +177,7 @@
     return true;
   }
 
-  /** Returns how many present VMs other than the owner come before this one. */
+  /** Returns the number of present VMs other than the owner that come before this VM by name. */
   public int rank(VmId owner) {
     int rank = 0;
     for (VmId vm : present()) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Which entry VM decides: claims, heartbeats, take-over, and what this VM knows of its reader and
- * peers.
+ * Ownership of the decisions: claims, heartbeats and take-over between entry VMs, and the
+ * monitoring of the log reader and of peers.
  */
 @NullMarked
 package org.fescuehook.logic.control.ownership;
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The decision core: folds the control stream and decides on ownership, gangs and configuration.
+ * The decision core, which applies the control stream and decides on ownership, gangs, slot shares
+ * and configuration.
  */
 @NullMarked
 package org.fescuehook.logic.control;
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/planning/JobEndDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/planning/JobEndDuty.java
@@ -19,39 +19,39 @@
 import org.fescuehook.wire.JobEnded;
 import org.fescuehook.wire.JobResult;
 
-/** Ends jobs that finished, were cancelled, or failed too often. */
+/** Ends jobs that have finished, were cancelled, or have failed too often. */
 public final class JobEndDuty {
   private final RecordWriter writer;
   private final Set<JobId> changedJobs = new LinkedHashSet<>();
   private final Map<JobId, Long> pendingSequences = new HashMap<>();
   private boolean deciding;
 
-  /** Creates a duty without work. */
+  /** Creates a duty without jobs. */
   public JobEndDuty(RecordWriter writer) {
     this.writer = writer;
   }
 
-  /** A record about a job was folded. */
+  /** Handles that a record about a job was applied. */
   public void folded(JobId job) {
     if (deciding) {
       changedJobs.add(job);
     }
   }
 
-  /** This VM decides from now on, so every waiting job is looked at. */
+  /** Handles that this VM became the owner. It examines every waiting job. */
   public void begin(ControlState state) {
     deciding = true;
     state.jobs().waiting().forEach(job -> changedJobs.add(job.id()));
   }
 
-  /** This VM no longer decides. */
+  /** Handles that this VM is no longer the owner. */
   public void end() {
     deciding = false;
     changedJobs.clear();
     pendingSequences.clear();
   }
 
-  /** Ends the jobs that are to end. */
+  /** Appends the end of jobs that have to end. */
   public void step(ControlState state, Declarations declarations, DecisionContext context) {
     List<JobId> jobs = new ArrayList<>(changedJobs);
     changedJobs.clear();
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/planning/PlanDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/planning/PlanDuty.java
@@ -22,8 +22,9 @@
 import org.fescuehook.wire.WorkerJudged;
 
 /**
- * Asks the scheduling policy what to do and appends it. While a decision of the last plan is unread
- * no new plan is made, so that the books of a plan always hold the plans before it.
+ * Runs the scheduling policy and appends its decisions. No new plan is made while a decision of the
+ * previous plan has not been read back, so that a plan always starts from a state that includes the
+ * plans before it.
  */
 public final class PlanDuty {
   private final Scheduler scheduler;
@@ -34,7 +35,7 @@
   private long lastPlanNanos = Long.MIN_VALUE / 2;
   private boolean changed = true;
 
-  /** Creates a duty that has planned nothing. */
+  /** Creates a duty that has made no plan. */
   public PlanDuty(Scheduler scheduler, WorkerJudge judge, RecordWriter writer, GangDuty gangs) {
     this.scheduler = scheduler;
     this.judge = judge;
@@ -42,12 +43,12 @@
     this.gangs = gangs;
   }
 
-  /** The state changed in a way that may allow new decisions. */
+  /** Handles that the state changed in a way that may allow new decisions. */
   public void stateChanged() {
     changed = true;
   }
 
-  /** Plans if that is due. */
+  /** Makes a plan if one is due. */
   public void step(
       ControlState state,
       Declarations declarations,
@@ -64,7 +65,7 @@
       decide(scheduler.plan(view), state, context);
       judge.judge(view).forEach(judgement -> quarantine(judgement, state, context));
     } catch (RuntimeException e) {
-      // A fault of the policy must not keep the leases of running gangs from being renewed.
+      // A failure of the policy must not prevent the leases of running gangs from being renewed.
       context.note(ControlLogEvent.PLAN_FAILED, e.toString());
       context.count("fescuehook.control.plans.failed");
     }
@@ -95,7 +96,7 @@
     }
   }
 
-  /** Implements {@code Plan}. */
+  /** * Appends the plan of an attempt. Implements the action {@code Plan} of the module Gang. */
   private void start(Scheduler.Start start, ControlState state, DecisionContext context) {
     Optional<JobState> job = state.jobs().find(start.job()).filter(JobState::waiting);
     if (job.isEmpty()) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/planning/ViewBuilder.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/planning/ViewBuilder.java
@@ -12,12 +12,12 @@
 import org.fescuehook.wire.AttemptResult;
 import org.fescuehook.wire.WorkerJudged;
 
-/** Shows the state of the log to the scheduling policy. */
+/** Builds the scheduling policy's view of the state. */
 public final class ViewBuilder {
 
   private ViewBuilder() {}
 
-  /** Builds the view; {@code unavailable} workers get nothing new, nor do quarantined ones. */
+  /** Builds the view. Neither {@code unavailable} nor quarantined workers can be given new work. */
   public static Scheduler.View build(
       ControlState state, Declarations declarations, Set<WorkerId> unavailable, long wallMillis) {
     List<Scheduler.Waiting> waiting = new ArrayList<>();
@@ -40,7 +40,7 @@
         wallMillis, declarations, waiting, running, unusable, state.history());
   }
 
-  /** Tells whether a waiting job is to have a further attempt. */
+  /** Returns whether a waiting job may get another attempt. */
   static boolean runnable(JobState job, Declarations declarations) {
     boolean finished = job.facts().getEnded().getResult() == AttemptResult.ATTEMPT_RESULT_FINISHED;
     return !job.facts().getCancelRequested() && !finished && !attemptsExhausted(job, declarations);
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/planning/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/planning/package-info.java
@@ -1,4 +1,4 @@
-/** Decisions of the scheduling policy and the end of jobs, turned into records by the owner. */
+/** Turns decisions of the scheduling policy and the ends of jobs into records, on the owner. */
 @NullMarked
 package org.fescuehook.logic.control.planning;
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/record/RecordCodec.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/record/RecordCodec.java
@@ -6,12 +6,12 @@
 /** Encodes and decodes records of the control stream. */
 public final class RecordCodec {
 
-  /** Format version that this program writes. */
+  /** The version of the record format that this program writes. */
   public static final int VERSION = 1;
 
   private RecordCodec() {}
 
-  /** Returns the bytes of a record. */
+  /** Encodes a record. */
   public static byte[] encode(ControlRecord record) {
     return record.toByteArray();
   }
@@ -19,9 +19,9 @@
   /**
    * Decodes a record.
    *
-   * <p>A record of a newer version with a known body is taken as known: fields are only added, and
-   * an added field may be ignored. A body that this version does not know may change the state, so
-   * it is told apart from what is no record of this system.
+   * <p>A record of a newer version with a known body counts as known, because new versions only add
+   * fields and an unknown field can be ignored. An unknown body may change the state, so it is
+   * distinguished from data that is not a record of this system.
    */
   public static DecodedRecord decode(byte[] data) {
     ControlRecord record;
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/record/WireEnumNames.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/record/WireEnumNames.java
@@ -5,22 +5,22 @@
 import org.fescuehook.wire.JobResult;
 import org.fescuehook.wire.StopReason;
 
-/** Words for values of records, as used in documents, log lines and metric tags. */
+/** Names for enum values of records, as used in documents, log lines and metric tags. */
 public final class WireEnumNames {
 
   private WireEnumNames() {}
 
-  /** Returns the word for how an attempt ended. */
+  /** Returns the name of the result of an attempt. */
   public static String of(AttemptResult result) {
     return slug(result.name(), "ATTEMPT_RESULT_");
   }
 
-  /** Returns the word for why an attempt was stopped. */
+  /** Returns the name of the reason for stopping an attempt. */
   public static String of(StopReason reason) {
     return slug(reason.name(), "STOP_REASON_");
   }
 
-  /** Returns the word for how a job ended. */
+  /** Returns the name of the result of a job. */
   public static String of(JobResult result) {
     return slug(result.name(), "JOB_RESULT_");
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/AdmissionChecker.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/AdmissionChecker.java
@@ -11,18 +11,18 @@
 import org.fescuehook.model.request.RefusalReason;
 import org.fescuehook.model.rule.Verdict;
 
-/** Decides at submission whether a job is taken. */
+/** Decides at submission whether a job is accepted. */
 final class AdmissionChecker {
   private final FeasibilityChecker feasibility = new FeasibilityChecker();
   private final RuleMatcher rules = new RuleMatcher();
 
-  /** Outcome of the check. */
+  /** Result of the check. */
   sealed interface Admission {
 
-    /** The job is taken; the rule with this number counted. */
+    /** The job is accepted; {@code rule} is the number of the rule that decided. */
     record Admitted(int rule) implements Admission {}
 
-    /** The job is not taken. */
+    /** The job is refused. */
     record Denied(RefusalReason reason, String detail) implements Admission {}
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/ExplainHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/ExplainHandler.java
@@ -11,18 +11,18 @@
 import org.fescuehook.model.request.RefusalReason;
 
 /**
- * Explains why a job waits. The policy is pure, so any VM that has read the log can ask it, and
- * gives the answer that the owner would give.
+ * Explains why a job waits. The scheduling policy has no side effects, so any VM that has read the
+ * log can run it and gives the same answer as the owner.
  */
 public final class ExplainHandler {
   private final Scheduler scheduler;
 
-  /** Creates a desk. */
+  /** Creates a handler that runs the given policy. */
   public ExplainHandler(Scheduler scheduler) {
     this.scheduler = scheduler;
   }
 
-  /** Answers why a job waits; for a job that does not wait, shows it. */
+  /** Answers why a job waits; for a job that does not wait, answers with its state. */
   public void explain(
       long ticket, JobId id, Optional<JobState> job, Scheduler.View view, DecisionContext context) {
     if (job.isEmpty()) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/HandOverHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/HandOverHandler.java
@@ -6,7 +6,9 @@
 import org.fescuehook.logic.control.ControlPort.Answer;
 import org.fescuehook.logic.control.DecisionContext;
 
-/** Answers requests to hand ownership over once that was read, or when it takes too long. */
+/**
+ * Answers requests to hand ownership over as soon as the release was read back, or after a timeout.
+ */
 public final class HandOverHandler {
   private static final Duration MAX_WAIT = Duration.ofSeconds(5);
 
@@ -14,12 +16,15 @@
 
   private final List<Waiter> waiters = new ArrayList<>();
 
-  /** Takes a request. */
+  /** Accepts a request. */
   public void accept(long ticket, DecisionContext context) {
     waiters.add(new Waiter(ticket, context.nowNanos()));
   }
 
-  /** Answers if ownership is given up; without the log, others take it over by its timeout. */
+  /**
+   * Answers the requests if ownership was released or their wait timed out. If the log is
+   * unreachable, another VM takes over after the owner timeout.
+   */
   public void step(boolean handedOver, DecisionContext context) {
     List<Waiter> waiting = new ArrayList<>(waiters);
     for (Waiter waiter : waiting) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/JobDocument.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/JobDocument.java
@@ -7,7 +7,7 @@
 import org.fescuehook.logic.control.state.JobState;
 import org.fescuehook.wire.JobSnapshot;
 
-/** Writes the state of a job for callers, as JSON. */
+/** Writes the state of a job as JSON, for callers. */
 final class JobDocument {
 
   private JobDocument() {}
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/JobRequestHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/JobRequestHandler.java
@@ -16,7 +16,7 @@
 import org.fescuehook.wire.JobSubmitted;
 import org.fescuehook.wire.Shape;
 
-/** Takes submissions and cancellations of jobs. */
+/** Handles submissions and cancellations of jobs. */
 public final class JobRequestHandler {
   private final String namePrefix;
   private final RequestAppender appender;
@@ -24,16 +24,19 @@
   private long lastJob;
 
   /**
-   * Creates a desk.
+   * Creates a handler.
    *
-   * @param namePrefix makes the names of jobs unique over VMs and their incarnations
+   * @param namePrefix prefix that makes the ids of jobs unique across VMs and their incarnations
    */
   public JobRequestHandler(String namePrefix, RequestAppender appender) {
     this.namePrefix = namePrefix;
     this.appender = appender;
   }
 
-  /** Takes a submission; repeated under the same caller's id it gives the first one's job. */
+  /**
+   * Handles a submission. A submission repeated under the same request id is answered with the job
+   * of the first one.
+   */
   public void submit(
       long ticket,
       Request.Submit submit,
@@ -97,7 +100,9 @@
         .build();
   }
 
-  /** Takes a cancellation; cancelling again, or a job that is over, changes nothing. */
+  /**
+   * Handles a cancellation. To cancel a job again, or one that has its final result, has no effect.
+   */
   public void cancel(long ticket, JobId id, ControlState state, DecisionContext context) {
     Optional<JobState> job = state.jobs().find(id);
     if (job.isEmpty()) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/PublicationHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/PublicationHandler.java
@@ -10,20 +10,20 @@
 import org.fescuehook.wire.ConfigurationPublished;
 import org.fescuehook.wire.ControlRecord;
 
-/** Takes publications of configurations. */
+/** Handles publications of configurations. */
 public final class PublicationHandler {
   private final DeclarationsReader reader;
   private final RequestAppender appender;
 
-  /** Creates a desk. */
+  /** Creates a handler. */
   public PublicationHandler(DeclarationsReader reader, RequestAppender appender) {
     this.reader = reader;
     this.appender = appender;
   }
 
   /**
-   * Takes a publication. The declarations in force published again change nothing. Implements
-   * {@code Publish}.
+   * Handles a publication. Publishing the declarations that are in force again has no effect.
+   * Implements the action {@code Publish} of the module Configuration.
    */
   public void publish(
       long ticket, Request.Publish publish, ControlState state, DecisionContext context) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/Refusals.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/Refusals.java
@@ -5,7 +5,7 @@
 import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.model.request.RefusalReason;
 
-/** Answers requests with a refusal, and counts each by its reason. */
+/** Refuses requests, and counts the refusals by reason. */
 final class Refusals {
 
   private Refusals() {}
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/RequestAppender.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/RequestAppender.java
@@ -21,9 +21,9 @@
 import org.fescuehook.wire.JobSubmitted;
 
 /**
- * Appends the records of requests, and answers each request when its record was read. "Not run" is
- * said only where the record was never appended, or surely will not count; a request whose wait
- * ends before that is told that its outcome is unknown.
+ * Appends the records of requests, and answers each request when its record was read back. A
+ * request is reported as not executed only if its record was never appended, or is known never to
+ * take effect; if its wait times out before that is known, its outcome is reported as unknown.
  */
 public final class RequestAppender {
 
@@ -34,13 +34,13 @@
   private final Deque<Pending> queue = new ArrayDeque<>();
   private final Map<Long, Pending> appended = new HashMap<>();
 
-  /** Creates a desk without requests. */
+  /** Creates an appender without requests. */
   public RequestAppender(RecordWriter writer, CatchUpTracker catchUp) {
     this.writer = writer;
     this.catchUp = catchUp;
   }
 
-  /** Takes a request whose record, of which only the body is set, is to be appended. */
+  /** Accepts a request whose record is to be appended. Only the body of the record is set. */
   void accept(long ticket, ControlRecord.Builder body, DecisionContext context) {
     if (!catchUp.current(context)) {
       Refusals.refuse(ticket, RefusalReason.LOG_UNAVAILABLE, "log unreachable", context);
@@ -53,7 +53,7 @@
     queue.addLast(new Pending(ticket, body.build(), context.nowNanos()));
   }
 
-  /** Takes in what became of an own record. */
+  /** Handles the outcome of a record that this VM appended. */
   public void resolved(RecordOutcome outcome, ControlState state, DecisionContext context) {
     Pending pending = appended.remove(outcome.record().getSequence());
     if (pending == null) {
@@ -74,7 +74,10 @@
     };
   }
 
-  /** Another record made this one void: the same submission, another publication, or an end. */
+  /**
+   * Returns the answer to a request whose record has no effect because another one preceded it: the
+   * same submission, another publication, or the end of the job.
+   */
   private static Answer superseded(ControlRecord body, ControlState state) {
     return switch (body.getBodyCase()) {
       case JOB_SUBMITTED -> new Answer.Accepted(firstSubmission(body.getJobSubmitted(), state));
@@ -98,7 +101,7 @@
     return new Answer.Conflict(state.revision(), state.configuration().getAuthor());
   }
 
-  /** Appends what there is room for, and ends waits that took too long. */
+  /** Appends the records for which there is capacity, and answers requests whose wait timed out. */
   public void step(ControlState state, DecisionContext context) {
     expire(context);
     if (!catchUp.current(context)) {
@@ -115,7 +118,10 @@
     }
   }
 
-  /** Tells whether records read while a request waited made its record void. */
+  /**
+   * Returns whether records that were read while the request waited deprive its record of any
+   * effect.
+   */
   private static boolean isVoid(ControlRecord body, ControlState state) {
     return switch (body.getBodyCase()) {
       case JOB_SUBMITTED -> {
@@ -172,7 +178,7 @@
     };
   }
 
-  /** Returns the number of requests that wait for an answer. */
+  /** Returns the number of requests that are not answered yet. */
   public int size() {
     return queue.size() + appended.size();
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/RequestRouter.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/RequestRouter.java
@@ -21,17 +21,17 @@
 import org.fescuehook.model.job.JobId;
 import org.fescuehook.model.request.RefusalReason;
 
-/** Brings each request to the desk that answers it. */
+/** Routes each request to its handler. */
 public final class RequestRouter {
 
   /**
-   * What a request meets.
+   * The view of the cluster on which requests are answered.
    *
-   * @param state the state as far as it was read
-   * @param configuration configuration in force
-   * @param readable whether the stream was read to its end once
-   * @param unavailable workers that get nothing new
-   * @param summary the state at a glance
+   * @param state the state after the records read so far
+   * @param configuration the configuration in force
+   * @param readable whether the stream was ever read to its end
+   * @param unavailable workers that get no new work
+   * @param summary a summary of the state
    */
   public record ClusterView(
       ControlState state,
@@ -50,7 +50,7 @@
   private final HandOverHandler handOverHandler = new HandOverHandler();
   private final UnknownJobHandler unknownJobHandler;
 
-  /** Creates a router with its desks. */
+  /** Creates a router and its handlers. */
   public RequestRouter(
       VmId vm,
       String incarnation,
@@ -68,7 +68,7 @@
     explainHandler = new ExplainHandler(scheduler);
   }
 
-  /** Takes a request. */
+  /** Handles a request. */
   public void asked(long ticket, Request request, ClusterView cluster, DecisionContext context) {
     ControlState state = cluster.state();
     switch (request) {
@@ -129,17 +129,17 @@
     explainHandler.explain(ticket, job, cluster.state().jobs().find(job), view, context);
   }
 
-  /** Takes in what became of an own record. */
+  /** Handles the outcome of a record that this VM appended. */
   public void resolved(RecordOutcome outcome, ControlState state, DecisionContext context) {
     appender.resolved(outcome, state, context);
   }
 
-  /** A record about a job was folded. */
+  /** Handles that a record about a job was applied. */
   public void folded(JobId job, ControlState state, DecisionContext context) {
     showHandler.folded(job, state, context);
   }
 
-  /** Appends, answers and ends waits as is due. */
+  /** Appends records, answers requests and ends waits, whichever are due. */
   public void step(ControlState state, DecisionContext context) {
     for (UnknownJobHandler.Found found : unknownJobHandler.step(state, context)) {
       aboutKnownJob(found.ticket(), found.request(), state, context);
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/ShowHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/ShowHandler.java
@@ -14,7 +14,7 @@
 import org.fescuehook.model.job.JobId;
 import org.fescuehook.model.request.RefusalReason;
 
-/** Shows jobs, at once or when they end. */
+/** Answers requests to show a job, at once or when the job ends. */
 public final class ShowHandler {
 
   private record Waiter(long ticket, JobId job, long untilNanos) {}
@@ -22,7 +22,7 @@
   private final Map<JobId, List<Waiter>> waiters = new HashMap<>();
   private long earliestNanos = Long.MAX_VALUE;
 
-  /** Takes a request to show a job. */
+  /** Handles a request to show a job. */
   public void show(long ticket, Request.Show show, ControlState state, DecisionContext context) {
     Optional<JobState> job = state.jobs().find(show.job());
     if (job.isEmpty()) {
@@ -41,7 +41,10 @@
         .add(new Waiter(ticket, show.job(), until));
   }
 
-  /** A record about a job was folded. */
+  /**
+   * Handles that a record about a job was applied, and answers the requests that wait for the job's
+   * end.
+   */
   public void folded(JobId id, ControlState state, DecisionContext context) {
     List<Waiter> waiting = waiters.get(id);
     if (waiting == null) {
@@ -57,7 +60,7 @@
     }
   }
 
-  /** Ends waits whose time has passed. */
+  /** Answers the requests whose wait timed out. */
   public void step(ControlState state, DecisionContext context) {
     if (context.nowNanos() < earliestNanos) {
       return;
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/StatusDocument.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/StatusDocument.java
@@ -8,12 +8,12 @@
 import org.fescuehook.model.fleet.VmId;
 import org.fescuehook.wire.WorkerJudged;
 
-/** Writes the state of the system for operators, as JSON. */
+/** Writes the state of the system as JSON, for operators. */
 public final class StatusDocument {
 
   private StatusDocument() {}
 
-  /** Returns the document. */
+  /** Returns the state as a JSON document. */
   public static String json(VmId vm, ControlSummary summary, ControlState state, long wallMillis) {
     ObjectNode node = JsonNodeFactory.instance.objectNode();
     node.put("vm", vm.value());
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/UnknownJobHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/UnknownJobHandler.java
@@ -12,13 +12,14 @@
 import org.fescuehook.model.request.RefusalReason;
 
 /**
- * Holds requests about jobs that this VM does not know. Another VM may just have accepted the job,
- * so it is not denied before the reader had time to come upon it, nor while the log cannot be read.
+ * Delays requests about jobs that this VM does not know. Another VM may just have accepted the job,
+ * so a request is not refused as not found before this VM had time to read the job's record, nor
+ * while the log cannot be read.
  */
 final class UnknownJobHandler {
   private static final Duration WAIT = Duration.ofMillis(500);
 
-  /** A request whose job has turned up. */
+  /** A request whose job is known by now. */
   record Found(long ticket, Request request) {}
 
   private record Waiter(long ticket, JobId job, Request request, long sinceNanos) {}
@@ -34,7 +35,7 @@
     waiters.add(new Waiter(ticket, job, request, context.nowNanos()));
   }
 
-  /** Refuses requests that waited long enough; returns those whose jobs are known by now. */
+  /** Refuses requests whose wait timed out; returns the requests whose jobs are known by now. */
   List<Found> step(ControlState state, DecisionContext context) {
     List<Found> found = new ArrayList<>();
     Iterator<Waiter> entries = waiters.iterator();
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/package-info.java
@@ -1,4 +1,7 @@
-/** Requests of callers and operators: checked, appended, and answered once their record is read. */
+/**
+ * Requests of callers and operators, which are checked, appended to the log, and answered once
+ * their record is read back.
+ */
 @NullMarked
 package org.fescuehook.logic.control.request;
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/shares/ShareDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/shares/ShareDuty.java
@@ -13,7 +13,10 @@
 import org.fescuehook.wire.ControlRecord;
 import org.fescuehook.wire.SlotShares;
 
-/** Publishes the owner's division of slots when the entry VMs or the executors change. */
+/**
+ * Publishes, on the owner, a new division of slots and connections when the entry VMs or the
+ * executors change.
+ */
 public final class ShareDuty {
   private final RecordWriter writer;
   private final PeerTracker peers;
@@ -21,13 +24,13 @@
   private long stableSinceNanos = Long.MIN_VALUE / 2;
   private long pendingSequence;
 
-  /** Creates a duty that has published nothing. */
+  /** Creates a duty that has not published a division. */
   public ShareDuty(RecordWriter writer, PeerTracker peers) {
     this.writer = writer;
     this.peers = peers;
   }
 
-  /** Publishes a division if another one is in the log and the set of VMs stands still. */
+  /** Publishes a division if it differs from the one in the log and the set of VMs is stable. */
   public void step(ControlState state, Declarations declarations, DecisionContext context) {
     SortedSet<VmId> known = peers.known();
     if (!known.equals(vms)) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/shares/ShareHolder.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/shares/ShareHolder.java
@@ -13,11 +13,11 @@
 import org.fescuehook.wire.SlotShares;
 
 /**
- * Holds the shares that this VM may use. A lowered share is in force as soon as its record is
- * folded. A raised one is in force only when every entry VM that may exist is known to have folded
- * that record, and the settling time has passed. So the shares in use never sum to more than was
- * declared: while one VM has not folded a record, no other uses more than the division before it
- * allowed.
+ * Holds the shares of slots and connections that this VM may use. A lowered share is in force as
+ * soon as its record is applied. A raised share is in force only after every entry VM that may
+ * still run is known to have applied that record and the settle time has passed. The sum of the
+ * shares in use therefore never exceeds the declared slots: while one VM has not applied a record,
+ * no other VM uses more than the previous division allowed.
  */
 public final class ShareHolder {
 
@@ -37,16 +37,16 @@
   private long offset;
   private long sinceNanos;
 
-  /** Creates a holder of no shares. */
+  /** Creates a holder without shares. */
   public ShareHolder(VmId self, PeerTracker peers) {
     this.self = self;
     this.peers = peers;
   }
 
   /**
-   * Takes the shares published last, if they changed.
+   * Handles the most recently published shares, if they changed: lowers this VM's shares at once.
    *
-   * @param foldedUntil offset after the last folded record
+   * @param foldedUntil offset after the last applied record
    */
   public void folded(Optional<SlotShares> published, long foldedUntil, DecisionContext context) {
     if (published.isEmpty() || published.equals(latest)) {
@@ -77,7 +77,7 @@
     return own;
   }
 
-  /** Raises shares if that is safe; called only while this VM has read to the end. */
+  /** Raises shares if that is safe; called only while this VM's state is up to date. */
   public void step(DecisionContext context) {
     if (latest.isEmpty() || inForce.equals(target)) {
       return;
@@ -90,8 +90,9 @@
   }
 
   /**
-   * Gives all shares up if no peer is heard for long; called only while the log cannot be read. The
-   * others may then take this VM for dead and divide its shares among themselves.
+   * Gives up all shares if no peer was heard for {@link ControlLimits#SHARE_ISOLATION_TIMEOUT};
+   * called only while the state is not up to date. The other VMs may then regard this VM as dead
+   * and divide its shares among themselves.
    */
   public void giveUpIfIsolated(DecisionContext context) {
     if (!inForce.isEmpty() && peers.isolated(ControlLimits.SHARE_ISOLATION_TIMEOUT, context)) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/shares/SlotShareDivider.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/shares/SlotShareDivider.java
@@ -8,8 +8,9 @@
 import org.fescuehook.wire.SlotShares;
 
 /**
- * Divides each executor's slots and connections evenly over entry VMs. What is left over after
- * equal parts goes to VMs in turn, over all executors, so that every VM has about the same total.
+ * Divides each executor's slots and connections evenly over the entry VMs. The remainders of the
+ * divisions are assigned round-robin across all executors, so that every VM has about the same
+ * total.
  */
 final class SlotShareDivider {
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/snapshot/SnapshotAssembler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/snapshot/SnapshotAssembler.java
@@ -12,26 +12,26 @@
 import org.fescuehook.wire.ControlSnapshot;
 import org.fescuehook.wire.SnapshotPart;
 
-/** Puts the parts of snapshots together. */
+/** Assembles snapshots from their parts. */
 public final class SnapshotAssembler {
 
   private record Key(String writer, String incarnation, long coversUntil, int parts) {}
 
   /**
-   * A snapshot of which all parts were read.
+   * A snapshot all parts of which were read.
    *
-   * @param coversUntil offset of the first record that it does not cover
+   * @param coversUntil offset of the first record that the snapshot does not include
    */
   public record CompleteSnapshot(long coversUntil, ControlSnapshot snapshot) {}
 
   private final Map<Key, TreeMap<Integer, ByteString>> partsByKey = new HashMap<>();
 
-  /** Forgets all parts. */
+  /** Discards all parts. */
   public void clear() {
     partsByKey.clear();
   }
 
-  /** Adds a part; returns the snapshot if that made it whole. */
+  /** Adds a part; returns the snapshot if the part completes it. */
   public Optional<CompleteSnapshot> add(ControlRecord record, DecisionContext context) {
     SnapshotPart part = record.getSnapshotPart();
     Key key =
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/snapshot/SnapshotDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/snapshot/SnapshotDuty.java
@@ -11,8 +11,8 @@
 import org.fescuehook.wire.SnapshotPart;
 
 /**
- * Publishes snapshots: at intervals, and when the log has dropped so much that the last whole
- * snapshot lies nearer to the oldest record than to the newest.
+ * Publishes snapshots at intervals, and also when the log's retention has removed so many records
+ * that the last complete snapshot is closer to the oldest record than to the newest.
  */
 public final class SnapshotDuty {
   private static final long NONE = -1;
@@ -31,7 +31,7 @@
     this.writer = writer;
   }
 
-  /** A part that counted was read. */
+  /** Handles a snapshot part that took effect. */
   public void read(ControlRecord part, DecisionContext context) {
     assembler
         .add(part, context)
@@ -43,7 +43,10 @@
             });
   }
 
-  /** The log said which is the oldest record that it keeps. */
+  /**
+   * Handles that the end of the stream was reached, and at which offset the oldest stored record
+   * is.
+   */
   public void caughtUp(long oldest, DecisionContext context) {
     earliest = oldest;
     if (!intervalStarted) {
@@ -52,7 +55,10 @@
     }
   }
 
-  /** Publishes a snapshot if one is due. Implements {@code Snapshot}. */
+  /**
+   * Publishes a snapshot if one is due. Implements the action {@code Snapshot} of the module
+   * Configuration.
+   */
   public void step(ControlState state, long foldedUntil, DecisionContext context) {
     if (!due(foldedUntil, context) || !writer.hasCapacity(context)) {
       return;
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/snapshot/SnapshotLoader.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/snapshot/SnapshotLoader.java
@@ -11,17 +11,18 @@
 import org.fescuehook.wire.ControlRecord;
 
 /**
- * Begins to read where older records have vanished. The fold of the same records is the same on
- * every VM, so a snapshot is right whoever wrote it; it is usable if no record after those that it
- * covers has vanished. Whether its writer still owned at its offset does not matter.
+ * Finds a snapshot from which to continue after records were removed from the log before they were
+ * read. All VMs derive the same state from the same records, so a snapshot is correct whoever wrote
+ * it, even if its writer was no longer the owner at its offset. It is usable if none of the records
+ * after those that it includes was removed.
  */
 public final class SnapshotLoader {
 
   /**
-   * Where to go on.
+   * The state from which to continue.
    *
-   * @param state the state that the snapshot tells
-   * @param rest records to fold on top of it
+   * @param state the state that the snapshot contains
+   * @param rest buffered records to apply to that state
    */
   public record LoadedSnapshot(ControlState state, long coversUntil, List<LogRecord> remaining) {}
 
@@ -29,7 +30,7 @@
   private final List<LogRecord> buffered = new ArrayList<>();
   private long start;
 
-  /** Begins anew with the record at an offset. */
+  /** Starts again with the record at an offset as the oldest one. */
   public void restart(long offset) {
     start = offset;
     buffered.clear();
@@ -37,8 +38,8 @@
   }
 
   /**
-   * Holds a record; returns the beginning if it completes a usable snapshot. Implements {@code
-   * Load}.
+   * Buffers a record; returns the loaded snapshot if the record completes a usable one. Implements
+   * the action {@code Load} of the module Configuration.
    */
   public Optional<LoadedSnapshot> add(LogRecord record, DecisionContext context) {
     buffered.add(record);
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/snapshot/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/snapshot/package-info.java
@@ -1,4 +1,4 @@
-/** Snapshots of the folded state: when to publish them and how to begin from one. */
+/** Snapshots of the state: when to publish them and how to continue from one. */
 @NullMarked
 package org.fescuehook.logic.control.snapshot;
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/state/ControlState.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/state/ControlState.java
@@ -24,12 +24,13 @@
 import org.fescuehook.wire.WorkerJudged;
 
 /**
- * The state that the control stream tells. Every entry VM that folded the same records holds the
- * same state: the fold depends on nothing but the records, their offsets and the log's clock.
+ * The state that results from applying the control stream. Every entry VM that applied the same
+ * records holds the same state, because the result depends only on the records, their offsets and
+ * the log's clock.
  */
 public final class ControlState {
 
-  /** Epoch before the first claim. */
+  /** The epoch before the first claim. */
   public static final long NO_EPOCH = -1;
 
   private static final long MILLIS_PER_SECOND = 1000;
@@ -45,22 +46,22 @@
   private Optional<SlotShares> shares = Optional.empty();
   private History history = History.EMPTY;
 
-  /** Returns the jobs. */
+  /** Returns the registry of jobs. */
   public JobRegistry jobs() {
     return jobs;
   }
 
-  /** Returns the offset of the claim in force. */
+  /** Returns the epoch in force, which is the offset of its claim. */
   public long epoch() {
     return epoch;
   }
 
-  /** Returns the VM that decides; empty if none claimed or the last one released. */
+  /** Returns the owner; empty if no VM has claimed ownership or the last owner released it. */
   public Optional<VmId> owner() {
     return Optional.of(owner).filter(name -> !name.isEmpty()).map(VmId::new);
   }
 
-  /** Tells whether this incarnation of a VM decides. */
+  /** Returns whether this incarnation of a VM is the owner. */
   public boolean ownedBy(VmId vm, String incarnation) {
     return owner.equals(vm.value()) && ownerIncarnation.equals(incarnation);
   }
@@ -70,36 +71,36 @@
     return revision;
   }
 
-  /** Returns the configuration in force; its default instance before the first. */
+  /** Returns the configuration in force; the default instance before the first publication. */
   public ConfigurationPublished configuration() {
     return configuration;
   }
 
-  /** Returns judgements of workers. */
+  /** Returns the quarantines of workers. */
   public Collection<WorkerJudged> judgements() {
     return judgements.values();
   }
 
-  /** Returns what was learned from ended attempts. */
+  /** Returns the statistics learned from ended attempts. */
   public History history() {
     return history;
   }
 
-  /** Returns the shares of executors' slots published last. */
+  /** Returns the most recently published shares of executors' slots. */
   public Optional<SlotShares> shares() {
     return shares;
   }
 
-  /** Tells whether a record decides under the epoch in force. */
+  /** Returns whether a record is a decision under the epoch in force. */
   public boolean inForce(ControlRecord record) {
     return epoch != NO_EPOCH && record.getEpochPlusOne() == epoch + 1;
   }
 
   /**
-   * Folds one record. Records have to come in the order of their offsets. Implements {@code Counts}
-   * and {@code After}.
+   * Applies one record. Records must be applied in the order of their offsets. Implements {@code
+   * Counts} and {@code After} of the modules Ownership and Configuration.
    *
-   * @param millis time of the append by the log's clock
+   * @param millis time of the append according to the log's clock
    */
   public FoldResult fold(ControlRecord record, long offset, long millis) {
     if (!writers.accept(record, offset)) {
@@ -114,7 +115,11 @@
     };
   }
 
-  /** Implements {@code Land} for a claim: the first claim on an epoch in the log replaces it. */
+  /**
+   * Applies a claim. The first claim in the log that is based on the epoch in force starts a new
+   * epoch; later ones are stale. Implements the action {@code Land} of the module Ownership for
+   * claims.
+   */
   private FoldResult claim(ControlRecord record, long offset) {
     if (record.getOwnerClaim().getBasedOnEpochPlusOne() != epoch + 1) {
       return STALE_EPOCH;
@@ -202,7 +207,7 @@
     return COUNTED;
   }
 
-  /** Returns the whole state. Equal states give equal messages. */
+  /** Returns the whole state as a snapshot. Equal states give equal messages. */
   public ControlSnapshot snapshot() {
     ControlSnapshot.Builder snapshot =
         ControlSnapshot.newBuilder()
@@ -220,7 +225,7 @@
     return snapshot.build();
   }
 
-  /** Creates the state that a snapshot tells. */
+  /** Restores a state from a snapshot. */
   public static ControlState restore(ControlSnapshot snapshot) {
     ControlState state = new ControlState();
     state.epoch = snapshot.getEpochPlusOne() - 1;
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/state/JobRegistry.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/state/JobRegistry.java
@@ -22,13 +22,16 @@
 import org.fescuehook.wire.JobSnapshot;
 import org.fescuehook.wire.JobSubmitted;
 
-/** All jobs: which wait, which have a live attempt, and which have ended and are still shown. */
+/**
+ * Holds the jobs that wait, the jobs that have a live attempt, and the recently ended ones, which
+ * callers can still query.
+ */
 public final class JobRegistry {
 
-  /** Ended jobs that are kept. */
+  /** Maximum number of ended jobs that are kept. */
   static final int MAX_ENDED_JOBS = 2000;
 
-  /** Time for which an ended job is kept, by the log's clock. */
+  /** Time for which an ended job is kept, according to the log's clock. */
   static final long ENDED_RETENTION_MILLIS = 24L * 60 * 60 * 1000;
 
   private static final long MILLIS_PER_SECOND = 1000;
@@ -41,22 +44,22 @@
   private final TreeMap<Long, JobId> live = new TreeMap<>();
   private final TreeMap<Long, JobId> ended = new TreeMap<>();
 
-  /** Returns a job that is not forgotten. */
+  /** Returns a job; empty if it is unknown or is no longer kept. */
   public Optional<JobState> find(JobId id) {
     return Optional.ofNullable(jobs.get(id));
   }
 
-  /** Returns the job that was first submitted under a caller's own id. */
+  /** Returns the job that was first submitted under a request id of the caller. */
   public Optional<JobId> findByRequest(String organisation, String requestId) {
     return Optional.ofNullable(byRequest.get(new RequestKey(organisation, requestId)));
   }
 
-  /** Returns jobs without a live attempt and without a result, in the order of submission. */
+  /** Returns the jobs without a live attempt and without a result, in the order of submission. */
   public List<JobState> waiting() {
     return states(waiting.values());
   }
 
-  /** Returns jobs with a live attempt, in the order of their plans. */
+  /** Returns the jobs with a live attempt, in the order in which the attempts were planned. */
   public List<JobState> live() {
     return states(live.values());
   }
@@ -110,7 +113,10 @@
     return COUNTED;
   }
 
-  /** An attempt counts only if it is the next of a job that waits and is not to be cancelled. */
+  /**
+   * Applies a plan, which takes effect only if it is the next attempt of a waiting job whose
+   * cancellation was not requested.
+   */
   FoldResult plan(AttemptPlanned planned, long epoch, long offset, long millis) {
     Optional<JobState> found = find(planned.getJob());
     if (found.isEmpty() || !found.get().waiting() || found.get().facts().getCancelRequested()) {
@@ -136,7 +142,10 @@
     return COUNTED;
   }
 
-  /** A commit counts only under the epoch of the plan, so no later owner can commit it. */
+  /**
+   * Applies a commit, which takes effect only under the epoch of the plan, so that no later owner
+   * can commit the attempt.
+   */
   FoldResult commit(AttemptCommitted committed, long epoch, long millis) {
     Optional<JobState> found = findLive(committed.getJob(), committed.getAttempt());
     if (found.isEmpty() || found.get().committed() || found.get().stopping()) {
@@ -151,7 +160,10 @@
     return COUNTED;
   }
 
-  /** The first reason to stop stands; an attempt that was not committed is ended, not stopped. */
+  /**
+   * Applies a stop. Only the first stop of an attempt takes effect; an attempt that was not
+   * committed is not stopped but ended.
+   */
   FoldResult stop(AttemptStopping stopping) {
     Optional<JobState> found = findLive(stopping.getJob(), stopping.getAttempt());
     if (found.isEmpty() || !found.get().committed() || found.get().stopping()) {
@@ -161,7 +173,10 @@
     return COUNTED;
   }
 
-  /** An attempt ends as never started exactly if it was not committed. */
+  /**
+   * Applies the end of an attempt. An attempt ends as never started if and only if it was not
+   * committed.
+   */
   FoldResult endAttempt(AttemptEnded end, long millis) {
     Optional<JobState> found = findLive(end.getJob(), end.getAttempt());
     if (found.isEmpty()) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/state/JobState.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/state/JobState.java
@@ -17,10 +17,10 @@
 import org.fescuehook.wire.JobSubmitted;
 
 /**
- * A job and its last attempt as the log tells them. Immutable.
+ * An immutable view of a job and its last attempt, as recorded in the log.
  *
  * @param job the job
- * @param facts what was read, in the form of a snapshot
+ * @param facts the recorded state, in the form in which a snapshot stores it
  */
 public record JobState(Job job, JobSnapshot facts) {
 
@@ -48,37 +48,37 @@
     return new JobState(job, changed.build());
   }
 
-  /** Returns the job's name. */
+  /** Returns the id of the job. */
   public JobId id() {
     return job.id();
   }
 
-  /** Tells whether an attempt was planned and has not ended. */
+  /** Returns whether the job has a live attempt: one that was planned and has not ended. */
   public boolean live() {
     return facts.hasPlanned() && !facts.hasEnded();
   }
 
-  /** Tells whether the live attempt was committed. */
+  /** Returns whether the job has a live attempt that was committed. */
   public boolean committed() {
     return live() && facts.hasCommitted();
   }
 
-  /** Tells whether the live attempt is being stopped. */
+  /** Returns whether the job has a live attempt that is being stopped. */
   public boolean stopping() {
     return live() && facts.hasStopping();
   }
 
-  /** Tells whether the job has its final result. */
+  /** Returns whether the job has its final result. */
   public boolean over() {
     return facts.hasJobEnded();
   }
 
-  /** Tells whether the job waits for an attempt. */
+  /** Returns whether the job has neither a live attempt nor a final result. */
   public boolean waiting() {
     return !over() && !live();
   }
 
-  /** Returns the last attempt; number 0 if there was none. */
+  /** Returns the last attempt; its number is 0 if there was none. */
   public AttemptId attempt() {
     return new AttemptId(id(), facts.getPlanned().getAttempt());
   }
@@ -88,12 +88,12 @@
     return facts.getPlannedEpochPlusOne() - 1;
   }
 
-  /** Returns the workers of the last attempt, by member number. */
+  /** Returns the workers of the last attempt, ordered by member number. */
   public List<WorkerId> workers() {
     return facts.getPlanned().getWorkersList().stream().map(WorkerId::new).toList();
   }
 
-  /** Returns the job as the scheduling policy sees it while it waits. */
+  /** Returns the job in the form in which the scheduling policy sees waiting jobs. */
   public Scheduler.Waiting asWaiting() {
     Set<WorkerId> avoid = new HashSet<>();
     for (String worker : facts.getAvoidList()) {
@@ -102,7 +102,7 @@
     return new Scheduler.Waiting(job, facts.getFailures(), facts.getKeptSeconds(), avoid);
   }
 
-  /** Returns the live attempt as the scheduling policy sees it. */
+  /** Returns the live attempt in the form in which the scheduling policy sees running ones. */
   public Scheduler.Running asRunning() {
     return new Scheduler.Running(
         job,
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/state/RecordSubject.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/state/RecordSubject.java
@@ -4,12 +4,12 @@
 import org.fescuehook.model.job.JobId;
 import org.fescuehook.wire.ControlRecord;
 
-/** Tells which job a record is about. */
+/** Determines which job a record is about. */
 public final class RecordSubject {
 
   private RecordSubject() {}
 
-  /** Returns the job that a record is about, if it is about one. */
+  /** Returns the job that a record is about; empty if it is about no job. */
   public static Optional<JobId> job(ControlRecord record) {
     String name =
         switch (record.getBodyCase()) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/state/WriterSequences.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/state/WriterSequences.java
@@ -7,19 +7,20 @@
 import org.fescuehook.wire.WriterSequence;
 
 /**
- * Holds the last sequence of each incarnation. A record whose sequence is not above it is dropped:
- * it is a duplicate, or was overtaken by a later record of its writer.
+ * Holds the last sequence number of each incarnation that wrote to the stream. A record whose
+ * sequence number is not greater is dropped: it is a duplicate, or a later record of its writer
+ * came before it.
  */
 final class WriterSequences {
 
-  /** Incarnations remembered; the one that has been silent longest is forgotten first. */
+  /** Maximum number of incarnations; the one whose last record is oldest is dropped first. */
   static final int MAX_INCARNATIONS = 256;
 
   private record Writer(String name, String incarnation) {}
 
   private final Map<Writer, WriterSequence> lastByWriter = new LinkedHashMap<>();
 
-  /** Notes a record; returns false if it is dropped. */
+  /** Registers the sequence number of a record; returns false if the record is to be dropped. */
   boolean accept(ControlRecord record, long offset) {
     Writer writer = new Writer(record.getWriter(), record.getIncarnation());
     WriterSequence before = lastByWriter.get(writer);
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/state/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/state/package-info.java
@@ -1,4 +1,7 @@
-/** The state that every entry VM folds from the control stream, and the rules of the fold. */
+/**
+ * The state that every entry VM derives from the control stream, and the rules by which records
+ * change it.
+ */
 @NullMarked
 package org.fescuehook.logic.control.state;
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/trace/CommandEncoder.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/trace/CommandEncoder.java
@@ -5,7 +5,7 @@
 import org.fescuehook.logic.control.ControlPort.Answer;
 import org.fescuehook.model.job.JobId;
 
-/** Writes commands as text; equal commands give equal text. */
+/** Encodes commands as text. Equal commands give equal text. */
 final class CommandEncoder {
 
   private CommandEncoder() {}
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/trace/ControlReplayer.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/trace/ControlReplayer.java
@@ -10,23 +10,23 @@
 import org.fescuehook.logic.control.trace.ControlTraceParser.Line;
 import org.fescuehook.logic.scheduling.Scheduler;
 
-/** Replays a trace and compares what a core decides now with what was decided then. */
+/** Replays a trace, and compares the commands of the replay with the recorded ones. */
 public final class ControlReplayer {
 
   /**
-   * What a replay came to.
+   * The result of a replay.
    *
-   * @param events events replayed
-   * @param commands commands compared
+   * @param events number of events replayed
+   * @param commands number of commands compared
    * @param difference the first difference; empty if there is none
    */
   public record Replay(long events, long commands, Optional<Difference> difference) {}
 
   /**
-   * A difference.
+   * A difference between a recorded and a replayed command.
    *
-   * @param line number of the line, from 1 on
-   * @param recorded command in the trace; empty if there is none
+   * @param line number of the line; the first one is 1
+   * @param recorded recorded command; empty if there is none
    * @param replayed command of the replay; empty if there is none
    */
   public record Difference(long line, String recorded, String replayed) {}
@@ -43,7 +43,7 @@
   /**
    * Creates a replayer of one trace.
    *
-   * @param schedulers gives the policy with which the trace was recorded
+   * @param schedulers creates the scheduling policy with which the trace was recorded
    */
   public ControlReplayer(Supplier<Scheduler> schedulers, DeclarationsReader declarations) {
     this.schedulers = schedulers;
@@ -105,7 +105,7 @@
     }
   }
 
-  /** Ends the replay. */
+  /** Ends the replay and returns its result. */
   public Replay end() {
     expectNothing();
     return new Replay(events, commands, difference);
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/trace/ControlTraceParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/trace/ControlTraceParser.java
@@ -8,34 +8,37 @@
 import org.fescuehook.model.preferences.ControlPreferences;
 import org.fescuehook.model.preferences.IdentityPreferences;
 
-/** Reads the lines of a trace, one after the other. */
+/** Parses the lines of a trace, one after the other. */
 public final class ControlTraceParser {
 
-  /** What a line holds. */
+  /** The content of a line. */
   public sealed interface Line {
 
-    /** The format; its version is known. */
+    /** The format line, with a supported version. */
     record Format() implements Line {}
 
-    /** What the core is. */
+    /** The identity and the preferences of the core. */
     record Core(IdentityPreferences identity, String incarnation, ControlPreferences preferences)
         implements Line {}
 
-    /** What the core was told, and when. */
+    /** An event that the core applied, with its time. */
     record Event(long nowNanos, long wallMillis, ControlEvent event) implements Line {}
 
-    /** What the core decided, as text. */
+    /** A command of the core, as text. */
     record Command(String text) implements Line {}
   }
 
   private long lines;
 
-  /** Returns the number of lines read. */
+  /** Returns the number of lines parsed so far. */
   public long lines() {
     return lines;
   }
 
-  /** Reads the next line; empty for a blank line and a comment, which begins with {@code #}. */
+  /**
+   * Parses the next line; returns empty for a blank line and for a comment, which begins with
+   * {@code #}.
+   */
   public Optional<Line> parse(String text) throws InvalidTraceException {
     lines++;
     if (lines == 1) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/trace/ControlTraceWriter.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/trace/ControlTraceWriter.java
@@ -8,20 +8,20 @@
 import org.fescuehook.model.preferences.IdentityPreferences;
 
 /**
- * Writes a trace: what a core is and what it was told, and below each event what it decided. The
- * first line names the format and its version.
+ * Writes a trace of a decision core: its identity and preferences, then its events, each followed
+ * by the commands that resulted from it. The first line names the format and its version.
  */
 public final class ControlTraceWriter {
 
-  /** First line of a trace. */
+  /** The first line of a trace. */
   static final String FORMAT = "fescuehook-control-trace 1";
 
-  /** Begin of a line that holds a command. */
+  /** Prefix of the lines that hold a command. */
   static final String COMMAND = "> ";
 
   private ControlTraceWriter() {}
 
-  /** Returns the first lines of the trace of a core. */
+  /** Returns the header lines of the trace of a core. */
   public static List<String> header(
       IdentityPreferences identity, String incarnation, ControlPreferences preferences) {
     String core =
@@ -41,7 +41,7 @@
     return List.of(FORMAT, core);
   }
 
-  /** Returns the lines for one event and what came of it. */
+  /** Returns the lines for one event and its commands. */
   public static List<String> lines(
       ControlEvent event, long nowNanos, long wallMillis, List<ControlCommand> commands) {
     List<String> lines = new ArrayList<>(commands.size() + 1);
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/trace/EventEncoder.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/trace/EventEncoder.java
@@ -12,7 +12,7 @@
 import org.fescuehook.model.job.JobId;
 import org.fescuehook.model.log.LogRecord;
 
-/** Writes events as text. */
+/** Encodes events as text. */
 final class EventEncoder {
 
   private EventEncoder() {}
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/trace/EventParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/trace/EventParser.java
@@ -22,7 +22,7 @@
 import org.fescuehook.model.log.LogRecord;
 import org.fescuehook.model.organisation.OrganisationId;
 
-/** Reads events written by {@link EventEncoder}. */
+/** Parses events encoded by {@link EventEncoder}. */
 final class EventParser {
 
   private EventParser() {}
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/trace/PercentCodec.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/trace/PercentCodec.java
@@ -4,7 +4,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.HexFormat;
 
-/** Percent-encoding of text: what is no ASCII letter, digit or one of {@code ._-/:} is escaped. */
+/**
+ * Percent-encodes text: every byte of its UTF-8 form other than an ASCII letter, a digit or one of
+ * {@code ._-/:} is escaped.
+ */
 final class PercentCodec {
   private static final HexFormat HEX = HexFormat.of();
   private static final String PLAIN = "._-/:";
@@ -38,7 +41,7 @@
   /**
    * Decodes text.
    *
-   * @throws IllegalArgumentException if an escape is not whole
+   * @throws IllegalArgumentException if an escape sequence is incomplete or invalid
    */
   static String decode(String code) {
     ByteArrayOutputStream units = new ByteArrayOutputStream(code.length());
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/trace/TraceFields.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/trace/TraceFields.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Reads the fields of one line, which are separated by single spaces. */
+/** Reads the fields of one line of a trace, which are separated by single spaces. */
 final class TraceFields {
   private static final String EMPTY = "%";
 
@@ -17,7 +17,7 @@
     this.fields = List.of(text.split(" ", -1)).iterator();
   }
 
-  /** Encodes text so that it holds no space and is not empty. */
+  /** Encodes text so that it contains no space and is not empty. */
   static String encode(String text) {
     return text.isEmpty() ? EMPTY : PercentCodec.encode(text);
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/trace/TraceLine.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/trace/TraceLine.java
@@ -1,6 +1,6 @@
 package org.fescuehook.logic.control.trace;
 
-/** Builds one line of a trace out of its fields. */
+/** Builds one line of a trace from its fields. */
 final class TraceLine {
   private final StringBuilder text = new StringBuilder();
 
@@ -33,7 +33,7 @@
     return this;
   }
 
-  /** Adds fields that are encoded already. */
+  /** Adds fields that are already encoded. */
   TraceLine addLine(String fields) {
     text.append(' ').append(fields);
     return this;
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/trace/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/trace/package-info.java
@@ -1,4 +1,4 @@
-/** Traces of what a decision core was told and what it decided, as text, and their replay. */
+/** Text traces of the events and commands of a decision core, and their replay. */
 @NullMarked
 package org.fescuehook.logic.control.trace;
 
