--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ControlCore.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ControlCore.java
@@ -112,7 +112,8 @@
       case ControlEvent.PeersHeard(var alive, var reachingLog, var draining) ->
           peers.heard(alive, reachingLog, draining, context);
       case ControlEvent.PeersFolded(var nextOffsets) -> peers.folded(nextOffsets);
-      case ControlEvent.Asked(long ticket, Request request) -> asked(ticket, request, context);
+      case ControlEvent.Asked(long ticket, Request request) ->
+          handleRequest(ticket, request, context);
       case ControlEvent.Tick() -> {}
     }
     if (!(event instanceof ControlEvent.RecordRead)) {
@@ -176,13 +177,13 @@
     }
   }
 
-  private void asked(long ticket, Request request, DecisionContext context) {
+  private void handleRequest(long ticket, Request request, DecisionContext context) {
     Set<WorkerId> unavailable = unavailableWorkers(context);
     boolean readable = stream.complete() && catchUp.everCurrent();
     RequestRouter.ClusterView cluster =
         new RequestRouter.ClusterView(
             stream.state(), configuration.inForce(), readable, unavailable, summary());
-    requests.asked(ticket, request, cluster, context);
+    requests.handle(ticket, request, cluster, context);
   }
 
   private Set<WorkerId> unavailableWorkers(DecisionContext context) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangCommitter.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangCommitter.java
@@ -54,7 +54,7 @@
     if (job.plannedEpoch() != epoch) {
       return Optional.of(StopReason.STOP_REASON_OWNER_CHANGED);
     }
-    if (job.facts().getCancelRequested()) {
+    if (job.snapshot().getCancelRequested()) {
       return Optional.of(StopReason.STOP_REASON_CANCELLED);
     }
     if (progress.abortReason.isPresent()) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangDuty.java
@@ -81,15 +81,15 @@
   /**
    * Takes all steps that are due in the given mode.
    *
-   * @param foldedUntil offset after the last record that this VM has applied
+   * @param nextOffset offset after the last record that this VM has applied
    */
-  public void step(ControlState state, GangMode now, long foldedUntil, DecisionContext context) {
+  public void step(ControlState state, GangMode now, long nextOffset, DecisionContext context) {
     changeMode(state, now, context);
     if (mode == GangMode.OFF || mode == GangMode.READ) {
       return;
     }
     for (JobId job : due(context)) {
-      advance(job, state, foldedUntil, context);
+      advance(job, state, nextOffset, context);
     }
     renewer.step(context);
     releaser.step(context);
@@ -130,7 +130,7 @@
     return due;
   }
 
-  private void advance(JobId id, ControlState state, long foldedUntil, DecisionContext context) {
+  private void advance(JobId id, ControlState state, long nextOffset, DecisionContext context) {
     Optional<JobState> found = state.jobs().find(id).filter(JobState::live);
     AttemptProgress progress = attempts.get(id);
     if (progress != null && found.filter(job -> job.attempt().equals(progress.attempt)).isEmpty()) {
@@ -151,7 +151,7 @@
     }
     recordCommit(current, job, context);
     if (job.stopping()) {
-      stopper.advance(current, job, mode, state.epoch(), foldedUntil, context);
+      stopper.advance(current, job, mode, state.epoch(), nextOffset, context);
     } else {
       runner.advance(current, job, mode, state.epoch(), context);
     }
@@ -171,7 +171,7 @@
     }
     progress.committed = true;
     boolean adopted = !progress.all(MemberProgress::granted);
-    List<String> leases = job.facts().getCommitted().getLeasesList();
+    List<String> leases = job.snapshot().getCommitted().getLeasesList();
     for (MemberProgress member : progress.members) {
       member.lease = leases.get(member.number);
       requestedLeases.remove(key(progress, member));
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangRunner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangRunner.java
@@ -74,12 +74,12 @@
     if (lost.isPresent()) {
       return Optional.of(new StopTrigger(StopReason.STOP_REASON_MEMBER_LOST, lost));
     }
-    if (mode == GangMode.DECIDE && job.facts().getCancelRequested()) {
+    if (mode == GangMode.DECIDE && job.snapshot().getCancelRequested()) {
       return Optional.of(new StopTrigger(StopReason.STOP_REASON_CANCELLED, Optional.empty()));
     }
-    Optional<MemberProgress> held = progress.first(member -> !member.started());
-    if (held.isPresent() && startTimedOut(progress, context)) {
-      return Optional.of(new StopTrigger(StopReason.STOP_REASON_START_REFUSED, held));
+    Optional<MemberProgress> notStarted = progress.first(member -> !member.started());
+    if (notStarted.isPresent() && startTimedOut(progress, context)) {
+      return Optional.of(new StopTrigger(StopReason.STOP_REASON_START_REFUSED, notStarted));
     }
     return Optional.empty();
   }
@@ -97,8 +97,8 @@
   }
 
   private static boolean startTimedOut(AttemptProgress progress, DecisionContext context) {
-    boolean partly = progress.first(MemberProgress::started).isPresent();
-    if (progress.startedSince.isEmpty() && partly) {
+    boolean someStarted = progress.first(MemberProgress::started).isPresent();
+    if (progress.startedSince.isEmpty() && someStarted) {
       progress.startedSince = OptionalLong.of(context.nowNanos());
     }
     return progress.startedSince.isPresent()
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangStopper.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangStopper.java
@@ -42,19 +42,19 @@
   /**
    * Takes the next step of an attempt that is being stopped.
    *
-   * @param foldedUntil offset after the last record that this VM has applied
+   * @param nextOffset offset after the last record that this VM has applied
    */
   void advance(
       AttemptProgress progress,
       JobState job,
       GangMode mode,
       long epoch,
-      long foldedUntil,
+      long nextOffset,
       DecisionContext context) {
-    AttemptStopping stopping = job.facts().getStopping();
+    AttemptStopping stopping = job.snapshot().getStopping();
     if (progress.stoppingSince.isEmpty()) {
       progress.stoppingSince = OptionalLong.of(context.nowNanos());
-      progress.stoppingOffset = foldedUntil - 1;
+      progress.stoppingOffset = nextOffset - 1;
       progress.awaitsCheckpoint = stopping.getCheckpointFirst() && mode == GangMode.DECIDE;
       context.note(
           ControlLogEvent.ATTEMPT_STOPPING,
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/planning/JobEndDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/planning/JobEndDuty.java
@@ -72,18 +72,18 @@
   }
 
   private static Optional<JobEnded.Builder> result(JobState job, Declarations declarations) {
-    AttemptEnded last = job.facts().getEnded();
+    AttemptEnded last = job.snapshot().getEnded();
     JobEnded.Builder end = JobEnded.newBuilder();
     if (last.getResult() == AttemptResult.ATTEMPT_RESULT_FINISHED) {
       return Optional.of(end.setResult(JobResult.JOB_RESULT_FINISHED));
     }
-    if (job.facts().getCancelRequested()) {
+    if (job.snapshot().getCancelRequested()) {
       return Optional.of(end.setResult(JobResult.JOB_RESULT_CANCELLED));
     }
     if (ViewBuilder.attemptsExhausted(job, declarations)) {
       String detail =
           "failed "
-              + job.facts().getFailures()
+              + job.snapshot().getFailures()
               + " times, last with exit code "
               + last.getExitCode()
               + " on "
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/planning/PlanDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/planning/PlanDuty.java
@@ -63,7 +63,7 @@
     Scheduler.View view = ViewBuilder.build(state, declarations, unavailable, context.wallMillis());
     try {
       decide(scheduler.plan(view), state, context);
-      judge.judge(view).forEach(judgement -> quarantine(judgement, state, context));
+      judge.judge(view).forEach(quarantine -> quarantine(quarantine, state, context));
     } catch (RuntimeException e) {
       // A failure of the policy must not prevent the leases of running gangs from being renewed.
       context.note(ControlLogEvent.PLAN_FAILED, e.toString());
@@ -146,18 +146,18 @@
   }
 
   private void quarantine(
-      WorkerJudge.Judgement judgement, ControlState state, DecisionContext context) {
+      WorkerJudge.Judgement quarantine, ControlState state, DecisionContext context) {
     context.note(
         ControlLogEvent.WORKER_QUARANTINED,
-        judgement.worker(),
-        judgement.untilMillis(),
-        judgement.evidence());
+        quarantine.worker(),
+        quarantine.untilMillis(),
+        quarantine.evidence());
     WorkerJudged judged =
         WorkerJudged.newBuilder()
-            .setWorker(judgement.worker().value())
+            .setWorker(quarantine.worker().value())
             .setQuarantined(true)
-            .setUntilMillis(judgement.untilMillis())
-            .setEvidence(judgement.evidence())
+            .setUntilMillis(quarantine.untilMillis())
+            .setEvidence(quarantine.evidence())
             .build();
     append(ControlRecord.newBuilder().setWorkerJudged(judged), state, context);
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/planning/ViewBuilder.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/planning/ViewBuilder.java
@@ -31,7 +31,7 @@
       running.add(job.asRunning());
     }
     Set<WorkerId> unusable = new HashSet<>(unavailable);
-    for (WorkerJudged judged : state.judgements()) {
+    for (WorkerJudged judged : state.quarantines()) {
       if (judged.getUntilMillis() > wallMillis) {
         unusable.add(new WorkerId(judged.getWorker()));
       }
@@ -42,11 +42,14 @@
 
   /** Returns whether a waiting job may get another attempt. */
   static boolean runnable(JobState job, Declarations declarations) {
-    boolean finished = job.facts().getEnded().getResult() == AttemptResult.ATTEMPT_RESULT_FINISHED;
-    return !job.facts().getCancelRequested() && !finished && !attemptsExhausted(job, declarations);
+    boolean finished =
+        job.snapshot().getEnded().getResult() == AttemptResult.ATTEMPT_RESULT_FINISHED;
+    return !job.snapshot().getCancelRequested()
+        && !finished
+        && !attemptsExhausted(job, declarations);
   }
 
   static boolean attemptsExhausted(JobState job, Declarations declarations) {
-    return job.facts().getFailures() >= declarations.policy().maxAttempts();
+    return job.snapshot().getFailures() >= declarations.policy().maxAttempts();
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/ExplainHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/ExplainHandler.java
@@ -39,7 +39,7 @@
     node.put("state", "waiting");
     node.put("since", job.get().job().submittedMillis());
     if (reason == null) {
-      node.put("rule", job.get().facts().getJob().getRule());
+      node.put("rule", job.get().snapshot().getJob().getRule());
       node.put("missing", "nothing; it is about to start or end");
     } else {
       node.put("rule", reason.rule());
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/JobDocument.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/JobDocument.java
@@ -13,7 +13,7 @@
   private JobDocument() {}
 
   static String json(JobState job) {
-    JobSnapshot facts = job.facts();
+    JobSnapshot snapshot = job.snapshot();
     ObjectNode node = JsonNodeFactory.instance.objectNode();
     node.put("job", job.id().value());
     node.put("organisation", job.job().organisation().value());
@@ -21,28 +21,28 @@
     node.put("submitted", job.job().submittedMillis());
     node.put("members", job.job().shape().members());
     node.put("attempt", job.attempt().number());
-    node.put("failures", facts.getFailures());
-    node.put("cancelRequested", facts.getCancelRequested());
+    node.put("failures", snapshot.getFailures());
+    node.put("cancelRequested", snapshot.getCancelRequested());
     if (job.live()) {
       ArrayNode workers = node.putArray("workers");
       job.workers().forEach(worker -> workers.add(worker.value()));
-      node.put("planned", facts.getStartedMillis());
+      node.put("planned", snapshot.getStartedMillis());
     }
-    if (facts.hasEnded()) {
-      node.put("lastResult", WireEnumNames.of(facts.getEnded().getResult()));
-      node.put("lastReason", WireEnumNames.of(facts.getEnded().getReason()));
-      node.put("exitCode", facts.getEnded().getExitCode());
+    if (snapshot.hasEnded()) {
+      node.put("lastResult", WireEnumNames.of(snapshot.getEnded().getResult()));
+      node.put("lastReason", WireEnumNames.of(snapshot.getEnded().getReason()));
+      node.put("exitCode", snapshot.getEnded().getExitCode());
     }
     if (job.over()) {
-      node.put("ended", facts.getEndedMillis());
-      node.put("detail", facts.getJobEnded().getDetail());
+      node.put("ended", snapshot.getEndedMillis());
+      node.put("detail", snapshot.getJobEnded().getDetail());
     }
     return node.toString();
   }
 
   private static String state(JobState job) {
     if (job.over()) {
-      return WireEnumNames.of(job.facts().getJobEnded().getResult());
+      return WireEnumNames.of(job.snapshot().getJobEnded().getResult());
     }
     if (job.stopping()) {
       return "stopping";
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/PublicationHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/PublicationHandler.java
@@ -42,9 +42,9 @@
             .setDeclarations(publish.declarations())
             .build();
     boolean stale = publish.baseRevision() != state.revision();
-    boolean same = RequestAppender.winner(body, state) instanceof Answer.Published;
+    boolean same = RequestAppender.publicationAnswer(body, state) instanceof Answer.Published;
     if (stale || same) {
-      context.reply(ticket, RequestAppender.winner(body, state));
+      context.reply(ticket, RequestAppender.publicationAnswer(body, state));
       return;
     }
     appender.accept(ticket, ControlRecord.newBuilder().setConfigurationPublished(body), context);
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/RequestAppender.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/RequestAppender.java
@@ -27,12 +27,12 @@
  */
 public final class RequestAppender {
 
-  private record Pending(long ticket, ControlRecord body, long sinceNanos) {}
+  private record PendingRequest(long ticket, ControlRecord body, long sinceNanos) {}
 
   private final RecordWriter writer;
   private final CatchUpTracker catchUp;
-  private final Deque<Pending> queue = new ArrayDeque<>();
-  private final Map<Long, Pending> appended = new HashMap<>();
+  private final Deque<PendingRequest> queue = new ArrayDeque<>();
+  private final Map<Long, PendingRequest> appended = new HashMap<>();
 
   /** Creates an appender without requests. */
   public RequestAppender(RecordWriter writer, CatchUpTracker catchUp) {
@@ -50,12 +50,12 @@
       Refusals.refuse(ticket, RefusalReason.QUEUE_FULL, "too many requests wait", context);
       return;
     }
-    queue.addLast(new Pending(ticket, body.build(), context.nowNanos()));
+    queue.addLast(new PendingRequest(ticket, body.build(), context.nowNanos()));
   }
 
   /** Handles the outcome of a record that this VM appended. */
   public void resolved(RecordOutcome outcome, ControlState state, DecisionContext context) {
-    Pending pending = appended.remove(outcome.record().getSequence());
+    PendingRequest pending = appended.remove(outcome.record().getSequence());
     if (pending == null) {
       return;
     }
@@ -81,7 +81,7 @@
   private static Answer superseded(ControlRecord body, ControlState state) {
     return switch (body.getBodyCase()) {
       case JOB_SUBMITTED -> new Answer.Accepted(firstSubmission(body.getJobSubmitted(), state));
-      case CONFIGURATION_PUBLISHED -> winner(body.getConfigurationPublished(), state);
+      case CONFIGURATION_PUBLISHED -> publicationAnswer(body.getConfigurationPublished(), state);
       default -> new Answer.Done();
     };
   }
@@ -93,7 +93,7 @@
         .orElse(new JobId(submitted.getJob()));
   }
 
-  static Answer winner(ConfigurationPublished published, ControlState state) {
+  static Answer publicationAnswer(ConfigurationPublished published, ControlState state) {
     boolean same = published.getDeclarations().equals(state.configuration().getDeclarations());
     if (same) {
       return new Answer.Published(state.revision());
@@ -109,8 +109,8 @@
       return;
     }
     while (!queue.isEmpty() && writer.hasCapacityForRequest(context)) {
-      Pending pending = queue.removeFirst();
-      if (isVoid(pending.body(), state)) {
+      PendingRequest pending = queue.removeFirst();
+      if (hasNoEffect(pending.body(), state)) {
         context.reply(pending.ticket(), superseded(pending.body(), state));
       } else {
         appended.put(writer.append(pending.body().toBuilder(), context), pending);
@@ -122,7 +122,7 @@
    * Returns whether records that were read while the request waited deprive its record of any
    * effect.
    */
-  private static boolean isVoid(ControlRecord body, ControlState state) {
+  private static boolean hasNoEffect(ControlRecord body, ControlState state) {
     return switch (body.getBodyCase()) {
       case JOB_SUBMITTED -> {
         JobSubmitted submitted = body.getJobSubmitted();
@@ -139,7 +139,7 @@
   }
 
   private void refuseQueued(DecisionContext context) {
-    for (Pending pending : queue) {
+    for (PendingRequest pending : queue) {
       Refusals.refuse(pending.ticket(), RefusalReason.LOG_UNAVAILABLE, "log unreachable", context);
     }
     queue.clear();
@@ -150,23 +150,23 @@
       long ticket = queue.removeFirst().ticket();
       Refusals.refuse(ticket, RefusalReason.LOG_UNAVAILABLE, "log too slow", context);
     }
-    List<Pending> timedOut = new ArrayList<>();
-    Iterator<Pending> entries = appended.values().iterator();
+    List<PendingRequest> timedOut = new ArrayList<>();
+    Iterator<PendingRequest> entries = appended.values().iterator();
     while (entries.hasNext()) {
-      Pending pending = entries.next();
+      PendingRequest pending = entries.next();
       if (expired(pending, context)) {
         timedOut.add(pending);
         entries.remove();
       }
     }
     timedOut.sort((a, b) -> Long.compare(a.ticket(), b.ticket()));
-    for (Pending pending : timedOut) {
+    for (PendingRequest pending : timedOut) {
       String detail = "the log did not answer in time; " + possibleEffect(pending.body());
       Refusals.refuse(pending.ticket(), RefusalReason.OUTCOME_UNKNOWN, detail, context);
     }
   }
 
-  private static boolean expired(Pending pending, DecisionContext context) {
+  private static boolean expired(PendingRequest pending, DecisionContext context) {
     return context.hasElapsed(pending.sinceNanos(), ControlLimits.REQUEST_TIMEOUT);
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/RequestRouter.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/RequestRouter.java
@@ -69,7 +69,7 @@
   }
 
   /** Handles a request. */
-  public void asked(long ticket, Request request, ClusterView cluster, DecisionContext context) {
+  public void handle(long ticket, Request request, ClusterView cluster, DecisionContext context) {
     ControlState state = cluster.state();
     switch (request) {
       case Request.Status() ->
@@ -84,9 +84,9 @@
       case Request.Publish publish when cluster.readable() ->
           publicationHandler.publish(ticket, publish, state, context);
       case Request.Show show when cluster.readable() ->
-          aboutJob(ticket, show.job(), request, state, context);
+          handleJobRequest(ticket, show.job(), request, state, context);
       case Request.Cancel cancel when cluster.readable() ->
-          aboutJob(ticket, cancel.job(), request, state, context);
+          handleJobRequest(ticket, cancel.job(), request, state, context);
       case Request.Submit submit when ready(cluster) ->
           jobHandler.submit(ticket, submit, declarations(cluster), state, context);
       case Request.Explain(JobId job) when ready(cluster) -> explain(ticket, job, cluster, context);
@@ -96,16 +96,16 @@
     }
   }
 
-  private void aboutJob(
+  private void handleJobRequest(
       long ticket, JobId job, Request request, ControlState state, DecisionContext context) {
     if (state.jobs().find(job).isEmpty()) {
       unknownJobHandler.accept(ticket, job, request, context);
       return;
     }
-    aboutKnownJob(ticket, request, state, context);
+    handleKnownJobRequest(ticket, request, state, context);
   }
 
-  private void aboutKnownJob(
+  private void handleKnownJobRequest(
       long ticket, Request request, ControlState state, DecisionContext context) {
     switch (request) {
       case Request.Show show -> showHandler.show(ticket, show, state, context);
@@ -142,7 +142,7 @@
   /** Appends records, answers requests and ends waits, whichever are due. */
   public void step(ControlState state, DecisionContext context) {
     for (UnknownJobHandler.Found found : unknownJobHandler.step(state, context)) {
-      aboutKnownJob(found.ticket(), found.request(), state, context);
+      handleKnownJobRequest(found.ticket(), found.request(), state, context);
     }
     appender.step(state, context);
     showHandler.step(state, context);
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/StatusDocument.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/StatusDocument.java
@@ -27,7 +27,7 @@
     node.put("unreadAppends", summary.unreadAppends());
     node.put("skippedRecords", summary.skippedRecords());
     ArrayNode quarantined = node.putArray("quarantined");
-    for (WorkerJudged judged : state.judgements()) {
+    for (WorkerJudged judged : state.quarantines()) {
       if (judged.getUntilMillis() > wallMillis) {
         quarantined
             .addObject()
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/shares/ShareHolder.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/shares/ShareHolder.java
@@ -46,14 +46,14 @@
   /**
    * Handles the most recently published shares, if they changed: lowers this VM's shares at once.
    *
-   * @param foldedUntil offset after the last applied record
+   * @param nextOffset offset after the last applied record
    */
-  public void folded(Optional<SlotShares> published, long foldedUntil, DecisionContext context) {
+  public void folded(Optional<SlotShares> published, long nextOffset, DecisionContext context) {
     if (published.isEmpty() || published.equals(latest)) {
       return;
     }
     latest = published;
-    offset = foldedUntil - 1;
+    offset = nextOffset - 1;
     sinceNanos = context.nowNanos();
     target = ownShares(published.get());
     Map<String, Share> lowered = new TreeMap<>();
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/shares/SlotShareDivider.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/shares/SlotShareDivider.java
@@ -19,25 +19,26 @@
   static SlotShares divide(List<Executor> executors, SortedSet<VmId> vms, int settleMillis) {
     List<VmId> names = List.copyOf(vms);
     SlotShares.Builder shares = SlotShares.newBuilder().setSettleMillis(settleMillis);
-    int slotTurn = 0;
-    int connectionTurn = 0;
+    int firstForSlots = 0;
+    int firstForConnections = 0;
     for (Executor executor : executors) {
       for (int i = 0; i < names.size(); i++) {
         shares.addShares(
             SlotShare.newBuilder()
                 .setExecutor(executor.id().value())
                 .setVm(names.get(i).value())
-                .setSlots(part(executor.slots(), names.size(), slotTurn, i))
-                .setConnections(part(executor.connections(), names.size(), connectionTurn, i)));
+                .setSlots(part(executor.slots(), names.size(), firstForSlots, i))
+                .setConnections(
+                    part(executor.connections(), names.size(), firstForConnections, i)));
       }
-      slotTurn = (slotTurn + executor.slots()) % names.size();
-      connectionTurn = (connectionTurn + executor.connections()) % names.size();
+      firstForSlots = (firstForSlots + executor.slots()) % names.size();
+      firstForConnections = (firstForConnections + executor.connections()) % names.size();
     }
     return shares.build();
   }
 
-  private static int part(int amount, int parts, int turn, int index) {
-    int extra = Math.floorMod(index - turn, parts) < amount % parts ? 1 : 0;
+  private static int part(int amount, int parts, int first, int index) {
+    int extra = Math.floorMod(index - first, parts) < amount % parts ? 1 : 0;
     return amount / parts + extra;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/snapshot/SnapshotDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/snapshot/SnapshotDuty.java
@@ -59,20 +59,20 @@
    * Publishes a snapshot if one is due. Implements the action {@code Snapshot} of the module
    * Configuration.
    */
-  public void step(ControlState state, long foldedUntil, DecisionContext context) {
-    if (!due(foldedUntil, context) || !writer.hasCapacity(context)) {
+  public void step(ControlState state, long nextOffset, DecisionContext context) {
+    if (!due(nextOffset, context) || !writer.hasCapacity(context)) {
       return;
     }
     intervalStartNanos = context.nowNanos();
     ByteString data = state.snapshot().toByteString();
     int size = ControlLimits.SNAPSHOT_PART_BYTES;
     int parts = Math.max(1, (data.size() + size - 1) / size);
-    context.note(ControlLogEvent.SNAPSHOT_PUBLISHED, foldedUntil, data.size());
+    context.note(ControlLogEvent.SNAPSHOT_PUBLISHED, nextOffset, data.size());
     for (int part = 0; part < parts; part++) {
       ByteString piece = data.substring(part * size, Math.min(data.size(), (part + 1) * size));
       SnapshotPart body =
           SnapshotPart.newBuilder()
-              .setCoversUntil(foldedUntil)
+              .setCoversUntil(nextOffset)
               .setPart(part)
               .setParts(parts)
               .setData(piece)
@@ -81,21 +81,21 @@
     }
   }
 
-  private boolean due(long foldedUntil, DecisionContext context) {
-    if (foldedUntil <= completeUntil || !intervalStarted) {
+  private boolean due(long nextOffset, DecisionContext context) {
+    if (nextOffset <= completeUntil || !intervalStarted) {
       return false;
     }
     if (context.hasElapsed(intervalStartNanos, preferences.snapshotInterval())) {
       return true;
     }
-    return nearRetentionLimit(foldedUntil)
+    return nearRetentionLimit(nextOffset)
         && context.hasElapsed(intervalStartNanos, ControlLimits.MIN_SNAPSHOT_INTERVAL);
   }
 
-  private boolean nearRetentionLimit(long foldedUntil) {
+  private boolean nearRetentionLimit(long nextOffset) {
     if (earliest <= 0) {
       return false;
     }
-    return completeUntil == NONE || completeUntil - earliest < foldedUntil - completeUntil;
+    return completeUntil == NONE || completeUntil - earliest < nextOffset - completeUntil;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/snapshot/SnapshotLoader.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/snapshot/SnapshotLoader.java
@@ -22,7 +22,7 @@
    * The state from which to continue.
    *
    * @param state the state that the snapshot contains
-   * @param rest buffered records to apply to that state
+   * @param remaining buffered records to apply to that state
    */
   public record LoadedSnapshot(ControlState state, long coversUntil, List<LogRecord> remaining) {}
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/state/ControlState.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/state/ControlState.java
@@ -37,7 +37,7 @@
 
   private final JobRegistry jobs = new JobRegistry();
   private final WriterSequences writers = new WriterSequences();
-  private final TreeMap<String, WorkerJudged> judgements = new TreeMap<>();
+  private final TreeMap<String, WorkerJudged> quarantines = new TreeMap<>();
   private long epoch = NO_EPOCH;
   private String owner = "";
   private String ownerIncarnation = "";
@@ -77,8 +77,8 @@
   }
 
   /** Returns the quarantines of workers. */
-  public Collection<WorkerJudged> judgements() {
-    return judgements.values();
+  public Collection<WorkerJudged> quarantines() {
+    return quarantines.values();
   }
 
   /** Returns the statistics learned from ended attempts. */
@@ -148,7 +148,7 @@
       case ATTEMPT_STOPPING -> jobs.stop(record.getAttemptStopping());
       case ATTEMPT_ENDED -> endAttempt(record.getAttemptEnded(), millis);
       case JOB_ENDED -> jobs.endJob(record.getJobEnded(), offset, millis);
-      case WORKER_JUDGED -> judge(record.getWorkerJudged());
+      case WORKER_JUDGED -> quarantine(record.getWorkerJudged());
       case SLOT_SHARES -> share(record.getSlotShares());
       default -> NOT_APPLICABLE;
     };
@@ -163,8 +163,8 @@
   }
 
   private void learn(JobState job, AttemptEnded end, long millis) {
-    long ran = Math.max(0, millis - job.facts().getCommittedMillis()) / MILLIS_PER_SECOND;
-    long kept = job.facts().getKeptSeconds() - (end.getCheckpointed() ? ran : 0);
+    long ran = Math.max(0, millis - job.snapshot().getCommittedMillis()) / MILLIS_PER_SECOND;
+    long kept = job.snapshot().getKeptSeconds() - (end.getCheckpointed() ? ran : 0);
     Optional<WorkerId> blamed =
         Optional.of(end.getWorker()).filter(worker -> !worker.isBlank()).map(WorkerId::new);
     EndedAttempt.Result result =
@@ -188,16 +188,16 @@
     return COUNTED;
   }
 
-  private FoldResult judge(WorkerJudged judged) {
+  private FoldResult quarantine(WorkerJudged judged) {
     if (judged.getWorker().isBlank()) {
       return NOT_APPLICABLE;
     }
     if (judged.getQuarantined()) {
-      judgements.put(judged.getWorker(), judged);
+      quarantines.put(judged.getWorker(), judged);
       WorkerId worker = new WorkerId(judged.getWorker());
       history = history.afterQuarantine(worker, judged.getUntilMillis());
     } else {
-      judgements.remove(judged.getWorker());
+      quarantines.remove(judged.getWorker());
     }
     return COUNTED;
   }
@@ -217,9 +217,9 @@
             .setRevisionPlusOne(revision + 1)
             .setConfigurationBasePlusOne(configuration.getBaseRevisionPlusOne())
             .setConfiguration(configuration)
-            .addAllJobs(jobs.facts())
-            .addAllWorkers(judgements.values())
-            .addAllWriters(writers.facts())
+            .addAllJobs(jobs.snapshots())
+            .addAllWorkers(quarantines.values())
+            .addAllWriters(writers.sequences())
             .setHistory(history.toSnapshot());
     shares.ifPresent(snapshot::setSlotShares);
     return snapshot.build();
@@ -240,7 +240,7 @@
       state.shares = Optional.of(snapshot.getSlotShares());
     }
     for (WorkerJudged judged : snapshot.getWorkersList()) {
-      state.judgements.put(judged.getWorker(), judged);
+      state.quarantines.put(judged.getWorker(), judged);
     }
     return state;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/state/JobRegistry.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/state/JobRegistry.java
@@ -109,7 +109,7 @@
     if (found.isEmpty() || found.get().over()) {
       return NOT_APPLICABLE;
     }
-    put(found.get().with(found.get().facts().toBuilder().setCancelRequested(true)));
+    put(found.get().with(found.get().snapshot().toBuilder().setCancelRequested(true)));
     return COUNTED;
   }
 
@@ -119,7 +119,7 @@
    */
   FoldResult plan(AttemptPlanned planned, long epoch, long offset, long millis) {
     Optional<JobState> found = find(planned.getJob());
-    if (found.isEmpty() || !found.get().waiting() || found.get().facts().getCancelRequested()) {
+    if (found.isEmpty() || !found.get().waiting() || found.get().snapshot().getCancelRequested()) {
       return NOT_APPLICABLE;
     }
     JobState state = found.get();
@@ -130,7 +130,7 @@
     }
     put(
         state.with(
-            state.facts().toBuilder()
+            state.snapshot().toBuilder()
                 .setPlanned(planned)
                 .clearCommitted()
                 .clearStopping()
@@ -156,7 +156,9 @@
     if (!whole || state.plannedEpoch() != epoch) {
       return NOT_APPLICABLE;
     }
-    put(state.with(state.facts().toBuilder().setCommitted(committed).setCommittedMillis(millis)));
+    put(
+        state.with(
+            state.snapshot().toBuilder().setCommitted(committed).setCommittedMillis(millis)));
     return COUNTED;
   }
 
@@ -169,7 +171,7 @@
     if (found.isEmpty() || !found.get().committed() || found.get().stopping()) {
       return NOT_APPLICABLE;
     }
-    put(found.get().with(found.get().facts().toBuilder().setStopping(stopping)));
+    put(found.get().with(found.get().snapshot().toBuilder().setStopping(stopping)));
     return COUNTED;
   }
 
@@ -187,7 +189,7 @@
     if (neverStarted == state.committed()) {
       return NOT_APPLICABLE;
     }
-    JobSnapshot.Builder changed = state.facts().toBuilder().setEnded(end);
+    JobSnapshot.Builder changed = state.snapshot().toBuilder().setEnded(end);
     if (neverStarted) {
       changed.setNeverStarted(changed.getNeverStarted() + 1);
     }
@@ -218,7 +220,7 @@
         found
             .get()
             .with(
-                found.get().facts().toBuilder()
+                found.get().snapshot().toBuilder()
                     .setJobEnded(end)
                     .setEndedOffset(offset)
                     .setEndedMillis(millis)));
@@ -229,7 +231,7 @@
   private void forgetEnded(long millis) {
     while (!ended.isEmpty()) {
       JobState oldest = jobs.get(ended.firstEntry().getValue());
-      boolean old = oldest.facts().getEndedMillis() < millis - ENDED_RETENTION_MILLIS;
+      boolean old = oldest.snapshot().getEndedMillis() < millis - ENDED_RETENTION_MILLIS;
       if (!old && ended.size() <= MAX_ENDED_JOBS) {
         return;
       }
@@ -264,44 +266,44 @@
       unlist(old);
     }
     state.job().requestId().ifPresent(id -> byRequest.put(keyOf(state, id), state.id()));
-    JobSnapshot facts = state.facts();
+    JobSnapshot snapshot = state.snapshot();
     if (state.over()) {
-      ended.put(facts.getEndedOffset(), state.id());
+      ended.put(snapshot.getEndedOffset(), state.id());
     } else if (state.live()) {
-      live.put(facts.getPlannedOffset(), state.id());
+      live.put(snapshot.getPlannedOffset(), state.id());
     } else {
-      waiting.put(facts.getSubmittedOffset(), state.id());
+      waiting.put(snapshot.getSubmittedOffset(), state.id());
     }
   }
 
   private void unlist(JobState state) {
-    waiting.remove(state.facts().getSubmittedOffset(), state.id());
-    live.remove(state.facts().getPlannedOffset(), state.id());
-    ended.remove(state.facts().getEndedOffset(), state.id());
+    waiting.remove(state.snapshot().getSubmittedOffset(), state.id());
+    live.remove(state.snapshot().getPlannedOffset(), state.id());
+    ended.remove(state.snapshot().getEndedOffset(), state.id());
   }
 
-  List<JobSnapshot> facts() {
-    List<JobSnapshot> facts = new ArrayList<>(jobs.size());
+  List<JobSnapshot> snapshots() {
+    List<JobSnapshot> snapshots = new ArrayList<>(jobs.size());
     for (JobState state : states(ended.values())) {
-      facts.add(state.facts());
+      snapshots.add(state.snapshot());
     }
     for (JobState state : live()) {
-      facts.add(state.facts());
+      snapshots.add(state.snapshot());
     }
     for (JobState state : waiting()) {
-      facts.add(state.facts());
+      snapshots.add(state.snapshot());
     }
-    return facts;
+    return snapshots;
   }
 
-  void restore(List<JobSnapshot> facts) {
+  void restore(List<JobSnapshot> snapshots) {
     jobs.clear();
     byRequest.clear();
     waiting.clear();
     live.clear();
     ended.clear();
-    for (JobSnapshot fact : facts) {
-      put(JobState.of(fact));
+    for (JobSnapshot snapshot : snapshots) {
+      put(JobState.of(snapshot));
     }
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/state/JobState.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/state/JobState.java
@@ -20,12 +20,12 @@
  * An immutable view of a job and its last attempt, as recorded in the log.
  *
  * @param job the job
- * @param facts the recorded state, in the form in which a snapshot stores it
+ * @param snapshot the recorded state, in the form in which a snapshot stores it
  */
-public record JobState(Job job, JobSnapshot facts) {
+public record JobState(Job job, JobSnapshot snapshot) {
 
-  static JobState of(JobSnapshot facts) {
-    return new JobState(jobOf(facts.getJob()), facts);
+  static JobState of(JobSnapshot snapshot) {
+    return new JobState(jobOf(snapshot.getJob()), snapshot);
   }
 
   private static Job jobOf(JobSubmitted submitted) {
@@ -55,22 +55,22 @@
 
   /** Returns whether the job has a live attempt: one that was planned and has not ended. */
   public boolean live() {
-    return facts.hasPlanned() && !facts.hasEnded();
+    return snapshot.hasPlanned() && !snapshot.hasEnded();
   }
 
   /** Returns whether the job has a live attempt that was committed. */
   public boolean committed() {
-    return live() && facts.hasCommitted();
+    return live() && snapshot.hasCommitted();
   }
 
   /** Returns whether the job has a live attempt that is being stopped. */
   public boolean stopping() {
-    return live() && facts.hasStopping();
+    return live() && snapshot.hasStopping();
   }
 
   /** Returns whether the job has its final result. */
   public boolean over() {
-    return facts.hasJobEnded();
+    return snapshot.hasJobEnded();
   }
 
   /** Returns whether the job has neither a live attempt nor a final result. */
@@ -80,26 +80,26 @@
 
   /** Returns the last attempt; its number is 0 if there was none. */
   public AttemptId attempt() {
-    return new AttemptId(id(), facts.getPlanned().getAttempt());
+    return new AttemptId(id(), snapshot.getPlanned().getAttempt());
   }
 
   /** Returns the epoch under which the last attempt was planned. */
   public long plannedEpoch() {
-    return facts.getPlannedEpochPlusOne() - 1;
+    return snapshot.getPlannedEpochPlusOne() - 1;
   }
 
   /** Returns the workers of the last attempt, ordered by member number. */
   public List<WorkerId> workers() {
-    return facts.getPlanned().getWorkersList().stream().map(WorkerId::new).toList();
+    return snapshot.getPlanned().getWorkersList().stream().map(WorkerId::new).toList();
   }
 
   /** Returns the job in the form in which the scheduling policy sees waiting jobs. */
   public Scheduler.Waiting asWaiting() {
     Set<WorkerId> avoid = new HashSet<>();
-    for (String worker : facts.getAvoidList()) {
+    for (String worker : snapshot.getAvoidList()) {
       avoid.add(new WorkerId(worker));
     }
-    return new Scheduler.Waiting(job, facts.getFailures(), facts.getKeptSeconds(), avoid);
+    return new Scheduler.Waiting(job, snapshot.getFailures(), snapshot.getKeptSeconds(), avoid);
   }
 
   /** Returns the live attempt in the form in which the scheduling policy sees running ones. */
@@ -108,9 +108,9 @@
         job,
         attempt(),
         new Placement(workers()),
-        facts.getPlanned().getBorrowed(),
-        facts.getStartedMillis(),
-        facts.getKeptSeconds(),
-        facts.hasStopping() || facts.getCancelRequested());
+        snapshot.getPlanned().getBorrowed(),
+        snapshot.getStartedMillis(),
+        snapshot.getKeptSeconds(),
+        snapshot.hasStopping() || snapshot.getCancelRequested());
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/state/WriterSequences.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/state/WriterSequences.java
@@ -42,14 +42,14 @@
     return true;
   }
 
-  List<WriterSequence> facts() {
+  List<WriterSequence> sequences() {
     return List.copyOf(lastByWriter.values());
   }
 
-  void restore(List<WriterSequence> facts) {
+  void restore(List<WriterSequence> sequences) {
     lastByWriter.clear();
-    for (WriterSequence fact : facts) {
-      lastByWriter.put(new Writer(fact.getWriter(), fact.getIncarnation()), fact);
+    for (WriterSequence sequence : sequences) {
+      lastByWriter.put(new Writer(sequence.getWriter(), sequence.getIncarnation()), sequence);
     }
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/trace/ControlReplayer.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/trace/ControlReplayer.java
@@ -73,7 +73,7 @@
   }
 
   private void replay(Line.Event event) throws InvalidTraceException {
-    expectNothing();
+    checkNoneLeft();
     if (core.isEmpty()) {
       throw new InvalidTraceException(parser.lines(), "event", "no core line before it");
     }
@@ -88,18 +88,18 @@
     commands++;
     String replayed = expected.isEmpty() ? "" : expected.removeFirst();
     if (!recorded.equals(replayed)) {
-      differ(recorded, replayed);
+      reportDifference(recorded, replayed);
     }
   }
 
-  private void expectNothing() {
+  private void checkNoneLeft() {
     if (!expected.isEmpty()) {
-      differ("", expected.removeFirst());
+      reportDifference("", expected.removeFirst());
     }
     expected.clear();
   }
 
-  private void differ(String recorded, String replayed) {
+  private void reportDifference(String recorded, String replayed) {
     if (difference.isEmpty()) {
       difference = Optional.of(new Difference(parser.lines(), recorded, replayed));
     }
@@ -107,7 +107,7 @@
 
   /** Ends the replay and returns its result. */
   public Replay end() {
-    expectNothing();
+    checkNoneLeft();
     return new Replay(events, commands, difference);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/trace/EventParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/trace/EventParser.java
@@ -86,7 +86,7 @@
               fields.value("role", MemberList.Role.class),
               fields.flag("leaving"),
               fields.text("host"),
-              fields.small("port")));
+              fields.intNumber("port")));
     }
     return new ControlEvent.MembersListed(members);
   }
@@ -120,7 +120,7 @@
           new State(
               fields.text("lease"),
               fields.value("state", LeaseState.class),
-              fields.small("exit code")));
+              fields.intNumber("exit code")));
     }
     return new WorkerReply.States(worker, states);
   }
@@ -131,8 +131,8 @@
       case "grant" ->
           new WorkerCommand.Grant(
               fields.text("key"),
-              fields.small("accelerators"),
-              fields.small("cores"),
+              fields.intNumber("accelerators"),
+              fields.intNumber("cores"),
               fields.number("memory"),
               fields.number("ttl"));
       case "start" ->
@@ -140,11 +140,12 @@
               fields.text("lease"),
               fields.text("job"),
               fields.text("attempt"),
-              fields.small("member"),
+              fields.intNumber("member"),
               fields.text("command"));
       case "renew" -> renew(fields);
       case "checkpoint" -> new WorkerCommand.Checkpoint(fields.text("lease"));
-      case "throttle" -> new WorkerCommand.Throttle(fields.text("lease"), fields.small("percent"));
+      case "throttle" ->
+          new WorkerCommand.Throttle(fields.text("lease"), fields.intNumber("percent"));
       case "release" -> new WorkerCommand.Release(fields.text("lease"));
       default -> throw fields.fault("command", "unknown command " + word);
     };
@@ -183,13 +184,14 @@
     OrganisationId organisation = new OrganisationId(fields.text("organisation"));
     boolean named = fields.flag("request id given");
     Optional<String> requestId = Optional.of(fields.text("request id")).filter(id -> named);
-    int members = fields.small("members");
+    int members = fields.intNumber("members");
     Capacity unit =
-        new Capacity(fields.small("accelerators"), fields.small("cores"), fields.number("memory"));
+        new Capacity(
+            fields.intNumber("accelerators"), fields.intNumber("cores"), fields.number("memory"));
     return new Request.Submit(
         organisation,
         requestId,
-        new Shape(members, unit, fields.small("racks")),
+        new Shape(members, unit, fields.intNumber("racks")),
         fields.flag("urgent"),
         fields.flag("checkpointable"),
         fields.number("declared seconds"),
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/trace/PercentCodec.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/trace/PercentCodec.java
@@ -10,32 +10,32 @@
  */
 final class PercentCodec {
   private static final HexFormat HEX = HexFormat.of();
-  private static final String PLAIN = "._-/:";
+  private static final String UNRESERVED = "._-/:";
   private static final int HEX_DIGITS = 2;
 
   private PercentCodec() {}
 
   static String encode(String text) {
-    StringBuilder code = new StringBuilder(text.length());
-    for (byte unit : text.getBytes(StandardCharsets.UTF_8)) {
-      if (isPlain(unit)) {
-        code.append((char) unit);
+    StringBuilder encoded = new StringBuilder(text.length());
+    for (byte octet : text.getBytes(StandardCharsets.UTF_8)) {
+      if (isUnreserved(octet)) {
+        encoded.append((char) octet);
       } else {
-        code.append('%').append(HEX.toHexDigits(unit));
+        encoded.append('%').append(HEX.toHexDigits(octet));
       }
     }
-    return code.toString();
+    return encoded.toString();
   }
 
-  private static boolean isPlain(byte unit) {
-    return isBetween(unit, 'a', 'z')
-        || isBetween(unit, 'A', 'Z')
-        || isBetween(unit, '0', '9')
-        || PLAIN.indexOf(unit) >= 0;
+  private static boolean isUnreserved(byte octet) {
+    return isBetween(octet, 'a', 'z')
+        || isBetween(octet, 'A', 'Z')
+        || isBetween(octet, '0', '9')
+        || UNRESERVED.indexOf(octet) >= 0;
   }
 
-  private static boolean isBetween(byte unit, char least, char most) {
-    return unit >= least && unit <= most;
+  private static boolean isBetween(byte octet, char least, char most) {
+    return octet >= least && octet <= most;
   }
 
   /**
@@ -43,22 +43,22 @@
    *
    * @throws IllegalArgumentException if an escape sequence is incomplete or invalid
    */
-  static String decode(String code) {
-    ByteArrayOutputStream units = new ByteArrayOutputStream(code.length());
+  static String decode(String encoded) {
+    ByteArrayOutputStream octets = new ByteArrayOutputStream(encoded.length());
     int i = 0;
-    while (i < code.length()) {
-      char character = code.charAt(i);
+    while (i < encoded.length()) {
+      char character = encoded.charAt(i);
       i++;
       if (character != '%') {
-        units.write(character);
+        octets.write(character);
         continue;
       }
-      if (i + HEX_DIGITS > code.length()) {
+      if (i + HEX_DIGITS > encoded.length()) {
         throw new IllegalArgumentException("cut escape");
       }
-      units.write(HexFormat.fromHexDigits(code, i, i + HEX_DIGITS));
+      octets.write(HexFormat.fromHexDigits(encoded, i, i + HEX_DIGITS));
       i += HEX_DIGITS;
     }
-    return units.toString(StandardCharsets.UTF_8);
+    return octets.toString(StandardCharsets.UTF_8);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/trace/TraceFields.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/trace/TraceFields.java
@@ -69,7 +69,7 @@
     }
   }
 
-  int small(String field) throws InvalidTraceException {
+  int intNumber(String field) throws InvalidTraceException {
     long number = number(field);
     if (number != (int) number) {
       throw fault(field, "is out of range");
@@ -78,7 +78,7 @@
   }
 
   int count(String field) throws InvalidTraceException {
-    int count = small(field);
+    int count = intNumber(field);
     if (count < 0) {
       throw fault(field, "is negative");
     }
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/ControlCoreTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/ControlCoreTest.java
@@ -88,16 +88,16 @@
     Scenario s = new Scenario(3, 4);
     s.cluster.workers.get(TestDeclarations.worker(0)).failing = true;
     JobId first = s.submit(1, "finish 100");
-    s.until(10, "the first job failed there", x -> x.job(first).facts().getFailures() == 1);
+    s.until(10, "the first job failed there", x -> x.job(first).snapshot().getFailures() == 1);
     JobId second = s.submit(1, "finish 100");
     assertEquals("FINISHED", s.result(first, 200));
     assertEquals("FINISHED", s.result(second, 200));
     s.run(5);
     assertEquals(
         List.of("worker-0"),
-        s.invariants.observer().judgements().stream().map(WorkerJudged::getWorker).toList());
+        s.invariants.observer().quarantines().stream().map(WorkerJudged::getWorker).toList());
     JobId third = s.submit(1, "finish 1");
     assertEquals("FINISHED", s.result(third, 20));
-    assertEquals(0, s.job(third).facts().getFailures());
+    assertEquals(0, s.job(third).snapshot().getFailures());
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/GangTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/GangTest.java
@@ -60,7 +60,7 @@
     s.until(2, "planned", x -> x.job(job).live());
     s.cluster.kill(old);
     assertEquals("FINISHED", s.result(job, 60));
-    assertTrue(s.job(job).facts().getNeverStarted() >= 1);
+    assertTrue(s.job(job).snapshot().getNeverStarted() >= 1);
     assertEquals(0, s.sent(old, WorkerCommand.Start.class));
   }
 
@@ -153,11 +153,12 @@
     s.untilRunning(job);
     s.run(20);
     s.cluster.scheduler.reclaim.add(s.job(job).attempt());
-    s.until(5, "the attempt ended", x -> x.job(job).facts().hasEnded());
+    s.until(5, "the attempt ended", x -> x.job(job).snapshot().hasEnded());
     JobState ended = s.job(job);
-    assertEquals(AttemptResult.ATTEMPT_RESULT_STOPPED, ended.facts().getEnded().getResult());
-    assertTrue(ended.facts().getEnded().getCheckpointed());
-    assertTrue(ended.facts().getKeptSeconds() >= 19, () -> "" + ended.facts().getKeptSeconds());
+    assertEquals(AttemptResult.ATTEMPT_RESULT_STOPPED, ended.snapshot().getEnded().getResult());
+    assertTrue(ended.snapshot().getEnded().getCheckpointed());
+    assertTrue(
+        ended.snapshot().getKeptSeconds() >= 19, () -> "" + ended.snapshot().getKeptSeconds());
   }
 
   @Test
@@ -169,8 +170,8 @@
     s.cluster.scheduler.reclaim.add(s.job(job).attempt());
     s.run(4);
     assertTrue(s.job(job).stopping());
-    s.until(3, "the attempt ended", x -> x.job(job).facts().hasEnded());
-    assertFalse(s.job(job).facts().getEnded().getCheckpointed());
+    s.until(3, "the attempt ended", x -> x.job(job).snapshot().hasEnded());
+    assertFalse(s.job(job).snapshot().getEnded().getCheckpointed());
   }
 
   @Test
@@ -178,8 +179,9 @@
     Scenario s = new Scenario(3, 4);
     JobId job = s.submit(1, "fail 3");
     assertEquals("FAILED", s.result(job, 120));
-    assertEquals(3, s.job(job).facts().getFailures());
-    assertEquals(StopReason.STOP_REASON_MEMBER_FAILED, s.job(job).facts().getEnded().getReason());
+    assertEquals(3, s.job(job).snapshot().getFailures());
+    assertEquals(
+        StopReason.STOP_REASON_MEMBER_FAILED, s.job(job).snapshot().getEnded().getReason());
   }
 
   @Test
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/RandomHistoriesTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/RandomHistoriesTest.java
@@ -88,7 +88,8 @@
       Map<Long, String> submissions, long ticket, Answer answer, ControlState state) {
     switch (answer) {
       case Answer.Accepted(JobId job) -> {
-        JobResult result = state.jobs().find(job).orElseThrow().facts().getJobEnded().getResult();
+        JobResult result =
+            state.jobs().find(job).orElseThrow().snapshot().getJobEnded().getResult();
         assertTrue(EXPECTED.contains(result), () -> job + " ended as " + result);
       }
       case Answer.Refused refused when submissions.containsKey(ticket) -> {
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/Scenario.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/Scenario.java
@@ -63,7 +63,7 @@
   /** Runs until a job is over; returns its result. */
   String result(JobId id, long seconds) {
     until(seconds, id + " is over", s -> s.job(id).over());
-    return job(id).facts().getJobEnded().getResult().name().replace("JOB_RESULT_", "");
+    return job(id).snapshot().getJobEnded().getResult().name().replace("JOB_RESULT_", "");
   }
 
   long running(JobId id) {
