--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangCommitter.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangCommitter.java
@@ -110,9 +110,7 @@
     return preferences.grantTimeout().plus(ControlLimits.GRANT_TTL_MARGIN);
   }
 
-  /**
-   * * Appends the commit of the attempt. Implements the action {@code Commit} of the module Gang.
-   */
+  /** Appends the commit of the attempt. Implements the action {@code Commit} of the module Gang. */
   private void commit(AttemptProgress progress, long epoch, DecisionContext context) {
     AttemptCommitted.Builder body =
         AttemptCommitted.newBuilder()
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangDuty.java
@@ -35,7 +35,7 @@
 
   private final LeaseReleaser releaser;
   private final LeaseRenewer renewer;
-  private final GangCommitter starter;
+  private final GangCommitter committer;
   private final GangRunner runner;
   private final GangStopper stopper;
   private final WorkerBackoff backoff = new WorkerBackoff();
@@ -49,7 +49,7 @@
   public GangDuty(ControlPreferences preferences, RecordWriter writer, PeerTracker peers) {
     releaser = new LeaseReleaser(preferences.leaseTtl());
     renewer = new LeaseRenewer(preferences);
-    starter = new GangCommitter(preferences, writer, releaser);
+    committer = new GangCommitter(preferences, writer, releaser);
     runner = new GangRunner(preferences, writer, releaser);
     stopper = new GangStopper(preferences, writer, releaser, peers);
   }
@@ -144,7 +144,7 @@
         attempts.computeIfAbsent(id, key -> new AttemptProgress(job, context.nowNanos()));
     if (!job.committed()) {
       if (mode == GangMode.DECIDE) {
-        starter.advance(current, job, state.epoch(), context);
+        committer.advance(current, job, state.epoch(), context);
         current.members.forEach(member -> requestedLeases.put(key(current, member), member));
       }
       return;
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangRunner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangRunner.java
@@ -165,7 +165,7 @@
   }
 
   /**
-   * * Appends the decision to stop the attempt. Implements the action {@code Stop} of the module
+   * Appends the decision to stop the attempt. Implements the action {@code Stop} of the module
    * Gang.
    */
   private void stop(
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangStopper.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangStopper.java
@@ -154,7 +154,7 @@
     return context.hasElapsed(progress.stoppingSince.getAsLong(), lapseTime.plus(renewalBound));
   }
 
-  /** * Appends the end of the attempt. Implements the action {@code End} of the module Gang. */
+  /** Appends the end of the attempt. Implements the action {@code End} of the module Gang. */
   private void end(
       AttemptProgress progress, AttemptStopping stopping, long epoch, DecisionContext context) {
     AttemptEnded.Builder body =
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/OwnerDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/OwnerDuty.java
@@ -130,8 +130,8 @@
   }
 
   /**
-   * * Releases ownership, unless a release is pending. Implements the action {@code HandOver} of
-   * the module Ownership.
+   * Releases ownership, unless a release is pending. Implements the action {@code HandOver} of the
+   * module Ownership.
    */
   private void releaseOnce(ControlState state, DecisionContext context) {
     if (writer.isPending(releaseSequence) || !writer.hasCapacity(context)) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/planning/PlanDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/planning/PlanDuty.java
@@ -96,7 +96,7 @@
     }
   }
 
-  /** * Appends the plan of an attempt. Implements the action {@code Plan} of the module Gang. */
+  /** Appends the plan of an attempt. Implements the action {@code Plan} of the module Gang. */
   private void start(Scheduler.Start start, ControlState state, DecisionContext context) {
     Optional<JobState> job = state.jobs().find(start.job()).filter(JobState::waiting);
     if (job.isEmpty()) {
