--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ControlPort.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ControlPort.java
@@ -71,8 +71,9 @@
     record Done() implements Answer {}
 
     /**
-     * The request was refused. * * @param retryAfterSeconds time after which to retry; 0 if no time
-     * is recommended
+     * The request was refused.
+     *
+     * @param retryAfterSeconds time after which to retry; 0 if no time is recommended
      */
     record Refused(RefusalReason reason, String detail, int retryAfterSeconds) implements Answer {}
   }
