--- a/fescuehook/src/main/java/org/fescuehook/logic/control/planning/PlanDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/planning/PlanDuty.java
@@ -11,8 +11,8 @@
 import org.fescuehook.logic.control.gang.GangDuty;
 import org.fescuehook.logic.control.state.ControlState;
 import org.fescuehook.logic.control.state.JobState;
+import org.fescuehook.logic.scheduling.FaultyWorkerDetector;
 import org.fescuehook.logic.scheduling.Scheduler;
-import org.fescuehook.logic.scheduling.WorkerJudge;
 import org.fescuehook.model.configuration.Declarations;
 import org.fescuehook.model.fleet.WorkerId;
 import org.fescuehook.wire.AttemptPlanned;
@@ -28,7 +28,7 @@
  */
 public final class PlanDuty {
   private final Scheduler scheduler;
-  private final WorkerJudge judge;
+  private final FaultyWorkerDetector judge;
   private final RecordWriter writer;
   private final GangDuty gangs;
   private final Set<Long> pendingSequences = new HashSet<>();
@@ -36,7 +36,8 @@
   private boolean changed = true;
 
   /** Creates a duty that has made no plan. */
-  public PlanDuty(Scheduler scheduler, WorkerJudge judge, RecordWriter writer, GangDuty gangs) {
+  public PlanDuty(
+      Scheduler scheduler, FaultyWorkerDetector judge, RecordWriter writer, GangDuty gangs) {
     this.scheduler = scheduler;
     this.judge = judge;
     this.writer = writer;
@@ -146,7 +147,7 @@
   }
 
   private void quarantine(
-      WorkerJudge.Judgement quarantine, ControlState state, DecisionContext context) {
+      FaultyWorkerDetector.Quarantine quarantine, ControlState state, DecisionContext context) {
     context.note(
         ControlLogEvent.WORKER_QUARANTINED,
         quarantine.worker(),
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/state/JobState.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/state/JobState.java
@@ -94,17 +94,17 @@
   }
 
   /** Returns the job in the form in which the scheduling policy sees waiting jobs. */
-  public Scheduler.Waiting asWaiting() {
+  public Scheduler.WaitingJob asWaiting() {
     Set<WorkerId> avoid = new HashSet<>();
     for (String worker : snapshot.getAvoidList()) {
       avoid.add(new WorkerId(worker));
     }
-    return new Scheduler.Waiting(job, snapshot.getFailures(), snapshot.getKeptSeconds(), avoid);
+    return new Scheduler.WaitingJob(job, snapshot.getFailures(), snapshot.getKeptSeconds(), avoid);
   }
 
   /** Returns the live attempt in the form in which the scheduling policy sees running ones. */
-  public Scheduler.Running asRunning() {
-    return new Scheduler.Running(
+  public Scheduler.RunningAttempt asRunning() {
+    return new Scheduler.RunningAttempt(
         job,
         attempt(),
         new Placement(workers()),
