--- a/fescuehook/src/main/java/org/fescuehook/logic/control/planning/PlanDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/planning/PlanDuty.java
@@ -28,7 +28,7 @@
  */
 public final class PlanDuty {
   private final Scheduler scheduler;
-  private final FaultyWorkerDetector judge;
+  private final FaultyWorkerDetector detector;
   private final RecordWriter writer;
   private final GangDuty gangs;
   private final Set<Long> pendingSequences = new HashSet<>();
@@ -37,9 +37,9 @@
 
   /** Creates a duty that has made no plan. */
   public PlanDuty(
-      Scheduler scheduler, FaultyWorkerDetector judge, RecordWriter writer, GangDuty gangs) {
+      Scheduler scheduler, FaultyWorkerDetector detector, RecordWriter writer, GangDuty gangs) {
     this.scheduler = scheduler;
-    this.judge = judge;
+    this.detector = detector;
     this.writer = writer;
     this.gangs = gangs;
   }
@@ -64,7 +64,7 @@
     Scheduler.View view = ViewBuilder.build(state, declarations, unavailable, context.wallMillis());
     try {
       decide(scheduler.plan(view), state, context);
-      judge.judge(view).forEach(quarantine -> quarantine(quarantine, state, context));
+      detector.judge(view).forEach(quarantine -> quarantine(quarantine, state, context));
     } catch (RuntimeException e) {
       // A failure of the policy must not prevent the leases of running gangs from being renewed.
       context.note(ControlLogEvent.PLAN_FAILED, e.toString());
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/ClusterInvariants.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/ClusterInvariants.java
@@ -20,14 +20,16 @@
 import org.fescuehook.model.log.LogRecord;
 import org.fescuehook.wire.ControlRecord;
 
-/** What must hold in every state of a virtual cluster. Folds the log on its own. */
+/**
+ * Checks the invariants of a virtual cluster against a state that it derives from the log itself.
+ */
 final class ClusterInvariants {
   private final VirtualCluster cluster;
   private final ControlState observer = new ControlState();
-  private final Map<String, Long> partSince = new HashMap<>();
+  private final Map<String, Long> partialSince = new HashMap<>();
   private long next;
-  private long covered;
-  long longestPartNanos;
+  private long coveredUntil;
+  long longestPartialGangNanos;
   long claims;
   long attempts;
 
@@ -51,20 +53,20 @@
     claims += counted && record.hasOwnerClaim() ? 1 : 0;
     attempts += counted && record.hasAttemptPlanned() ? 1 : 0;
     if (record.hasSnapshotPart() && record.getSnapshotPart().getParts() == 1) {
-      covered = Math.max(covered, record.getSnapshotPart().getCoversUntil());
+      coveredUntil = Math.max(coveredUntil, record.getSnapshotPart().getCoversUntil());
     }
   }
 
-  /** Drops all that the last whole snapshot covers. */
+  /** Removes from the log all records that the last complete snapshot includes. */
   void dropCovered() {
     observer();
-    cluster.log.dropUntil(covered);
+    cluster.log.dropUntil(coveredUntil);
   }
 
   void check() {
     observer();
     checkRunningTasks();
-    checkBooks();
+    checkAllocations();
     checkShares();
     for (VirtualVm vm : cluster.vms) {
       List<Long> sorted = vm.revisions.stream().distinct().sorted().toList();
@@ -74,37 +76,37 @@
 
   private void checkRunningTasks() {
     Map<String, String> attemptOfJob = new HashMap<>();
-    Map<String, Integer> begun = new HashMap<>();
+    Map<String, Integer> started = new HashMap<>();
     Set<String> running = new HashSet<>();
     for (FakeWorker worker : cluster.workers.values()) {
       for (FakeWorker.Lease lease : worker.leases()) {
         if (lease.attempt.isEmpty()) {
           continue;
         }
-        begun.merge(lease.attempt, 1, Integer::sum);
+        started.merge(lease.attempt, 1, Integer::sum);
         if (lease.state == LeaseState.RUNNING) {
           running.add(lease.attempt);
           String other = attemptOfJob.putIfAbsent(lease.job, lease.attempt);
           assertTrue(
               other == null || other.equals(lease.attempt),
-              () -> other + " and " + lease.attempt + " run at once");
+              () -> other + " and " + lease.attempt + " run at the same time");
         }
       }
     }
-    partSince.keySet().retainAll(running);
+    partialSince.keySet().retainAll(running);
     for (String attempt : running) {
       JobId id = new JobId(attempt.substring(0, attempt.lastIndexOf('.')));
       JobState job = observer.jobs().find(id).orElseThrow();
-      if (begun.get(attempt) == job.job().shape().members()) {
-        partSince.remove(attempt);
+      if (started.get(attempt) == job.job().shape().members()) {
+        partialSince.remove(attempt);
       } else {
-        long since = partSince.computeIfAbsent(attempt, key -> cluster.now());
-        longestPartNanos = Math.max(longestPartNanos, cluster.now() - since);
+        long since = partialSince.computeIfAbsent(attempt, key -> cluster.now());
+        longestPartialGangNanos = Math.max(longestPartialGangNanos, cluster.now() - since);
       }
     }
   }
 
-  private void checkBooks() {
+  private void checkAllocations() {
     Map<WorkerId, Capacity> used = new HashMap<>();
     for (JobState job : observer.jobs().live()) {
       for (WorkerId worker : job.workers()) {
@@ -115,7 +117,7 @@
         (worker, capacity) ->
             assertTrue(
                 TestDeclarations.CAPACITY.contains(capacity),
-                () -> worker + " is booked twice: " + capacity));
+                () -> worker + " is allocated beyond its capacity: " + capacity));
   }
 
   private void checkShares() {
@@ -133,7 +135,7 @@
     connections.forEach((executor, sum) -> assertTrue(sum <= 64, () -> executor + " " + sum));
   }
 
-  /** All VMs that live hold the state of the whole log. */
+  /** Checks that all live VMs that have read the whole log hold its state. */
   void checkSameState() {
     observer();
     for (VirtualVm vm : cluster.vms) {
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/ConfigurationTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/ConfigurationTest.java
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void ofTwoRacingPublicationsOneWinsAndTheOtherHearsWhoWon() {
+  void oneOfTwoConcurrentPublicationsWinsAndTheOtherGetsAConflictThatNamesTheWinner() {
     Scenario s = new Scenario(3, 4);
     long base = s.invariants.observer().revision();
     VirtualVm a = s.cluster.vms.get(0);
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void aPublicationOnAnOldBaseIsAConflict() {
+  void aPublicationBasedOnAnOldRevisionIsAConflict() {
     Scenario s = new Scenario(3, 4);
     long base = s.invariants.observer().revision();
     publish(s, 0, base, "4 3 second");
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void theSameContentPublishedAgainChangesNothing() {
+  void publishingTheSameDeclarationsAgainAppendsNothing() {
     Scenario s = new Scenario(3, 4);
     long base = s.invariants.observer().revision();
     long before = s.cluster.log.next();
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void faultyDeclarationsAreRefusedAndTheConfigurationStays() {
+  void invalidDeclarationsAreRefusedAndTheConfigurationStaysInForce() {
     Scenario s = new Scenario(3, 4);
     long base = s.invariants.observer().revision();
     Answer answer = publish(s, 1, base, "bad text");
@@ -80,21 +80,21 @@
   }
 
   @Test
-  void aVmBackFromAPausePutsNoOlderConfigurationInForce() {
+  void aVmResumedAfterAPausePutsNoOutdatedConfigurationInForce() {
     Scenario s = new Scenario(3, 4);
-    VirtualVm vm = s.standBy();
+    VirtualVm vm = s.nonOwner();
     s.cluster.pause(vm);
     int owner = s.cluster.vms.indexOf(s.owner());
     publish(s, owner, s.invariants.observer().revision(), "4 3 second");
     publish(s, owner, s.invariants.observer().revision(), "4 3 third");
-    s.cluster.wake(vm);
+    s.cluster.resume(vm);
     s.run(2);
     assertEquals(s.invariants.observer().revision(), vm.revisions.getLast());
     assertEquals(2, vm.revisions.size());
   }
 
   @Test
-  void aPublicationWhoseReplyIsLostIsAnsweredWhenItIsRead() {
+  void aPublicationWhoseReplyIsLostIsAnsweredOnceItIsReadBack() {
     Scenario s = new Scenario(3, 4);
     s.cluster.appendFault =
         (vm, r) -> r.hasConfigurationPublished() ? AppendFault.REPLY_LOST : AppendFault.NONE;
@@ -103,7 +103,7 @@
   }
 
   @Test
-  void aConfigurationThatNoVmCanReadStopsNoGangAndStartsNone() {
+  void aConfigurationThatNoVmCanParseNeitherStopsNorStartsGangs() {
     Scenario s = new Scenario(3, 4);
     JobId running = s.submit(2, "finish 100");
     s.untilRunning(running);
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/ControlCoreTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/ControlCoreTest.java
@@ -34,28 +34,28 @@
   }
 
   @Test
-  void aVmThatHasNotReadAJobYetWaitsForItAndNeverDeniesItWithoutTheLog() {
+  void aVmDelaysRequestsAboutAnUnreadJobAndDoesNotAnswerNotFoundWithoutTheLog() {
     Scenario s = new Scenario(3, 4);
-    VirtualVm late = s.standBy();
-    late.cutFromLog = true;
+    VirtualVm lateReader = s.nonOwner();
+    lateReader.logUnreachable = true;
     JobId job =
         assertInstanceOf(
                 Answer.Accepted.class,
                 s.cluster.answer(s.owner(), TestDeclarations.gang(1, "finish 5")))
             .job();
-    Answer cut = s.cluster.answer(late, new Request.Show(job, 0));
+    Answer cut = s.cluster.answer(lateReader, new Request.Show(job, 0));
     assertEquals(
         RefusalReason.LOG_UNAVAILABLE, assertInstanceOf(Answer.Refused.class, cut).reason());
-    long ticket = s.cluster.ask(late, new Request.Show(job, 0));
-    late.cutFromLog = false;
+    long ticket = s.cluster.ask(lateReader, new Request.Show(job, 0));
+    lateReader.logUnreachable = false;
     s.run(1);
-    assertInstanceOf(Answer.Document.class, late.answers.get(ticket));
-    Answer unknown = s.cluster.answer(late, new Request.Show(new JobId("never"), 0));
+    assertInstanceOf(Answer.Document.class, lateReader.answers.get(ticket));
+    Answer unknown = s.cluster.answer(lateReader, new Request.Show(new JobId("never"), 0));
     assertEquals(RefusalReason.NOT_FOUND, assertInstanceOf(Answer.Refused.class, unknown).reason());
   }
 
   @Test
-  void aFaultOfThePolicyStopsNoRunningGangAndNoRequest() {
+  void aFailingPolicyStopsNeitherRunningGangsNorRequests() {
     Scenario s = new Scenario(3, 4);
     JobId job = s.submit(2, "finish 100");
     s.untilRunning(job);
@@ -67,9 +67,9 @@
   }
 
   @Test
-  void aBurstIsAcceptedUpToTheQueueAndRefusedAsNotRunBeyondIt() {
+  void requestsOfABurstBeyondTheQueueCapacityAreRefusedAsNotExecuted() {
     Scenario s = new Scenario(3, 4);
-    VirtualVm vm = s.standBy();
+    VirtualVm vm = s.nonOwner();
     for (int i = 0; i < 1200; i++) {
       s.cluster.ask(vm, TestDeclarations.gang(1, "finish 1"));
     }
@@ -78,17 +78,19 @@
         vm.answers.values().stream()
             .map(answer -> answer instanceof Answer.Refused r ? r.reason().slug() : "accepted")
             .collect(Collectors.groupingBy(kind -> kind, Collectors.counting()));
-    long taken = ControlLimits.MAX_QUEUED_REQUESTS + ControlLimits.MAX_PENDING_REQUEST_APPENDS;
-    assertEquals(Map.of("accepted", taken, "queue-full", 1200 - taken), kinds);
-    assertEquals(taken, s.appends(vm, ControlRecord::hasJobSubmitted).size());
+    long acceptedCount =
+        ControlLimits.MAX_QUEUED_REQUESTS + ControlLimits.MAX_PENDING_REQUEST_APPENDS;
+    assertEquals(Map.of("accepted", acceptedCount, "queue-full", 1200 - acceptedCount), kinds);
+    assertEquals(acceptedCount, s.appends(vm, ControlRecord::hasJobSubmitted).size());
   }
 
   @Test
-  void aWorkerThatFailsJobsThatRunElsewhereIsQuarantined() {
+  void aWorkerOnWhichJobsFailThatSucceedElsewhereIsQuarantined() {
     Scenario s = new Scenario(3, 4);
     s.cluster.workers.get(TestDeclarations.worker(0)).failing = true;
     JobId first = s.submit(1, "finish 100");
-    s.until(10, "the first job failed there", x -> x.job(first).snapshot().getFailures() == 1);
+    s.until(
+        10, "the first job failed on the worker", x -> x.job(first).snapshot().getFailures() == 1);
     JobId second = s.submit(1, "finish 100");
     assertEquals("FINISHED", s.result(first, 200));
     assertEquals("FINISHED", s.result(second, 200));
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/ControlTraceTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/ControlTraceTest.java
@@ -29,7 +29,7 @@
     return ControlTraceWriter.header(identity, "i1", ControlPreferences.DEFAULT);
   }
 
-  /** A trace of an owner in which every kind of event and answer comes up. */
+  /** Records a trace of an owner in which every kind of event and answer occurs. */
   private static List<String> record() {
     VirtualCluster cluster = new VirtualCluster(2, 4);
     VirtualVm vm = cluster.vms.get(0);
@@ -82,7 +82,7 @@
   }
 
   @Test
-  void aChangedCommandIsFoundWithItsLine() throws InvalidTraceException {
+  void aChangedCommandIsReportedWithItsLine() throws InvalidTraceException {
     List<String> lines = record();
     int index = lines.size() - 1;
     while (!lines.get(index).startsWith("> append")) {
@@ -93,14 +93,14 @@
   }
 
   @Test
-  void aMissingCommandIsFound() throws InvalidTraceException {
+  void aMissingCommandIsReported() throws InvalidTraceException {
     List<String> lines = record();
     lines.removeIf(line -> line.startsWith("> send"));
     assertTrue(replay(lines).difference().isPresent());
   }
 
   @Test
-  void wrongLinesAreRefusedWithLineAndField() {
+  void invalidLinesAreRejectedWithLineAndField() {
     assertFault("line 1, format", List.of("fescuehook-control-trace 2"));
     assertFault("line 3, event", append("1 2 unknown"));
     assertFault("line 3, next", append("1 2 caught-up 5 x"));
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/FakeLog.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/FakeLog.java
@@ -5,7 +5,7 @@
 import org.fescuehook.model.log.LogPage;
 import org.fescuehook.model.log.LogRecord;
 
-/** The control stream in memory. */
+/** An in-memory control stream. */
 final class FakeLog {
   private final List<LogRecord> records = new ArrayList<>();
   private long earliest;
@@ -20,7 +20,7 @@
     return earliest + records.size();
   }
 
-  /** Drops the records before an offset. */
+  /** Removes the records before an offset, as the log's retention does. */
   void dropUntil(long offset) {
     while (earliest < offset && !records.isEmpty()) {
       records.removeFirst();
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/FakeWorker.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/FakeWorker.java
@@ -12,7 +12,10 @@
 import org.fescuehook.model.fleet.Capacity;
 import org.fescuehook.model.fleet.WorkerId;
 
-/** A worker with leases. A task's command is {@code finish SECONDS} or {@code fail SECONDS}. */
+/**
+ * A simulated worker with leases. The command of a task is {@code finish SECONDS} or {@code fail
+ * SECONDS}.
+ */
 final class FakeWorker {
   private static final long SECOND = 1_000_000_000L;
 
@@ -44,7 +47,7 @@
   }
 
   WorkerReply handle(WorkerCommand command) {
-    pass();
+    advance();
     return switch (command) {
       case WorkerCommand.Grant grant -> grant(grant);
       case WorkerCommand.Start start -> start(start);
@@ -116,8 +119,8 @@
     return new WorkerReply.States(id, states);
   }
 
-  /** Lets time pass: leases lapse and tasks end. */
-  void pass() {
+  /** Advances to the current time: leases expire and tasks end. */
+  void advance() {
     long now = clock.getAsLong();
     leases.values().removeIf(lease -> lease.expires <= now);
     for (Lease lease : leases.values()) {
@@ -128,14 +131,14 @@
     }
   }
 
-  /** The VM died: tasks and leases are gone at once. */
+  /** Simulates the death of the worker's VM: its tasks and leases are gone at once. */
   void die() {
     dead = true;
     leases.clear();
   }
 
   List<Lease> leases() {
-    pass();
+    advance();
     return List.copyOf(leases.values());
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/FirstFitScheduler.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/FirstFitScheduler.java
@@ -15,7 +15,10 @@
 import org.fescuehook.model.job.JobId;
 import org.fescuehook.model.job.Placement;
 
-/** Starts jobs in the order of submission where they fit; stops what a test names. */
+/**
+ * Starts jobs in the order of submission on the first workers that have capacity, and stops the
+ * attempts that a test names.
+ */
 final class FirstFitScheduler implements Scheduler {
   final Set<AttemptId> reclaim = new HashSet<>();
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/GangTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/GangTest.java
@@ -21,15 +21,15 @@
   @Test
   void aNewOwnerStartsTheMembersThatADeadOwnerDidNotReach() {
     Scenario s = new Scenario(3, 4);
-    VirtualVm old = s.owner();
+    VirtualVm oldOwner = s.owner();
     s.cluster.sendFault =
         (vm, c) ->
-            vm == old && c instanceof WorkerCommand.Start start && start.member() > 0
+            vm == oldOwner && c instanceof WorkerCommand.Start start && start.member() > 0
                 ? SendFault.COMMAND_LOST
                 : SendFault.NONE;
     JobId job = s.submit(4, "finish 30");
     s.until(5, "one member runs", x -> x.running(job) == 1);
-    s.cluster.kill(old);
+    s.cluster.kill(oldOwner);
     s.until(6, "all members run", x -> x.running(job) == 4);
     assertEquals("FINISHED", s.result(job, 60));
     assertEquals(1, s.job(job).attempt().number());
@@ -38,49 +38,53 @@
   @Test
   void aNewOwnerStartsAGangThatADeadOwnerCommittedAndDidNotStart() {
     Scenario s = new Scenario(3, 4);
-    VirtualVm old = s.owner();
+    VirtualVm oldOwner = s.owner();
     s.cluster.sendFault =
         (vm, c) ->
-            vm == old && c instanceof WorkerCommand.Start ? SendFault.COMMAND_LOST : SendFault.NONE;
+            vm == oldOwner && c instanceof WorkerCommand.Start
+                ? SendFault.COMMAND_LOST
+                : SendFault.NONE;
     JobId job = s.submit(2, "finish 30");
     s.until(5, "committed", x -> x.job(job).committed());
-    s.cluster.kill(old);
+    s.cluster.kill(oldOwner);
     s.until(6, "all members run", x -> x.running(job) == 2);
     assertEquals(1, s.job(job).attempt().number());
   }
 
   @Test
-  void anAttemptThatADeadOwnerDidNotCommitNeverStartsAndIsTriedAgain() {
+  void anAttemptThatADeadOwnerDidNotCommitEndsAsNeverStartedAndTheJobIsRetried() {
     Scenario s = new Scenario(3, 4);
-    VirtualVm old = s.owner();
+    VirtualVm oldOwner = s.owner();
     s.cluster.sendFault =
         (vm, c) ->
-            vm == old && c instanceof WorkerCommand.Grant ? SendFault.REPLY_LOST : SendFault.NONE;
+            vm == oldOwner && c instanceof WorkerCommand.Grant
+                ? SendFault.REPLY_LOST
+                : SendFault.NONE;
     JobId job = s.submit(2, "finish 5");
     s.until(2, "planned", x -> x.job(job).live());
-    s.cluster.kill(old);
+    s.cluster.kill(oldOwner);
     assertEquals("FINISHED", s.result(job, 60));
     assertTrue(s.job(job).snapshot().getNeverStarted() >= 1);
-    assertEquals(0, s.sent(old, WorkerCommand.Start.class));
+    assertEquals(0, s.sent(oldOwner, WorkerCommand.Start.class));
   }
 
   @Test
-  void whenAWorkerDiesTheOthersStopWithinRenewalIntervalPlusLeaseAndTheJobRunsAgain() {
+  void afterAWorkerDiesTheOtherMembersStopWithinRenewalIntervalPlusLeaseTtlAndTheJobIsRetried() {
     Scenario s = new Scenario(3, 4);
     JobId job = s.submit(3, "finish 200");
     s.untilRunning(job);
     s.run(60);
     s.cluster.workers.get(TestDeclarations.worker(1)).die();
     assertEquals("FINISHED", s.result(job, 600));
-    long bound = PREFERENCES.leaseTtl().plus(PREFERENCES.renewInterval()).toNanos();
-    long part = s.invariants.longestPartNanos;
-    System.out.printf("worker dead: part gang for %d ms%n", part / VirtualCluster.MILLI);
-    assertTrue(part <= bound, () -> part / VirtualCluster.MILLI + " ms");
+    long boundNanos = PREFERENCES.leaseTtl().plus(PREFERENCES.renewInterval()).toNanos();
+    long longestNanos = s.invariants.longestPartialGangNanos;
+    System.out.printf("worker dead: part gang for %d ms%n", longestNanos / VirtualCluster.MILLI);
+    assertTrue(longestNanos <= boundNanos, () -> longestNanos / VirtualCluster.MILLI + " ms");
     assertEquals(2, s.job(job).attempt().number());
   }
 
   @Test
-  void whenALeaseLapsedTheOthersAreReleasedAtTheNextRenewal() {
+  void afterALeaseExpiresTheOtherLeasesAreReleasedAtTheNextRenewal() {
     Scenario s = new Scenario(3, 4);
     JobId job = s.submit(3, "finish 200");
     s.untilRunning(job);
@@ -93,7 +97,7 @@
   }
 
   @Test
-  void aCancellationInTheStartLeavesNoTaskAndNoLease() {
+  void aCancellationDuringTheStartLeavesNoTaskAndNoLease() {
     for (int millis = 0; millis < 60; millis += 2) {
       Scenario s = new Scenario(3, 4);
       JobId job = s.submit(4, "finish 60");
@@ -106,7 +110,7 @@
   }
 
   @Test
-  void aStopWhoseReplyIsLostEndsOnlyByTheWorkersWord() {
+  void aStoppedAttemptWhoseReleaseRepliesAreLostEndsOnlyOnceTheWorkersConfirm() {
     Scenario s = new Scenario(3, 2);
     JobId first = s.submit(2, "finish 600");
     s.untilRunning(first);
@@ -114,13 +118,13 @@
         (vm, c) -> c instanceof WorkerCommand.Release ? SendFault.REPLY_LOST : SendFault.NONE;
     s.cancel(first);
     s.run(10);
-    assertTrue(s.job(first).live(), "ended without the word of the workers");
+    assertTrue(s.job(first).live(), "ended without confirmation of the workers");
     s.cluster.sendFault = (vm, c) -> SendFault.NONE;
     assertEquals("CANCELLED", s.result(first, 5));
   }
 
   @Test
-  void aGangWithAMemberThatDoesNotStartIsStoppedAndTriedAgain() {
+  void aGangWithAMemberThatDoesNotStartIsStoppedAndRetried() {
     Scenario s = new Scenario(3, 4);
     s.cluster.sendFault =
         (vm, c) ->
@@ -132,11 +136,11 @@
     JobId job = s.submit(2, "finish 20");
     assertEquals("FINISHED", s.result(job, 60));
     assertEquals(2, s.job(job).attempt().number());
-    assertTrue(s.invariants.longestPartNanos < Duration.ofSeconds(6).toNanos());
+    assertTrue(s.invariants.longestPartialGangNanos < Duration.ofSeconds(6).toNanos());
   }
 
   @Test
-  void aGangThatAWorkerRefusesIsTriedElsewhere() {
+  void aGangWhoseLeaseAWorkerRefusesIsRetriedOnOtherWorkers() {
     Scenario s = new Scenario(3, 4);
     s.cluster.workers.get(TestDeclarations.worker(0)).refusing = true;
     JobId job = s.submit(3, "finish 5");
@@ -147,7 +151,7 @@
   }
 
   @Test
-  void aBorrowerIsAskedForACheckpointBeforeItIsStopped() {
+  void aBorrowerIsRequestedToCheckpointBeforeItIsStopped() {
     Scenario s = new Scenario(3, 2);
     JobId job = s.submit(2, "finish 100");
     s.untilRunning(job);
@@ -162,7 +166,7 @@
   }
 
   @Test
-  void aBorrowerThatIgnoresTheCheckpointIsStoppedAfterItsNotice() {
+  void aBorrowerThatIgnoresTheCheckpointIsStoppedAfterItsNoticePeriod() {
     Scenario s = new Scenario(3, 2);
     s.cluster.workers.get(TestDeclarations.worker(1)).ignoresCheckpoint = true;
     JobId job = s.submit(2, "finish 100");
@@ -175,7 +179,7 @@
   }
 
   @Test
-  void aFailedMemberStopsTheGangAndTheJobIsGivenUpAfterItsAttempts() {
+  void aFailedMemberStopsTheGangAndTheJobFailsAfterItsMaximumAttempts() {
     Scenario s = new Scenario(3, 4);
     JobId job = s.submit(1, "fail 3");
     assertEquals("FAILED", s.result(job, 120));
@@ -185,27 +189,28 @@
   }
 
   @Test
-  void aFinishedGangIsNotRunAgainWhenItsEndIsLostTogetherWithTheOwner() {
+  void aFinishedGangIsNotRunAgainIfItsEndRecordIsLostAndTheOwnerDies() {
     Scenario s = new Scenario(3, 2);
     JobId job = s.submit(2, "finish 20");
     s.untilRunning(job);
-    VirtualVm old = s.owner();
+    VirtualVm oldOwner = s.owner();
     s.cluster.appendFault =
-        (vm, r) -> vm == old && r.hasAttemptEnded() ? AppendFault.RECORD_LOST : AppendFault.NONE;
-    s.until(30, "end appended", x -> !x.appends(old, r -> r.hasAttemptEnded()).isEmpty());
+        (vm, r) ->
+            vm == oldOwner && r.hasAttemptEnded() ? AppendFault.RECORD_LOST : AppendFault.NONE;
+    s.until(30, "end appended", x -> !x.appends(oldOwner, r -> r.hasAttemptEnded()).isEmpty());
     s.cluster.run(Duration.ofMillis(20));
-    s.cluster.kill(old);
+    s.cluster.kill(oldOwner);
     assertEquals("FINISHED", s.result(job, 30));
     assertEquals(1, s.job(job).attempt().number());
   }
 
   @Test
-  void aJobOnASilentWorkerIsNotStartedAgainWhileACutOwnerMayRenewIt() {
+  void aJobOnASilentWorkerIsNotStartedAgainWhileAnIsolatedOwnerMayRenewItsLease() {
     assertNotStartedAgain(false);
   }
 
   @Test
-  void aCutOwnerThatTheListDroppedMayStillRenew() {
+  void anIsolatedOwnerThatIsNoLongerListedMayStillRenewItsLeases() {
     assertNotStartedAgain(true);
   }
 
@@ -213,17 +218,17 @@
     Scenario s = new Scenario(3, 4);
     JobId job = s.submit(1, "finish 3000");
     s.untilRunning(job);
-    VirtualVm old = s.owner();
-    old.unlisted = unlisted;
-    old.cutFromLog = true;
-    old.cutFromPeers = true;
-    s.cluster.sendFault = (vm, c) -> vm == old ? SendFault.NONE : SendFault.COMMAND_LOST;
+    VirtualVm oldOwner = s.owner();
+    oldOwner.unlisted = unlisted;
+    oldOwner.logUnreachable = true;
+    oldOwner.peersUnreachable = true;
+    s.cluster.sendFault = (vm, c) -> vm == oldOwner ? SendFault.NONE : SendFault.COMMAND_LOST;
     s.run(600);
-    assertEquals(1, s.running(job), "the cut owner renews");
+    assertEquals(1, s.running(job), "the isolated owner renews");
     assertEquals(1, s.job(job).attempt().number());
-    old.cutFromLog = false;
-    old.cutFromPeers = false;
-    old.unlisted = false;
+    oldOwner.logUnreachable = false;
+    oldOwner.peersUnreachable = false;
+    oldOwner.unlisted = false;
     s.cluster.sendFault = (vm, c) -> SendFault.NONE;
     s.until(60, "stopped", x -> x.job(job).attempt().number() == 2 || x.job(job).waiting());
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/OutageTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/OutageTest.java
@@ -15,7 +15,7 @@
 class OutageTest {
 
   @Test
-  void gangsRunOnThroughTenMinutesWithoutTheLogAndNothingNewStarts() {
+  void gangsKeepRunningDuringATenMinuteLogOutageAndNoNewOneStarts() {
     Scenario s = new Scenario(3, 4);
     JobId running = s.submit(2, "finish 900");
     s.untilRunning(running);
@@ -24,7 +24,7 @@
     JobId waiting = s.submit(2, "finish 5");
     s.cluster.log.down = true;
     s.run(5);
-    Answer refused = s.cluster.answer(s.standBy(), TestDeclarations.gang(1, "finish 1"));
+    Answer refused = s.cluster.answer(s.nonOwner(), TestDeclarations.gang(1, "finish 1"));
     Answer.Refused refusal = assertInstanceOf(Answer.Refused.class, refused);
     assertEquals(RefusalReason.LOG_UNAVAILABLE, refusal.reason());
     assertEquals(ExecutionStatus.NO, refusal.reason().ran());
@@ -41,47 +41,48 @@
   }
 
   @Test
-  void aStandByRenewsWhenTheOwnerDiesInTheOutageAndAdoptsAfterIt() {
+  void anotherVmRenewsLeasesIfTheOwnerDiesDuringAnOutageAndAdoptsTheGangsAfterIt() {
     Scenario s = new Scenario(3, 4);
     JobId job = s.submit(3, "finish 900");
     s.untilRunning(job);
     s.cluster.log.down = true;
     s.run(60);
-    VirtualVm old = s.owner();
-    s.cluster.kill(old);
+    VirtualVm oldOwner = s.owner();
+    s.cluster.kill(oldOwner);
     s.run(540);
     assertEquals(3, s.running(job));
-    long standIns =
+    long renewingVms =
         s.cluster.vms.stream()
-            .filter(vm -> vm.notes.stream().anyMatch(note -> note.startsWith("RENEWING_FOR_OWNER")))
+            .filter(
+                vm -> vm.logEvents.stream().anyMatch(note -> note.startsWith("RENEWING_FOR_OWNER")))
             .count();
-    assertEquals(1, standIns);
+    assertEquals(1, renewingVms);
     s.cluster.log.down = false;
-    long back = s.cluster.now();
-    s.until(10, "take-over", x -> x.cluster.owner().filter(vm -> vm != old).isPresent());
+    long outageEndNanos = s.cluster.now();
+    s.until(10, "take-over", x -> x.cluster.owner().filter(vm -> vm != oldOwner).isPresent());
     System.out.printf(
         "take-over after an outage: %d ms of virtual time%n",
-        (s.cluster.now() - back) / VirtualCluster.MILLI);
+        (s.cluster.now() - outageEndNanos) / VirtualCluster.MILLI);
     assertEquals("FINISHED", s.result(job, 400));
     assertEquals(1, s.job(job).attempt().number());
   }
 
   @Test
-  void afterAnOutageTheOwnerStaysAndOthersDoNotClaim() {
+  void afterAnOutageTheOwnerStaysOwnerAndOtherVmsDoNotClaim() {
     Scenario s = new Scenario(7, 4);
-    VirtualVm old = s.owner();
+    VirtualVm oldOwner = s.owner();
     s.cluster.log.down = true;
     s.run(120);
     s.cluster.log.down = false;
     long before = s.cluster.log.next();
     s.run(10);
-    assertEquals(old, s.owner());
+    assertEquals(oldOwner, s.owner());
     long appends = s.cluster.log.next() - before;
     assertTrue(appends < 30, () -> appends + " appends in the first 10 s");
   }
 
   @Test
-  void aGangThatLosesAMemberInTheOutageEndsAsAWhole() {
+  void aGangThatLosesAMemberDuringAnOutageStopsCompletely() {
     Scenario s = new Scenario(3, 4);
     JobId job = s.submit(3, "finish 900");
     s.untilRunning(job);
@@ -95,7 +96,7 @@
   }
 
   @Test
-  void aGangWhoseLeaseLapsedInTheOutageIsReleasedAtTheNextRenewal() {
+  void aGangWithAnExpiredLeaseIsReleasedAtTheNextRenewalDuringAnOutage() {
     Scenario s = new Scenario(3, 4);
     JobId job = s.submit(3, "finish 900");
     s.untilRunning(job);
@@ -109,11 +110,11 @@
   }
 
   @Test
-  void whileEveryAppendIsRefusedAtOnceNoVmAppendsInALoop() {
+  void noVmAppendsInATightLoopWhileEveryAppendFailsAtOnce() {
     Scenario s = new Scenario(3, 4);
     s.cluster.appendMillis = 0;
     s.cluster.appendFault = (vm, r) -> AppendFault.REFUSED;
-    long ticket = s.cluster.ask(s.standBy(), TestDeclarations.gang(1, "finish 1"));
+    long ticket = s.cluster.ask(s.nonOwner(), TestDeclarations.gang(1, "finish 1"));
     long before = s.cluster.vms.stream().mapToLong(vm -> vm.appended.size()).sum();
     s.run(30);
     long appends = s.cluster.vms.stream().mapToLong(vm -> vm.appended.size()).sum() - before;
@@ -130,7 +131,7 @@
   }
 
   @Test
-  void aSubmissionWhoseReplyIsLostIsAcceptedOnceWhenItTookEffect() {
+  void aSubmissionThatTookEffectIsAcceptedOnceAlthoughItsReplyIsLost() {
     Scenario s = new Scenario(3, 4);
     s.cluster.appendFault =
         (vm, r) -> r.hasJobSubmitted() ? AppendFault.REPLY_LOST : AppendFault.NONE;
@@ -141,7 +142,7 @@
   }
 
   @Test
-  void aSubmissionThatDidNotTakeEffectIsAppendedAgainOnceThatIsKnown() {
+  void aLostSubmissionIsAppendedAgainOnceItIsKnownToBeAbsent() {
     Scenario s = new Scenario(3, 4);
     boolean[] lost = {false};
     s.cluster.appendFault =
@@ -156,7 +157,7 @@
   }
 
   @Test
-  void aSubmissionThatLandsAfterItWasGivenUpCountsOnce() {
+  void aDelayedSubmissionThatWasAppendedAgainTakesEffectOnce() {
     Scenario s = new Scenario(3, 4);
     boolean[] late = {false};
     s.cluster.appendFault =
@@ -172,9 +173,9 @@
   }
 
   @Test
-  void aSubmissionCaughtByAnOutageIsNeverSaidNotToHaveRunWhileItMayBe() {
+  void aSubmissionInFlightWhenAnOutageBeginsIsNotReportedAsNotExecuted() {
     Scenario s = new Scenario(3, 4);
-    VirtualVm vm = s.standBy();
+    VirtualVm vm = s.nonOwner();
     s.cluster.appendFault =
         (v, r) -> r.hasJobSubmitted() ? AppendFault.REPLY_LOST : AppendFault.NONE;
     long ticket = s.cluster.ask(vm, TestDeclarations.gang(1, "finish 1"));
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/OwnershipTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/OwnershipTest.java
@@ -40,92 +40,95 @@
   @Test
   void anOwnerThatHandsOverIsReplacedAtOnce() {
     Scenario s = new Scenario(3, 2);
-    VirtualVm old = s.owner();
-    s.cluster.answer(old, new Request.HandOver());
-    s.until(1, "another VM owns", x -> x.cluster.owner().filter(vm -> vm != old).isPresent());
+    VirtualVm oldOwner = s.owner();
+    s.cluster.answer(oldOwner, new Request.HandOver());
+    s.until(1, "another VM owns", x -> x.cluster.owner().filter(vm -> vm != oldOwner).isPresent());
     s.run(30);
-    assertNotEquals(old, s.owner());
+    assertNotEquals(oldOwner, s.owner());
   }
 
   @Test
-  void ofTwoClaimantsTheFirstInTheLogOwnsAndTheOtherWritesNoDecision() {
+  void theFirstOfTwoConcurrentClaimsInTheLogWinsAndTheLoserAppendsNoDecision() {
     Scenario s = new Scenario(3, 2);
-    VirtualVm old = s.owner();
-    s.cluster.vms.forEach(vm -> vm.cutFromPeers = true);
+    VirtualVm oldOwner = s.owner();
+    s.cluster.vms.forEach(vm -> vm.peersUnreachable = true);
     s.run(1);
-    s.cluster.kill(old);
+    s.cluster.kill(oldOwner);
     s.run(4);
     List<VirtualVm> claimants =
         s.cluster.vms.stream()
-            .filter(vm -> vm != old && !s.appends(vm, ControlRecord::hasOwnerClaim).isEmpty())
+            .filter(vm -> vm != oldOwner && !s.appends(vm, ControlRecord::hasOwnerClaim).isEmpty())
             .toList();
     assertEquals(2, claimants.size());
     assertEquals(1, s.cluster.vms.stream().filter(vm -> !vm.dead && vm.core.owner()).count());
-    assertEquals(firstClaimAfter(s, old), s.owner().id.value());
+    assertEquals(firstClaimAfter(s, oldOwner), s.owner().id.value());
     VirtualVm loser = claimants.stream().filter(vm -> !vm.core.owner()).findFirst().orElseThrow();
     assertTrue(s.appends(loser, r -> r.getEpochPlusOne() != 0).isEmpty());
   }
 
-  private static String firstClaimAfter(Scenario s, VirtualVm old) {
+  private static String firstClaimAfter(Scenario s, VirtualVm oldOwner) {
     return s.cluster.log.read(0, Integer.MAX_VALUE).records().stream()
         .map(record -> RecordCodec.decode(record.data()))
         .map(decoded -> ((DecodedRecord.Known) decoded).record())
         .filter(r -> r.hasOwnerClaim() && r.getOwnerClaim().getBasedOnEpochPlusOne() != 0)
         .map(ControlRecord::getWriter)
-        .filter(writer -> !writer.equals(old.id.value()))
+        .filter(writer -> !writer.equals(oldOwner.id.value()))
         .findFirst()
         .orElseThrow();
   }
 
   @Test
-  void aPausedOwnerThatWakesAfterATakeOverHarmsNoGang() {
+  void anOwnerResumedAfterATakeOverSendsNothingToRunningGangs() {
     Scenario s = new Scenario(3, 2);
     JobId first = s.submit(2, "finish 300");
     s.untilRunning(first);
-    VirtualVm old = s.owner();
-    s.cluster.pause(old);
+    VirtualVm oldOwner = s.owner();
+    s.cluster.pause(oldOwner);
     s.until(
-        10, "take-over", x -> x.cluster.vms.stream().anyMatch(vm -> vm != old && vm.core.owner()));
+        10,
+        "take-over",
+        x -> x.cluster.vms.stream().anyMatch(vm -> vm != oldOwner && vm.core.owner()));
     s.cancel(first);
     assertEquals("CANCELLED", s.result(first, 10));
     JobId second = s.submit(2, "finish 60");
     s.untilRunning(second);
-    int sent = old.sent.size();
-    int appended = old.appended.size();
-    s.cluster.wake(old);
+    int sent = oldOwner.sent.size();
+    int appended = oldOwner.appended.size();
+    s.cluster.resume(oldOwner);
     s.run(5);
-    assertFalse(old.core.owner());
-    assertEquals(sent, old.sent.size(), "commands of the woken VM");
-    assertEquals(appended, old.appended.size(), "appends of the woken VM");
+    assertFalse(oldOwner.core.owner());
+    assertEquals(sent, oldOwner.sent.size(), "commands of the resumed VM");
+    assertEquals(appended, oldOwner.appended.size(), "appends of the resumed VM");
     assertEquals("FINISHED", s.result(second, 70));
     assertEquals(1, s.job(second).attempt().number());
   }
 
   @Test
-  void aStopThatAPausedOwnerSendsAfterATakeOverDoesNotCount() {
+  void aStopThatAPausedOwnerAppendsAfterATakeOverHasNoEffect() {
     Scenario s = new Scenario(3, 2);
     JobId job = s.submit(2, "finish 60");
     s.untilRunning(job);
-    VirtualVm old = s.owner();
+    VirtualVm oldOwner = s.owner();
     s.cluster.scheduler.reclaim.add(s.job(job).attempt());
-    s.until(5, "stop appended", x -> !x.appends(old, ControlRecord::hasAttemptStopping).isEmpty());
-    s.cluster.pause(old);
+    s.until(
+        5, "stop appended", x -> !x.appends(oldOwner, ControlRecord::hasAttemptStopping).isEmpty());
+    s.cluster.pause(oldOwner);
     s.cluster.scheduler.reclaim.clear();
     assertFalse(s.job(job).stopping());
     s.run(10);
-    s.cluster.wake(old);
+    s.cluster.resume(oldOwner);
     assertEquals("FINISHED", s.result(job, 70));
     assertEquals(1, s.job(job).attempt().number());
   }
 
   @Test
-  void aVmThatDoesNotUnderstandTheOwnersDecisionsDoesNotClaim() {
+  void aVmDoesNotClaimOwnershipAfterADecisionOfANewerVersion() {
     Scenario s = new Scenario(2, 2);
-    VirtualVm old = s.owner();
+    VirtualVm oldOwner = s.owner();
     byte[] newer =
         ControlRecord.newBuilder()
             .setVersion(99)
-            .setWriter(old.id.value())
+            .setWriter(oldOwner.id.value())
             .setIncarnation("newer")
             .setSequence(1)
             .setEpochPlusOne(s.invariants.observer().epoch() + 1)
@@ -133,17 +136,17 @@
             .toByteArray();
     s.cluster.log.append(newer, VirtualCluster.WALL_START);
     s.run(1);
-    s.cluster.kill(old);
+    s.cluster.kill(oldOwner);
     s.run(20);
     VirtualVm other = s.cluster.vms.get(1);
     assertTrue(
         s.appends(other, ControlRecord::hasOwnerClaim).stream()
             .allMatch(r -> r.getOwnerClaim().getBasedOnEpochPlusOne() == 0));
-    assertTrue(other.notes.stream().anyMatch(note -> note.startsWith("NEWER_RECORD")));
+    assertTrue(other.logEvents.stream().anyMatch(note -> note.startsWith("NEWER_RECORD")));
   }
 
   @Test
-  void damagedAndForeignRecordsAreSkippedAndCounted() {
+  void corruptAndForeignRecordsAreSkippedAndCounted() {
     Scenario s = new Scenario(2, 2);
     s.cluster.log.append(new byte[] {(byte) 0xff, 1, 2, 3}, VirtualCluster.WALL_START);
     s.cluster.log.append(new byte[0], VirtualCluster.WALL_START);
@@ -153,7 +156,7 @@
   }
 
   @Test
-  void anIdleOwnerAppendsItsHeartbeatAndOthersNothing() {
+  void anIdleOwnerAppendsOnlyHeartbeatsAndOtherVmsAppendNothing() {
     Scenario s = new Scenario(7, 2);
     s.run(30);
     long before = s.cluster.log.next();
@@ -164,20 +167,20 @@
   }
 
   @Test
-  void aSlowLogMakesNoTakeOverWhileTheOwnerIsHeardAndJobsStillRun() {
+  void aSlowLogCausesNoTakeOverWhileTheOwnerIsHeardAndJobsStillRun() {
     Scenario s = new Scenario(3, 2);
-    VirtualVm old = s.owner();
+    VirtualVm oldOwner = s.owner();
     s.cluster.appendMillis = 3000;
     JobId job = s.submit(2, "finish 5");
     assertEquals("FINISHED", s.result(job, 60));
     assertEquals(1, s.job(job).attempt().number());
     s.run(60);
-    assertEquals(old, s.owner());
-    assertTrue(old.core.summary().unreadAppends() <= 2);
+    assertEquals(oldOwner, s.owner());
+    assertTrue(oldOwner.core.summary().unreadAppends() <= 2);
   }
 
   @Test
-  void aClaimWhoseReplyIsLostIsNotTakenForAFailure() {
+  void aClaimWhoseReplyIsLostTakesEffectOnce() {
     Scenario s = new Scenario(2, 2);
     s.cluster.appendFault =
         (vm, r) -> r.hasOwnerClaim() ? AppendFault.REPLY_LOST : AppendFault.NONE;
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/RandomHistoriesTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/RandomHistoriesTest.java
@@ -21,8 +21,12 @@
   private static final Set<JobResult> EXPECTED =
       Set.of(JobResult.JOB_RESULT_FINISHED, JobResult.JOB_RESULT_CANCELLED);
 
-  /** Two silences of a lease: until the owner stops renewing, and until the lease lapses. */
-  private static final Duration PART_BOUND =
+  /**
+   * Longest time for which a gang may run without all of its members: one lease's time to live
+   * until the owner stops renewing, another one until the leases expire, and a margin for the
+   * renewal interval and delays.
+   */
+  private static final Duration PARTIAL_GANG_BOUND =
       ControlPreferences.DEFAULT
           .leaseTtl()
           .multipliedBy(2)
@@ -30,7 +34,7 @@
           .plusSeconds(15);
 
   @Test
-  void noHistoryWithPairsOfFaultsBreaksAPromise() {
+  void noRandomHistoryWithFaultsViolatesAnInvariant() {
     long longest = 0;
     long faults = 0;
     long claims = 0;
@@ -39,16 +43,16 @@
     for (long seed = FIRST_SEED; seed < FIRST_SEED + HISTORIES; seed++) {
       RandomHistory history = new RandomHistory(seed);
       try {
-        history.play();
+        history.run();
         checkEnd(history);
       } catch (AssertionError | RuntimeException e) {
         throw new AssertionError("seed " + seed + ", faults " + history.faults, e);
       }
-      longest = Math.max(longest, history.invariants.longestPartNanos);
+      longest = Math.max(longest, history.invariants.longestPartialGangNanos);
       faults += history.faults.size();
       claims += history.invariants.claims;
       attempts += history.invariants.attempts;
-      snapshots += begunFromSnapshot(history);
+      snapshots += startedFromSnapshot(history);
     }
     System.out.printf(
         "%d histories, seeds %d to %d: %d faults, %d claims, %d attempts of %d jobs,"
@@ -64,24 +68,29 @@
         longest / VirtualCluster.MILLI);
   }
 
-  private static long begunFromSnapshot(RandomHistory history) {
+  private static long startedFromSnapshot(RandomHistory history) {
     return history.cluster.vms.stream()
-        .filter(vm -> vm.notes.stream().anyMatch(note -> note.startsWith("SNAPSHOT_TAKEN")))
+        .filter(vm -> vm.logEvents.stream().anyMatch(note -> note.startsWith("SNAPSHOT_TAKEN")))
         .count();
   }
 
   private static void checkEnd(RandomHistory history) {
     VirtualCluster cluster = history.cluster;
     ControlState state = history.invariants.observer();
-    assertEquals(0, state.jobs().waitingCount() + state.jobs().liveCount(), "jobs left over");
+    assertEquals(0, state.jobs().waitingCount() + state.jobs().liveCount(), "unfinished jobs");
     history.invariants.checkSameState();
     for (VirtualVm vm : cluster.vms) {
       vm.answers.forEach(
           (ticket, answer) -> checkAnswer(history.submissions, ticket, answer, state));
     }
-    long bound = PART_BOUND.toNanos();
-    long part = history.invariants.longestPartNanos;
-    assertTrue(part <= bound, () -> "gang ran in part for " + part / VirtualCluster.MILLI + " ms");
+    long boundNanos = PARTIAL_GANG_BOUND.toNanos();
+    long longestNanos = history.invariants.longestPartialGangNanos;
+    assertTrue(
+        longestNanos <= boundNanos,
+        () ->
+            "gang ran without all of its members for "
+                + longestNanos / VirtualCluster.MILLI
+                + " ms");
   }
 
   private static void checkAnswer(
@@ -98,7 +107,7 @@
                 .jobs()
                 .findByRequest(TestDeclarations.ORGANISATION.value(), submissions.get(ticket));
         boolean truthful = refused.reason().ran() != ExecutionStatus.NO || job.isEmpty();
-        assertTrue(truthful, () -> "said not run but accepted: " + refused);
+        assertTrue(truthful, () -> "reported as not executed but accepted: " + refused);
       }
       default -> {}
     }
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/RandomHistory.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/RandomHistory.java
@@ -16,10 +16,10 @@
 import org.fescuehook.model.job.JobId;
 import org.fescuehook.model.preferences.ControlPreferences;
 
-/** A history of a virtual cluster with jobs and faults at random times, told by its seed. */
+/** A run of a virtual cluster with jobs and faults at random times, determined by its seed. */
 final class RandomHistory {
-  private static final int MOST_FAULTS = 6;
-  private static final int MOST_FAULTS_DENSE = 25;
+  private static final int MAX_FAULTS = 6;
+  private static final int MAX_FAULTS_DENSE = 25;
   static final int JOBS = 6;
   private static final int FAULT_KINDS = 18;
   private static final int BUSY_MILLIS = 120_000;
@@ -50,24 +50,24 @@
     random = new Random(seed);
   }
 
-  void play() {
+  void run() {
     cluster.run(Duration.ofSeconds(2));
     cluster.answer(cluster.vms.get(0), TestDeclarations.publish(-1, "4 3 first"));
     for (int i = 0; i < JOBS; i++) {
       String requestId = "request-" + i;
       cluster.after(random.nextInt(BUSY_MILLIS / 2), () -> submit(requestId));
     }
-    int most = random.nextBoolean() ? MOST_FAULTS : MOST_FAULTS_DENSE;
+    int most = random.nextBoolean() ? MAX_FAULTS : MAX_FAULTS_DENSE;
     int count = 2 + random.nextInt(most - 1);
     for (int i = 0; i < count; i++) {
       cluster.after(random.nextInt(BUSY_MILLIS), this::fault);
     }
     cluster.run(Duration.ofMillis(BUSY_MILLIS + 100_000));
-    cluster.runUntil(Duration.ofMinutes(100), this::settled);
+    cluster.runUntil(Duration.ofMinutes(100), this::allDone);
     cluster.run(Duration.ofSeconds(5));
   }
 
-  private boolean settled() {
+  private boolean allDone() {
     boolean answered =
         submissions.keySet().stream()
             .allMatch(ticket -> cluster.vms.stream().anyMatch(vm -> answeredBy(vm, ticket)));
@@ -111,7 +111,7 @@
     switch (kind) {
       case 0, 1 -> {
         cluster.pause(vm);
-        cluster.after(millis, () -> cluster.wake(vm));
+        cluster.after(millis, () -> cluster.resume(vm));
       }
       case 2 -> replace(vm);
       case 3 -> appendFault(AppendFault.REPLY_LOST, millis);
@@ -124,13 +124,13 @@
         cluster.after(millis, () -> cluster.log.down = false);
       }
       case 9 -> {
-        vm.cutFromLog = true;
-        vm.cutFromPeers = random.nextBoolean();
+        vm.logUnreachable = true;
+        vm.peersUnreachable = random.nextBoolean();
         cluster.after(
             millis,
             () -> {
-              vm.cutFromLog = false;
-              vm.cutFromPeers = false;
+              vm.logUnreachable = false;
+              vm.peersUnreachable = false;
             });
       }
       case 10 -> {
@@ -141,13 +141,13 @@
       case 11 -> cancelOne();
       case 12 -> reclaimOne();
       case 13 -> invariants.dropCovered();
-      case 14 -> publishRace();
-      case 15 -> partWorker(vm, millis);
+      case 14 -> publishConcurrently();
+      case 15 -> disconnectWorker(vm, millis);
       case 16 -> {
         cluster.appendMillis = 100L + random.nextInt(2000);
         cluster.after(millis, () -> cluster.appendMillis = 3);
       }
-      default -> stubbornWorker(millis);
+      default -> makeWorkerUncooperative(millis);
     }
   }
 
@@ -169,20 +169,20 @@
     cluster.after(millis, () -> cluster.sendFault = (vm, c) -> SendFault.NONE);
   }
 
-  private void publishRace() {
+  private void publishConcurrently() {
     long base = invariants.observer().revision();
     int change = random.nextInt();
     cluster.ask(anyVm(), TestDeclarations.publish(base, "4 3 left " + change));
     cluster.ask(anyVm(), TestDeclarations.publish(base, "4 2 right " + change));
   }
 
-  private void partWorker(VirtualVm vm, int millis) {
+  private void disconnectWorker(VirtualVm vm, int millis) {
     WorkerId worker = TestDeclarations.worker(random.nextInt(4));
-    vm.partedFrom.add(worker);
-    cluster.after(millis, () -> vm.partedFrom.remove(worker));
+    vm.unreachableWorkers.add(worker);
+    cluster.after(millis, () -> vm.unreachableWorkers.remove(worker));
   }
 
-  private void stubbornWorker(int millis) {
+  private void makeWorkerUncooperative(int millis) {
     FakeWorker worker = cluster.workers.get(TestDeclarations.worker(random.nextInt(4)));
     worker.refusing = true;
     worker.ignoresCheckpoint = true;
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/Scenario.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/Scenario.java
@@ -14,7 +14,7 @@
 import org.fescuehook.model.job.JobId;
 import org.fescuehook.wire.ControlRecord;
 
-/** A virtual cluster with an owner and a configuration, and the steps that tests share. */
+/** A virtual cluster that has an owner and a configuration, and the steps that the tests share. */
 final class Scenario {
   final VirtualCluster cluster;
   final ClusterInvariants invariants;
@@ -35,7 +35,7 @@
     return cluster.owner().orElseThrow();
   }
 
-  VirtualVm standBy() {
+  VirtualVm nonOwner() {
     return cluster.vms.stream()
         .filter(vm -> !vm.dead && !vm.core.owner())
         .findFirst()
@@ -43,12 +43,12 @@
   }
 
   JobId submit(int members, String command) {
-    Answer answer = cluster.answer(standBy(), TestDeclarations.gang(members, command));
+    Answer answer = cluster.answer(nonOwner(), TestDeclarations.gang(members, command));
     return assertInstanceOf(Answer.Accepted.class, answer).job();
   }
 
   void cancel(JobId job) {
-    assertInstanceOf(Answer.Done.class, cluster.answer(standBy(), new Request.Cancel(job)));
+    assertInstanceOf(Answer.Done.class, cluster.answer(nonOwner(), new Request.Cancel(job)));
   }
 
   JobState job(JobId id) {
@@ -60,7 +60,7 @@
     assertTrue(held, () -> what + "; owner " + cluster.owner().map(vm -> vm.id));
   }
 
-  /** Runs until a job is over; returns its result. */
+  /** Runs until a job has its final result, and returns that result. */
   String result(JobId id, long seconds) {
     until(seconds, id + " is over", s -> s.job(id).over());
     return job(id).snapshot().getJobEnded().getResult().name().replace("JOB_RESULT_", "");
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/SlotSharesTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/SlotSharesTest.java
@@ -30,16 +30,16 @@
   }
 
   @Test
-  void theShareOfADeadVmGoesToTheOthers() {
+  void theShareOfADeadVmIsDividedAmongTheOtherVms() {
     Scenario s = new Scenario(3, 4);
     s.run(10);
-    s.cluster.kill(s.standBy());
+    s.cluster.kill(s.nonOwner());
     s.run(90);
     assertEquals(3 * 8, slots(s));
   }
 
   @Test
-  void aNewVmGetsItsShareAndTheSumNeverPassesTheDeclaredOne() {
+  void aNewVmGetsItsShareAndTheSumNeverExceedsTheDeclaredSlots() {
     Scenario s = new Scenario(3, 4);
     s.run(10);
     VirtualVm fresh = s.cluster.addVm("fresh");
@@ -49,15 +49,15 @@
   }
 
   @Test
-  void noShareIsRaisedWhileAVmHasNotReadThatItsOwnIsLowered() {
+  void noShareIsRaisedWhileAnotherVmHasNotReadThatItsShareIsLowered() {
     Scenario s = new Scenario(3, 4);
     s.run(10);
-    VirtualVm cut = s.standBy();
-    cut.cutFromLog = true;
+    VirtualVm withoutLog = s.nonOwner();
+    withoutLog.logUnreachable = true;
     VirtualVm fresh = s.cluster.addVm("fresh");
     s.run(60);
     assertTrue(fresh.shares.isEmpty(), () -> "" + fresh.shares);
-    cut.cutFromLog = false;
+    withoutLog.logUnreachable = false;
     s.run(15);
     assertEquals(6, fresh.shares.values().stream().mapToInt(SlotShare::getSlots).sum());
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/SnapshotTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/SnapshotTest.java
@@ -15,7 +15,7 @@
 class SnapshotTest {
 
   @Test
-  void aReaderThatStartsAtASnapshotHoldsTheStateOfTheWholeLog() {
+  void aReaderThatStartsFromASnapshotHasTheStateOfTheWholeLog() {
     Scenario s = new Scenario(3, 4);
     JobId job = s.submit(2, "finish 900");
     s.result(s.submit(1, "finish 5"), 30);
@@ -29,7 +29,7 @@
   }
 
   @Test
-  void aSnapshotIsPublishedBeforeRetentionTakesTheLastOne() {
+  void aSnapshotIsPublishedBeforeRetentionRemovesTheLastOne() {
     Scenario s = new Scenario(3, 4);
     s.run(100);
     s.cluster.log.dropUntil(10);
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void aSnapshotWithAGapBehindItIsNotUsedAndItsReaderDecidesNothing() {
+  void aSnapshotFollowedByRemovedRecordsIsNotUsedAndTheReaderDoesNotDecide() {
     Scenario s = new Scenario(2, 4);
     s.run(100);
     s.cluster.log.dropUntil(10);
@@ -58,21 +58,21 @@
   }
 
   @Test
-  void aVmThatWokeAfterItsRecordsVanishedGoesOnFromASnapshot() {
+  void aVmResumedAfterUnreadRecordsWereRemovedContinuesFromASnapshot() {
     Scenario s = new Scenario(3, 4);
-    VirtualVm vm = s.standBy();
+    VirtualVm vm = s.nonOwner();
     s.cluster.pause(vm);
     vm.backlog.clear();
     s.run(700);
     s.cluster.log.dropUntil(lastCovered(s));
-    s.cluster.wake(vm);
+    s.cluster.resume(vm);
     s.run(5);
     assertTrue(vm.core.summary().current());
     s.invariants.checkSameState();
   }
 
   @Test
-  void afterAnOutageBeyondTheRetentionANewVmHasTheStateWithinSeconds() {
+  void afterAnOutageLongerThanTheRetentionANewVmLoadsTheStateWithinSeconds() {
     Scenario s = new Scenario(3, 4);
     JobId job = s.submit(2, "finish 900");
     s.untilRunning(job);
@@ -91,13 +91,14 @@
   }
 
   @Test
-  void aVmWhoseOwnRecordsVanishedBeforeItReadThemTakesRequestsAgain() {
+  void aVmWhosePendingRecordsWereRemovedBeforeItReadThemAcceptsRequestsAgain() {
     Scenario s = new Scenario(2, 4);
-    VirtualVm vm = s.standBy();
+    VirtualVm vm = s.nonOwner();
     for (int i = 0; i < 40; i++) {
       s.cluster.ask(vm, TestDeclarations.gang(1, "finish 5"));
     }
-    s.until(1, "on their way", x -> x.appends(vm, ControlRecord::hasJobSubmitted).size() >= 32);
+    s.until(
+        1, "appends in flight", x -> x.appends(vm, ControlRecord::hasJobSubmitted).size() >= 32);
     s.cluster.pause(vm);
     vm.backlog.clear();
     List<Runnable> buffered = vm.sendBuffer;
@@ -106,7 +107,7 @@
     buffered.clear();
     s.run(700);
     s.cluster.log.dropUntil(lastCovered(s));
-    s.cluster.wake(vm);
+    s.cluster.resume(vm);
     s.run(60);
     assertInstanceOf(
         Answer.Accepted.class, s.cluster.answer(vm, TestDeclarations.gang(1, "finish 5")));
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/TestDeclarations.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/TestDeclarations.java
@@ -19,14 +19,18 @@
 import org.fescuehook.model.organisation.Organisation;
 import org.fescuehook.model.organisation.OrganisationId;
 
-/** Declarations and requests of the tests. A text is {@code WORKERS EXECUTORS anything}. */
+/**
+ * Declarations and requests for the tests. The text of declarations is {@code WORKERS EXECUTORS
+ * ANY_TEXT}, with the numbers of workers and executors; a text that begins with {@code bad} is
+ * invalid.
+ */
 final class TestDeclarations {
   static final Capacity CAPACITY = new Capacity(8, 64, 262_144);
   static final OrganisationId ORGANISATION = new OrganisationId("lab");
 
   private TestDeclarations() {}
 
-  /** Reads the texts of the tests. */
+  /** Parses the texts of the tests. */
   static final class Reader implements DeclarationsReader {
     @Override
     public Declarations parse(String text) throws InvalidDeclarationsException {
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/VirtualCluster.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/VirtualCluster.java
@@ -27,13 +27,13 @@
 import org.fescuehook.model.preferences.IdentityPreferences;
 import org.fescuehook.wire.ControlRecord;
 
-/** Several decision cores, a log and workers on one virtual clock. */
+/** A cluster of several decision cores, a log and workers that run on one virtual clock. */
 final class VirtualCluster {
   static final long MILLI = 1_000_000;
   static final long WALL_START = 1_700_000_000_000L;
   private static final long LIST_LAG = 5000 * MILLI;
 
-  /** What becomes of an append. */
+  /** Determines the outcome of an append. */
   enum AppendFault {
     NONE,
     REPLY_LOST,
@@ -42,17 +42,19 @@
     REFUSED
   }
 
-  /** What becomes of a command to a worker. */
+  /** Determines the outcome of a command to a worker. */
   enum SendFault {
     NONE,
     COMMAND_LOST,
     REPLY_LOST
   }
 
-  private record Step(long at, long order, Runnable action) implements Comparable<Step> {
+  private record Step(long atNanos, long order, Runnable action) implements Comparable<Step> {
     @Override
     public int compareTo(Step other) {
-      return at == other.at ? Long.compare(order, other.order) : Long.compare(at, other.at);
+      return atNanos == other.atNanos
+          ? Long.compare(order, other.order)
+          : Long.compare(atNanos, other.atNanos);
     }
   }
 
@@ -133,15 +135,15 @@
 
   void run(Duration time) {
     long until = now + time.toNanos();
-    while (!steps.isEmpty() && steps.peek().at() <= until) {
+    while (!steps.isEmpty() && steps.peek().atNanos() <= until) {
       Step step = steps.remove();
-      now = step.at();
+      now = step.atNanos();
       step.action().run();
     }
     now = until;
   }
 
-  /** Runs until a condition holds, at most for a time; returns whether it held. */
+  /** Runs until a condition holds, for a limited time; returns whether it held. */
   boolean runUntil(Duration most, BooleanSupplier condition) {
     long until = now + most.toNanos();
     while (now < until) {
@@ -169,7 +171,7 @@
       vm.trace.addAll(ControlTraceWriter.lines(event, now, wall, commands));
     }
     for (ControlCommand command : commands) {
-      vm.noteCommand(command);
+      vm.recordCommand(command);
       execute(vm, command);
     }
   }
@@ -184,8 +186,8 @@
     }
   }
 
-  /** What leaves a VM while it is paused leaves when it wakes. */
-  private void leave(VirtualVm vm, Runnable action) {
+  /** Runs an action that sends something from a VM; a paused VM sends it once it is resumed. */
+  private void sendOrBuffer(VirtualVm vm, Runnable action) {
     if (vm.paused) {
       vm.sendBuffer.add(action);
     } else {
@@ -194,13 +196,13 @@
   }
 
   private void append(VirtualVm vm, ControlRecord record) {
-    vm.appenderFree = Math.max(now, vm.appenderFree) + appendMillis * MILLI;
-    long delay = (vm.appenderFree - now) / MILLI;
-    after(delay, () -> leave(vm, () -> land(vm, record)));
+    vm.appenderFreeNanos = Math.max(now, vm.appenderFreeNanos) + appendMillis * MILLI;
+    long delay = (vm.appenderFreeNanos - now) / MILLI;
+    after(delay, () -> sendOrBuffer(vm, () -> completeAppend(vm, record)));
   }
 
-  private void land(VirtualVm vm, ControlRecord record) {
-    if (log.down || vm.cutFromLog) {
+  private void completeAppend(VirtualVm vm, ControlRecord record) {
+    if (log.down || vm.logUnreachable) {
       boolean certain = record.getSequence() % 2 == 0;
       deliver(vm, new ControlEvent.AppendFailed(record.getSequence(), certain));
       return;
@@ -210,10 +212,10 @@
       deliver(vm, new ControlEvent.AppendFailed(record.getSequence(), true));
       return;
     }
-    Runnable landing = () -> log.append(record.toByteArray(), WALL_START + now / MILLI);
+    Runnable appendToLog = () -> log.append(record.toByteArray(), WALL_START + now / MILLI);
     switch (fault) {
-      case NONE, REPLY_LOST -> landing.run();
-      case LATE -> after(3000, landing);
+      case NONE, REPLY_LOST -> appendToLog.run();
+      case LATE -> after(3000, appendToLog);
       case RECORD_LOST, REFUSED -> {}
     }
     if (fault != AppendFault.NONE) {
@@ -222,12 +224,12 @@
   }
 
   private void send(VirtualVm vm, WorkerId id, WorkerCommand command) {
-    after(1, () -> leave(vm, () -> arrive(vm, workers.get(id), command)));
+    after(1, () -> sendOrBuffer(vm, () -> arrive(vm, workers.get(id), command)));
   }
 
   private void arrive(VirtualVm vm, FakeWorker worker, WorkerCommand command) {
-    boolean parted = vm.partedFrom.contains(worker.id);
-    SendFault fault = parted ? SendFault.COMMAND_LOST : sendFault.apply(vm, command);
+    boolean unreachable = vm.unreachableWorkers.contains(worker.id);
+    SendFault fault = unreachable ? SendFault.COMMAND_LOST : sendFault.apply(vm, command);
     Optional<WorkerReply> reply = Optional.empty();
     if (!worker.dead && fault != SendFault.COMMAND_LOST) {
       reply = Optional.of(worker.handle(command));
@@ -245,7 +247,7 @@
     if (vm.paused) {
       return;
     }
-    if (log.down || vm.cutFromLog) {
+    if (log.down || vm.logUnreachable) {
       deliver(vm, new ControlEvent.LogUnreachable());
       return;
     }
@@ -256,16 +258,20 @@
     LogPage page = log.read(vm.core.nextOffset(), 500);
     List<ControlEvent> events = new ArrayList<>();
     page.records().forEach(record -> events.add(new ControlEvent.RecordRead(record)));
-    boolean whole =
+    boolean complete =
         page.records().isEmpty() || page.records().getLast().offset() + 1 == page.next();
-    if (whole) {
+    if (complete) {
       events.add(new ControlEvent.CaughtUp(page.earliest(), page.next()));
     }
     return events;
   }
 
   private boolean hears(VirtualVm vm, VirtualVm peer) {
-    return peer != vm && !peer.dead && !peer.paused && !vm.cutFromPeers && !peer.cutFromPeers;
+    return peer != vm
+        && !peer.dead
+        && !peer.paused
+        && !vm.peersUnreachable
+        && !peer.peersUnreachable;
   }
 
   private void sendHeartbeats() {
@@ -277,7 +283,7 @@
         if (hears(vm, peer)) {
           alive.add(peer.id);
           folded.put(peer.id, peer.core.nextOffset());
-          if (!log.down && !peer.cutFromLog) {
+          if (!log.down && !peer.logUnreachable) {
             reaching.add(peer.id);
           }
         }
@@ -290,7 +296,7 @@
   private void sendMembers() {
     List<MemberList.Member> members = new ArrayList<>();
     for (VirtualVm vm : vms) {
-      if (!vm.unlisted && (!vm.dead || now - vm.deadSince < LIST_LAG)) {
+      if (!vm.unlisted && (!vm.dead || now - vm.deadSinceNanos < LIST_LAG)) {
         members.add(
             new MemberList.Member(vm.id.value(), MemberList.Role.ENTRY, false, "127.0.0.1", 1));
       }
@@ -298,15 +304,15 @@
     vms.forEach(vm -> deliver(vm, new ControlEvent.MembersListed(members)));
   }
 
-  /** Pauses a VM; a page that it was reading reaches it when it wakes. */
+  /** Pauses a VM. A page that it was reading is delivered once it is resumed. */
   void pause(VirtualVm vm) {
-    if (!log.down && !vm.cutFromLog) {
+    if (!log.down && !vm.logUnreachable) {
       vm.backlog.addAll(page(vm));
     }
     vm.paused = true;
   }
 
-  void wake(VirtualVm vm) {
+  void resume(VirtualVm vm) {
     vm.paused = false;
     List<Runnable> buffered = List.copyOf(vm.sendBuffer);
     vm.sendBuffer.clear();
@@ -318,7 +324,7 @@
 
   void kill(VirtualVm vm) {
     vm.dead = true;
-    vm.deadSince = now;
+    vm.deadSinceNanos = now;
   }
 
   long ask(VirtualVm vm, Request request) {
@@ -327,7 +333,7 @@
     return lastTicket;
   }
 
-  /** Asks and runs until the answer comes. */
+  /** Submits a request and runs until it is answered. */
   Answer answer(VirtualVm vm, Request request) {
     long ticket = ask(vm, request);
     runUntil(Duration.ofSeconds(30), () -> vm.answers.containsKey(ticket));
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/VirtualVm.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/VirtualVm.java
@@ -13,7 +13,7 @@
 import org.fescuehook.wire.ControlRecord;
 import org.fescuehook.wire.SlotShare;
 
-/** One entry VM of a virtual cluster. */
+/** One entry VM of a virtual cluster, with what its core requested. */
 final class VirtualVm {
   final VmId id;
   final ControlCore core;
@@ -24,24 +24,24 @@
   final Map<String, SlotShare> shares = new TreeMap<>();
   final List<ControlRecord> appended = new ArrayList<>();
   final List<ControlCommand.Send> sent = new ArrayList<>();
-  final List<String> notes = new ArrayList<>();
+  final List<String> logEvents = new ArrayList<>();
   final List<String> trace = new ArrayList<>();
-  final Set<WorkerId> partedFrom = new HashSet<>();
+  final Set<WorkerId> unreachableWorkers = new HashSet<>();
   boolean recording;
   boolean paused;
   boolean dead;
-  boolean cutFromLog;
-  boolean cutFromPeers;
+  boolean logUnreachable;
+  boolean peersUnreachable;
   boolean unlisted;
-  long appenderFree;
-  long deadSince;
+  long appenderFreeNanos;
+  long deadSinceNanos;
 
   VirtualVm(VmId id, ControlCore core) {
     this.id = id;
     this.core = core;
   }
 
-  void noteCommand(ControlCommand command) {
+  void recordCommand(ControlCommand command) {
     switch (command) {
       case ControlCommand.Append(ControlRecord record) -> appended.add(record);
       case ControlCommand.Send send -> sent.add(send);
@@ -52,7 +52,8 @@
         shares.clear();
         now.getSharesList().forEach(share -> shares.put(share.getExecutor(), share));
       }
-      case ControlCommand.Note note -> notes.add(note.event() + " " + List.of(note.arguments()));
+      case ControlCommand.Note note ->
+          logEvents.add(note.event() + " " + List.of(note.arguments()));
       case ControlCommand.Count count -> {}
     }
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/ownership/PeerTrackerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/ownership/PeerTrackerTest.java
@@ -15,11 +15,11 @@
 
 class PeerTrackerTest {
 
-  private static final Duration MEMORY = Duration.ofSeconds(75);
+  private static final Duration RETENTION = Duration.ofSeconds(75);
   private static final VmId SELF = new VmId("vm-1");
   private static final VmId OTHER = new VmId("vm-2");
 
-  private final PeerTracker watch = new PeerTracker(SELF);
+  private final PeerTracker tracker = new PeerTracker(SELF);
 
   private static DecisionContext at(long seconds) {
     return new DecisionContext(Duration.ofSeconds(seconds).toNanos(), 0);
@@ -32,47 +32,47 @@
                 vm ->
                     new MemberList.Member(vm.value(), MemberList.Role.ENTRY, false, "127.0.0.1", 1))
             .toList();
-    watch.listed(members, at(seconds));
+    tracker.listed(members, at(seconds));
   }
 
   /**
-   * A VM was stopped and taken off the list without being shown as leaving. The one in its place
-   * had no slots for 75 s, since the stopped VM might have lived on with its share.
+   * Guards against a replacement VM that gets no slots for 75 s because the VM that it replaces was
+   * removed from the list without being listed as leaving, and is assumed to still use its share.
    */
   @Test
-  void aVmThatSaidItWasStoppingIsForgottenOnceItIsSilentAndUnlisted() {
+  void aVmThatAnnouncedItsStopIsForgottenOnceItIsSilentAndUnlisted() {
     listed(0, SELF, OTHER);
-    watch.heard(Set.of(OTHER), Set.of(OTHER), Set.of(OTHER), at(1));
-    watch.folded(Map.of(OTHER, 5L));
+    tracker.heard(Set.of(OTHER), Set.of(OTHER), Set.of(OTHER), at(1));
+    tracker.folded(Map.of(OTHER, 5L));
     listed(2, SELF);
-    assertFalse(watch.allFolded(9, MEMORY, at(2)), "it is still heard");
+    assertFalse(tracker.allFolded(9, RETENTION, at(2)), "it is still heard");
 
-    watch.heard(Set.of(), Set.of(), Set.of(), at(3));
+    tracker.heard(Set.of(), Set.of(), Set.of(), at(3));
     listed(4, SELF);
 
-    assertTrue(watch.allFolded(9, MEMORY, at(4)));
+    assertTrue(tracker.allFolded(9, RETENTION, at(4)));
   }
 
   @Test
-  void aVmThatFellSilentWithoutAWordMayLiveOn() {
+  void aVmThatFellSilentUnannouncedMayStillRun() {
     listed(0, SELF, OTHER);
-    watch.heard(Set.of(OTHER), Set.of(OTHER), Set.of(), at(1));
-    watch.heard(Set.of(), Set.of(), Set.of(), at(3));
+    tracker.heard(Set.of(OTHER), Set.of(OTHER), Set.of(), at(1));
+    tracker.heard(Set.of(), Set.of(), Set.of(), at(3));
     listed(4, SELF);
 
-    assertFalse(watch.allFolded(9, MEMORY, at(4)));
-    assertTrue(watch.allFolded(9, MEMORY, at(90)));
+    assertFalse(tracker.allFolded(9, RETENTION, at(4)));
+    assertTrue(tracker.allFolded(9, RETENTION, at(90)));
   }
 
   @Test
-  void aVmThatWasStartedAgainAfterAStopMayLiveOn() {
+  void aVmRestartedAfterAnAnnouncedStopMayStillRun() {
     listed(0, SELF, OTHER);
-    watch.heard(Set.of(OTHER), Set.of(OTHER), Set.of(OTHER), at(1));
-    watch.heard(Set.of(), Set.of(), Set.of(), at(3));
-    watch.heard(Set.of(OTHER), Set.of(OTHER), Set.of(), at(5));
-    watch.heard(Set.of(), Set.of(), Set.of(), at(8));
+    tracker.heard(Set.of(OTHER), Set.of(OTHER), Set.of(OTHER), at(1));
+    tracker.heard(Set.of(), Set.of(), Set.of(), at(3));
+    tracker.heard(Set.of(OTHER), Set.of(OTHER), Set.of(), at(5));
+    tracker.heard(Set.of(), Set.of(), Set.of(), at(8));
     listed(9, SELF);
 
-    assertFalse(watch.allFolded(9, MEMORY, at(9)));
+    assertFalse(tracker.allFolded(9, RETENTION, at(9)));
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/state/ControlStateTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/state/ControlStateTest.java
@@ -32,9 +32,9 @@
   }
 
   private FoldResult fold(ControlRecord.Builder record, long ownSequence) {
-    ControlRecord whole =
+    ControlRecord complete =
         record.setWriter("vm").setIncarnation("i").setSequence(ownSequence).setVersion(1).build();
-    FoldResult result = state.fold(whole, offset, offset * 1000);
+    FoldResult result = state.fold(complete, offset, offset * 1000);
     offset++;
     return result;
   }
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void theFirstClaimOnAnEpochReplacesItAndTheSecondDoesNotCount() {
+  void theFirstClaimBasedOnAnEpochReplacesItAndTheSecondIsStale() {
     assertEquals(COUNTED, claim(-1));
     assertEquals(STALE_EPOCH, claim(-1));
     assertEquals(0, state.epoch());
@@ -97,7 +97,7 @@
   }
 
   @Test
-  void aDecisionUnderAnOldEpochDoesNotCount() {
+  void aDecisionUnderAnOldEpochIsStale() {
     planned();
     ControlRecord.Builder late = commit().setEpochPlusOne(state.epoch() + 1);
     claim(state.epoch());
@@ -137,7 +137,7 @@
   }
 
   @Test
-  void aRepeatedOrOvertakenSequenceIsDropped() {
+  void aRepeatedOrOutOfOrderSequenceNumberIsDropped() {
     fold(submission("a", ""), 5);
     assertEquals(DUPLICATE, fold(submission("b", ""), 5));
     assertEquals(DUPLICATE, fold(submission("c", ""), 4));
@@ -145,14 +145,14 @@
   }
 
   @Test
-  void aSecondSubmissionUnderTheSameRequestIdDoesNotCount() {
+  void aSecondSubmissionUnderTheSameRequestIdHasNoEffect() {
     assertEquals(COUNTED, fold(submission("first", "id")));
     assertEquals(NOT_APPLICABLE, fold(submission("second", "id")));
     assertEquals("first", state.jobs().findByRequest("lab", "id").orElseThrow().value());
   }
 
   @Test
-  void aPublicationCountsOnlyOnTheRevisionInForce() {
+  void aPublicationTakesEffectOnlyIfBasedOnTheRevisionInForce() {
     ConfigurationPublished first = ConfigurationPublished.getDefaultInstance();
     assertEquals(COUNTED, fold(ControlRecord.newBuilder().setConfigurationPublished(first)));
     assertEquals(NOT_APPLICABLE, fold(ControlRecord.newBuilder().setConfigurationPublished(first)));
@@ -160,7 +160,7 @@
   }
 
   @Test
-  void anEndedJobIsForgottenADayLater() {
+  void anEndedJobIsRemovedAfterADay() {
     claim(-1);
     fold(submission("old", "id"));
     JobEnded ended = JobEnded.newBuilder().setJob("old").build();
@@ -173,7 +173,7 @@
   }
 
   @Test
-  void aStateRestoredFromItsSnapshotIsTheSame() {
+  void aStateRestoredFromItsSnapshotIsEqual() {
     planned();
     decide(commit());
     fold(submission("other", "id"));
