--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ControlCore.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ControlCore.java
@@ -41,11 +41,11 @@
  */
 public final class ControlCore {
   private final VmId vm;
-  private final ControlStream stream = new ControlStream(this::folded);
+  private final ControlStream stream = new ControlStream(this::applied);
   private final CatchUpTracker catchUp;
   private final PeerTracker peers;
-  private final PauseDetector pauses;
-  private final OutageMonitor outages;
+  private final PauseDetector pauseDetector;
+  private final OutageMonitor outageMonitor;
   private final RecordWriter writer;
   private final OwnerDuty owner;
   private final GangDuty gangs;
@@ -74,8 +74,8 @@
     vm = identity.vm();
     catchUp = new CatchUpTracker(preferences.ownerTimeout());
     peers = new PeerTracker(vm);
-    pauses = new PauseDetector(preferences.ownerTimeout().dividedBy(2));
-    outages = new OutageMonitor(vm, catchUp, peers);
+    pauseDetector = new PauseDetector(preferences.ownerTimeout().dividedBy(2));
+    outageMonitor = new OutageMonitor(vm, catchUp, peers);
     writer = new RecordWriter(vm, incarnation);
     owner = new OwnerDuty(vm, incarnation, preferences, writer, catchUp, peers);
     gangs = new GangDuty(preferences, writer, peers);
@@ -98,7 +98,7 @@
    */
   public List<ControlCommand> apply(ControlEvent event, long nowNanos, long wallMillis) {
     DecisionContext context = new DecisionContext(nowNanos, wallMillis);
-    if (pauses.wasPaused(context)) {
+    if (pauseDetector.wasPaused(context)) {
       catchUp.paused(context);
     }
     switch (event) {
@@ -111,7 +111,7 @@
       case ControlEvent.MembersListed(var members) -> peers.listed(members, context);
       case ControlEvent.PeersHeard(var alive, var reachingLog, var draining) ->
           peers.heard(alive, reachingLog, draining, context);
-      case ControlEvent.PeersFolded(var nextOffsets) -> peers.folded(nextOffsets);
+      case ControlEvent.PeersFolded(var nextOffsets) -> peers.peersApplied(nextOffsets);
       case ControlEvent.Asked(long ticket, Request request) ->
           handleRequest(ticket, request, context);
       case ControlEvent.Tick() -> {}
@@ -136,18 +136,18 @@
   }
 
   /** Handles a record that was just applied to the state. */
-  private void folded(
+  private void applied(
       ControlRecord record, long offset, FoldResult result, DecisionContext context) {
     ControlState state = stream.state();
     boolean counted = result == FoldResult.COUNTED;
     if (counted) {
-      counted(record, context);
+      tookEffect(record, context);
     }
-    shareHolder.folded(state.shares(), offset + 1, context);
+    shareHolder.sharesPublished(state.shares(), offset + 1, context);
     resolve(writer.read(record, result, offset), context);
   }
 
-  private void counted(ControlRecord record, DecisionContext context) {
+  private void tookEffect(ControlRecord record, DecisionContext context) {
     ControlState state = stream.state();
     if (state.inForce(record) || record.hasOwnerClaim()) {
       owner.ownerSeen(context);
@@ -164,10 +164,10 @@
     RecordSubject.job(record)
         .ifPresent(
             job -> {
-              gangs.folded(job);
-              jobEnds.folded(job);
+              gangs.jobChanged(job);
+              jobEnds.jobChanged(job);
               plans.stateChanged();
-              requests.folded(job, state, context);
+              requests.jobChanged(job, state, context);
             });
   }
 
@@ -194,7 +194,7 @@
 
   private void step(DecisionContext context) {
     current = stream.complete() && catchUp.current(context);
-    outages.step(context);
+    outageMonitor.step(context);
     if (stream.complete()) {
       stepDuties(context);
     }
@@ -234,7 +234,7 @@
     }
     ControlState state = stream.state();
     boolean owns = owner.owns(state);
-    GangMode mode = outages.mode(state.owner(), owns, context);
+    GangMode mode = outageMonitor.mode(state.owner(), owns, context);
     boolean renewsForOwner = mode == GangMode.RENEW && !owns;
     if (renewsForOwner && !renewingForOwner) {
       String name = state.owner().map(VmId::value).orElse("none");
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ControlStream.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ControlStream.java
@@ -17,7 +17,7 @@
 
   /** Is notified of each record that was applied. */
   interface Listener {
-    void folded(ControlRecord record, long offset, FoldResult result, DecisionContext context);
+    void applied(ControlRecord record, long offset, FoldResult result, DecisionContext context);
   }
 
   private final Listener listener;
@@ -122,7 +122,7 @@
     if (result != FoldResult.COUNTED) {
       context.count("fescuehook.control.records.void", "result", result.name());
     }
-    listener.folded(known, record.offset(), result, context);
+    listener.applied(known, record.offset(), result, context);
   }
 
   /**
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/append/RecordWriter.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/append/RecordWriter.java
@@ -24,7 +24,10 @@
  */
 public final class RecordWriter {
 
+  /** Time from the last append to a barrier if the outcome of the last append is unknown. */
   private static final Duration BARRIER_INTERVAL = Duration.ofMillis(500);
+
+  /** Time from the last append to a barrier if the append did not fail but was not read. */
   private static final Duration UNREAD_TIMEOUT = Duration.ofSeconds(30);
 
   private record PendingRecord(ControlRecord record, boolean outcomeUnknown) {}
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/AttemptProgress.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/AttemptProgress.java
@@ -16,9 +16,9 @@
   final List<MemberProgress> members = new ArrayList<>();
   final long createdNanos;
   Optional<StopReason> abortReason = Optional.empty();
-  OptionalLong stoppingSince = OptionalLong.empty();
-  OptionalLong appliedByAllSince = OptionalLong.empty();
-  OptionalLong startedSince = OptionalLong.empty();
+  OptionalLong stoppingSinceNanos = OptionalLong.empty();
+  OptionalLong appliedByAllSinceNanos = OptionalLong.empty();
+  OptionalLong startingSinceNanos = OptionalLong.empty();
   long stoppingOffset;
   long pendingSequence;
   boolean committed;
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangDuty.java
@@ -31,6 +31,7 @@
  */
 public final class GangDuty {
 
+  /** Interval at which all attempts are stepped, so that timeouts are noticed without an event. */
   private static final Duration FULL_PASS_INTERVAL = Duration.ofMillis(500);
 
   private final LeaseReleaser releaser;
@@ -63,7 +64,7 @@
   }
 
   /** Handles that a record about a job was applied. */
-  public void folded(JobId job) {
+  public void jobChanged(JobId job) {
     if (mode != GangMode.OFF) {
       changedJobs.add(job);
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangRunner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangRunner.java
@@ -98,11 +98,11 @@
 
   private static boolean startTimedOut(AttemptProgress progress, DecisionContext context) {
     boolean someStarted = progress.first(MemberProgress::started).isPresent();
-    if (progress.startedSince.isEmpty() && someStarted) {
-      progress.startedSince = OptionalLong.of(context.nowNanos());
+    if (progress.startingSinceNanos.isEmpty() && someStarted) {
+      progress.startingSinceNanos = OptionalLong.of(context.nowNanos());
     }
-    return progress.startedSince.isPresent()
-        && context.hasElapsed(progress.startedSince.getAsLong(), ControlLimits.START_TIMEOUT);
+    return progress.startingSinceNanos.isPresent()
+        && context.hasElapsed(progress.startingSinceNanos.getAsLong(), ControlLimits.START_TIMEOUT);
   }
 
   /**
@@ -115,8 +115,8 @@
     if (mode != GangMode.DECIDE) {
       return;
     }
-    if (progress.startedSince.isEmpty()) {
-      progress.startedSince = OptionalLong.of(context.nowNanos());
+    if (progress.startingSinceNanos.isEmpty()) {
+      progress.startingSinceNanos = OptionalLong.of(context.nowNanos());
       context.note(ControlLogEvent.ATTEMPT_STARTED, progress.attempt, progress.members.size());
     }
     for (MemberProgress member : progress.members) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangStopper.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangStopper.java
@@ -52,8 +52,8 @@
       long nextOffset,
       DecisionContext context) {
     AttemptStopping stopping = job.snapshot().getStopping();
-    if (progress.stoppingSince.isEmpty()) {
-      progress.stoppingSince = OptionalLong.of(context.nowNanos());
+    if (progress.stoppingSinceNanos.isEmpty()) {
+      progress.stoppingSinceNanos = OptionalLong.of(context.nowNanos());
       progress.stoppingOffset = nextOffset - 1;
       progress.awaitsCheckpoint = stopping.getCheckpointFirst() && mode == GangMode.DECIDE;
       context.note(
@@ -88,7 +88,7 @@
     boolean broken = progress.first(member -> member.gone || member.failed).isPresent();
     boolean done = progress.all(member -> member.checkpointed || member.finished);
     Duration notice = Duration.ofMillis(stopping.getNoticeMillis());
-    return !broken && !done && !context.hasElapsed(progress.stoppingSince.getAsLong(), notice);
+    return !broken && !done && !context.hasElapsed(progress.stoppingSinceNanos.getAsLong(), notice);
   }
 
   private static void requestCheckpoints(AttemptProgress progress, DecisionContext context) {
@@ -111,16 +111,16 @@
   private void release(
       AttemptProgress progress, AttemptStopping stopping, DecisionContext context) {
     progress.releasing = true;
-    if (progress.appliedByAllSince.isEmpty()
-        && peers.allFolded(progress.stoppingOffset, ControlLimits.OUTAGE_RENEWAL_LIMIT, context)) {
-      progress.appliedByAllSince = OptionalLong.of(context.nowNanos());
+    if (progress.appliedByAllSinceNanos.isEmpty()
+        && peers.allApplied(progress.stoppingOffset, ControlLimits.OUTAGE_RENEWAL_LIMIT, context)) {
+      progress.appliedByAllSinceNanos = OptionalLong.of(context.nowNanos());
     }
     for (MemberProgress member : progress.members) {
       if (member.gone) {
         continue;
       }
       releaser.release(member.worker, member.lease, context);
-      if (mustHaveLapsed(progress, member, stopping, context)) {
+      if (mustHaveExpired(progress, member, stopping, context)) {
         member.gone = true;
         context.note(ControlLogEvent.SILENT_LEASE_GONE, progress.attempt, member.worker);
         context.count("fescuehook.control.silent.leases");
@@ -136,22 +136,24 @@
    * limit is added, and so is the time for which a lagging replica of the log may hide the stop
    * from a successful read. Implements the action {@code Free} of the module SilentWorker.
    */
-  private boolean mustHaveLapsed(
+  private boolean mustHaveExpired(
       AttemptProgress progress,
       MemberProgress member,
       AttemptStopping stopping,
       DecisionContext context) {
     Duration ttl = preferences.leaseTtl();
-    Duration lapseTime =
+    Duration expiryTime =
         ttl.plus(ttl.dividedBy(DRIFT_DIVISOR))
             .plus(ControlLimits.WORKER_REQUEST_TIMEOUT)
             .plusMillis(stopping.getNoticeMillis());
-    if (progress.appliedByAllSince.isPresent()) {
+    if (progress.appliedByAllSinceNanos.isPresent()) {
       return context.hasElapsed(
-          Math.max(progress.appliedByAllSince.getAsLong(), member.lastRenewalNanos), lapseTime);
+          Math.max(progress.appliedByAllSinceNanos.getAsLong(), member.lastRenewalNanos),
+          expiryTime);
     }
     Duration renewalBound = ControlLimits.OUTAGE_RENEWAL_LIMIT.plus(ControlLimits.MAX_REPLICA_LAG);
-    return context.hasElapsed(progress.stoppingSince.getAsLong(), lapseTime.plus(renewalBound));
+    return context.hasElapsed(
+        progress.stoppingSinceNanos.getAsLong(), expiryTime.plus(renewalBound));
   }
 
   /** Appends the end of the attempt. Implements the action {@code End} of the module Gang. */
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/LeaseRenewer.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/LeaseRenewer.java
@@ -20,8 +20,13 @@
  */
 final class LeaseRenewer {
 
+  /** Divisor of an attempt's age that gives the renewal interval: a quarter of the age. */
   private static final int AGE_DIVISOR = 4;
+
+  /** Time over which the first renewals of adopted leases are spread. */
   private static final Duration ADOPTION_SPREAD = Duration.ofSeconds(1);
+
+  /** Longest renewal interval for a worker that did not answer the last command. */
   private static final Duration SILENT_RENEWAL_INTERVAL = Duration.ofSeconds(2);
 
   /** The attempt and the member that hold a lease. */
@@ -51,7 +56,7 @@
 
   /**
    * Adds the leases of an attempt that another VM committed. The first renewals are spread over
-   * {@link #ADOPTION_SPREAD}, so that a new owner does not send to all workers at once.
+   * {@link #ADOPTION_SPREAD}.
    */
   void adopt(AttemptProgress attempt, DecisionContext context) {
     add(attempt, context);
@@ -132,7 +137,7 @@
    * seen soon.
    */
   private static long age(AttemptProgress attempt, DecisionContext context) {
-    return attempt.stoppingSince.isPresent() ? 0 : context.nowNanos() - attempt.createdNanos;
+    return attempt.stoppingSinceNanos.isPresent() ? 0 : context.nowNanos() - attempt.createdNanos;
   }
 
   private Duration interval(WorkerLeases leases, long youngestNanos) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/OutageMonitor.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/OutageMonitor.java
@@ -16,7 +16,7 @@
   private final CatchUpTracker catchUp;
   private final PeerTracker peers;
   private boolean outage;
-  private long sinceNanos;
+  private long outageStartNanos;
 
   /** Creates a monitor that has seen no outage. */
   public OutageMonitor(VmId self, CatchUpTracker catchUp, PeerTracker peers) {
@@ -33,11 +33,11 @@
     }
     outage = outageNow;
     if (outageNow) {
-      sinceNanos = context.nowNanos();
+      outageStartNanos = context.nowNanos();
       context.note(ControlLogEvent.LOG_LOST);
       context.count("fescuehook.control.log.lost");
     } else {
-      context.note(ControlLogEvent.LOG_BACK, (context.nowNanos() - sinceNanos) / 1_000_000);
+      context.note(ControlLogEvent.LOG_BACK, (context.nowNanos() - outageStartNanos) / 1_000_000);
     }
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/PeerTracker.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/PeerTracker.java
@@ -15,8 +15,8 @@
 /** Tracks the other entry VMs and the leaving workers, from heartbeats and from the member list. */
 public final class PeerTracker {
   private final VmId self;
-  private final Map<VmId, Long> folded = new HashMap<>();
-  private final Map<VmId, Long> lastSeen = new HashMap<>();
+  private final Map<VmId, Long> appliedOffsets = new HashMap<>();
+  private final Map<VmId, Long> lastSeenNanos = new HashMap<>();
   private Set<VmId> alive = Set.of();
   private Set<VmId> reachingLog = Set.of();
   private Set<VmId> listed = Set.of();
@@ -41,7 +41,7 @@
     stopping.removeAll(alive);
     stopping.addAll(withoutSelf(draining));
     reachingLog = withoutSelf(reaching);
-    alive.forEach(vm -> lastSeen.put(vm, context.nowNanos()));
+    alive.forEach(vm -> lastSeenNanos.put(vm, context.nowNanos()));
     if (!alive.isEmpty()) {
       lastPeerHeardNanos = context.nowNanos();
     }
@@ -54,9 +54,9 @@
   }
 
   /** Updates how far peers have applied the control stream. */
-  public void folded(Map<VmId, Long> nextOffsets) {
-    folded.putAll(nextOffsets);
-    folded.keySet().retainAll(lastSeen.keySet());
+  public void peersApplied(Map<VmId, Long> nextOffsets) {
+    appliedOffsets.putAll(nextOffsets);
+    appliedOffsets.keySet().retainAll(lastSeenNanos.keySet());
   }
 
   /** Updates the members from a fetched member list. */
@@ -82,7 +82,7 @@
       }
     }
     forgetStoppedVms(entries);
-    entries.forEach(vm -> lastSeen.put(vm, context.nowNanos()));
+    entries.forEach(vm -> lastSeenNanos.put(vm, context.nowNanos()));
     listed = Set.copyOf(entries);
     leaving = Set.copyOf(leavingEntries);
     leavingWorkers = Set.copyOf(workers);
@@ -98,7 +98,7 @@
     stopped.addAll(stopping);
     for (VmId vm : stopped) {
       if (!entries.contains(vm) && !alive.contains(vm)) {
-        lastSeen.remove(vm);
+        lastSeenNanos.remove(vm);
         stopping.remove(vm);
       }
     }
@@ -150,8 +150,8 @@
   }
 
   /** Returns whether a VM is known to have applied the record at an offset. */
-  public boolean hasFolded(VmId vm, long offset) {
-    return vm.equals(self) || folded.getOrDefault(vm, 0L) > offset;
+  public boolean hasApplied(VmId vm, long offset) {
+    return vm.equals(self) || appliedOffsets.getOrDefault(vm, 0L) > offset;
   }
 
   /**
@@ -160,17 +160,17 @@
    *
    * @param retention time for which a VM that vanished without leaving may still run
    */
-  public boolean allFolded(long offset, Duration retention, DecisionContext context) {
+  public boolean allApplied(long offset, Duration retention, DecisionContext context) {
     if (!listFetched) {
       return false;
     }
     for (VmId vm : known()) {
-      if (!hasFolded(vm, offset)) {
+      if (!hasApplied(vm, offset)) {
         return false;
       }
     }
-    for (Map.Entry<VmId, Long> seen : lastSeen.entrySet()) {
-      if (!context.hasElapsed(seen.getValue(), retention) && !hasFolded(seen.getKey(), offset)) {
+    for (Map.Entry<VmId, Long> seen : lastSeenNanos.entrySet()) {
+      if (!context.hasElapsed(seen.getValue(), retention) && !hasApplied(seen.getKey(), offset)) {
         return false;
       }
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/planning/JobEndDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/planning/JobEndDuty.java
@@ -32,7 +32,7 @@
   }
 
   /** Handles that a record about a job was applied. */
-  public void folded(JobId job) {
+  public void jobChanged(JobId job) {
     if (deciding) {
       changedJobs.add(job);
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/HandOverHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/HandOverHandler.java
@@ -10,6 +10,7 @@
  * Answers requests to hand ownership over as soon as the release was read back, or after a timeout.
  */
 public final class HandOverHandler {
+  /** Longest time that a request waits for the release of ownership. */
   private static final Duration MAX_WAIT = Duration.ofSeconds(5);
 
   private record Waiter(long ticket, long sinceNanos) {}
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/JobDocument.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/JobDocument.java
@@ -33,7 +33,7 @@
       node.put("lastReason", WireEnumNames.of(snapshot.getEnded().getReason()));
       node.put("exitCode", snapshot.getEnded().getExitCode());
     }
-    if (job.over()) {
+    if (job.hasResult()) {
       node.put("ended", snapshot.getEndedMillis());
       node.put("detail", snapshot.getJobEnded().getDetail());
     }
@@ -41,7 +41,7 @@
   }
 
   private static String state(JobState job) {
-    if (job.over()) {
+    if (job.hasResult()) {
       return WireEnumNames.of(job.snapshot().getJobEnded().getResult());
     }
     if (job.stopping()) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/JobRequestHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/JobRequestHandler.java
@@ -109,7 +109,7 @@
       Refusals.refuse(ticket, RefusalReason.NOT_FOUND, "no job " + id, context);
       return;
     }
-    if (job.get().over() || job.get().snapshot().getCancelRequested()) {
+    if (job.get().hasResult() || job.get().snapshot().getCancelRequested()) {
       context.reply(ticket, new Answer.Done());
       return;
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/RequestAppender.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/RequestAppender.java
@@ -119,8 +119,8 @@
   }
 
   /**
-   * Returns whether records that were read while the request waited deprive its record of any
-   * effect.
+   * Returns whether the record of a request would have no effect because of records that were read
+   * while the request waited.
    */
   private static boolean hasNoEffect(ControlRecord body, ControlState state) {
     return switch (body.getBodyCase()) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/RequestRouter.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/RequestRouter.java
@@ -135,8 +135,8 @@
   }
 
   /** Handles that a record about a job was applied. */
-  public void folded(JobId job, ControlState state, DecisionContext context) {
-    showHandler.folded(job, state, context);
+  public void jobChanged(JobId job, ControlState state, DecisionContext context) {
+    showHandler.jobChanged(job, state, context);
   }
 
   /** Appends records, answers requests and ends waits, whichever are due. */
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/ShowHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/ShowHandler.java
@@ -29,7 +29,7 @@
       Refusals.refuse(ticket, RefusalReason.NOT_FOUND, "no job " + show.job(), context);
       return;
     }
-    if (job.get().over() || show.waitMillis() <= 0) {
+    if (job.get().hasResult() || show.waitMillis() <= 0) {
       context.reply(ticket, new Answer.Document(JobDocument.json(job.get())));
       return;
     }
@@ -45,13 +45,13 @@
    * Handles that a record about a job was applied, and answers the requests that wait for the job's
    * end.
    */
-  public void folded(JobId id, ControlState state, DecisionContext context) {
+  public void jobChanged(JobId id, ControlState state, DecisionContext context) {
     List<Waiter> waiting = waiters.get(id);
     if (waiting == null) {
       return;
     }
     Optional<JobState> job = state.jobs().find(id);
-    if (job.filter(found -> !found.over()).isPresent()) {
+    if (job.filter(found -> !found.hasResult()).isPresent()) {
       return;
     }
     waiters.remove(id);
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/UnknownJobHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/UnknownJobHandler.java
@@ -17,7 +17,8 @@
  * while the log cannot be read.
  */
 final class UnknownJobHandler {
-  private static final Duration WAIT = Duration.ofMillis(500);
+  /** Longest time that a request waits until its job is known. */
+  private static final Duration MAX_WAIT = Duration.ofMillis(500);
 
   /** A request whose job is known by now. */
   record Found(long ticket, Request request) {}
@@ -44,7 +45,7 @@
       if (state.jobs().find(waiter.job()).isPresent()) {
         found.add(new Found(waiter.ticket(), waiter.request()));
         entries.remove();
-      } else if (context.hasElapsed(waiter.sinceNanos(), WAIT)) {
+      } else if (context.hasElapsed(waiter.sinceNanos(), MAX_WAIT)) {
         refuse(waiter, context);
         entries.remove();
       }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/shares/ShareHolder.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/shares/ShareHolder.java
@@ -34,8 +34,8 @@
   private Map<String, Share> inForce = new TreeMap<>();
   private Map<String, Share> target = Map.of();
   private Optional<SlotShares> latest = Optional.empty();
-  private long offset;
-  private long sinceNanos;
+  private long publicationOffset;
+  private long publishedNanos;
 
   /** Creates a holder without shares. */
   public ShareHolder(VmId self, PeerTracker peers) {
@@ -48,13 +48,14 @@
    *
    * @param nextOffset offset after the last applied record
    */
-  public void folded(Optional<SlotShares> published, long nextOffset, DecisionContext context) {
+  public void sharesPublished(
+      Optional<SlotShares> published, long nextOffset, DecisionContext context) {
     if (published.isEmpty() || published.equals(latest)) {
       return;
     }
     latest = published;
-    offset = nextOffset - 1;
-    sinceNanos = context.nowNanos();
+    publicationOffset = nextOffset - 1;
+    publishedNanos = context.nowNanos();
     target = ownShares(published.get());
     Map<String, Share> lowered = new TreeMap<>();
     inForce.forEach(
@@ -83,8 +84,8 @@
       return;
     }
     Duration settle = Duration.ofMillis(latest.get().getSettleMillis());
-    if (context.hasElapsed(sinceNanos, settle)
-        && peers.allFolded(offset, ControlLimits.SHARE_RETENTION, context)) {
+    if (context.hasElapsed(publishedNanos, settle)
+        && peers.allApplied(publicationOffset, ControlLimits.SHARE_RETENTION, context)) {
       put(new TreeMap<>(target), context);
     }
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/state/ControlState.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/state/ControlState.java
@@ -157,12 +157,12 @@
   private FoldResult endAttempt(AttemptEnded end, long millis) {
     FoldResult result = jobs.endAttempt(end, millis);
     if (result == COUNTED && end.getResult() != AttemptResult.ATTEMPT_RESULT_NEVER_STARTED) {
-      jobs.find(new JobId(end.getJob())).ifPresent(job -> learn(job, end, millis));
+      jobs.find(new JobId(end.getJob())).ifPresent(job -> updateHistory(job, end, millis));
     }
     return result;
   }
 
-  private void learn(JobState job, AttemptEnded end, long millis) {
+  private void updateHistory(JobState job, AttemptEnded end, long millis) {
     long ran = Math.max(0, millis - job.snapshot().getCommittedMillis()) / MILLIS_PER_SECOND;
     long kept = job.snapshot().getKeptSeconds() - (end.getCheckpointed() ? ran : 0);
     Optional<WorkerId> blamed =
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/state/JobRegistry.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/state/JobRegistry.java
@@ -106,7 +106,7 @@
 
   FoldResult requestCancel(JobCancelRequested request) {
     Optional<JobState> found = find(request.getJob());
-    if (found.isEmpty() || found.get().over()) {
+    if (found.isEmpty() || found.get().hasResult()) {
       return NOT_APPLICABLE;
     }
     put(found.get().with(found.get().snapshot().toBuilder().setCancelRequested(true)));
@@ -124,8 +124,8 @@
     }
     JobState state = found.get();
     boolean next = planned.getAttempt() == state.attempt().number() + 1;
-    boolean whole = planned.getWorkersCount() == state.job().shape().members();
-    if (!next || !whole || planned.getWorkersList().stream().anyMatch(String::isBlank)) {
+    boolean complete = planned.getWorkersCount() == state.job().shape().members();
+    if (!next || !complete || planned.getWorkersList().stream().anyMatch(String::isBlank)) {
       return NOT_APPLICABLE;
     }
     put(
@@ -152,8 +152,8 @@
       return NOT_APPLICABLE;
     }
     JobState state = found.get();
-    boolean whole = committed.getLeasesCount() == state.job().shape().members();
-    if (!whole || state.plannedEpoch() != epoch) {
+    boolean complete = committed.getLeasesCount() == state.job().shape().members();
+    if (!complete || state.plannedEpoch() != epoch) {
       return NOT_APPLICABLE;
     }
     put(
@@ -267,7 +267,7 @@
     }
     state.job().requestId().ifPresent(id -> byRequest.put(keyOf(state, id), state.id()));
     JobSnapshot snapshot = state.snapshot();
-    if (state.over()) {
+    if (state.hasResult()) {
       ended.put(snapshot.getEndedOffset(), state.id());
     } else if (state.live()) {
       live.put(snapshot.getPlannedOffset(), state.id());
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/state/JobState.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/state/JobState.java
@@ -69,13 +69,13 @@
   }
 
   /** Returns whether the job has its final result. */
-  public boolean over() {
+  public boolean hasResult() {
     return snapshot.hasJobEnded();
   }
 
   /** Returns whether the job has neither a live attempt nor a final result. */
   public boolean waiting() {
-    return !over() && !live();
+    return !hasResult() && !live();
   }
 
   /** Returns the last attempt; its number is 0 if there was none. */
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/GangTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/GangTest.java
@@ -78,7 +78,7 @@
     assertEquals("FINISHED", s.result(job, 600));
     long boundNanos = PREFERENCES.leaseTtl().plus(PREFERENCES.renewInterval()).toNanos();
     long longestNanos = s.invariants.longestPartialGangNanos;
-    System.out.printf("worker dead: part gang for %d ms%n", longestNanos / VirtualCluster.MILLI);
+    System.out.printf("worker dead: partial gang for %d ms%n", longestNanos / VirtualCluster.MILLI);
     assertTrue(longestNanos <= boundNanos, () -> longestNanos / VirtualCluster.MILLI + " ms");
     assertEquals(2, s.job(job).attempt().number());
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/RandomHistoriesTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/RandomHistoriesTest.java
@@ -56,7 +56,7 @@
     }
     System.out.printf(
         "%d histories, seeds %d to %d: %d faults, %d claims, %d attempts of %d jobs,"
-            + " %d readers begun from a snapshot; longest part gang %d ms%n",
+            + " %d readers started from a snapshot; longest partial gang %d ms%n",
         HISTORIES,
         FIRST_SEED,
         FIRST_SEED + HISTORIES - 1,
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/Scenario.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/Scenario.java
@@ -62,7 +62,7 @@
 
   /** Runs until a job has its final result, and returns that result. */
   String result(JobId id, long seconds) {
-    until(seconds, id + " is over", s -> s.job(id).over());
+    until(seconds, id + " is over", s -> s.job(id).hasResult());
     return job(id).snapshot().getJobEnded().getResult().name().replace("JOB_RESULT_", "");
   }
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/ownership/PeerTrackerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/ownership/PeerTrackerTest.java
@@ -43,14 +43,14 @@
   void aVmThatAnnouncedItsStopIsForgottenOnceItIsSilentAndUnlisted() {
     listed(0, SELF, OTHER);
     tracker.heard(Set.of(OTHER), Set.of(OTHER), Set.of(OTHER), at(1));
-    tracker.folded(Map.of(OTHER, 5L));
+    tracker.peersApplied(Map.of(OTHER, 5L));
     listed(2, SELF);
-    assertFalse(tracker.allFolded(9, RETENTION, at(2)), "it is still heard");
+    assertFalse(tracker.allApplied(9, RETENTION, at(2)), "it is still heard");
 
     tracker.heard(Set.of(), Set.of(), Set.of(), at(3));
     listed(4, SELF);
 
-    assertTrue(tracker.allFolded(9, RETENTION, at(4)));
+    assertTrue(tracker.allApplied(9, RETENTION, at(4)));
   }
 
   @Test
@@ -60,8 +60,8 @@
     tracker.heard(Set.of(), Set.of(), Set.of(), at(3));
     listed(4, SELF);
 
-    assertFalse(tracker.allFolded(9, RETENTION, at(4)));
-    assertTrue(tracker.allFolded(9, RETENTION, at(90)));
+    assertFalse(tracker.allApplied(9, RETENTION, at(4)));
+    assertTrue(tracker.allApplied(9, RETENTION, at(90)));
   }
 
   @Test
@@ -73,6 +73,6 @@
     tracker.heard(Set.of(), Set.of(), Set.of(), at(8));
     listed(9, SELF);
 
-    assertFalse(tracker.allFolded(9, RETENTION, at(9)));
+    assertFalse(tracker.allApplied(9, RETENTION, at(9)));
   }
 }
