--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ControlStream.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ControlStream.java
@@ -3,22 +3,25 @@
 import java.util.Optional;
 import org.fescuehook.logic.control.record.DecodedRecord;
 import org.fescuehook.logic.control.record.RecordCodec;
-import org.fescuehook.logic.control.snapshot.StreamStart;
+import org.fescuehook.logic.control.snapshot.SnapshotLoader;
 import org.fescuehook.logic.control.state.ControlState;
 import org.fescuehook.logic.control.state.FoldResult;
 import org.fescuehook.model.log.LogRecord;
 import org.fescuehook.wire.ControlRecord;
 
-/** Reads the control stream in order, from its first record or from a snapshot, and folds it. */
+/**
+ * Applies the records of the control stream to the state, in the order of their offsets. It begins
+ * at the first record, or at a snapshot if earlier records have been removed from the log.
+ */
 final class ControlStream {
 
-  /** Hears of each record that was folded. */
+  /** Is notified of each record that was applied. */
   interface Listener {
-    void folded(ControlRecord record, long offset, FoldResult result, Turn turn);
+    void applied(ControlRecord record, long offset, FoldResult result, DecisionContext context);
   }
 
   private final Listener listener;
-  private final StreamStart beginning = new StreamStart();
+  private final SnapshotLoader snapshotLoader = new SnapshotLoader();
   private ControlState state = new ControlState();
   private long nextOffset;
   private boolean complete = true;
@@ -37,12 +40,17 @@
     return nextOffset;
   }
 
-  /** Tells whether the state holds all that the stream told; false while a snapshot is awaited. */
+  /**
+   * Returns whether the state reflects all records read so far; false while the stream waits for a
+   * snapshot.
+   */
   boolean complete() {
     return complete;
   }
 
-  /** Tells whether a newer version decided something that this version does not understand. */
+  /**
+   * Returns whether an owner of a newer version wrote a decision that this version cannot apply.
+   */
   boolean newerSeen() {
     return newerSeen;
   }
@@ -51,82 +59,89 @@
     return skipped;
   }
 
-  /** Takes in a record; one that was read before is ignored. Implements {@code Read}. */
-  void read(LogRecord record, Turn turn) {
+  /**
+   * Reads a record; ignores one that was read before. Implements the action {@code Read} of the
+   * module Ownership.
+   */
+  void read(LogRecord record, DecisionContext context) {
     if (record.offset() < nextOffset) {
       return;
     }
     if (record.offset() > nextOffset) {
-      lose(record.offset(), turn);
+      awaitSnapshot(record.offset(), context);
     }
     nextOffset = record.offset() + 1;
     if (complete) {
-      fold(record, turn);
+      fold(record, context);
       return;
     }
-    Optional<StreamStart.Beginning> begun = beginning.add(record, turn);
-    if (begun.isPresent()) {
-      begin(begun.get(), turn);
+    Optional<SnapshotLoader.LoadedSnapshot> loaded = snapshotLoader.add(record, context);
+    if (loaded.isPresent()) {
+      restore(loaded.get(), context);
     }
   }
 
-  /** Takes in that records before {@code earliest} have vanished, maybe before they were read. */
-  void keptFrom(long earliest, Turn turn) {
+  /**
+   * Notes that the log no longer stores the records before {@code earliest}. If this VM has not
+   * read all of them, it waits for a snapshot.
+   */
+  void noteEarliest(long earliest, DecisionContext context) {
     if (earliest > nextOffset) {
-      lose(earliest, turn);
+      awaitSnapshot(earliest, context);
       nextOffset = earliest;
     }
   }
 
-  private void lose(long earliest, Turn turn) {
-    turn.note(ControlLogEvent.RECORDS_VANISHED, nextOffset, earliest);
-    turn.count("fescuehook.control.records.vanished");
+  private void awaitSnapshot(long earliest, DecisionContext context) {
+    context.note(ControlLogEvent.RECORDS_VANISHED, nextOffset, earliest);
+    context.count("fescuehook.control.records.vanished");
     complete = false;
-    beginning.restart(earliest);
+    snapshotLoader.restart(earliest);
   }
 
-  private void begin(StreamStart.Beginning begun, Turn turn) {
-    turn.note(ControlLogEvent.SNAPSHOT_TAKEN, begun.coversUntil());
-    state = begun.state();
+  private void restore(SnapshotLoader.LoadedSnapshot loaded, DecisionContext context) {
+    context.note(ControlLogEvent.SNAPSHOT_TAKEN, loaded.coversUntil());
+    state = loaded.state();
     complete = true;
-    for (LogRecord record : begun.rest()) {
-      fold(record, turn);
+    for (LogRecord record : loaded.remaining()) {
+      fold(record, context);
     }
   }
 
-  private void fold(LogRecord record, Turn turn) {
+  private void fold(LogRecord record, DecisionContext context) {
     switch (RecordCodec.decode(record.data())) {
-      case DecodedRecord.Known(ControlRecord known) -> foldKnown(known, record, turn);
-      case DecodedRecord.Newer(ControlRecord newer) -> takeNewer(newer, record, turn);
-      case DecodedRecord.Foreign(String detail) -> skip(record, "foreign", detail, turn);
-      case DecodedRecord.Corrupt(String detail) -> skip(record, "corrupt", detail, turn);
+      case DecodedRecord.Known(ControlRecord known) -> foldKnown(known, record, context);
+      case DecodedRecord.Newer(ControlRecord newer) -> skipNewer(newer, record, context);
+      case DecodedRecord.Foreign(String detail) -> skip(record, "foreign", detail, context);
+      case DecodedRecord.Corrupt(String detail) -> skip(record, "corrupt", detail, context);
     }
   }
 
-  private void foldKnown(ControlRecord known, LogRecord record, Turn turn) {
+  private void foldKnown(ControlRecord known, LogRecord record, DecisionContext context) {
     FoldResult result = state.fold(known, record.offset(), record.appendedMillis());
     if (result != FoldResult.COUNTED) {
-      turn.count("fescuehook.control.records.void", "result", result.name());
+      context.count("fescuehook.control.records.void", "result", result.name());
     }
-    listener.folded(known, record.offset(), result, turn);
+    listener.applied(known, record.offset(), result, context);
   }
 
   /**
-   * A decision that this version cannot fold leaves its state behind the others'. It goes on
-   * folding what it knows, but never decides by that state. What needs no owner is harmless to
-   * skip.
+   * Skips a record that this version cannot apply. If it is a decision of the owner, this VM's
+   * state now differs from that of VMs with a newer version; it goes on applying the records that
+   * it knows, but never decides based on that state. Records that need no owner can be skipped
+   * without harm.
    */
-  private void takeNewer(ControlRecord newer, LogRecord record, Turn turn) {
-    skip(record, "newer", "version " + newer.getVersion(), turn);
+  private void skipNewer(ControlRecord newer, LogRecord record, DecisionContext context) {
+    skip(record, "newer", "version " + newer.getVersion(), context);
     if (state.inForce(newer)) {
       newerSeen = true;
-      turn.note(ControlLogEvent.NEWER_RECORD, record.offset(), newer.getVersion());
+      context.note(ControlLogEvent.NEWER_RECORD, record.offset(), newer.getVersion());
     }
   }
 
-  private void skip(LogRecord record, String kind, String detail, Turn turn) {
+  private void skip(LogRecord record, String kind, String detail, DecisionContext context) {
     skipped++;
-    turn.note(ControlLogEvent.RECORD_SKIPPED, record.offset(), detail);
-    turn.count("fescuehook.control.records.skipped", "kind", kind);
+    context.note(ControlLogEvent.RECORD_SKIPPED, record.offset(), detail);
+    context.count("fescuehook.control.records.skipped", "kind", kind);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangDuty.java
@@ -9,9 +9,9 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.control.append.RecordWriter;
-import org.fescuehook.logic.control.ownership.PeerWatch;
+import org.fescuehook.logic.control.ownership.PeerTracker;
 import org.fescuehook.logic.control.state.ControlState;
 import org.fescuehook.logic.control.state.JobState;
 import org.fescuehook.logic.worker.WorkerPort.LeaseState;
@@ -25,218 +25,233 @@
 import org.fescuehook.wire.StopReason;
 
 /**
- * Drives the live attempts: leases, commit, start, renewal, stop and end. What to do next is worked
- * out anew each time from the log's state and the workers' words, so that nothing depends on which
- * VM did the steps before.
+ * Steps the live attempts through lease requests, commit, start, renewal, stop and end. The next
+ * step is derived each time from the state in the log and from the workers' replies, so it does not
+ * matter which VM took the previous steps.
  */
 public final class GangDuty {
 
-  private static final Duration FULL_ROUND = Duration.ofMillis(500);
+  /** Interval at which all attempts are stepped, so that timeouts are noticed without an event. */
+  private static final Duration FULL_PASS_INTERVAL = Duration.ofMillis(500);
 
   private final LeaseReleaser releaser;
   private final LeaseRenewer renewer;
-  private final GangStarter starter;
+  private final GangCommitter committer;
   private final GangRunner runner;
   private final GangStopper stopper;
-  private final WorkerRest rest = new WorkerRest();
-  private final Map<JobId, AttemptTrack> tracks = new LinkedHashMap<>();
-  private final Map<String, MemberTrack> asked = new HashMap<>();
-  private final Set<JobId> touched = new LinkedHashSet<>();
-  private Mode mode = Mode.OFF;
-  private long lastRound;
+  private final WorkerBackoff backoff = new WorkerBackoff();
+  private final Map<JobId, AttemptProgress> attempts = new LinkedHashMap<>();
+  private final Map<String, MemberProgress> requestedLeases = new HashMap<>();
+  private final Set<JobId> changedJobs = new LinkedHashSet<>();
+  private GangMode mode = GangMode.OFF;
+  private long lastFullPassNanos;
 
-  /** Creates a duty that drives nothing. */
-  public GangDuty(ControlPreferences preferences, RecordWriter writer, PeerWatch peers) {
+  /** Creates a duty without attempts. */
+  public GangDuty(ControlPreferences preferences, RecordWriter writer, PeerTracker peers) {
     releaser = new LeaseReleaser(preferences.leaseTtl());
     renewer = new LeaseRenewer(preferences);
-    starter = new GangStarter(preferences, writer, releaser);
+    committer = new GangCommitter(preferences, writer, releaser);
     runner = new GangRunner(preferences, writer, releaser);
     stopper = new GangStopper(preferences, writer, releaser, peers);
   }
 
-  /** Returns workers that refused a lease or gave no answer lately. */
-  public Set<WorkerId> restingWorkers(Turn turn) {
-    return rest.resting(turn);
+  /**
+   * Returns the workers that recently refused a lease or did not answer; no leases are requested
+   * from them.
+   */
+  public Set<WorkerId> workersInBackoff(DecisionContext context) {
+    return backoff.workersInBackoff(context);
   }
 
-  /** A record about a job was folded. */
-  public void folded(JobId job) {
-    if (mode != Mode.OFF) {
-      touched.add(job);
+  /** Handles that a record about a job was applied. */
+  public void jobChanged(JobId job) {
+    if (mode != GangMode.OFF) {
+      changedJobs.add(job);
     }
   }
 
-  /** The policy wants an attempt ended that is not committed yet. */
+  /** Requests that an attempt be ended that is not committed yet. */
   public void abort(AttemptId attempt, StopReason reason) {
-    AttemptTrack track = tracks.get(attempt.job());
-    if (track != null && track.attempt.equals(attempt)) {
-      track.abort = Optional.of(reason);
-      touched.add(attempt.job());
+    AttemptProgress progress = attempts.get(attempt.job());
+    if (progress != null && progress.attempt.equals(attempt)) {
+      progress.abortReason = Optional.of(reason);
+      changedJobs.add(attempt.job());
     }
   }
 
   /**
-   * Takes all steps that are due.
+   * Takes all steps that are due in the given mode.
    *
-   * @param foldedUntil offset after the last record that this VM has folded
+   * @param nextOffset offset after the last record that this VM has applied
    */
-  public void step(ControlState state, Mode now, long foldedUntil, Turn turn) {
-    changeMode(state, now, turn);
-    if (mode == Mode.OFF || mode == Mode.READ) {
+  public void step(ControlState state, GangMode now, long nextOffset, DecisionContext context) {
+    changeMode(state, now, context);
+    if (mode == GangMode.OFF || mode == GangMode.READ) {
       return;
     }
-    for (JobId job : due(turn)) {
-      advance(job, state, foldedUntil, turn);
+    for (JobId job : due(context)) {
+      advance(job, state, nextOffset, context);
     }
-    renewer.step(turn);
-    releaser.step(turn);
+    renewer.step(context);
+    releaser.step(context);
   }
 
-  private void changeMode(ControlState state, Mode now, Turn turn) {
+  private void changeMode(ControlState state, GangMode now, DecisionContext context) {
     if (now == mode) {
       return;
     }
-    boolean fresh = mode == Mode.OFF;
+    boolean wasOff = mode == GangMode.OFF;
     mode = now;
-    if (now == Mode.OFF) {
+    if (now == GangMode.OFF) {
       clear();
       return;
     }
-    if (fresh || now == Mode.DECIDE) {
-      touched.addAll(tracks.keySet());
-      state.jobs().live().forEach(job -> touched.add(job.id()));
-      lastRound = turn.now();
+    if (wasOff || now == GangMode.DECIDE) {
+      changedJobs.addAll(attempts.keySet());
+      state.jobs().live().forEach(job -> changedJobs.add(job.id()));
+      lastFullPassNanos = context.nowNanos();
     }
   }
 
   private void clear() {
-    tracks.clear();
-    asked.clear();
-    touched.clear();
+    attempts.clear();
+    requestedLeases.clear();
+    changedJobs.clear();
     renewer.clear();
     releaser.clear();
   }
 
-  private List<JobId> due(Turn turn) {
-    if (turn.passed(lastRound, FULL_ROUND)) {
-      lastRound = turn.now();
-      touched.addAll(tracks.keySet());
+  private List<JobId> due(DecisionContext context) {
+    if (context.hasElapsed(lastFullPassNanos, FULL_PASS_INTERVAL)) {
+      lastFullPassNanos = context.nowNanos();
+      changedJobs.addAll(attempts.keySet());
     }
-    List<JobId> due = new ArrayList<>(touched);
-    touched.clear();
+    List<JobId> due = new ArrayList<>(changedJobs);
+    changedJobs.clear();
     return due;
   }
 
-  private void advance(JobId id, ControlState state, long foldedUntil, Turn turn) {
+  private void advance(JobId id, ControlState state, long nextOffset, DecisionContext context) {
     Optional<JobState> found = state.jobs().find(id).filter(JobState::live);
-    AttemptTrack track = tracks.get(id);
-    if (track != null && found.filter(job -> job.attempt().equals(track.attempt)).isEmpty()) {
-      drop(track, turn);
+    AttemptProgress progress = attempts.get(id);
+    if (progress != null && found.filter(job -> job.attempt().equals(progress.attempt)).isEmpty()) {
+      stopTracking(progress, context);
     }
     if (found.isEmpty()) {
       return;
     }
     JobState job = found.get();
-    AttemptTrack current = tracks.computeIfAbsent(id, key -> new AttemptTrack(job, turn.now()));
+    AttemptProgress current =
+        attempts.computeIfAbsent(id, key -> new AttemptProgress(job, context.nowNanos()));
     if (!job.committed()) {
-      if (mode == Mode.DECIDE) {
-        starter.advance(current, job, state.epoch(), turn);
-        current.members.forEach(member -> asked.put(key(current, member), member));
+      if (mode == GangMode.DECIDE) {
+        committer.advance(current, job, state.epoch(), context);
+        current.members.forEach(member -> requestedLeases.put(key(current, member), member));
       }
       return;
     }
-    takeCommit(current, job, turn);
+    recordCommit(current, job, context);
     if (job.stopping()) {
-      stopper.advance(current, job, mode, state.epoch(), foldedUntil, turn);
+      stopper.advance(current, job, mode, state.epoch(), nextOffset, context);
     } else {
-      runner.advance(current, job, mode, state.epoch(), turn);
+      runner.advance(current, job, mode, state.epoch(), context);
     }
   }
 
-  private static String key(AttemptTrack track, MemberTrack member) {
-    return track.attempt + "/" + member.number;
+  private static String key(AttemptProgress progress, MemberProgress member) {
+    return progress.attempt + "/" + member.number;
   }
 
-  /** Notes the leases of a commit that counted; those of another VM are adopted. */
-  private void takeCommit(AttemptTrack track, JobState job, Turn turn) {
-    if (track.committed) {
+  /**
+   * Records the leases of a commit that took effect, and begins to renew them. Leases that another
+   * VM was granted are adopted.
+   */
+  private void recordCommit(AttemptProgress progress, JobState job, DecisionContext context) {
+    if (progress.committed) {
       return;
     }
-    track.committed = true;
-    boolean adopted = !track.all(MemberTrack::granted);
-    List<String> leases = job.facts().getCommitted().getLeasesList();
-    for (MemberTrack member : track.members) {
+    progress.committed = true;
+    boolean adopted = !progress.all(MemberProgress::granted);
+    List<String> leases = job.snapshot().getCommitted().getLeasesList();
+    for (MemberProgress member : progress.members) {
       member.lease = leases.get(member.number);
-      asked.remove(key(track, member));
+      requestedLeases.remove(key(progress, member));
     }
     if (adopted) {
-      renewer.adopt(track, turn);
+      renewer.adopt(progress, context);
     } else {
-      renewer.add(track, turn);
+      renewer.add(progress, context);
     }
   }
 
-  /** The attempt ended in the log, so its leases serve nobody. Implements {@code Release}. */
-  private void drop(AttemptTrack track, Turn turn) {
-    tracks.remove(track.attempt.job());
-    renewer.remove(track);
-    for (MemberTrack member : track.members) {
-      asked.remove(key(track, member));
+  /**
+   * Releases the leases of an attempt whose end is in the log. Implements the action {@code
+   * Release} of the module Gang.
+   */
+  private void stopTracking(AttemptProgress progress, DecisionContext context) {
+    attempts.remove(progress.attempt.job());
+    renewer.remove(progress);
+    for (MemberProgress member : progress.members) {
+      requestedLeases.remove(key(progress, member));
       if (member.granted() && !member.gone) {
-        releaser.release(member.worker, member.lease, turn);
+        releaser.release(member.worker, member.lease, context);
       }
     }
   }
 
-  /** Takes in the answer of a worker, or that there was none. */
-  public void answered(WorkerReply reply, Turn turn) {
+  /** Handles the reply of a worker, or that it did not reply. */
+  public void answered(WorkerReply reply, DecisionContext context) {
     boolean silence = reply instanceof WorkerReply.Silent;
     renewer.heard(reply.worker(), silence);
     if (!silence) {
-      rest.answered(reply.worker());
+      backoff.answered(reply.worker());
     }
     switch (reply) {
-      case WorkerReply.Granted granted -> granted(granted, turn);
+      case WorkerReply.Granted granted -> granted(granted, context);
       case WorkerReply.GrantRefused refused -> {
-        rest.refused(refused.worker(), turn);
-        refuse(refused.key());
+        backoff.refused(refused.worker(), context);
+        markRefused(refused.key());
       }
-      case WorkerReply.States states -> states.states().forEach(s -> heard(states, s, turn));
+      case WorkerReply.States states ->
+          states.states().forEach(s -> updateMember(states, s, context));
       case WorkerReply.Silent silent -> {
-        rest.silent(silent.worker(), turn);
+        backoff.silent(silent.worker(), context);
         if (silent.command() instanceof WorkerCommand.Grant grant) {
-          refuse(grant.key());
+          markRefused(grant.key());
         }
       }
     }
   }
 
-  private void granted(WorkerReply.Granted granted, Turn turn) {
-    MemberTrack member = asked.get(granted.key());
+  private void granted(WorkerReply.Granted granted, DecisionContext context) {
+    MemberProgress member = requestedLeases.get(granted.key());
     if (member == null || member.refused || member.granted()) {
-      releaseStray(granted, turn);
+      releaseStray(granted, context);
       return;
     }
     member.lease = granted.lease();
-    member.heardNanos = turn.now();
-    member.renewedNanos = turn.now();
-    touched.add(jobOf(granted.key()));
+    member.lastReplyNanos = context.nowNanos();
+    member.lastRenewalNanos = context.nowNanos();
+    changedJobs.add(jobOf(granted.key()));
   }
 
-  /** A lease that came late is in no commit: this VM alone knows it, and it did not commit it. */
-  private void releaseStray(WorkerReply.Granted granted, Turn turn) {
-    if (renewer.holder(granted.worker(), granted.lease()).isPresent() || mode == Mode.READ) {
+  /**
+   * Releases a lease that was granted too late to be part of a commit. No other VM can know it, so
+   * releasing it is safe.
+   */
+  private void releaseStray(WorkerReply.Granted granted, DecisionContext context) {
+    if (renewer.holder(granted.worker(), granted.lease()).isPresent() || mode == GangMode.READ) {
       return;
     }
-    turn.count("fescuehook.control.stray.leases");
-    releaser.release(granted.worker(), granted.lease(), turn);
+    context.count("fescuehook.control.stray.leases");
+    releaser.release(granted.worker(), granted.lease(), context);
   }
 
-  private void refuse(String key) {
-    MemberTrack member = asked.get(key);
+  private void markRefused(String key) {
+    MemberProgress member = requestedLeases.get(key);
     if (member != null && !member.granted()) {
       member.refused = true;
-      touched.add(jobOf(key));
+      changedJobs.add(jobOf(key));
     }
   }
 
@@ -245,7 +260,7 @@
     return new JobId(attempt.substring(0, attempt.lastIndexOf('.')));
   }
 
-  private void heard(WorkerReply.States states, State state, Turn turn) {
+  private void updateMember(WorkerReply.States states, State state, DecisionContext context) {
     if (state.state() == LeaseState.GONE) {
       releaser.gone(states.worker(), state.lease());
     }
@@ -253,8 +268,8 @@
         .holder(states.worker(), state.lease())
         .ifPresent(
             holder -> {
-              holder.member().heard(state, turn.now());
-              touched.add(holder.attempt().attempt.job());
+              holder.member().update(state, context.nowNanos());
+              changedJobs.add(holder.attempt().attempt.job());
             });
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangRunner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangRunner.java
@@ -4,9 +4,9 @@
 import java.util.OptionalLong;
 import org.fescuehook.logic.control.ControlLimits;
 import org.fescuehook.logic.control.ControlLogEvent;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.control.append.RecordWriter;
-import org.fescuehook.logic.control.record.WireWords;
+import org.fescuehook.logic.control.record.WireEnumNames;
 import org.fescuehook.logic.control.state.JobState;
 import org.fescuehook.logic.worker.WorkerPort.WorkerCommand;
 import org.fescuehook.model.preferences.ControlPreferences;
@@ -16,7 +16,10 @@
 import org.fescuehook.wire.ControlRecord;
 import org.fescuehook.wire.StopReason;
 
-/** Starts a committed gang, and watches it until it ends or has to be stopped. */
+/**
+ * Starts the members of a committed gang, and monitors them until the gang ends or has to be
+ * stopped.
+ */
 final class GangRunner {
   private final ControlPreferences preferences;
   private final RecordWriter writer;
@@ -28,140 +31,168 @@
     this.releaser = releaser;
   }
 
-  private record Fault(StopReason reason, Optional<MemberTrack> member) {}
+  private record StopTrigger(StopReason reason, Optional<MemberProgress> member) {}
 
   /** Takes the next step of an attempt that is committed and not being stopped. */
-  void advance(AttemptTrack track, JobState job, Mode mode, long epoch, Turn turn) {
-    if (track.first(MemberTrack::lost).isPresent()) {
-      releaseOthers(track, turn);
-    }
-    Optional<Fault> fault = fault(track, job, mode, turn);
-    if (fault.isPresent() && mode == Mode.RENEW) {
-      abandon(track, fault.get(), turn);
+  void advance(
+      AttemptProgress progress, JobState job, GangMode mode, long epoch, DecisionContext context) {
+    if (progress.first(MemberProgress::lost).isPresent()) {
+      releaseOthers(progress, context);
+    }
+    Optional<StopTrigger> trigger = trigger(progress, job, mode, context);
+    if (trigger.isPresent() && mode == GangMode.RENEW) {
+      abandon(progress, trigger.get(), context);
       return;
     }
-    if (mode == Mode.DECIDE && !writer.isUnread(track.unread) && writer.hasRoom(turn)) {
-      if (track.all(member -> member.finished)) {
-        finish(track, epoch, turn);
+    if (mode == GangMode.DECIDE
+        && !writer.isPending(progress.pendingSequence)
+        && writer.hasCapacity(context)) {
+      if (progress.all(member -> member.finished)) {
+        finish(progress, epoch, context);
         return;
       }
-      if (fault.isPresent()) {
-        stop(track, fault.get(), epoch, turn);
+      if (trigger.isPresent()) {
+        stop(progress, trigger.get(), epoch, context);
         return;
       }
     }
-    if (fault.isEmpty()) {
-      start(track, job, mode, turn);
+    if (trigger.isEmpty()) {
+      start(progress, job, mode, context);
     }
   }
 
-  private Optional<Fault> fault(AttemptTrack track, JobState job, Mode mode, Turn turn) {
-    if (track.all(member -> member.finished)) {
+  private Optional<StopTrigger> trigger(
+      AttemptProgress progress, JobState job, GangMode mode, DecisionContext context) {
+    if (progress.all(member -> member.finished)) {
       return Optional.empty();
     }
-    Optional<MemberTrack> failed = track.first(member -> member.failed);
+    Optional<MemberProgress> failed = progress.first(member -> member.failed);
     if (failed.isPresent()) {
-      return Optional.of(new Fault(StopReason.STOP_REASON_MEMBER_FAILED, failed));
+      return Optional.of(new StopTrigger(StopReason.STOP_REASON_MEMBER_FAILED, failed));
     }
-    Optional<MemberTrack> lost = track.first(member -> lostOrSilent(member, turn));
+    Optional<MemberProgress> lost = progress.first(member -> lostOrSilent(member, context));
     if (lost.isPresent()) {
-      return Optional.of(new Fault(StopReason.STOP_REASON_MEMBER_LOST, lost));
+      return Optional.of(new StopTrigger(StopReason.STOP_REASON_MEMBER_LOST, lost));
     }
-    if (mode == Mode.DECIDE && job.facts().getCancelRequested()) {
-      return Optional.of(new Fault(StopReason.STOP_REASON_CANCELLED, Optional.empty()));
+    if (mode == GangMode.DECIDE && job.snapshot().getCancelRequested()) {
+      return Optional.of(new StopTrigger(StopReason.STOP_REASON_CANCELLED, Optional.empty()));
     }
-    Optional<MemberTrack> held = track.first(member -> !member.started());
-    if (held.isPresent() && startIsLate(track, turn)) {
-      return Optional.of(new Fault(StopReason.STOP_REASON_START_REFUSED, held));
+    Optional<MemberProgress> notStarted = progress.first(member -> !member.started());
+    if (notStarted.isPresent() && startTimedOut(progress, context)) {
+      return Optional.of(new StopTrigger(StopReason.STOP_REASON_START_REFUSED, notStarted));
     }
     return Optional.empty();
   }
 
-  /** A member whose lease lapsed, ended early, or must have lapsed unless another VM renews it. */
-  private boolean lostOrSilent(MemberTrack member, Turn turn) {
+  /**
+   * Returns whether a member's lease expired or the member ended early by a checkpoint, or whether
+   * the worker has not answered for the time to live of a lease. In the latter case the lease has
+   * expired unless another VM renews it.
+   */
+  private boolean lostOrSilent(MemberProgress member, DecisionContext context) {
     if (member.lost() || member.checkpointed) {
       return true;
     }
-    return !member.finished && turn.passed(member.heardNanos, preferences.leaseTtl());
+    return !member.finished && context.hasElapsed(member.lastReplyNanos, preferences.leaseTtl());
   }
 
-  private static boolean startIsLate(AttemptTrack track, Turn turn) {
-    boolean partly = track.first(MemberTrack::started).isPresent();
-    if (track.startedSince.isEmpty() && partly) {
-      track.startedSince = OptionalLong.of(turn.now());
+  private static boolean startTimedOut(AttemptProgress progress, DecisionContext context) {
+    boolean someStarted = progress.first(MemberProgress::started).isPresent();
+    if (progress.startingSinceNanos.isEmpty() && someStarted) {
+      progress.startingSinceNanos = OptionalLong.of(context.nowNanos());
     }
-    return track.startedSince.isPresent()
-        && turn.passed(track.startedSince.getAsLong(), ControlLimits.START_TIMEOUT);
+    return progress.startingSinceNanos.isPresent()
+        && context.hasElapsed(progress.startingSinceNanos.getAsLong(), ControlLimits.START_TIMEOUT);
   }
 
   /**
-   * Sends the start to each lease that is not known to run. Only for a commit that was read back
-   * and counted, so it may be repeated. Implements {@code Start}.
+   * Sends a start for each lease that is not known to run. This is only done for a commit that was
+   * read back and took effect, and a start is idempotent, so it is repeated until it is answered.
+   * Implements the action {@code Start} of the module Gang.
    */
-  private void start(AttemptTrack track, JobState job, Mode mode, Turn turn) {
-    if (mode != Mode.DECIDE) {
+  private void start(
+      AttemptProgress progress, JobState job, GangMode mode, DecisionContext context) {
+    if (mode != GangMode.DECIDE) {
       return;
     }
-    if (track.startedSince.isEmpty()) {
-      track.startedSince = OptionalLong.of(turn.now());
-      turn.note(ControlLogEvent.ATTEMPT_STARTED, track.attempt, track.members.size());
+    if (progress.startingSinceNanos.isEmpty()) {
+      progress.startingSinceNanos = OptionalLong.of(context.nowNanos());
+      context.note(ControlLogEvent.ATTEMPT_STARTED, progress.attempt, progress.members.size());
     }
-    for (MemberTrack member : track.members) {
-      if (member.started() || !turn.passed(member.commandedNanos, ControlLimits.COMMAND_RETRY)) {
+    for (MemberProgress member : progress.members) {
+      if (member.started()
+          || !context.hasElapsed(member.lastCommandNanos, ControlLimits.COMMAND_RETRY_INTERVAL)) {
         continue;
       }
-      member.commandedNanos = turn.now();
-      turn.send(
+      member.lastCommandNanos = context.nowNanos();
+      context.send(
           member.worker,
           new WorkerCommand.Start(
               member.lease,
               job.id().value(),
-              track.attempt.toString(),
+              progress.attempt.toString(),
               member.number,
               job.job().command()));
     }
   }
 
-  /** A lease that is gone by its worker's word stays gone, so no VM can want the others to run. */
-  private void releaseOthers(AttemptTrack track, Turn turn) {
-    track.releasing = true;
-    for (MemberTrack member : track.members) {
+  /**
+   * Releases the remaining leases of a gang that lost one. A worker never restores a lease that it
+   * reported as gone, so the gang cannot become complete again on any VM.
+   */
+  private void releaseOthers(AttemptProgress progress, DecisionContext context) {
+    progress.releasing = true;
+    for (MemberProgress member : progress.members) {
       if (!member.gone) {
-        releaser.release(member.worker, member.lease, turn);
+        releaser.release(member.worker, member.lease, context);
       }
     }
   }
 
-  /** Without the log, a gang that is not whole is left to lapse. */
-  private static void abandon(AttemptTrack track, Fault fault, Turn turn) {
-    if (track.abandoned) {
+  /** Stops renewing an incomplete gang while the log is unreachable, so that its leases expire. */
+  private static void abandon(
+      AttemptProgress progress, StopTrigger trigger, DecisionContext context) {
+    if (progress.abandoned) {
       return;
     }
-    track.abandoned = true;
-    String worker = fault.member().map(member -> member.worker.value()).orElse("none");
-    turn.note(ControlLogEvent.GANG_ABANDONED, track.attempt, worker, WireWords.of(fault.reason()));
+    progress.abandoned = true;
+    String worker = trigger.member().map(member -> member.worker.value()).orElse("none");
+    context.note(
+        ControlLogEvent.GANG_ABANDONED,
+        progress.attempt,
+        worker,
+        WireEnumNames.of(trigger.reason()));
   }
 
-  /** Implements {@code Stop}. */
-  private void stop(AttemptTrack track, Fault fault, long epoch, Turn turn) {
+  /**
+   * Appends the decision to stop the attempt. Implements the action {@code Stop} of the module
+   * Gang.
+   */
+  private void stop(
+      AttemptProgress progress, StopTrigger trigger, long epoch, DecisionContext context) {
     AttemptStopping.Builder body =
         AttemptStopping.newBuilder()
-            .setJob(track.attempt.job().value())
-            .setAttempt(track.attempt.number())
-            .setReason(fault.reason());
-    fault
+            .setJob(progress.attempt.job().value())
+            .setAttempt(progress.attempt.number())
+            .setReason(trigger.reason());
+    trigger
         .member()
         .ifPresent(member -> body.setWorker(member.worker.value()).setExitCode(member.exitCode));
-    track.unread = writer.append(ControlRecord.newBuilder().setAttemptStopping(body), epoch, turn);
+    progress.pendingSequence =
+        writer.append(ControlRecord.newBuilder().setAttemptStopping(body), epoch, context);
   }
 
-  /** The leases are released only once this record was read, else the result could be lost. */
-  private void finish(AttemptTrack track, long epoch, Turn turn) {
+  /**
+   * Appends that the attempt finished. Its leases are released only after this record was read
+   * back, because the result could be lost otherwise.
+   */
+  private void finish(AttemptProgress progress, long epoch, DecisionContext context) {
     AttemptEnded.Builder body =
         AttemptEnded.newBuilder()
-            .setJob(track.attempt.job().value())
-            .setAttempt(track.attempt.number())
+            .setJob(progress.attempt.job().value())
+            .setAttempt(progress.attempt.number())
             .setResult(AttemptResult.ATTEMPT_RESULT_FINISHED);
-    track.unread = writer.append(ControlRecord.newBuilder().setAttemptEnded(body), epoch, turn);
+    progress.pendingSequence =
+        writer.append(ControlRecord.newBuilder().setAttemptEnded(body), epoch, context);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangStopper.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/GangStopper.java
@@ -4,10 +4,10 @@
 import java.util.OptionalLong;
 import org.fescuehook.logic.control.ControlLimits;
 import org.fescuehook.logic.control.ControlLogEvent;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.control.append.RecordWriter;
-import org.fescuehook.logic.control.ownership.PeerWatch;
-import org.fescuehook.logic.control.record.WireWords;
+import org.fescuehook.logic.control.ownership.PeerTracker;
+import org.fescuehook.logic.control.record.WireEnumNames;
 import org.fescuehook.logic.control.state.JobState;
 import org.fescuehook.logic.worker.WorkerPort.WorkerCommand;
 import org.fescuehook.model.preferences.ControlPreferences;
@@ -17,22 +17,22 @@
 import org.fescuehook.wire.ControlRecord;
 import org.fescuehook.wire.StopReason;
 
-/** Stops a gang whose stop was read back, and ends its attempt once every lease is gone. */
+/** Stops a gang whose stop record was read back, and ends its attempt once every lease is gone. */
 final class GangStopper {
 
-  /** Share of the lease time that is added for clocks of different speed. */
+  /** Divisor of the lease's time to live that gives the margin for clock drift: one tenth. */
   private static final int DRIFT_DIVISOR = 10;
 
   private final ControlPreferences preferences;
   private final RecordWriter writer;
   private final LeaseReleaser releaser;
-  private final PeerWatch peers;
+  private final PeerTracker peers;
 
   GangStopper(
       ControlPreferences preferences,
       RecordWriter writer,
       LeaseReleaser releaser,
-      PeerWatch peers) {
+      PeerTracker peers) {
     this.preferences = preferences;
     this.writer = writer;
     this.releaser = releaser;
@@ -42,112 +42,138 @@
   /**
    * Takes the next step of an attempt that is being stopped.
    *
-   * @param foldedUntil offset after the last record that this VM has folded
+   * @param nextOffset offset after the last record that this VM has applied
    */
   void advance(
-      AttemptTrack track, JobState job, Mode mode, long epoch, long foldedUntil, Turn turn) {
-    AttemptStopping stopping = job.facts().getStopping();
-    if (track.stoppingSince.isEmpty()) {
-      track.stoppingSince = OptionalLong.of(turn.now());
-      track.stoppingOffset = foldedUntil - 1;
-      track.awaitsCheckpoint = stopping.getCheckpointFirst() && mode == Mode.DECIDE;
-      turn.note(
+      AttemptProgress progress,
+      JobState job,
+      GangMode mode,
+      long epoch,
+      long nextOffset,
+      DecisionContext context) {
+    AttemptStopping stopping = job.snapshot().getStopping();
+    if (progress.stoppingSinceNanos.isEmpty()) {
+      progress.stoppingSinceNanos = OptionalLong.of(context.nowNanos());
+      progress.stoppingOffset = nextOffset - 1;
+      progress.awaitsCheckpoint = stopping.getCheckpointFirst() && mode == GangMode.DECIDE;
+      context.note(
           ControlLogEvent.ATTEMPT_STOPPING,
-          track.attempt,
-          WireWords.of(stopping.getReason()),
+          progress.attempt,
+          WireEnumNames.of(stopping.getReason()),
           stopping.getWorker());
     }
-    if (awaitsCheckpoint(track, stopping, turn)) {
-      askForCheckpoint(track, turn);
+    if (stillAwaitsCheckpoint(progress, stopping, context)) {
+      requestCheckpoints(progress, context);
       return;
     }
-    release(track, stopping, turn);
-    boolean allGone = track.all(member -> member.gone);
-    if (allGone && mode == Mode.DECIDE && !writer.isUnread(track.unread) && writer.hasRoom(turn)) {
-      end(track, stopping, epoch, turn);
+    release(progress, stopping, context);
+    boolean allGone = progress.all(member -> member.gone);
+    if (allGone
+        && mode == GangMode.DECIDE
+        && !writer.isPending(progress.pendingSequence)
+        && writer.hasCapacity(context)) {
+      end(progress, stopping, epoch, context);
     }
   }
 
-  /** Only an owner waits, and from when it read the stop, so renewals end with the notice. */
-  private static boolean awaitsCheckpoint(AttemptTrack track, AttemptStopping stopping, Turn turn) {
-    if (!track.awaitsCheckpoint || track.releasing) {
+  /**
+   * Returns whether the attempt still has time to write its checkpoint. Only the owner waits, for
+   * the notice period from the time at which it read the stop; renewals end with that period.
+   */
+  private static boolean stillAwaitsCheckpoint(
+      AttemptProgress progress, AttemptStopping stopping, DecisionContext context) {
+    if (!progress.awaitsCheckpoint || progress.releasing) {
       return false;
     }
-    boolean broken = track.first(member -> member.gone || member.failed).isPresent();
-    boolean done = track.all(member -> member.checkpointed || member.finished);
+    boolean broken = progress.first(member -> member.gone || member.failed).isPresent();
+    boolean done = progress.all(member -> member.checkpointed || member.finished);
     Duration notice = Duration.ofMillis(stopping.getNoticeMillis());
-    return !broken && !done && !turn.passed(track.stoppingSince.getAsLong(), notice);
+    return !broken && !done && !context.hasElapsed(progress.stoppingSinceNanos.getAsLong(), notice);
   }
 
-  private static void askForCheckpoint(AttemptTrack track, Turn turn) {
-    for (MemberTrack member : track.members) {
+  private static void requestCheckpoints(AttemptProgress progress, DecisionContext context) {
+    for (MemberProgress member : progress.members) {
       boolean done = member.checkpointed || member.finished;
       if (done
-          || !turn.passed(member.commandedNanos, ControlLimits.COMMAND_RETRY.multipliedBy(4))) {
+          || !context.hasElapsed(
+              member.lastCommandNanos, ControlLimits.COMMAND_RETRY_INTERVAL.multipliedBy(4))) {
         continue;
       }
-      member.commandedNanos = turn.now();
-      turn.send(member.worker, new WorkerCommand.Checkpoint(member.lease));
+      member.lastCommandNanos = context.nowNanos();
+      context.send(member.worker, new WorkerCommand.Checkpoint(member.lease));
     }
   }
 
-  /** Implements {@code Release} after a stop that counted. */
-  private void release(AttemptTrack track, AttemptStopping stopping, Turn turn) {
-    track.releasing = true;
-    if (track.foldedSince.isEmpty()
-        && peers.allFolded(track.stoppingOffset, ControlLimits.OUTAGE_RIDE, turn)) {
-      track.foldedSince = OptionalLong.of(turn.now());
+  /**
+   * Releases the leases of an attempt that is being stopped. Implements the action {@code Release}
+   * of the module Gang, after a stop that took effect.
+   */
+  private void release(
+      AttemptProgress progress, AttemptStopping stopping, DecisionContext context) {
+    progress.releasing = true;
+    if (progress.appliedByAllSinceNanos.isEmpty()
+        && peers.allApplied(progress.stoppingOffset, ControlLimits.OUTAGE_RENEWAL_LIMIT, context)) {
+      progress.appliedByAllSinceNanos = OptionalLong.of(context.nowNanos());
     }
-    for (MemberTrack member : track.members) {
+    for (MemberProgress member : progress.members) {
       if (member.gone) {
         continue;
       }
-      releaser.release(member.worker, member.lease, turn);
-      if (cannotBeHeld(track, member, stopping, turn)) {
+      releaser.release(member.worker, member.lease, context);
+      if (mustHaveExpired(progress, member, stopping, context)) {
         member.gone = true;
-        turn.note(ControlLogEvent.SILENT_LEASE_GONE, track.attempt, member.worker);
-        turn.count("fescuehook.control.silent.leases");
+        context.note(ControlLogEvent.SILENT_LEASE_GONE, progress.attempt, member.worker);
+        context.count("fescuehook.control.silent.leases");
       }
     }
   }
 
   /**
-   * Tells whether the lease of a silent worker must have lapsed. No VM renews what it has read as
-   * being stopped, and none goes on for longer than the outage ride without reading. So the lease
-   * lapses its time after the last VM has read the stop, or after the outage ride and the time for
-   * which a replica of the log may hide a record from a read that succeeds. Implements {@code Free}
-   * of the module SilentWorker.
+   * Returns whether the lease of a worker that does not answer must have expired. No VM renews a
+   * lease after it has read the stop of the attempt, and none renews for longer than {@link
+   * ControlLimits#OUTAGE_RENEWAL_LIMIT} after its last read of the log. The lease therefore expires
+   * its time to live after the last VM has read the stop. If it is unknown whether all have, that
+   * limit is added, and so is the time for which a lagging replica of the log may hide the stop
+   * from a successful read. Implements the action {@code Free} of the module SilentWorker.
    */
-  private boolean cannotBeHeld(
-      AttemptTrack track, MemberTrack member, AttemptStopping stopping, Turn turn) {
+  private boolean mustHaveExpired(
+      AttemptProgress progress,
+      MemberProgress member,
+      AttemptStopping stopping,
+      DecisionContext context) {
     Duration ttl = preferences.leaseTtl();
-    Duration rest =
+    Duration expiryTime =
         ttl.plus(ttl.dividedBy(DRIFT_DIVISOR))
             .plus(ControlLimits.WORKER_REQUEST_TIMEOUT)
             .plusMillis(stopping.getNoticeMillis());
-    if (track.foldedSince.isPresent()) {
-      return turn.passed(Math.max(track.foldedSince.getAsLong(), member.renewedNanos), rest);
+    if (progress.appliedByAllSinceNanos.isPresent()) {
+      return context.hasElapsed(
+          Math.max(progress.appliedByAllSinceNanos.getAsLong(), member.lastRenewalNanos),
+          expiryTime);
     }
-    Duration unread = ControlLimits.OUTAGE_RIDE.plus(ControlLimits.REPLICA_LAG);
-    return turn.passed(track.stoppingSince.getAsLong(), rest.plus(unread));
+    Duration renewalBound = ControlLimits.OUTAGE_RENEWAL_LIMIT.plus(ControlLimits.MAX_REPLICA_LAG);
+    return context.hasElapsed(
+        progress.stoppingSinceNanos.getAsLong(), expiryTime.plus(renewalBound));
   }
 
-  /** Implements {@code End}. */
-  private void end(AttemptTrack track, AttemptStopping stopping, long epoch, Turn turn) {
+  /** Appends the end of the attempt. Implements the action {@code End} of the module Gang. */
+  private void end(
+      AttemptProgress progress, AttemptStopping stopping, long epoch, DecisionContext context) {
     AttemptEnded.Builder body =
         AttemptEnded.newBuilder()
-            .setJob(track.attempt.job().value())
-            .setAttempt(track.attempt.number())
-            .setResult(result(track, stopping))
+            .setJob(progress.attempt.job().value())
+            .setAttempt(progress.attempt.number())
+            .setResult(result(progress, stopping))
             .setReason(stopping.getReason())
             .setWorker(stopping.getWorker())
             .setExitCode(stopping.getExitCode())
-            .setCheckpointed(track.all(member -> member.checkpointed || member.finished));
-    track.unread = writer.append(ControlRecord.newBuilder().setAttemptEnded(body), epoch, turn);
+            .setCheckpointed(progress.all(member -> member.checkpointed || member.finished));
+    progress.pendingSequence =
+        writer.append(ControlRecord.newBuilder().setAttemptEnded(body), epoch, context);
   }
 
-  private static AttemptResult result(AttemptTrack track, AttemptStopping stopping) {
-    if (track.all(member -> member.finished)) {
+  private static AttemptResult result(AttemptProgress progress, AttemptStopping stopping) {
+    if (progress.all(member -> member.finished)) {
       return AttemptResult.ATTEMPT_RESULT_FINISHED;
     }
     if (stopping.getReason() == StopReason.STOP_REASON_MEMBER_FAILED) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/LeaseRenewer.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/LeaseRenewer.java
@@ -8,27 +8,33 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import org.fescuehook.logic.control.ControlLimits;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.worker.WorkerPort.WorkerCommand;
 import org.fescuehook.model.fleet.WorkerId;
 import org.fescuehook.model.preferences.ControlPreferences;
 
 /**
- * Renews leases, all of one worker in one command. A young attempt is renewed more often, so that
- * the end of a short task is seen soon; the interval grows with its age up to the declared one.
+ * Renews leases, all those on one worker with one command. The leases of a young attempt are
+ * renewed more often, because the reply shows the end of a short task; the interval grows with the
+ * attempt's age up to the configured renewal interval.
  */
 final class LeaseRenewer {
 
+  /** Divisor of an attempt's age that gives the renewal interval: a quarter of the age. */
   private static final int AGE_DIVISOR = 4;
+
+  /** Time over which the first renewals of adopted leases are spread. */
   private static final Duration ADOPTION_SPREAD = Duration.ofSeconds(1);
-  private static final Duration SILENT_RETRY = Duration.ofSeconds(2);
 
-  /** A lease and whose it is. */
-  record Holder(AttemptTrack attempt, MemberTrack member) {}
+  /** Longest renewal interval for a worker that did not answer the last command. */
+  private static final Duration SILENT_RENEWAL_INTERVAL = Duration.ofSeconds(2);
+
+  /** The attempt and the member that hold a lease. */
+  record Holder(AttemptProgress attempt, MemberProgress member) {}
 
   private static final class WorkerLeases {
     final Map<String, Holder> holders = new HashMap<>();
-    long dueNanos;
+    long nextRenewalNanos;
     boolean silent;
   }
 
@@ -40,26 +46,30 @@
   }
 
   /** Adds the leases of a committed attempt; they are renewed at once. */
-  void add(AttemptTrack attempt, Turn turn) {
-    for (MemberTrack member : attempt.members) {
+  void add(AttemptProgress attempt, DecisionContext context) {
+    for (MemberProgress member : attempt.members) {
       WorkerLeases leases = workers.computeIfAbsent(member.worker, id -> new WorkerLeases());
       leases.holders.put(member.lease, new Holder(attempt, member));
-      leases.dueNanos = turn.now();
+      leases.nextRenewalNanos = context.nowNanos();
     }
   }
 
-  /** Adds the leases of an attempt that another VM committed; renewals are spread over a second. */
-  void adopt(AttemptTrack attempt, Turn turn) {
-    add(attempt, turn);
-    for (MemberTrack member : attempt.members) {
+  /**
+   * Adds the leases of an attempt that another VM committed. The first renewals are spread over
+   * {@link #ADOPTION_SPREAD}.
+   */
+  void adopt(AttemptProgress attempt, DecisionContext context) {
+    add(attempt, context);
+    for (MemberProgress member : attempt.members) {
       long spread = Math.floorMod(member.worker.value().hashCode(), ADOPTION_SPREAD.toMillis());
-      workers.get(member.worker).dueNanos = turn.now() + Duration.ofMillis(spread).toNanos();
+      workers.get(member.worker).nextRenewalNanos =
+          context.nowNanos() + Duration.ofMillis(spread).toNanos();
     }
   }
 
-  /** Removes the leases of an attempt. */
-  void remove(AttemptTrack attempt) {
-    for (MemberTrack member : attempt.members) {
+  /** Removes the leases of an attempt from renewal. */
+  void remove(AttemptProgress attempt) {
+    for (MemberProgress member : attempt.members) {
       WorkerLeases leases = workers.get(member.worker);
       if (leases == null) {
         continue;
@@ -71,17 +81,20 @@
     }
   }
 
-  /** Forgets all. */
+  /** Removes all leases from renewal. */
   void clear() {
     workers.clear();
   }
 
-  /** Returns whose a lease is. */
+  /** Returns the attempt and the member that hold a lease. */
   Optional<Holder> holder(WorkerId worker, String lease) {
     return Optional.ofNullable(workers.get(worker)).map(leases -> leases.holders.get(lease));
   }
 
-  /** A worker answered, or did not. */
+  /**
+   * Records whether a worker answered its last command; a silent worker is sent renewals more
+   * often.
+   */
   void heard(WorkerId worker, boolean silent) {
     WorkerLeases leases = workers.get(worker);
     if (leases != null) {
@@ -89,13 +102,16 @@
     }
   }
 
-  /** Sends the renewals that are due. Implements {@code Renew}. */
-  void step(Turn turn) {
-    workers.forEach((worker, leases) -> renewIfDue(worker, leases, turn));
+  /**
+   * Sends the renewals that are due. Implements the action {@code Renew} of the module
+   * SilentWorker, which is {@code Renewed} in the module Gang.
+   */
+  void step(DecisionContext context) {
+    workers.forEach((worker, leases) -> renewIfDue(worker, leases, context));
   }
 
-  private void renewIfDue(WorkerId worker, WorkerLeases leases, Turn turn) {
-    if (turn.now() < leases.dueNanos) {
+  private void renewIfDue(WorkerId worker, WorkerLeases leases, DecisionContext context) {
+    if (context.nowNanos() < leases.nextRenewalNanos) {
       return;
     }
     List<String> ids = new ArrayList<>();
@@ -104,31 +120,34 @@
       Holder holder = entry.getValue();
       if (holder.attempt().renewable() && !holder.member().gone) {
         ids.add(entry.getKey());
-        holder.member().renewedNanos = turn.now();
-        youngest = Math.min(youngest, age(holder.attempt(), turn));
+        holder.member().lastRenewalNanos = context.nowNanos();
+        youngest = Math.min(youngest, age(holder.attempt(), context));
       }
     }
-    leases.dueNanos = turn.now() + interval(leases, youngest).toNanos();
+    leases.nextRenewalNanos = context.nowNanos() + interval(leases, youngest).toNanos();
     if (ids.isEmpty()) {
       return;
     }
     ids.sort(null);
-    turn.send(worker, new WorkerCommand.Renew(ids, preferences.leaseTtl().toMillis()));
+    context.send(worker, new WorkerCommand.Renew(ids, preferences.leaseTtl().toMillis()));
   }
 
-  /** An attempt whose checkpoint is awaited counts as young. */
-  private static long age(AttemptTrack attempt, Turn turn) {
-    return attempt.stoppingSince.isPresent() ? 0 : turn.now() - attempt.sinceNanos;
+  /**
+   * Returns the age of an attempt in nanoseconds; 0 if it is being stopped, so that a checkpoint is
+   * seen soon.
+   */
+  private static long age(AttemptProgress attempt, DecisionContext context) {
+    return attempt.stoppingSinceNanos.isPresent() ? 0 : context.nowNanos() - attempt.createdNanos;
   }
 
   private Duration interval(WorkerLeases leases, long youngestNanos) {
     Duration longest = preferences.renewInterval();
-    if (leases.silent && SILENT_RETRY.compareTo(longest) < 0) {
-      longest = SILENT_RETRY;
+    if (leases.silent && SILENT_RENEWAL_INTERVAL.compareTo(longest) < 0) {
+      longest = SILENT_RENEWAL_INTERVAL;
     }
     Duration byAge = Duration.ofNanos(youngestNanos / AGE_DIVISOR);
-    if (byAge.compareTo(ControlLimits.FASTEST_RENEWAL) < 0) {
-      byAge = ControlLimits.FASTEST_RENEWAL;
+    if (byAge.compareTo(ControlLimits.MIN_RENEWAL_INTERVAL) < 0) {
+      byAge = ControlLimits.MIN_RENEWAL_INTERVAL;
     }
     return byAge.compareTo(longest) < 0 ? byAge : longest;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/MemberTrack.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/MemberProgress.java
@@ -3,12 +3,12 @@
 import org.fescuehook.logic.worker.WorkerPort.State;
 import org.fescuehook.model.fleet.WorkerId;
 
-/** What the driving VM knows of one member of an attempt, by its worker's word. */
-final class MemberTrack {
+/** Progress of one member of an attempt, as reported by its worker. */
+final class MemberProgress {
   final int number;
   final WorkerId worker;
   String lease = "";
-  boolean asked;
+  boolean leaseRequested;
   boolean refused;
   boolean running;
   boolean finished;
@@ -16,33 +16,33 @@
   boolean checkpointed;
   boolean gone;
   int exitCode;
-  long heardNanos;
-  long renewedNanos;
-  long commandedNanos = Long.MIN_VALUE / 2;
+  long lastReplyNanos;
+  long lastRenewalNanos;
+  long lastCommandNanos = Long.MIN_VALUE / 2;
 
-  MemberTrack(int number, WorkerId worker, long nowNanos) {
+  MemberProgress(int number, WorkerId worker, long nowNanos) {
     this.number = number;
     this.worker = worker;
-    this.heardNanos = nowNanos;
-    this.renewedNanos = nowNanos;
+    this.lastReplyNanos = nowNanos;
+    this.lastRenewalNanos = nowNanos;
   }
 
   boolean granted() {
     return !lease.isEmpty();
   }
 
-  /** Tells whether the task began, by its worker's word. */
+  /** Returns whether the worker reported that the task started. */
   boolean started() {
     return running || finished || failed || checkpointed;
   }
 
-  /** Tells whether the lease vanished before its task ended. */
+  /** Returns whether the lease was gone before its task ended. */
   boolean lost() {
     return gone && !finished && !failed && !checkpointed;
   }
 
-  void heard(State state, long nowNanos) {
-    heardNanos = nowNanos;
+  void update(State state, long nowNanos) {
+    lastReplyNanos = nowNanos;
     switch (state.state()) {
       case HELD -> {}
       case RUNNING -> running = true;
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/planning/JobEndDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/planning/JobEndDuty.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.control.append.RecordWriter;
 import org.fescuehook.logic.control.state.ControlState;
 import org.fescuehook.logic.control.state.JobState;
@@ -19,71 +19,71 @@
 import org.fescuehook.wire.JobEnded;
 import org.fescuehook.wire.JobResult;
 
-/** Ends jobs that finished, were cancelled, or failed too often. */
+/** Ends jobs that have finished, were cancelled, or have failed too often. */
 public final class JobEndDuty {
   private final RecordWriter writer;
-  private final Set<JobId> touched = new LinkedHashSet<>();
-  private final Map<JobId, Long> appended = new HashMap<>();
+  private final Set<JobId> changedJobs = new LinkedHashSet<>();
+  private final Map<JobId, Long> pendingSequences = new HashMap<>();
   private boolean deciding;
 
-  /** Creates a duty without work. */
+  /** Creates a duty without jobs. */
   public JobEndDuty(RecordWriter writer) {
     this.writer = writer;
   }
 
-  /** A record about a job was folded. */
-  public void folded(JobId job) {
+  /** Handles that a record about a job was applied. */
+  public void jobChanged(JobId job) {
     if (deciding) {
-      touched.add(job);
+      changedJobs.add(job);
     }
   }
 
-  /** This VM decides from now on, so every waiting job is looked at. */
+  /** Handles that this VM became the owner. It examines every waiting job. */
   public void begin(ControlState state) {
     deciding = true;
-    state.jobs().waiting().forEach(job -> touched.add(job.id()));
+    state.jobs().waiting().forEach(job -> changedJobs.add(job.id()));
   }
 
-  /** This VM no longer decides. */
+  /** Handles that this VM is no longer the owner. */
   public void end() {
     deciding = false;
-    touched.clear();
-    appended.clear();
+    changedJobs.clear();
+    pendingSequences.clear();
   }
 
-  /** Ends the jobs that are to end. */
-  public void step(ControlState state, Declarations declarations, Turn turn) {
-    List<JobId> jobs = new ArrayList<>(touched);
-    touched.clear();
+  /** Appends the end of jobs that have to end. */
+  public void step(ControlState state, Declarations declarations, DecisionContext context) {
+    List<JobId> jobs = new ArrayList<>(changedJobs);
+    changedJobs.clear();
     for (JobId id : jobs) {
       Optional<JobState> job = state.jobs().find(id).filter(JobState::waiting);
       Optional<JobEnded.Builder> end = job.flatMap(found -> result(found, declarations));
       if (end.isEmpty()) {
-        appended.remove(id);
+        pendingSequences.remove(id);
         continue;
       }
-      touched.add(id);
-      if (!writer.isUnread(appended.getOrDefault(id, 0L)) && writer.hasRoom(turn)) {
+      changedJobs.add(id);
+      if (!writer.isPending(pendingSequences.getOrDefault(id, 0L)) && writer.hasCapacity(context)) {
         ControlRecord.Builder record =
             ControlRecord.newBuilder().setJobEnded(end.get().setJob(id.value()));
-        appended.put(id, writer.append(record, state.epoch(), turn));
+        pendingSequences.put(id, writer.append(record, state.epoch(), context));
       }
     }
   }
 
   private static Optional<JobEnded.Builder> result(JobState job, Declarations declarations) {
-    AttemptEnded last = job.facts().getEnded();
+    AttemptEnded last = job.snapshot().getEnded();
     JobEnded.Builder end = JobEnded.newBuilder();
     if (last.getResult() == AttemptResult.ATTEMPT_RESULT_FINISHED) {
       return Optional.of(end.setResult(JobResult.JOB_RESULT_FINISHED));
     }
-    if (job.facts().getCancelRequested()) {
+    if (job.snapshot().getCancelRequested()) {
       return Optional.of(end.setResult(JobResult.JOB_RESULT_CANCELLED));
     }
-    if (ViewBuilder.gaveUp(job, declarations)) {
+    if (ViewBuilder.attemptsExhausted(job, declarations)) {
       String detail =
           "failed "
-              + job.facts().getFailures()
+              + job.snapshot().getFailures()
               + " times, last with exit code "
               + last.getExitCode()
               + " on "
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/JobDocument.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/JobDocument.java
@@ -3,17 +3,17 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import org.fescuehook.logic.control.record.WireWords;
+import org.fescuehook.logic.control.record.WireEnumNames;
 import org.fescuehook.logic.control.state.JobState;
 import org.fescuehook.wire.JobSnapshot;
 
-/** Writes the state of a job for callers, as JSON. */
+/** Writes the state of a job as JSON, for callers. */
 final class JobDocument {
 
   private JobDocument() {}
 
   static String json(JobState job) {
-    JobSnapshot facts = job.facts();
+    JobSnapshot snapshot = job.snapshot();
     ObjectNode node = JsonNodeFactory.instance.objectNode();
     node.put("job", job.id().value());
     node.put("organisation", job.job().organisation().value());
@@ -21,28 +21,28 @@
     node.put("submitted", job.job().submittedMillis());
     node.put("members", job.job().shape().members());
     node.put("attempt", job.attempt().number());
-    node.put("failures", facts.getFailures());
-    node.put("cancelRequested", facts.getCancelRequested());
+    node.put("failures", snapshot.getFailures());
+    node.put("cancelRequested", snapshot.getCancelRequested());
     if (job.live()) {
       ArrayNode workers = node.putArray("workers");
       job.workers().forEach(worker -> workers.add(worker.value()));
-      node.put("planned", facts.getStartedMillis());
+      node.put("planned", snapshot.getStartedMillis());
     }
-    if (facts.hasEnded()) {
-      node.put("lastResult", WireWords.of(facts.getEnded().getResult()));
-      node.put("lastReason", WireWords.of(facts.getEnded().getReason()));
-      node.put("exitCode", facts.getEnded().getExitCode());
+    if (snapshot.hasEnded()) {
+      node.put("lastResult", WireEnumNames.of(snapshot.getEnded().getResult()));
+      node.put("lastReason", WireEnumNames.of(snapshot.getEnded().getReason()));
+      node.put("exitCode", snapshot.getEnded().getExitCode());
     }
-    if (job.over()) {
-      node.put("ended", facts.getEndedMillis());
-      node.put("detail", facts.getJobEnded().getDetail());
+    if (job.hasResult()) {
+      node.put("ended", snapshot.getEndedMillis());
+      node.put("detail", snapshot.getJobEnded().getDetail());
     }
     return node.toString();
   }
 
   private static String state(JobState job) {
-    if (job.over()) {
-      return WireWords.of(job.facts().getJobEnded().getResult());
+    if (job.hasResult()) {
+      return WireEnumNames.of(job.snapshot().getJobEnded().getResult());
     }
     if (job.stopping()) {
       return "stopping";
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/JobDesk.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/JobRequestHandler.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import org.fescuehook.logic.control.ControlPort.Answer;
 import org.fescuehook.logic.control.ControlPort.Request;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.control.request.AdmissionChecker.Admission;
 import org.fescuehook.logic.control.state.ControlState;
 import org.fescuehook.logic.control.state.JobState;
@@ -16,49 +16,53 @@
 import org.fescuehook.wire.JobSubmitted;
 import org.fescuehook.wire.Shape;
 
-/** Takes submissions and cancellations of jobs. */
-public final class JobDesk {
+/** Handles submissions and cancellations of jobs. */
+public final class JobRequestHandler {
   private final String namePrefix;
-  private final RequestDesk desk;
+  private final RequestAppender appender;
   private final AdmissionChecker admission = new AdmissionChecker();
   private long lastJob;
 
   /**
-   * Creates a desk.
+   * Creates a handler.
    *
-   * @param namePrefix makes the names of jobs unique over VMs and their incarnations
+   * @param namePrefix prefix that makes the ids of jobs unique across VMs and their incarnations
    */
-  public JobDesk(String namePrefix, RequestDesk desk) {
+  public JobRequestHandler(String namePrefix, RequestAppender appender) {
     this.namePrefix = namePrefix;
-    this.desk = desk;
+    this.appender = appender;
   }
 
-  /** Takes a submission; repeated under the same caller's id it gives the first one's job. */
+  /**
+   * Handles a submission. A submission repeated under the same request id is answered with the job
+   * of the first one.
+   */
   public void submit(
       long ticket,
       Request.Submit submit,
       Declarations declarations,
       ControlState state,
-      Turn turn) {
+      DecisionContext context) {
     Optional<JobId> first =
         submit
             .requestId()
             .flatMap(id -> state.jobs().findByRequest(submit.organisation().value(), id));
     if (first.isPresent()) {
-      turn.reply(ticket, new Answer.Accepted(first.get()));
+      context.reply(ticket, new Answer.Accepted(first.get()));
       return;
     }
     lastJob++;
-    Job job = job(submit, turn);
-    switch (admission.check(job, declarations, state, turn.wallMillis())) {
+    Job job = job(submit, context);
+    switch (admission.check(job, declarations, state, context.wallMillis())) {
       case Admission.Admitted(int rule) ->
-          desk.take(ticket, ControlRecord.newBuilder().setJobSubmitted(body(job, rule)), turn);
+          appender.accept(
+              ticket, ControlRecord.newBuilder().setJobSubmitted(body(job, rule)), context);
       case Admission.Denied(RefusalReason reason, String detail) ->
-          Refusals.refuse(ticket, reason, detail, turn);
+          Refusals.refuse(ticket, reason, detail, context);
     }
   }
 
-  private Job job(Request.Submit submit, Turn turn) {
+  private Job job(Request.Submit submit, DecisionContext context) {
     return new Job(
         new JobId(namePrefix + "-" + lastJob),
         submit.organisation(),
@@ -67,7 +71,7 @@
         submit.urgent(),
         submit.checkpointable(),
         submit.declaredSeconds(),
-        turn.wallMillis(),
+        context.wallMillis(),
         submit.command());
   }
 
@@ -96,18 +100,20 @@
         .build();
   }
 
-  /** Takes a cancellation; cancelling again, or a job that is over, changes nothing. */
-  public void cancel(long ticket, JobId id, ControlState state, Turn turn) {
+  /**
+   * Handles a cancellation. To cancel a job again, or one that has its final result, has no effect.
+   */
+  public void cancel(long ticket, JobId id, ControlState state, DecisionContext context) {
     Optional<JobState> job = state.jobs().find(id);
     if (job.isEmpty()) {
-      Refusals.refuse(ticket, RefusalReason.NOT_FOUND, "no job " + id, turn);
+      Refusals.refuse(ticket, RefusalReason.NOT_FOUND, "no job " + id, context);
       return;
     }
-    if (job.get().over() || job.get().facts().getCancelRequested()) {
-      turn.reply(ticket, new Answer.Done());
+    if (job.get().hasResult() || job.get().snapshot().getCancelRequested()) {
+      context.reply(ticket, new Answer.Done());
       return;
     }
     JobCancelRequested body = JobCancelRequested.newBuilder().setJob(id.value()).build();
-    desk.take(ticket, ControlRecord.newBuilder().setJobCancelRequested(body), turn);
+    appender.accept(ticket, ControlRecord.newBuilder().setJobCancelRequested(body), context);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/RequestRouter.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/RequestRouter.java
@@ -5,12 +5,12 @@
 import org.fescuehook.logic.control.ControlPort.Answer;
 import org.fescuehook.logic.control.ControlPort.Request;
 import org.fescuehook.logic.control.ControlSummary;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.control.DeclarationsReader;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.append.RecordOutcome;
 import org.fescuehook.logic.control.append.RecordWriter;
-import org.fescuehook.logic.control.append.Resolution;
+import org.fescuehook.logic.control.ownership.CatchUpTracker;
 import org.fescuehook.logic.control.ownership.OwnerDuty;
-import org.fescuehook.logic.control.ownership.ReaderWatch;
 import org.fescuehook.logic.control.planning.ViewBuilder;
 import org.fescuehook.logic.control.state.ControlState;
 import org.fescuehook.logic.scheduling.Scheduler;
@@ -21,19 +21,19 @@
 import org.fescuehook.model.job.JobId;
 import org.fescuehook.model.request.RefusalReason;
 
-/** Brings each request to the desk that answers it. */
+/** Routes each request to its handler. */
 public final class RequestRouter {
 
   /**
-   * What a request meets.
+   * The view of the cluster on which requests are answered.
    *
-   * @param state the state as far as it was read
-   * @param configuration configuration in force
-   * @param readable whether the stream was read to its end once
-   * @param unavailable workers that get nothing new
-   * @param summary the state at a glance
+   * @param state the state after the records read so far
+   * @param configuration the configuration in force
+   * @param readable whether the stream was ever read to its end
+   * @param unavailable workers that get no new work
+   * @param summary a summary of the state
    */
-  public record Situation(
+  public record ClusterView(
       ControlState state,
       Optional<Configuration> configuration,
       boolean readable,
@@ -42,109 +42,110 @@
 
   private final VmId vm;
   private final OwnerDuty owner;
-  private final RequestDesk desk;
-  private final JobDesk jobs;
-  private final PublicationDesk publications;
-  private final ShowDesk shows = new ShowDesk();
-  private final ExplainDesk explanations;
-  private final HandOverDesk handOvers = new HandOverDesk();
-  private final UnknownJobDesk unknownJobs;
+  private final RequestAppender appender;
+  private final JobRequestHandler jobHandler;
+  private final PublicationHandler publicationHandler;
+  private final ShowHandler showHandler = new ShowHandler();
+  private final ExplainHandler explainHandler;
+  private final HandOverHandler handOverHandler = new HandOverHandler();
+  private final UnknownJobHandler unknownJobHandler;
 
-  /** Creates a router with its desks. */
+  /** Creates a router and its handlers. */
   public RequestRouter(
       VmId vm,
       String incarnation,
       Scheduler scheduler,
       DeclarationsReader declarations,
       RecordWriter writer,
-      ReaderWatch reader,
+      CatchUpTracker catchUp,
       OwnerDuty owner) {
     this.vm = vm;
     this.owner = owner;
-    desk = new RequestDesk(writer, reader);
-    unknownJobs = new UnknownJobDesk(reader);
-    jobs = new JobDesk(vm.value() + "-" + incarnation, desk);
-    publications = new PublicationDesk(declarations, desk);
-    explanations = new ExplainDesk(scheduler);
+    appender = new RequestAppender(writer, catchUp);
+    unknownJobHandler = new UnknownJobHandler(catchUp);
+    jobHandler = new JobRequestHandler(vm.value() + "-" + incarnation, appender);
+    publicationHandler = new PublicationHandler(declarations, appender);
+    explainHandler = new ExplainHandler(scheduler);
   }
 
-  /** Takes a request. */
-  public void asked(long ticket, Request request, Situation situation, Turn turn) {
-    ControlState state = situation.state();
+  /** Handles a request. */
+  public void handle(long ticket, Request request, ClusterView cluster, DecisionContext context) {
+    ControlState state = cluster.state();
     switch (request) {
       case Request.Status() ->
-          turn.reply(
+          context.reply(
               ticket,
               new Answer.Document(
-                  StatusDocument.json(vm, situation.summary(), state, turn.wallMillis())));
+                  StatusDocument.json(vm, cluster.summary(), state, context.wallMillis())));
       case Request.HandOver() -> {
         owner.handOver();
-        handOvers.take(ticket, turn);
+        handOverHandler.accept(ticket, context);
       }
-      case Request.Publish publish when situation.readable() ->
-          publications.publish(ticket, publish, state, turn);
-      case Request.Show show when situation.readable() ->
-          aboutJob(ticket, show.job(), request, state, turn);
-      case Request.Cancel cancel when situation.readable() ->
-          aboutJob(ticket, cancel.job(), request, state, turn);
-      case Request.Submit submit when ready(situation) ->
-          jobs.submit(ticket, submit, declarations(situation), state, turn);
-      case Request.Explain(JobId job) when ready(situation) ->
-          explain(ticket, job, situation, turn);
+      case Request.Publish publish when cluster.readable() ->
+          publicationHandler.publish(ticket, publish, state, context);
+      case Request.Show show when cluster.readable() ->
+          handleJobRequest(ticket, show.job(), request, state, context);
+      case Request.Cancel cancel when cluster.readable() ->
+          handleJobRequest(ticket, cancel.job(), request, state, context);
+      case Request.Submit submit when ready(cluster) ->
+          jobHandler.submit(ticket, submit, declarations(cluster), state, context);
+      case Request.Explain(JobId job) when ready(cluster) -> explain(ticket, job, cluster, context);
       default ->
           Refusals.refuse(
-              ticket, RefusalReason.NOT_READY, "state or configuration not read yet", turn);
+              ticket, RefusalReason.NOT_READY, "state or configuration not read yet", context);
     }
   }
 
-  private void aboutJob(long ticket, JobId job, Request request, ControlState state, Turn turn) {
+  private void handleJobRequest(
+      long ticket, JobId job, Request request, ControlState state, DecisionContext context) {
     if (state.jobs().find(job).isEmpty()) {
-      unknownJobs.take(ticket, job, request, turn);
+      unknownJobHandler.accept(ticket, job, request, context);
       return;
     }
-    aboutKnownJob(ticket, request, state, turn);
+    handleKnownJobRequest(ticket, request, state, context);
   }
 
-  private void aboutKnownJob(long ticket, Request request, ControlState state, Turn turn) {
+  private void handleKnownJobRequest(
+      long ticket, Request request, ControlState state, DecisionContext context) {
     switch (request) {
-      case Request.Show show -> shows.show(ticket, show, state, turn);
-      case Request.Cancel(JobId job) -> jobs.cancel(ticket, job, state, turn);
+      case Request.Show show -> showHandler.show(ticket, show, state, context);
+      case Request.Cancel(JobId job) -> jobHandler.cancel(ticket, job, state, context);
       default -> throw new IllegalArgumentException("not about a job: " + request);
     }
   }
 
-  private static boolean ready(Situation situation) {
-    return situation.readable() && situation.configuration().isPresent();
+  private static boolean ready(ClusterView cluster) {
+    return cluster.readable() && cluster.configuration().isPresent();
   }
 
-  private static Declarations declarations(Situation situation) {
-    return situation.configuration().orElseThrow().declarations();
+  private static Declarations declarations(ClusterView cluster) {
+    return cluster.configuration().orElseThrow().declarations();
   }
 
-  private void explain(long ticket, JobId job, Situation situation, Turn turn) {
+  private void explain(long ticket, JobId job, ClusterView cluster, DecisionContext context) {
     Scheduler.View view =
         ViewBuilder.build(
-            situation.state(), declarations(situation), situation.unavailable(), turn.wallMillis());
-    explanations.explain(ticket, job, situation.state().jobs().find(job), view, turn);
+            cluster.state(), declarations(cluster), cluster.unavailable(), context.wallMillis());
+    explainHandler.explain(ticket, job, cluster.state().jobs().find(job), view, context);
   }
 
-  /** Takes in what became of an own record. */
-  public void resolved(Resolution resolution, ControlState state, Turn turn) {
-    desk.resolved(resolution, state, turn);
+  /** Handles the outcome of a record that this VM appended. */
+  public void resolved(RecordOutcome outcome, ControlState state, DecisionContext context) {
+    appender.resolved(outcome, state, context);
   }
 
-  /** A record about a job was folded. */
-  public void folded(JobId job, ControlState state, Turn turn) {
-    shows.folded(job, state, turn);
+  /** Handles that a record about a job was applied. */
+  public void jobChanged(JobId job, ControlState state, DecisionContext context) {
+    showHandler.jobChanged(job, state, context);
   }
 
-  /** Appends, answers and ends waits as is due. */
-  public void step(ControlState state, Turn turn) {
-    for (UnknownJobDesk.Found found : unknownJobs.step(state, turn)) {
-      aboutKnownJob(found.ticket(), found.request(), state, turn);
+  /** Appends records, answers requests and ends waits, whichever are due. */
+  public void step(ControlState state, DecisionContext context) {
+    for (UnknownJobHandler.Found found : unknownJobHandler.step(state, context)) {
+      handleKnownJobRequest(found.ticket(), found.request(), state, context);
     }
-    desk.step(state, turn);
-    shows.step(state, turn);
-    handOvers.step(owner.handedOver(state), turn);
+    appender.step(state, context);
+    showHandler.step(state, context);
+    handOverHandler.step(owner.handedOver(state), context);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/shares/ShareHolder.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/shares/ShareHolder.java
@@ -6,18 +6,18 @@
 import java.util.TreeMap;
 import org.fescuehook.logic.control.ControlCommand;
 import org.fescuehook.logic.control.ControlLimits;
-import org.fescuehook.logic.control.Turn;
-import org.fescuehook.logic.control.ownership.PeerWatch;
+import org.fescuehook.logic.control.DecisionContext;
+import org.fescuehook.logic.control.ownership.PeerTracker;
 import org.fescuehook.model.fleet.VmId;
 import org.fescuehook.wire.SlotShare;
 import org.fescuehook.wire.SlotShares;
 
 /**
- * Holds the shares that this VM may use. A lowered share is in force as soon as its record is
- * folded. A raised one is in force only when every entry VM that may exist is known to have folded
- * that record, and the settling time has passed. So the shares in use never sum to more than was
- * declared: while one VM has not folded a record, no other uses more than the division before it
- * allowed.
+ * Holds the shares of slots and connections that this VM may use. A lowered share is in force as
+ * soon as its record is applied. A raised share is in force only after every entry VM that may
+ * still run is known to have applied that record and the settle time has passed. The sum of the
+ * shares in use therefore never exceeds the declared slots: while one VM has not applied a record,
+ * no other VM uses more than the previous division allowed.
  */
 public final class ShareHolder {
 
@@ -30,31 +30,32 @@
   }
 
   private final VmId self;
-  private final PeerWatch peers;
+  private final PeerTracker peers;
   private Map<String, Share> inForce = new TreeMap<>();
   private Map<String, Share> target = Map.of();
-  private Optional<SlotShares> seen = Optional.empty();
-  private long offset;
-  private long sinceNanos;
+  private Optional<SlotShares> latest = Optional.empty();
+  private long publicationOffset;
+  private long publishedNanos;
 
-  /** Creates a holder of no shares. */
-  public ShareHolder(VmId self, PeerWatch peers) {
+  /** Creates a holder without shares. */
+  public ShareHolder(VmId self, PeerTracker peers) {
     this.self = self;
     this.peers = peers;
   }
 
   /**
-   * Takes the shares published last, if they changed.
+   * Handles the most recently published shares, if they changed: lowers this VM's shares at once.
    *
-   * @param foldedUntil offset after the last folded record
+   * @param nextOffset offset after the last applied record
    */
-  public void folded(Optional<SlotShares> published, long foldedUntil, Turn turn) {
-    if (published.isEmpty() || published.equals(seen)) {
+  public void sharesPublished(
+      Optional<SlotShares> published, long nextOffset, DecisionContext context) {
+    if (published.isEmpty() || published.equals(latest)) {
       return;
     }
-    seen = published;
-    offset = foldedUntil - 1;
-    sinceNanos = turn.now();
+    latest = published;
+    publicationOffset = nextOffset - 1;
+    publishedNanos = context.nowNanos();
     target = ownShares(published.get());
     Map<String, Share> lowered = new TreeMap<>();
     inForce.forEach(
@@ -64,7 +65,7 @@
             lowered.put(executor, least);
           }
         });
-    put(lowered, turn);
+    put(lowered, context);
   }
 
   private Map<String, Share> ownShares(SlotShares published) {
@@ -77,29 +78,30 @@
     return own;
   }
 
-  /** Raises shares if that is safe; called only while this VM has read to the end. */
-  public void step(Turn turn) {
-    if (seen.isEmpty() || inForce.equals(target)) {
+  /** Raises shares if that is safe; called only while this VM's state is up to date. */
+  public void step(DecisionContext context) {
+    if (latest.isEmpty() || inForce.equals(target)) {
       return;
     }
-    Duration settle = Duration.ofMillis(seen.get().getSettleMillis());
-    if (turn.passed(sinceNanos, settle)
-        && peers.allFolded(offset, ControlLimits.SHARE_MEMORY, turn)) {
-      put(new TreeMap<>(target), turn);
+    Duration settle = Duration.ofMillis(latest.get().getSettleMillis());
+    if (context.hasElapsed(publishedNanos, settle)
+        && peers.allApplied(publicationOffset, ControlLimits.SHARE_RETENTION, context)) {
+      put(new TreeMap<>(target), context);
     }
   }
 
   /**
-   * Gives all shares up if no peer is heard for long; called only while the log cannot be read. The
-   * others may then take this VM for dead and divide its shares among themselves.
+   * Gives up all shares if no peer was heard for {@link ControlLimits#SHARE_ISOLATION_TIMEOUT};
+   * called only while the state is not up to date. The other VMs may then regard this VM as dead
+   * and divide its shares among themselves.
    */
-  public void giveUpIfIsolated(Turn turn) {
-    if (!inForce.isEmpty() && peers.isolated(ControlLimits.SHARE_ISOLATION, turn)) {
-      put(new TreeMap<>(), turn);
+  public void giveUpIfIsolated(DecisionContext context) {
+    if (!inForce.isEmpty() && peers.isolated(ControlLimits.SHARE_ISOLATION_TIMEOUT, context)) {
+      put(new TreeMap<>(), context);
     }
   }
 
-  private void put(Map<String, Share> shares, Turn turn) {
+  private void put(Map<String, Share> shares, DecisionContext context) {
     if (shares.equals(inForce)) {
       return;
     }
@@ -113,6 +115,6 @@
                     .setVm(self.value())
                     .setSlots(share.slots())
                     .setConnections(share.connections())));
-    turn.add(new ControlCommand.SharesInForce(message.build()));
+    context.add(new ControlCommand.SharesInForce(message.build()));
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/snapshot/SnapshotAssembler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/snapshot/SnapshotAssembler.java
@@ -7,38 +7,38 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import org.fescuehook.logic.control.ControlLogEvent;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.wire.ControlRecord;
 import org.fescuehook.wire.ControlSnapshot;
 import org.fescuehook.wire.SnapshotPart;
 
-/** Puts the parts of snapshots together. */
+/** Assembles snapshots from their parts. */
 public final class SnapshotAssembler {
 
   private record Key(String writer, String incarnation, long coversUntil, int parts) {}
 
   /**
-   * A snapshot of which all parts were read.
+   * A snapshot all parts of which were read.
    *
-   * @param coversUntil offset of the first record that it does not cover
+   * @param coversUntil offset of the first record that the snapshot does not include
    */
-  public record Whole(long coversUntil, ControlSnapshot snapshot) {}
+  public record CompleteSnapshot(long coversUntil, ControlSnapshot snapshot) {}
 
-  private final Map<Key, TreeMap<Integer, ByteString>> pieces = new HashMap<>();
+  private final Map<Key, TreeMap<Integer, ByteString>> partsByKey = new HashMap<>();
 
-  /** Forgets all parts. */
+  /** Discards all parts. */
   public void clear() {
-    pieces.clear();
+    partsByKey.clear();
   }
 
-  /** Adds a part; returns the snapshot if that made it whole. */
-  public Optional<Whole> add(ControlRecord record, Turn turn) {
+  /** Adds a part; returns the snapshot if the part completes it. */
+  public Optional<CompleteSnapshot> add(ControlRecord record, DecisionContext context) {
     SnapshotPart part = record.getSnapshotPart();
     Key key =
         new Key(
             record.getWriter(), record.getIncarnation(), part.getCoversUntil(), part.getParts());
-    pieces.keySet().removeIf(old -> old.coversUntil() < part.getCoversUntil());
-    TreeMap<Integer, ByteString> parts = pieces.computeIfAbsent(key, k -> new TreeMap<>());
+    partsByKey.keySet().removeIf(old -> old.coversUntil() < part.getCoversUntil());
+    TreeMap<Integer, ByteString> parts = partsByKey.computeIfAbsent(key, k -> new TreeMap<>());
     if (part.getPart() >= part.getParts()) {
       return Optional.empty();
     }
@@ -46,16 +46,17 @@
     if (parts.size() < part.getParts()) {
       return Optional.empty();
     }
-    pieces.remove(key);
-    return parse(key, ByteString.copyFrom(parts.values()), turn);
+    partsByKey.remove(key);
+    return parse(key, ByteString.copyFrom(parts.values()), context);
   }
 
-  private static Optional<Whole> parse(Key key, ByteString data, Turn turn) {
+  private static Optional<CompleteSnapshot> parse(
+      Key key, ByteString data, DecisionContext context) {
     try {
-      return Optional.of(new Whole(key.coversUntil(), ControlSnapshot.parseFrom(data)));
+      return Optional.of(new CompleteSnapshot(key.coversUntil(), ControlSnapshot.parseFrom(data)));
     } catch (InvalidProtocolBufferException e) {
-      turn.note(ControlLogEvent.SNAPSHOT_UNUSABLE, key.coversUntil(), e.getMessage());
-      turn.count("fescuehook.control.snapshots.unusable");
+      context.note(ControlLogEvent.SNAPSHOT_UNUSABLE, key.coversUntil(), e.getMessage());
+      context.count("fescuehook.control.snapshots.unusable");
       return Optional.empty();
     }
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/snapshot/SnapshotDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/snapshot/SnapshotDuty.java
@@ -3,7 +3,7 @@
 import com.google.protobuf.ByteString;
 import org.fescuehook.logic.control.ControlLimits;
 import org.fescuehook.logic.control.ControlLogEvent;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.control.append.RecordWriter;
 import org.fescuehook.logic.control.state.ControlState;
 import org.fescuehook.model.preferences.ControlPreferences;
@@ -11,8 +11,8 @@
 import org.fescuehook.wire.SnapshotPart;
 
 /**
- * Publishes snapshots: at intervals, and when the log has dropped so much that the last whole
- * snapshot lies nearer to the oldest record than to the newest.
+ * Publishes snapshots at intervals, and also when the log's retention has removed so many records
+ * that the last complete snapshot is closer to the oldest record than to the newest.
  */
 public final class SnapshotDuty {
   private static final long NONE = -1;
@@ -20,10 +20,10 @@
   private final ControlPreferences preferences;
   private final RecordWriter writer;
   private final SnapshotAssembler assembler = new SnapshotAssembler();
-  private long wholeUntil = NONE;
+  private long completeUntil = NONE;
   private long earliest;
-  private long lastNanos = Long.MIN_VALUE / 2;
-  private boolean timed;
+  private long intervalStartNanos = Long.MIN_VALUE / 2;
+  private boolean intervalStarted;
 
   /** Creates a duty that has seen no snapshot. */
   public SnapshotDuty(ControlPreferences preferences, RecordWriter writer) {
@@ -31,64 +31,71 @@
     this.writer = writer;
   }
 
-  /** A part that counted was read. */
-  public void read(ControlRecord part, Turn turn) {
+  /** Handles a snapshot part that took effect. */
+  public void read(ControlRecord part, DecisionContext context) {
     assembler
-        .add(part, turn)
+        .add(part, context)
         .ifPresent(
-            whole -> {
-              wholeUntil = Math.max(wholeUntil, whole.coversUntil());
-              lastNanos = turn.now();
-              timed = true;
+            complete -> {
+              completeUntil = Math.max(completeUntil, complete.coversUntil());
+              intervalStartNanos = context.nowNanos();
+              intervalStarted = true;
             });
   }
 
-  /** The log said which is the oldest record that it keeps. */
-  public void caughtUp(long oldest, Turn turn) {
+  /**
+   * Handles that the end of the stream was reached, and at which offset the oldest stored record
+   * is.
+   */
+  public void caughtUp(long oldest, DecisionContext context) {
     earliest = oldest;
-    if (!timed) {
-      lastNanos = turn.now();
-      timed = true;
+    if (!intervalStarted) {
+      intervalStartNanos = context.nowNanos();
+      intervalStarted = true;
     }
   }
 
-  /** Publishes a snapshot if one is due. Implements {@code Snapshot}. */
-  public void step(ControlState state, long foldedUntil, Turn turn) {
-    if (!due(foldedUntil, turn) || !writer.hasRoom(turn)) {
+  /**
+   * Publishes a snapshot if one is due. Implements the action {@code Snapshot} of the module
+   * Configuration.
+   */
+  public void step(ControlState state, long nextOffset, DecisionContext context) {
+    if (!due(nextOffset, context) || !writer.hasCapacity(context)) {
       return;
     }
-    lastNanos = turn.now();
+    intervalStartNanos = context.nowNanos();
     ByteString data = state.snapshot().toByteString();
     int size = ControlLimits.SNAPSHOT_PART_BYTES;
     int parts = Math.max(1, (data.size() + size - 1) / size);
-    turn.note(ControlLogEvent.SNAPSHOT_PUBLISHED, foldedUntil, data.size());
+    context.note(ControlLogEvent.SNAPSHOT_PUBLISHED, nextOffset, data.size());
     for (int part = 0; part < parts; part++) {
       ByteString piece = data.substring(part * size, Math.min(data.size(), (part + 1) * size));
       SnapshotPart body =
           SnapshotPart.newBuilder()
-              .setCoversUntil(foldedUntil)
+              .setCoversUntil(nextOffset)
               .setPart(part)
               .setParts(parts)
               .setData(piece)
               .build();
-      writer.append(ControlRecord.newBuilder().setSnapshotPart(body), state.epoch(), turn);
+      writer.append(ControlRecord.newBuilder().setSnapshotPart(body), state.epoch(), context);
     }
   }
 
-  private boolean due(long foldedUntil, Turn turn) {
-    if (foldedUntil <= wholeUntil || !timed) {
+  private boolean due(long nextOffset, DecisionContext context) {
+    if (nextOffset <= completeUntil || !intervalStarted) {
       return false;
     }
-    if (turn.passed(lastNanos, preferences.snapshotInterval())) {
+    if (context.hasElapsed(intervalStartNanos, preferences.snapshotInterval())) {
       return true;
     }
-    return nearRetention(foldedUntil) && turn.passed(lastNanos, ControlLimits.FASTEST_SNAPSHOT);
+    return nearRetentionLimit(nextOffset)
+        && context.hasElapsed(intervalStartNanos, ControlLimits.MIN_SNAPSHOT_INTERVAL);
   }
 
-  private boolean nearRetention(long foldedUntil) {
+  private boolean nearRetentionLimit(long nextOffset) {
     if (earliest <= 0) {
       return false;
     }
-    return wholeUntil == NONE || wholeUntil - earliest < foldedUntil - wholeUntil;
+    return completeUntil == NONE || completeUntil - earliest < nextOffset - completeUntil;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/state/ControlState.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/state/ControlState.java
@@ -24,19 +24,20 @@
 import org.fescuehook.wire.WorkerJudged;
 
 /**
- * The state that the control stream tells. Every entry VM that folded the same records holds the
- * same state: the fold depends on nothing but the records, their offsets and the log's clock.
+ * The state that results from applying the control stream. Every entry VM that applied the same
+ * records holds the same state, because the result depends only on the records, their offsets and
+ * the log's clock.
  */
 public final class ControlState {
 
-  /** Epoch before the first claim. */
+  /** The epoch before the first claim. */
   public static final long NO_EPOCH = -1;
 
   private static final long MILLIS_PER_SECOND = 1000;
 
-  private final JobBook jobs = new JobBook();
-  private final WriterBook writers = new WriterBook();
-  private final TreeMap<String, WorkerJudged> judgements = new TreeMap<>();
+  private final JobRegistry jobs = new JobRegistry();
+  private final WriterSequences writers = new WriterSequences();
+  private final TreeMap<String, WorkerJudged> quarantines = new TreeMap<>();
   private long epoch = NO_EPOCH;
   private String owner = "";
   private String ownerIncarnation = "";
@@ -45,22 +46,22 @@
   private Optional<SlotShares> shares = Optional.empty();
   private History history = History.EMPTY;
 
-  /** Returns the jobs. */
-  public JobBook jobs() {
+  /** Returns the registry of jobs. */
+  public JobRegistry jobs() {
     return jobs;
   }
 
-  /** Returns the offset of the claim in force. */
+  /** Returns the epoch in force, which is the offset of its claim. */
   public long epoch() {
     return epoch;
   }
 
-  /** Returns the VM that decides; empty if none claimed or the last one released. */
+  /** Returns the owner; empty if no VM has claimed ownership or the last owner released it. */
   public Optional<VmId> owner() {
     return Optional.of(owner).filter(name -> !name.isEmpty()).map(VmId::new);
   }
 
-  /** Tells whether this incarnation of a VM decides. */
+  /** Returns whether this incarnation of a VM is the owner. */
   public boolean ownedBy(VmId vm, String incarnation) {
     return owner.equals(vm.value()) && ownerIncarnation.equals(incarnation);
   }
@@ -70,39 +71,39 @@
     return revision;
   }
 
-  /** Returns the configuration in force; its default instance before the first. */
+  /** Returns the configuration in force; the default instance before the first publication. */
   public ConfigurationPublished configuration() {
     return configuration;
   }
 
-  /** Returns judgements of workers. */
-  public Collection<WorkerJudged> judgements() {
-    return judgements.values();
+  /** Returns the quarantines of workers. */
+  public Collection<WorkerJudged> quarantines() {
+    return quarantines.values();
   }
 
-  /** Returns what was learned from ended attempts. */
+  /** Returns the statistics learned from ended attempts. */
   public History history() {
     return history;
   }
 
-  /** Returns the shares of executors' slots published last. */
+  /** Returns the most recently published shares of executors' slots. */
   public Optional<SlotShares> shares() {
     return shares;
   }
 
-  /** Tells whether a record decides under the epoch in force. */
+  /** Returns whether a record is a decision under the epoch in force. */
   public boolean inForce(ControlRecord record) {
     return epoch != NO_EPOCH && record.getEpochPlusOne() == epoch + 1;
   }
 
   /**
-   * Folds one record. Records have to come in the order of their offsets. Implements {@code Counts}
-   * and {@code After}.
+   * Applies one record. Records must be applied in the order of their offsets. Implements {@code
+   * Counts} and {@code After} of the modules Ownership and Configuration.
    *
-   * @param millis time of the append by the log's clock
+   * @param millis time of the append according to the log's clock
    */
   public FoldResult fold(ControlRecord record, long offset, long millis) {
-    if (!writers.note(record, offset)) {
+    if (!writers.accept(record, offset)) {
       return DUPLICATE;
     }
     return switch (record.getBodyCase()) {
@@ -114,7 +115,11 @@
     };
   }
 
-  /** Implements {@code Land} for a claim: the first claim on an epoch in the log replaces it. */
+  /**
+   * Applies a claim. The first claim in the log that is based on the epoch in force starts a new
+   * epoch; later ones are stale. Implements the action {@code Land} of the module Ownership for
+   * claims.
+   */
   private FoldResult claim(ControlRecord record, long offset) {
     if (record.getOwnerClaim().getBasedOnEpochPlusOne() != epoch + 1) {
       return STALE_EPOCH;
@@ -143,7 +148,7 @@
       case ATTEMPT_STOPPING -> jobs.stop(record.getAttemptStopping());
       case ATTEMPT_ENDED -> endAttempt(record.getAttemptEnded(), millis);
       case JOB_ENDED -> jobs.endJob(record.getJobEnded(), offset, millis);
-      case WORKER_JUDGED -> judge(record.getWorkerJudged());
+      case WORKER_JUDGED -> quarantine(record.getWorkerJudged());
       case SLOT_SHARES -> share(record.getSlotShares());
       default -> NOT_APPLICABLE;
     };
@@ -152,14 +157,14 @@
   private FoldResult endAttempt(AttemptEnded end, long millis) {
     FoldResult result = jobs.endAttempt(end, millis);
     if (result == COUNTED && end.getResult() != AttemptResult.ATTEMPT_RESULT_NEVER_STARTED) {
-      jobs.find(new JobId(end.getJob())).ifPresent(job -> learn(job, end, millis));
+      jobs.find(new JobId(end.getJob())).ifPresent(job -> updateHistory(job, end, millis));
     }
     return result;
   }
 
-  private void learn(JobState job, AttemptEnded end, long millis) {
-    long ran = Math.max(0, millis - job.facts().getCommittedMillis()) / MILLIS_PER_SECOND;
-    long kept = job.facts().getKeptSeconds() - (end.getCheckpointed() ? ran : 0);
+  private void updateHistory(JobState job, AttemptEnded end, long millis) {
+    long ran = Math.max(0, millis - job.snapshot().getCommittedMillis()) / MILLIS_PER_SECOND;
+    long kept = job.snapshot().getKeptSeconds() - (end.getCheckpointed() ? ran : 0);
     Optional<WorkerId> blamed =
         Optional.of(end.getWorker()).filter(worker -> !worker.isBlank()).map(WorkerId::new);
     EndedAttempt.Result result =
@@ -183,16 +188,16 @@
     return COUNTED;
   }
 
-  private FoldResult judge(WorkerJudged judged) {
+  private FoldResult quarantine(WorkerJudged judged) {
     if (judged.getWorker().isBlank()) {
       return NOT_APPLICABLE;
     }
     if (judged.getQuarantined()) {
-      judgements.put(judged.getWorker(), judged);
+      quarantines.put(judged.getWorker(), judged);
       WorkerId worker = new WorkerId(judged.getWorker());
       history = history.afterQuarantine(worker, judged.getUntilMillis());
     } else {
-      judgements.remove(judged.getWorker());
+      quarantines.remove(judged.getWorker());
     }
     return COUNTED;
   }
@@ -202,7 +207,7 @@
     return COUNTED;
   }
 
-  /** Returns the whole state. Equal states give equal messages. */
+  /** Returns the whole state as a snapshot. Equal states give equal messages. */
   public ControlSnapshot snapshot() {
     ControlSnapshot.Builder snapshot =
         ControlSnapshot.newBuilder()
@@ -212,15 +217,15 @@
             .setRevisionPlusOne(revision + 1)
             .setConfigurationBasePlusOne(configuration.getBaseRevisionPlusOne())
             .setConfiguration(configuration)
-            .addAllJobs(jobs.facts())
-            .addAllWorkers(judgements.values())
-            .addAllWriters(writers.facts())
+            .addAllJobs(jobs.snapshots())
+            .addAllWorkers(quarantines.values())
+            .addAllWriters(writers.sequences())
             .setHistory(history.toSnapshot());
     shares.ifPresent(snapshot::setSlotShares);
     return snapshot.build();
   }
 
-  /** Creates the state that a snapshot tells. */
+  /** Restores a state from a snapshot. */
   public static ControlState restore(ControlSnapshot snapshot) {
     ControlState state = new ControlState();
     state.epoch = snapshot.getEpochPlusOne() - 1;
@@ -235,7 +240,7 @@
       state.shares = Optional.of(snapshot.getSlotShares());
     }
     for (WorkerJudged judged : snapshot.getWorkersList()) {
-      state.judgements.put(judged.getWorker(), judged);
+      state.quarantines.put(judged.getWorker(), judged);
     }
     return state;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/state/JobBook.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/state/JobRegistry.java
@@ -22,14 +22,17 @@
 import org.fescuehook.wire.JobSnapshot;
 import org.fescuehook.wire.JobSubmitted;
 
-/** All jobs: which wait, which have a live attempt, and which have ended and are still shown. */
-public final class JobBook {
+/**
+ * Holds the jobs that wait, the jobs that have a live attempt, and the recently ended ones, which
+ * callers can still query.
+ */
+public final class JobRegistry {
 
-  /** Ended jobs that are kept. */
-  static final int MOST_ENDED = 2000;
+  /** Maximum number of ended jobs that are kept. */
+  static final int MAX_ENDED_JOBS = 2000;
 
-  /** Time for which an ended job is kept, by the log's clock. */
-  static final long ENDED_KEPT_MILLIS = 24L * 60 * 60 * 1000;
+  /** Time for which an ended job is kept, according to the log's clock. */
+  static final long ENDED_RETENTION_MILLIS = 24L * 60 * 60 * 1000;
 
   private static final long MILLIS_PER_SECOND = 1000;
 
@@ -41,22 +44,22 @@
   private final TreeMap<Long, JobId> live = new TreeMap<>();
   private final TreeMap<Long, JobId> ended = new TreeMap<>();
 
-  /** Returns a job that is not forgotten. */
+  /** Returns a job; empty if it is unknown or is no longer kept. */
   public Optional<JobState> find(JobId id) {
     return Optional.ofNullable(jobs.get(id));
   }
 
-  /** Returns the job that was first submitted under a caller's own id. */
+  /** Returns the job that was first submitted under a request id of the caller. */
   public Optional<JobId> findByRequest(String organisation, String requestId) {
     return Optional.ofNullable(byRequest.get(new RequestKey(organisation, requestId)));
   }
 
-  /** Returns jobs without a live attempt and without a result, in the order of submission. */
+  /** Returns the jobs without a live attempt and without a result, in the order of submission. */
   public List<JobState> waiting() {
     return states(waiting.values());
   }
 
-  /** Returns jobs with a live attempt, in the order of their plans. */
+  /** Returns the jobs with a live attempt, in the order in which the attempts were planned. */
   public List<JobState> live() {
     return states(live.values());
   }
@@ -103,28 +106,31 @@
 
   FoldResult requestCancel(JobCancelRequested request) {
     Optional<JobState> found = find(request.getJob());
-    if (found.isEmpty() || found.get().over()) {
+    if (found.isEmpty() || found.get().hasResult()) {
       return NOT_APPLICABLE;
     }
-    put(found.get().with(found.get().facts().toBuilder().setCancelRequested(true)));
+    put(found.get().with(found.get().snapshot().toBuilder().setCancelRequested(true)));
     return COUNTED;
   }
 
-  /** An attempt counts only if it is the next of a job that waits and is not to be cancelled. */
+  /**
+   * Applies a plan, which takes effect only if it is the next attempt of a waiting job whose
+   * cancellation was not requested.
+   */
   FoldResult plan(AttemptPlanned planned, long epoch, long offset, long millis) {
     Optional<JobState> found = find(planned.getJob());
-    if (found.isEmpty() || !found.get().waiting() || found.get().facts().getCancelRequested()) {
+    if (found.isEmpty() || !found.get().waiting() || found.get().snapshot().getCancelRequested()) {
       return NOT_APPLICABLE;
     }
     JobState state = found.get();
     boolean next = planned.getAttempt() == state.attempt().number() + 1;
-    boolean whole = planned.getWorkersCount() == state.job().shape().members();
-    if (!next || !whole || planned.getWorkersList().stream().anyMatch(String::isBlank)) {
+    boolean complete = planned.getWorkersCount() == state.job().shape().members();
+    if (!next || !complete || planned.getWorkersList().stream().anyMatch(String::isBlank)) {
       return NOT_APPLICABLE;
     }
     put(
         state.with(
-            state.facts().toBuilder()
+            state.snapshot().toBuilder()
                 .setPlanned(planned)
                 .clearCommitted()
                 .clearStopping()
@@ -136,32 +142,43 @@
     return COUNTED;
   }
 
-  /** A commit counts only under the epoch of the plan, so no later owner can commit it. */
+  /**
+   * Applies a commit, which takes effect only under the epoch of the plan, so that no later owner
+   * can commit the attempt.
+   */
   FoldResult commit(AttemptCommitted committed, long epoch, long millis) {
     Optional<JobState> found = findLive(committed.getJob(), committed.getAttempt());
     if (found.isEmpty() || found.get().committed() || found.get().stopping()) {
       return NOT_APPLICABLE;
     }
     JobState state = found.get();
-    boolean whole = committed.getLeasesCount() == state.job().shape().members();
-    if (!whole || state.plannedEpoch() != epoch) {
+    boolean complete = committed.getLeasesCount() == state.job().shape().members();
+    if (!complete || state.plannedEpoch() != epoch) {
       return NOT_APPLICABLE;
     }
-    put(state.with(state.facts().toBuilder().setCommitted(committed).setCommittedMillis(millis)));
+    put(
+        state.with(
+            state.snapshot().toBuilder().setCommitted(committed).setCommittedMillis(millis)));
     return COUNTED;
   }
 
-  /** The first reason to stop stands; an attempt that was not committed is ended, not stopped. */
+  /**
+   * Applies a stop. Only the first stop of an attempt takes effect; an attempt that was not
+   * committed is not stopped but ended.
+   */
   FoldResult stop(AttemptStopping stopping) {
     Optional<JobState> found = findLive(stopping.getJob(), stopping.getAttempt());
     if (found.isEmpty() || !found.get().committed() || found.get().stopping()) {
       return NOT_APPLICABLE;
     }
-    put(found.get().with(found.get().facts().toBuilder().setStopping(stopping)));
+    put(found.get().with(found.get().snapshot().toBuilder().setStopping(stopping)));
     return COUNTED;
   }
 
-  /** An attempt ends as never started exactly if it was not committed. */
+  /**
+   * Applies the end of an attempt. An attempt ends as never started if and only if it was not
+   * committed.
+   */
   FoldResult endAttempt(AttemptEnded end, long millis) {
     Optional<JobState> found = findLive(end.getJob(), end.getAttempt());
     if (found.isEmpty()) {
@@ -172,7 +189,7 @@
     if (neverStarted == state.committed()) {
       return NOT_APPLICABLE;
     }
-    JobSnapshot.Builder changed = state.facts().toBuilder().setEnded(end);
+    JobSnapshot.Builder changed = state.snapshot().toBuilder().setEnded(end);
     if (neverStarted) {
       changed.setNeverStarted(changed.getNeverStarted() + 1);
     }
@@ -203,7 +220,7 @@
         found
             .get()
             .with(
-                found.get().facts().toBuilder()
+                found.get().snapshot().toBuilder()
                     .setJobEnded(end)
                     .setEndedOffset(offset)
                     .setEndedMillis(millis)));
@@ -214,8 +231,8 @@
   private void forgetEnded(long millis) {
     while (!ended.isEmpty()) {
       JobState oldest = jobs.get(ended.firstEntry().getValue());
-      boolean old = oldest.facts().getEndedMillis() < millis - ENDED_KEPT_MILLIS;
-      if (!old && ended.size() <= MOST_ENDED) {
+      boolean old = oldest.snapshot().getEndedMillis() < millis - ENDED_RETENTION_MILLIS;
+      if (!old && ended.size() <= MAX_ENDED_JOBS) {
         return;
       }
       forget(oldest);
@@ -249,44 +266,44 @@
       unlist(old);
     }
     state.job().requestId().ifPresent(id -> byRequest.put(keyOf(state, id), state.id()));
-    JobSnapshot facts = state.facts();
-    if (state.over()) {
-      ended.put(facts.getEndedOffset(), state.id());
+    JobSnapshot snapshot = state.snapshot();
+    if (state.hasResult()) {
+      ended.put(snapshot.getEndedOffset(), state.id());
     } else if (state.live()) {
-      live.put(facts.getPlannedOffset(), state.id());
+      live.put(snapshot.getPlannedOffset(), state.id());
     } else {
-      waiting.put(facts.getSubmittedOffset(), state.id());
+      waiting.put(snapshot.getSubmittedOffset(), state.id());
     }
   }
 
   private void unlist(JobState state) {
-    waiting.remove(state.facts().getSubmittedOffset(), state.id());
-    live.remove(state.facts().getPlannedOffset(), state.id());
-    ended.remove(state.facts().getEndedOffset(), state.id());
+    waiting.remove(state.snapshot().getSubmittedOffset(), state.id());
+    live.remove(state.snapshot().getPlannedOffset(), state.id());
+    ended.remove(state.snapshot().getEndedOffset(), state.id());
   }
 
-  List<JobSnapshot> facts() {
-    List<JobSnapshot> facts = new ArrayList<>(jobs.size());
+  List<JobSnapshot> snapshots() {
+    List<JobSnapshot> snapshots = new ArrayList<>(jobs.size());
     for (JobState state : states(ended.values())) {
-      facts.add(state.facts());
+      snapshots.add(state.snapshot());
     }
     for (JobState state : live()) {
-      facts.add(state.facts());
+      snapshots.add(state.snapshot());
     }
     for (JobState state : waiting()) {
-      facts.add(state.facts());
+      snapshots.add(state.snapshot());
     }
-    return facts;
+    return snapshots;
   }
 
-  void restore(List<JobSnapshot> facts) {
+  void restore(List<JobSnapshot> snapshots) {
     jobs.clear();
     byRequest.clear();
     waiting.clear();
     live.clear();
     ended.clear();
-    for (JobSnapshot fact : facts) {
-      put(JobState.of(fact));
+    for (JobSnapshot snapshot : snapshots) {
+      put(JobState.of(snapshot));
     }
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/state/JobState.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/state/JobState.java
@@ -17,15 +17,15 @@
 import org.fescuehook.wire.JobSubmitted;
 
 /**
- * A job and its last attempt as the log tells them. Immutable.
+ * An immutable view of a job and its last attempt, as recorded in the log.
  *
  * @param job the job
- * @param facts what was read, in the form of a snapshot
+ * @param snapshot the recorded state, in the form in which a snapshot stores it
  */
-public record JobState(Job job, JobSnapshot facts) {
+public record JobState(Job job, JobSnapshot snapshot) {
 
-  static JobState of(JobSnapshot facts) {
-    return new JobState(jobOf(facts.getJob()), facts);
+  static JobState of(JobSnapshot snapshot) {
+    return new JobState(jobOf(snapshot.getJob()), snapshot);
   }
 
   private static Job jobOf(JobSubmitted submitted) {
@@ -48,69 +48,69 @@
     return new JobState(job, changed.build());
   }
 
-  /** Returns the job's name. */
+  /** Returns the id of the job. */
   public JobId id() {
     return job.id();
   }
 
-  /** Tells whether an attempt was planned and has not ended. */
+  /** Returns whether the job has a live attempt: one that was planned and has not ended. */
   public boolean live() {
-    return facts.hasPlanned() && !facts.hasEnded();
+    return snapshot.hasPlanned() && !snapshot.hasEnded();
   }
 
-  /** Tells whether the live attempt was committed. */
+  /** Returns whether the job has a live attempt that was committed. */
   public boolean committed() {
-    return live() && facts.hasCommitted();
+    return live() && snapshot.hasCommitted();
   }
 
-  /** Tells whether the live attempt is being stopped. */
+  /** Returns whether the job has a live attempt that is being stopped. */
   public boolean stopping() {
-    return live() && facts.hasStopping();
+    return live() && snapshot.hasStopping();
   }
 
-  /** Tells whether the job has its final result. */
-  public boolean over() {
-    return facts.hasJobEnded();
+  /** Returns whether the job has its final result. */
+  public boolean hasResult() {
+    return snapshot.hasJobEnded();
   }
 
-  /** Tells whether the job waits for an attempt. */
+  /** Returns whether the job has neither a live attempt nor a final result. */
   public boolean waiting() {
-    return !over() && !live();
+    return !hasResult() && !live();
   }
 
-  /** Returns the last attempt; number 0 if there was none. */
+  /** Returns the last attempt; its number is 0 if there was none. */
   public AttemptId attempt() {
-    return new AttemptId(id(), facts.getPlanned().getAttempt());
+    return new AttemptId(id(), snapshot.getPlanned().getAttempt());
   }
 
   /** Returns the epoch under which the last attempt was planned. */
   public long plannedEpoch() {
-    return facts.getPlannedEpochPlusOne() - 1;
+    return snapshot.getPlannedEpochPlusOne() - 1;
   }
 
-  /** Returns the workers of the last attempt, by member number. */
+  /** Returns the workers of the last attempt, ordered by member number. */
   public List<WorkerId> workers() {
-    return facts.getPlanned().getWorkersList().stream().map(WorkerId::new).toList();
+    return snapshot.getPlanned().getWorkersList().stream().map(WorkerId::new).toList();
   }
 
-  /** Returns the job as the scheduling policy sees it while it waits. */
+  /** Returns the job in the form in which the scheduling policy sees waiting jobs. */
   public Scheduler.WaitingJob asWaiting() {
     Set<WorkerId> avoid = new HashSet<>();
-    for (String worker : facts.getAvoidList()) {
+    for (String worker : snapshot.getAvoidList()) {
       avoid.add(new WorkerId(worker));
     }
-    return new Scheduler.WaitingJob(job, facts.getFailures(), facts.getKeptSeconds(), avoid);
+    return new Scheduler.WaitingJob(job, snapshot.getFailures(), snapshot.getKeptSeconds(), avoid);
   }
 
-  /** Returns the live attempt as the scheduling policy sees it. */
+  /** Returns the live attempt in the form in which the scheduling policy sees running ones. */
   public Scheduler.RunningAttempt asRunning() {
     return new Scheduler.RunningAttempt(
         job,
         attempt(),
         new Placement(workers()),
-        facts.getPlanned().getBorrowed(),
-        facts.getStartedMillis(),
-        facts.getKeptSeconds(),
-        facts.hasStopping() || facts.getCancelRequested());
+        snapshot.getPlanned().getBorrowed(),
+        snapshot.getStartedMillis(),
+        snapshot.getKeptSeconds(),
+        snapshot.hasStopping() || snapshot.getCancelRequested());
   }
 }
