--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchOwner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchOwner.java
@@ -80,9 +80,9 @@
   private final JobDuty jobs;
   private final AdviceDuty advice;
   private final PlanDuty plans;
-  private final SubmissionDesk submissions;
-  private final UnknownJobDesk unknownJobs = new UnknownJobDesk();
-  private final CancelDesk cancels;
+  private final SubmissionHandler submissions;
+  private final UnknownJobHandler unknownJobs = new UnknownJobHandler();
+  private final CancelHandler cancels;
   private final List<BatchCommand> ready = new ArrayList<>();
 
   private boolean fenced;
@@ -109,8 +109,8 @@
             this,
             turn);
     this.jobs = new JobDuty(book, writer, executors, configuration);
-    this.submissions = new SubmissionDesk(jobs, writer, ready);
-    this.cancels = new CancelDesk(jobs, submissions, ready);
+    this.submissions = new SubmissionHandler(jobs, writer, ready);
+    this.cancels = new CancelHandler(jobs, submissions, ready);
     this.advice = new AdviceDuty(EpochNumbers.before(epoch), turn);
     this.plans = new PlanDuty(jobs, executors, advice, preferences.work());
     executors.serve(jobs.pools());
@@ -273,9 +273,9 @@
         String organisation = holder.map(KeyHolder::name).orElse("");
         submissions.submit(ticket, submit, queue.get(), organisation, comeBackMillis(), turn);
       }
-      case BatchCall.Status status -> status(new JobQuestion(ticket, status.job(), until), turn);
+      case BatchCall.Status status -> status(new JobQuery(ticket, status.job(), until), turn);
       case BatchCall.Cancel cancel ->
-          cancels.cancel(new JobQuestion(ticket, cancel.job(), until), turn);
+          cancels.cancel(new JobQuery(ticket, cancel.job(), until), turn);
       case BatchCall.CountPending count ->
           answer(ticket, new CallAnswer.Pending(jobs.book().pending(count.queue())));
     }
@@ -314,7 +314,7 @@
     return Math.clamp(storeAgeMillis, COME_BACK_MILLIS, LATEST_COME_BACK_MILLIS);
   }
 
-  private void status(JobQuestion question, BatchTurn turn) {
+  private void status(JobQuery question, BatchTurn turn) {
     Optional<JobPhase> phase = jobs.book().shown(question.job());
     if (phase.isPresent()) {
       answer(question.ticket(), new CallAnswer.Phase(phase.get()));
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/CancelDesk.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/CancelHandler.java
@@ -17,10 +17,10 @@
  * that nothing of the job goes on whatever becomes of this owner; undecided if the epoch ends
  * before.
  */
-final class CancelDesk {
+final class CancelHandler {
 
   private final JobDuty jobs;
-  private final SubmissionDesk submissions;
+  private final SubmissionHandler submissions;
   private final List<BatchCommand> ready;
 
   /** Tickets of cancels that are on their way to the store. */
@@ -34,14 +34,14 @@
    *
    * @param runs those that may go on
    */
-  private record Stopping(JobQuestion cancel, List<LiveRun> runs) {}
+  private record Stopping(JobQuery cancel, List<LiveRun> runs) {}
 
   /**
    * Creates a desk without cancels.
    *
    * @param ready takes answers for the next turn
    */
-  CancelDesk(JobDuty jobs, SubmissionDesk submissions, List<BatchCommand> ready) {
+  CancelHandler(JobDuty jobs, SubmissionHandler submissions, List<BatchCommand> ready) {
     this.jobs = jobs;
     this.submissions = submissions;
     this.ready = ready;
@@ -68,7 +68,7 @@
   }
 
   /** Takes a cancel. */
-  void cancel(JobQuestion cancel, BatchTurn turn) {
+  void cancel(JobQuery cancel, BatchTurn turn) {
     if (submissions.cancelledMeanwhile(cancel)) {
       return;
     }
@@ -92,7 +92,7 @@
    * callers and VMs repeat what had no answer; so the store remembers the cancel before the caller
    * is told that there is no such job.
    */
-  private void cancelEarly(JobQuestion cancel, BatchTurn turn) {
+  private void cancelEarly(JobQuery cancel, BatchTurn turn) {
     if (jobs.book().shown(cancel.job()).isPresent()) {
       answer(cancel.ticket(), new CallAnswer.Cancelled());
       return;
@@ -102,14 +102,14 @@
     jobs.cancelEarly(cancel.job(), () -> storedEarly(cancel), turn);
   }
 
-  private void storedEarly(JobQuestion cancel) {
+  private void storedEarly(JobQuery cancel) {
     if (awaitingStore.remove(cancel.ticket())) {
       boolean came = jobs.book().shown(cancel.job()).isPresent();
       answer(cancel.ticket(), came ? new CallAnswer.Cancelled() : new CallAnswer.NoSuchJob());
     }
   }
 
-  private void stored(JobQuestion cancel) {
+  private void stored(JobQuery cancel) {
     if (awaitingStore.remove(cancel.ticket())) {
       List<LiveRun> runs = jobs.book().open(cancel.job()).map(OpenJob::liveRuns).orElse(List.of());
       awaitingStops.add(new Stopping(cancel, new ArrayList<>(runs)));
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/JobQuestion.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/JobQuery.java
@@ -5,4 +5,4 @@
  *
  * @param until how long an answer is of use, monotonic time in nanoseconds
  */
-record JobQuestion(long ticket, String job, long until) {}
+record JobQuery(long ticket, String job, long until) {}
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/Submitting.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/PendingSubmission.java
@@ -9,10 +9,10 @@
  * @param tickets who waits for its acceptance
  * @param cancels who has cancelled it meanwhile
  */
-record Submitting(List<Long> tickets, List<JobQuestion> cancels) {
+record PendingSubmission(List<Long> tickets, List<JobQuery> cancels) {
 
   /** Returns a submission that one call waits for. */
-  static Submitting of(long ticket) {
-    return new Submitting(new ArrayList<>(List.of(ticket)), new ArrayList<>());
+  static PendingSubmission of(long ticket) {
+    return new PendingSubmission(new ArrayList<>(List.of(ticket)), new ArrayList<>());
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/SubmissionDesk.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/SubmissionHandler.java
@@ -22,20 +22,20 @@
  * Submissions on their way to the store: accepted once stored, refused if they surely are not, and
  * undecided otherwise. The same id again joins the submission under way.
  */
-final class SubmissionDesk {
+final class SubmissionHandler {
 
   private final JobDuty jobs;
   private final StateWriter writer;
   private final List<BatchCommand> ready;
-  private final Map<String, Submitting> underWay = new LinkedHashMap<>();
-  private final List<JobQuestion> dueCancels = new ArrayList<>();
+  private final Map<String, PendingSubmission> underWay = new LinkedHashMap<>();
+  private final List<JobQuery> dueCancels = new ArrayList<>();
 
   /**
    * Creates a desk without submissions.
    *
    * @param ready takes answers and events for the next turn
    */
-  SubmissionDesk(JobDuty jobs, StateWriter writer, List<BatchCommand> ready) {
+  SubmissionHandler(JobDuty jobs, StateWriter writer, List<BatchCommand> ready) {
     this.jobs = jobs;
     this.writer = writer;
     this.ready = ready;
@@ -47,7 +47,7 @@
       answer(ticket, new CallAnswer.Accepted());
       return true;
     }
-    Submitting earlier = underWay.get(id);
+    PendingSubmission earlier = underWay.get(id);
     if (earlier == null) {
       return false;
     }
@@ -74,7 +74,7 @@
       return;
     }
     BatchJob job = new BatchJob(id, queue, organisation, turn.wallMillis(), submit.submission());
-    underWay.put(id, Submitting.of(ticket));
+    underWay.put(id, PendingSubmission.of(ticket));
     writer.putRefusable(
         JobCodec.jobKey(id),
         () -> Optional.of(JobCodec.encode(job)),
@@ -86,7 +86,7 @@
   /** Accepts a job whose cancel came before it: it has ended from the beginning. */
   private void submitCancelled(
       long ticket, String id, JobBook.EndedJob cancelled, long comeBackMillis, BatchTurn turn) {
-    underWay.put(id, Submitting.of(ticket));
+    underWay.put(id, PendingSubmission.of(ticket));
     writer.putRefusable(
         JobCodec.progressKey(id),
         () -> Optional.of(JobCodec.encodeEnd(cancelled)),
@@ -100,8 +100,8 @@
   }
 
   /** Keeps a cancel of a submission under way until that is decided; false if there is none. */
-  boolean cancelledMeanwhile(JobQuestion cancel) {
-    Submitting waiters = underWay.get(cancel.job());
+  boolean cancelledMeanwhile(JobQuery cancel) {
+    PendingSubmission waiters = underWay.get(cancel.job());
     if (waiters == null) {
       return false;
     }
@@ -110,8 +110,8 @@
   }
 
   /** Returns, once, the cancels whose submissions have been decided. */
-  List<JobQuestion> takeDueCancels() {
-    List<JobQuestion> due = List.copyOf(dueCancels);
+  List<JobQuery> takeDueCancels() {
+    List<JobQuery> due = List.copyOf(dueCancels);
     dueCancels.clear();
     return due;
   }
@@ -146,7 +146,7 @@
   }
 
   private void decided(String id, CallAnswer answer) {
-    Submitting waiters = underWay.remove(id);
+    PendingSubmission waiters = underWay.remove(id);
     waiters.tickets().forEach(ticket -> answer(ticket, answer));
     dueCancels.addAll(waiters.cancels());
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/UnknownJobDesk.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/UnknownJobHandler.java
@@ -16,7 +16,7 @@
  * came. That takes one heartbeat, which a slow store delays by seconds; so a question waits as long
  * as an answer is of use.
  */
-final class UnknownJobDesk {
+final class UnknownJobHandler {
 
   /** The time that a refusal keeps for its way, so that it comes before the caller gives up. */
   private static final long WAY_NANOS = Duration.ofMillis(100).toNanos();
@@ -25,10 +25,10 @@
 
   private final List<Open> open = new ArrayList<>();
 
-  private record Open(JobQuestion question, long askedAt) {}
+  private record Open(JobQuery question, long askedAt) {}
 
   /** Takes a question. */
-  void ask(JobQuestion question, BatchTurn turn) {
+  void ask(JobQuery question, BatchTurn turn) {
     open.add(new Open(question, turn.nowNanos()));
   }
 
@@ -42,7 +42,7 @@
     Iterator<Open> questions = open.iterator();
     while (questions.hasNext()) {
       Open next = questions.next();
-      JobQuestion question = next.question();
+      JobQuery question = next.question();
       if (confirmedAt - next.askedAt() > 0) {
         Optional<CallAnswer> phase = shown.apply(question.job()).map(CallAnswer.Phase::new);
         answer(question, phase.orElseGet(CallAnswer.NoSuchJob::new), turn);
@@ -64,7 +64,7 @@
     return new CallAnswer.Refused(cause, COME_BACK_MILLIS);
   }
 
-  private static void answer(JobQuestion question, CallAnswer answer, BatchTurn turn) {
+  private static void answer(JobQuery question, CallAnswer answer, BatchTurn turn) {
     turn.add(new BatchCommand.Answer(question.ticket(), answer));
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/UnknownJobDeskTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/UnknownJobHandlerTest.java
@@ -18,9 +18,9 @@
  * 0.8 s for a heartbeat; in a store that takes 0.88 s an answer the next one that is sent after the
  * question is confirmed 1.8 s later.
  */
-class UnknownJobDeskTest {
+class UnknownJobHandlerTest {
 
-  private final UnknownJobDesk desk = new UnknownJobDesk();
+  private final UnknownJobHandler desk = new UnknownJobHandler();
   private final Map<String, Optional<JobPhase>> accepted =
       new HashMap<>(Map.of("a1", Optional.empty(), "a2", Optional.empty()));
 
@@ -33,7 +33,7 @@
   }
 
   private void ask(long ticket, String job, long nowMillis, long patienceMillis) {
-    desk.ask(new JobQuestion(ticket, job, nanos(nowMillis + patienceMillis)), at(nowMillis));
+    desk.ask(new JobQuery(ticket, job, nanos(nowMillis + patienceMillis)), at(nowMillis));
   }
 
   private List<BatchCommand> step(long nowMillis, long confirmedMillis) {
