--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchCommand.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchCommand.java
@@ -12,16 +12,17 @@
 import org.fescuehook.model.event.NumberedEvent;
 import org.fescuehook.model.fleet.ExecutorId;
 
-/** What the core wants done. */
+/** A side effect that {@link BatchCore} requests from the process around it. */
 public sealed interface BatchCommand {
 
-  /** Answer a call. */
+  /** Answers a call; the ticket is the one that came with the call. */
   record Answer(long ticket, CallAnswer answer) implements BatchCommand {}
 
   /**
-   * Append records; the outcome comes back as {@link BatchEvent.Appended}.
+   * Appends records to a stream; the outcome is reported as {@link BatchEvent.Appended}.
    *
-   * @param expectedEnd offset at which the stream must end; without it any
+   * @param expectedEnd offset at which the stream must end for the append to succeed; empty for an
+   *     append without this condition
    */
   record Append(
       StreamName stream,
@@ -31,75 +32,83 @@
       implements BatchCommand {}
 
   /**
-   * Read a page of the newest records of the jobs' stream, after a key or from the start.
+   * Reads one page of the job stream, which holds the newest record of each key.
    *
-   * @param epoch epoch of the take-over that asks; the page names it
+   * @param epoch epoch of the takeover that requests the page; {@link BatchEvent.StateRead} and
+   *     {@link BatchEvent.StateUnreadable} repeat it
+   * @param afterKey key after which the page begins; empty for the first page
    */
   record LoadState(long epoch, Optional<String> afterKey) implements BatchCommand {}
 
-  /** Begin or end to report executors; only the owner needs them. */
+  /** Starts or stops following the list of executors, which only the owner needs. */
   record FollowExecutors(boolean following) implements BatchCommand {}
 
   /**
-   * Give an order to an executor.
+   * Sends an order to an executor; the outcome is reported as {@link BatchEvent.OrderEnded}.
    *
-   * @param fence the executor rejects the order if it has seen a higher one
+   * @param number number of the order, unique over all epochs
+   * @param fence fencing token; the executor rejects the order if it has seen a higher token
    */
   record Order(ExecutorProfile executor, long number, long fence, ExecutorOrder order)
       implements BatchCommand {}
 
   /**
-   * Ask the advice service which executors may run a step; the outcome comes back as {@link
+   * Asks the advice service which executors may run a step; the outcome is reported as {@link
    * BatchEvent.AdviceEnded}.
    *
+   * @param number number of the request, unique over all epochs
    * @param step name of the step
    */
   record AskAdvice(long number, String step, List<ExecutorId> executors) implements BatchCommand {}
 
-  /** Close the connections to an executor that is gone. */
+  /** Closes the connections to an executor that the owner no longer uses. */
   record ForgetExecutor(ExecutorId executor) implements BatchCommand {}
 
-  /** Log an event. */
+  /** Logs an event. */
   record Note(NumberedEvent event, List<Object> arguments) implements BatchCommand {}
 
-  /** Record a duration. */
+  /** Records a duration in a metric. */
   record Measure(String metric, String tag, String value, long nanos) implements BatchCommand {}
 
-  /** Increment a counter. */
+  /** Increments a counter. */
   record Count(String metric, String tag, String value) implements BatchCommand {}
 
   /** An order to an executor. */
   sealed interface ExecutorOrder {
 
     /**
-     * Look at what runs and has ended, and renew the lease of everything that runs there.
+     * Asks for the live and the ended runs of the executor, and renews the lease that all its runs
+     * share.
      *
-     * @param acknowledged number of the last end that is stored; the executor forgets up to it
-     * @param leaseUntilMillis by the executor's clock; absent does not renew
-     * @param waitMillis how long the answer may wait for an end
+     * @param acknowledged sequence number of the last ended run that the owner has stored; the
+     *     executor discards its reports up to this number
+     * @param leaseUntilMillis new end of the lease by the executor's clock; empty to leave the
+     *     lease as it is
+     * @param waitMillis how long the executor may delay its answer until a run ends
      */
     record Poll(long acknowledged, OptionalLong leaseUntilMillis, long waitMillis)
         implements ExecutorOrder {}
 
     /**
-     * Start a run; idempotent.
+     * Starts a run; idempotent.
      *
-     * @param checkpoint saved progress to go on from; empty for none
-     * @param ticket what the advice service gave for this executor; absent where none is needed
-     * @param leaseUntilMillis by the executor's clock
+     * @param spec text of the submission, passed to the task unchanged
+     * @param checkpoint saved progress to resume from; an empty string for none
+     * @param ticket ticket of the advice service for this executor; empty where none is needed
+     * @param leaseUntilMillis end of the lease by the executor's clock
      */
     record Start(
         TaskRun run, String spec, String checkpoint, Optional<String> ticket, long leaseUntilMillis)
         implements ExecutorOrder {}
 
     /**
-     * Let a run work at a share of its speed; idempotent.
+     * Throttles a run to a share of its full speed; idempotent.
      *
      * @param percent 0 to 100
      */
     record Pace(TaskRun run, int percent) implements ExecutorOrder {}
 
-    /** Stop a run, also one that has not come yet; idempotent. */
+    /** Stops a run, or keeps it from starting if its start arrives later; idempotent. */
     record Stop(TaskRun run) implements ExecutorOrder {}
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchCore.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchCore.java
@@ -23,20 +23,24 @@
 import org.fescuehook.model.preferences.BatchPreferences;
 
 /**
- * Decides about batch jobs: while this VM owns them it stores and orders, else it watches the
- * owner. Single-threaded and without clock or network: the same events at the same times give the
- * same commands.
+ * The state machine of batch scheduling on one VM. While this VM is the owner of the batch jobs, it
+ * schedules them; otherwise it watches the owner and takes over if that fails. It is used by a
+ * single thread and reads no clock and no network: the same events at the same times give the same
+ * commands.
  */
 public final class BatchCore {
 
-  /** When callers come back while no VM decides; a take-over lasts some 3 s. */
-  private static final long COME_BACK_MILLIS = 1000;
+  /** Delay after which callers retry while this VM is not the owner; a takeover takes about 3 s. */
+  private static final long RETRY_AFTER_MILLIS = 1000;
 
-  /** How long a stopping owner waits for what is on its way to the store. */
-  private static final long STOP_WAIT_NANOS = Duration.ofMillis(1500).toNanos();
+  /** Longest time that a stopping owner waits for its last changes to be stored. */
+  private static final long STOP_TIMEOUT_NANOS = Duration.ofMillis(1500).toNanos();
 
-  /** Age of the store's last word up to which other VMs could take over as well. */
-  private static final Duration STORE_NEAR = Duration.ofMillis(1000);
+  /**
+   * Age of the last confirmed heartbeat up to which the store counts as reachable, so that another
+   * VM could take over as well.
+   */
+  private static final Duration STORE_REACHABLE_AGE = Duration.ofMillis(1000);
 
   private final BatchPreferences preferences;
   private final OwnershipDuty ownership;
@@ -48,18 +52,18 @@
   private OptionalLong stoppingSince = OptionalLong.empty();
   private boolean retired;
 
-  /** Creates a core that has read nothing. */
+  /** Creates a core that is not the owner and knows no configuration, owner or executor. */
   public BatchCore(OwnerIdentity self, BatchPreferences preferences) {
     this.preferences = preferences;
     this.ownership = new OwnershipDuty(self);
   }
 
   /**
-   * Applies one event.
+   * Applies one event after which no other event waits.
    *
    * @param nowNanos monotonic time
    * @param wallMillis milliseconds since 1970
-   * @return what is to be done, in order
+   * @return the commands to execute, in order
    */
   public List<BatchCommand> apply(BatchEvent event, long nowNanos, long wallMillis) {
     return apply(event, nowNanos, wallMillis, false);
@@ -70,46 +74,46 @@
    *
    * @param nowNanos monotonic time
    * @param wallMillis milliseconds since 1970
-   * @param more whether further events wait already; plans then wait for them, for a moment
-   * @return what is to be done, in order
+   * @param more whether further events are queued; planning is then postponed for a short time
+   * @return the commands to execute, in order
    */
   public List<BatchCommand> apply(BatchEvent event, long nowNanos, long wallMillis, boolean more) {
     BatchTurn turn = new BatchTurn(nowNanos, wallMillis, more);
-    take(event, turn);
+    handle(event, turn);
     step(turn);
     return turn.commands();
   }
 
-  /** Returns the owner to tell peers: this VM if it owns, else the one that it knows. */
+  /** Returns the owner to report to peers: this VM if it is the owner, else the one it knows of. */
   public Optional<OwnerHint> ownerHint() {
     return ownership.hint();
   }
 
   /**
-   * Returns how long nothing can become due by time alone, as far as is known; zero while this VM
-   * owns or stops. An event may end it at any moment.
+   * Returns for how long no timeout can expire, so that no {@link BatchEvent.Tick} is needed; zero
+   * while this VM is the owner, takes over or stops. Any event may shorten this time.
    *
    * @param nowNanos monotonic time
    */
   public Duration calmFor(long nowNanos) {
-    boolean standsBy = owner.isEmpty() && takeover.isEmpty() && stoppingSince.isEmpty();
-    return standsBy ? ownership.calmFor(nowNanos) : Duration.ZERO;
+    boolean standby = owner.isEmpty() && takeover.isEmpty() && stoppingSince.isEmpty();
+    return standby ? ownership.calmFor(nowNanos) : Duration.ZERO;
   }
 
-  /** Tells whether this VM decides. */
+  /** Returns whether this VM is the owner and schedules jobs. */
   public boolean deciding() {
     return owner.isPresent();
   }
 
-  /** Tells whether a stop has handed ownership over, or had none. */
+  /** Returns whether this VM, after {@link BatchEvent.StopBegun}, no longer holds ownership. */
   public boolean handedOver() {
     return retired && ownership.epoch().isEmpty();
   }
 
-  private void take(BatchEvent event, BatchTurn turn) {
+  private void handle(BatchEvent event, BatchTurn turn) {
     ownership.runs(turn);
     switch (event) {
-      case BatchEvent.Called called -> called(called, turn);
+      case BatchEvent.Called called -> handleCall(called, turn);
       case BatchEvent.ConfigurationRead(var newer) -> configure(newer, turn);
       case BatchEvent.Appended(var stream, var position, var outcome) ->
           appended(stream, position, outcome, turn);
@@ -136,14 +140,14 @@
     }
   }
 
-  private void called(BatchEvent.Called asked, BatchTurn turn) {
+  private void handleCall(BatchEvent.Called call, BatchTurn turn) {
     if (owner.isEmpty()) {
       turn.count("fescuehook.batch.refused", "cause", RefusalCause.NOT_OWNER.tag());
-      CallAnswer refused = new CallAnswer.Refused(RefusalCause.NOT_OWNER, COME_BACK_MILLIS);
-      turn.add(new BatchCommand.Answer(asked.ticket(), refused));
+      CallAnswer refused = new CallAnswer.Refused(RefusalCause.NOT_OWNER, RETRY_AFTER_MILLIS);
+      turn.add(new BatchCommand.Answer(call.ticket(), refused));
       return;
     }
-    owner.get().called(asked, ownership.contact(turn), turn);
+    owner.get().handleCall(call, ownership.contact(turn), turn);
   }
 
   private void configure(BatchConfiguration newer, BatchTurn turn) {
@@ -201,13 +205,13 @@
       ownership.abandon("fenced", turn);
     }
     retireIfStopping(turn);
-    // Without a configuration nothing can be decided, so there is no claim either.
+    // Without a configuration this VM could not schedule, so it does not claim ownership either.
     if (configuration.isPresent() || ownership.epoch().isPresent()) {
       ownership.step(turn);
     }
     followOwnership(turn);
     takeover.ifPresent(loading -> loading.step(turn));
-    beginIfLoaded(turn);
+    startOwnerIfLoaded(turn);
     yieldIfStalled(turn);
     if (owner.isPresent()) {
       owner.get().step(ownership.contact(turn), turn);
@@ -219,7 +223,7 @@
       return;
     }
     boolean settled = owner.map(BatchOwner::settled).orElse(true);
-    if (settled || turn.nowNanos() - stoppingSince.getAsLong() > STOP_WAIT_NANOS) {
+    if (settled || turn.nowNanos() - stoppingSince.getAsLong() > STOP_TIMEOUT_NANOS) {
       retired = true;
       ownership.retire(turn);
     }
@@ -243,23 +247,26 @@
     }
   }
 
-  /** Gives up a take-over that stands still all the while the store confirms this owner. */
+  /**
+   * Yields ownership if the takeover makes no progress although the store confirms this owner's
+   * heartbeats. The stall time does not count while the store is unreachable.
+   */
   private void yieldIfStalled(BatchTurn turn) {
     StoreContact contact = ownership.contact(turn);
-    if (turn.nowNanos() - contact.confirmedAt() >= contact.nearNanos(STORE_NEAR)) {
-      takeover.ifPresent(loading -> loading.excuse(turn));
+    if (turn.nowNanos() - contact.confirmedAt() >= contact.nearNanos(STORE_REACHABLE_AGE)) {
+      takeover.ifPresent(loading -> loading.resetStallTimer(turn));
     }
     if (takeover.filter(loading -> loading.stalled(contact, turn)).isPresent()) {
       ownership.yield(turn);
     }
   }
 
-  private void beginIfLoaded(BatchTurn turn) {
+  private void startOwnerIfLoaded(BatchTurn turn) {
     if (takeover.isEmpty()) {
       return;
     }
     if (!takeover.get().loaded() || !executorsRead || configuration.isEmpty()) {
-      takeover.get().tellWhatIsMissing(executorsRead ? "a configuration" : "executors", turn);
+      takeover.get().logProgress(executorsRead ? "a configuration" : "executors", turn);
       return;
     }
     Takeover done = takeover.get();
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchEvent.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchEvent.java
@@ -16,73 +16,77 @@
 import org.fescuehook.model.batch.ExecutorProfile;
 import org.fescuehook.model.fleet.ExecutorId;
 
-/** What the core is told. */
+/** An event that {@link BatchCore} applies. */
 public sealed interface BatchEvent {
 
   /**
-   * A caller asks; exactly one answer with the same ticket follows.
+   * A call came in; exactly one {@link BatchCommand.Answer} with the same ticket follows.
    *
-   * @param patience how long an answer is of use
+   * @param patience how long the caller waits for the answer
    */
   record Called(long ticket, BatchCall call, Duration patience) implements BatchEvent {}
 
-  /** A configuration was read; an older one than known is dropped. */
+  /** A configuration was read; it is ignored unless it is newer than the one in force. */
   record ConfigurationRead(BatchConfiguration configuration) implements BatchEvent {}
 
-  /** An append ended. */
+  /** An append ended, see {@link BatchCommand.Append}. */
   record Appended(StreamName stream, WriterPosition position, AppendOutcome outcome)
       implements BatchEvent {}
 
   /**
-   * The stream of ownership was read to its end.
+   * The ownership stream was read to its end.
    *
-   * @param newest newest record that this read saw; absent if it saw none
+   * @param newest newest record that this read returned; empty if it returned none
    * @param end offset after the last record of the stream
    */
   record OwnershipRead(Optional<OwnerRecord> newest, long end) implements BatchEvent {}
 
-  /** The stream of ownership could not be read. */
+  /** The ownership stream could not be read. */
   record OwnershipUnreadable() implements BatchEvent {}
 
   /**
-   * The owner has told that it cannot reach the store, or it could not be connected to: it may be
-   * replaced sooner than by its silence alone.
+   * The owner reported that it cannot reach the store, or a connection to it failed. It may then be
+   * replaced sooner than after missing heartbeats alone.
    */
   record OwnerDoubted() implements BatchEvent {}
 
-  /** A peer knows an owner. */
+  /** A peer reported the owner that it knows. */
   record OwnerHinted(OwnerHint hint) implements BatchEvent {}
 
   /**
-   * A page of the jobs' stream.
+   * A page of the job stream was read, see {@link BatchCommand.LoadState}.
    *
-   * @param epoch epoch of the take-over that asked for it
-   * @param more key after which the next page begins; absent on the last page
+   * @param epoch epoch of the takeover that requested the page
+   * @param more key after which the next page begins; empty on the last page
    */
   record StateRead(long epoch, List<KeyedRecord> records, Optional<String> more)
       implements BatchEvent {}
 
-  /** A page of the jobs' stream could not be read. */
+  /**
+   * A page of the job stream could not be read.
+   *
+   * @param epoch epoch of the takeover that requested the page
+   */
   record StateUnreadable(long epoch) implements BatchEvent {}
 
-  /** An executor is listed, or its entry changed. */
+  /** An executor was added to the list of executors, or rewrote its entry. */
   record ExecutorSeen(ExecutorProfile profile) implements BatchEvent {}
 
-  /** An executor is no longer listed. */
+  /** An executor was removed from the list of executors. */
   record ExecutorUnlisted(ExecutorId executor) implements BatchEvent {}
 
-  /** All executors that are listed now, in place of what was known. */
+  /** The whole list of executors was read; it replaces the one known so far. */
   record ExecutorsListed(List<ExecutorProfile> profiles) implements BatchEvent {}
 
-  /** An order ended. */
+  /** An order to an executor ended, see {@link BatchCommand.Order}. */
   record OrderEnded(ExecutorId executor, long number, OrderOutcome outcome) implements BatchEvent {}
 
-  /** A question to the advice service ended. */
+  /** A request to the advice service ended, see {@link BatchCommand.AskAdvice}. */
   record AdviceEnded(long number, AdviceOutcome outcome) implements BatchEvent {}
 
-  /** This VM stops: give ownership up. */
+  /** This VM is shutting down and has to give up ownership. */
   record StopBegun() implements BatchEvent {}
 
-  /** Time passed. */
+  /** Time passed; sent at regular intervals. */
   record Tick() implements BatchEvent {}
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchLogEvent.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchLogEvent.java
@@ -4,75 +4,75 @@
 
 /** Log events of the decisions about batch jobs. */
 public enum BatchLogEvent implements NumberedEvent {
-  /** The newest record of ownership is of another epoch than the one before. */
+  /** The newest ownership record has another epoch than the previous one. */
   OWNER_SEEN(8000, "Owner is {} at epoch {} by its {}"),
-  /** This VM's claim counts. */
+  /** This VM's claim was stored as the valid one, so this VM is the owner. */
   OWNERSHIP_WON(8001, "Ownership won at epoch {}"),
-  /** This VM owns no longer. */
+  /** This VM is no longer the owner. */
   OWNERSHIP_LOST(8002, "Ownership of epoch {} lost: {}"),
-  /** The jobs are loaded and decisions begin. */
+  /** The new owner has loaded the jobs and begins to schedule them. */
   OWNING(8003, "Deciding since epoch {}: {} open jobs, {} live runs, loaded in {} ms"),
   /** A newer configuration is in force. */
   CONFIGURATION_IN_FORCE(8004, "Configuration {} in force: {} queues, {} organisations"),
-  /** This VM owns and does not decide yet; told once a second. */
+  /** This VM is the owner but has not loaded all it needs; logged once a second. */
   TAKEOVER_UNDER_WAY(8005, "Take-over of epoch {} not complete after {} ms: waits for {}"),
-  /** A job is stored. */
+  /** A job was accepted and stored. */
   JOB_ACCEPTED(
       8010,
       "Job {} accepted: queue {} organisation {} tasks {} work {} core-s chain {} ms objective {} ms"),
-  /** A submission was not taken. */
+  /** A submission was refused. */
   JOB_REFUSED(8011, "Job {} refused: {}, come back after {} ms"),
-  /** What became of a submission is not known. */
+  /** It is not known whether a submission was stored. */
   JOB_UNDECIDED(8012, "Job {} undecided: {}"),
   /** A job reached its final state. */
   JOB_ENDED(8013, "Job {} ended {} after {} ms"),
-  /** A cancel came for a job that the owner does not know. */
+  /** A caller cancelled a job that the owner does not know. */
   UNKNOWN_JOB_CANCELLED(8014, "Cancel of job {}, which is not known"),
-  /** A job was handed in after its cancel. */
+  /** A job was submitted after it had been cancelled. */
   CANCELLED_JOB_ACCEPTED(8015, "Job {} accepted as cancelled: its cancel came before it"),
-  /** A run was placed and its start is being stored. */
+  /** A run was placed on an executor, and the placement is being stored. */
   RUN_PLACED(8020, "Run {} placed on {} in rack {}: {}, waited {} ms of {} ms to spare"),
-  /** An executor took a run. */
+  /** An executor confirmed the start of a run. */
   RUN_STARTED(8021, "Run {} started on {} after {} ms"),
-  /** A run was told to stop. */
+  /** The owner ordered a run to stop. */
   RUN_STOPPING(8022, "Run {} on {} is stopped: {}"),
   /** A run has ended. */
   RUN_ENDED(8023, "Run {} on {} ended {} at {} percent after {} ms"),
-  /** A run is known not to be alive although no end was seen. */
+  /** A run is known to be dead although its executor reported no end of it. */
   RUN_LOST(8024, "Run {} on {} lost: {}"),
-  /** An executor runs what the owner does not know. */
+  /** An executor reported a run that the owner does not know. */
   RUN_UNKNOWN(8025, "Run {} on {} is not wanted and is stopped"),
-  /** A run was on an executor that is lost. */
+  /** A run was lost together with its executor. */
   RUN_LOST_WITH_EXECUTOR(
       8026,
       "Run {} was on {} when it was lost: {}, age at its last answer {}, {} other runs there"),
-  /** A task is started no more, since it seems to crash the executors that start it. */
+  /** A task is not started again, since it seems to crash the executors that run it. */
   TASK_GIVEN_UP(
       8027,
       "Task {} given up: {} executors crashed soon after its start, {} later, {} were lost otherwise"),
-  /** The order to stop a run was answered, or was not in time. */
+  /** An order to stop a run was answered or timed out. */
   STOP_ORDER_ENDED(8028, "Stop of run {} on {}, order {}: {} after {} ms"),
-  /** An executor can be reached. */
+  /** An executor answered its first poll, or answers again. */
   EXECUTOR_REACHED(8030, "Executor {} reached, {} runs there"),
-  /** An executor does not answer. */
+  /** An executor does not answer polls. */
   EXECUTOR_SILENT(8031, "Executor {} silent: {}, {} runs there, leases end in {} ms"),
-  /** An executor is about to leave. */
+  /** An executor announced that it will leave. */
   EXECUTOR_LEAVING(8032, "Executor {} is leaving, {} runs there"),
-  /** An executor is gone. */
+  /** An executor is lost together with its runs. */
   EXECUTOR_GONE(8033, "Executor {} gone: {}, {} runs lost"),
-  /** An executor gets nothing new for a while. */
+  /** An executor is in backoff: it is given no new runs for a while. */
   EXECUTOR_RESTED(8034, "Executor {} rests for {} ms: {}"),
-  /** Work on an executor is slowed down, or speeds up again, for tasks that serve users. */
+  /** Runs on an executor are throttled, or released again, to protect tasks that serve users. */
   WORK_PACED(8035, "Work on {} is paced to {} percent: a task is at {} percent of its bound"),
-  /** The advice service told which executors may run a step. */
+  /** The advice service answered which executors may run a step. */
   ADVICE_GIVEN(8036, "Step {} may run on {} of {} executors, for {} ms"),
-  /** The advice service gave no answer. */
+  /** The advice service did not answer. */
   ADVICE_MISSING(8037, "No advice on step {}: {}"),
-  /** An executor is not listed any more, and nothing there is open. */
+  /** An executor was removed: it is no longer listed, and no run of it is unresolved. */
   EXECUTOR_FORGOTTEN(8038, "Executor {} forgotten: it is not listed, and nothing runs there"),
-  /** An executor has started again under the id that it had. */
+  /** An executor restarted under the same id. */
   EXECUTOR_RESTARTED(8039, "Executor {} started again as {}: told by its {}, {} runs there"),
-  /** A stored record cannot be read. */
+  /** A stored record cannot be decoded. */
   RECORD_UNREADABLE(8040, "Record {} cannot be read: {}");
 
   private final int number;
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchOwner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchOwner.java
@@ -34,45 +34,53 @@
 import org.fescuehook.model.fleet.ExecutorId;
 import org.fescuehook.model.preferences.BatchPreferences;
 
-/** The owner's work during one epoch. */
+/** Schedules the batch jobs during one epoch, in which this VM is their owner. */
 final class BatchOwner implements RunListener {
 
-  /** When callers come back at the soonest after a refusal. */
-  private static final long COME_BACK_MILLIS = 1000;
+  /** Shortest delay after which callers retry a refused call. */
+  private static final long MIN_RETRY_AFTER_MILLIS = 1000;
 
   /**
-   * When they come back at the latest: their few attempts then span some 12 s, the longest outage
-   * of the store that the users expect.
+   * Longest delay after which callers retry a refused call. Their few attempts then span about 12
+   * s, the longest outage of the store that the users expect.
    */
-  private static final long LATEST_COME_BACK_MILLIS = 3000;
+  private static final long MAX_RETRY_AFTER_MILLIS = 3000;
 
-  /** Part of the longest lease that is asked for; the rest covers the order's way. */
-  private static final Duration LEASE_SLACK = Duration.ofMillis(200);
+  /**
+   * Difference between the longest lease that an executor grants and the lease requested; it covers
+   * the time that an order takes to reach the executor.
+   */
+  private static final Duration LEASE_MARGIN = Duration.ofMillis(200);
 
   /**
-   * How long an owner that cannot reach the store goes on renewing leases. An outage of the store
-   * lasts some 10 s; another owner cannot exist while it lasts.
+   * How long an owner that cannot reach the store goes on renewing the leases of executors. An
+   * outage of the store lasts about 10 s, and no other VM can become the owner during it.
    */
   static final Duration ISOLATION_LIMIT = Duration.ofSeconds(10);
 
   /**
-   * Age of the store's last word above which a submission is refused and not sent, while the store
-   * is quick: what is sent without an answer leaves its caller uncertain.
+   * Age of the last store contact above which a submission is refused instead of sent to the store,
+   * provided that the store usually answers quickly. A submission that was sent and not answered
+   * leaves its caller uncertain whether it was accepted.
    */
-  private static final Duration REACHABLE = Duration.ofMillis(1200);
+  private static final Duration STORE_REACHABLE_AGE = Duration.ofMillis(1200);
 
-  /** How long a caller waits at most; calls that other VMs pass on do not tell it. */
-  private static final long CALLER_NANOS = Duration.ofMillis(2800).toNanos();
+  /**
+   * Longest time that a caller waits for an answer; calls forwarded by other VMs do not state it.
+   */
+  private static final long CALLER_TIMEOUT_NANOS = Duration.ofMillis(2800).toNanos();
 
-  /** Longest time without a plan; patience and due times are kept to it. */
-  private static final long PLAN_ANYWAY_NANOS = Duration.ofMillis(200).toNanos();
+  /**
+   * Longest time between two plans; it bounds the delay of start times and preemption deadlines.
+   */
+  private static final long MAX_PLAN_INTERVAL_NANOS = Duration.ofMillis(200).toNanos();
 
   /**
-   * Time between plans while more events wait. A plan with hundreds of waiting tasks takes 1 to 3
-   * ms on a third of a core; one for each event of a busy second would leave no time for the
-   * events.
+   * Time between two plans while further events are queued. A plan with hundreds of waiting tasks
+   * takes 1 to 3 ms on a third of a core; planning after each event of a busy second would leave no
+   * time for the events themselves.
    */
-  private static final long PLAN_BEHIND_NANOS = Duration.ofMillis(50).toNanos();
+  private static final long BUSY_PLAN_INTERVAL_NANOS = Duration.ofMillis(50).toNanos();
 
   private final BatchPreferences preferences;
   private final StateWriter writer;
@@ -103,7 +111,7 @@
     this.executors =
         new ExecutorDuty(
             epoch,
-            lease.minus(LEASE_SLACK),
+            lease.minus(LEASE_MARGIN),
             lease,
             ISOLATION_LIMIT.plus(lease).plus(lease.dividedBy(10)),
             this,
@@ -119,20 +127,20 @@
     jobs.retireGone(turn);
   }
 
-  /** Tells whether an executor or the store has shown that another VM owns now. */
+  /** Returns whether an executor or the store reported a higher epoch, hence a newer owner. */
   boolean fenced() {
     return fenced;
   }
 
-  /** Takes a newer configuration. */
+  /** Applies a newer configuration. */
   void configure(BatchConfiguration newer) {
     jobs.configure(newer);
     executors.serve(jobs.pools());
   }
 
   /**
-   * Takes in an entry of the list of executors. They write theirs each second or two, mostly the
-   * same; a plan for each of them takes more time than a weak VM has for a large fleet.
+   * Applies an entry of the list of executors. Executors rewrite their entries every second or two,
+   * mostly unchanged; planning for each of these would overload a weak VM with a large fleet.
    */
   void seen(ExecutorProfile profile, BatchTurn turn) {
     if (executors.seen(profile, turn)) {
@@ -140,51 +148,51 @@
     }
   }
 
-  /** Takes in that an executor is no longer listed. */
+  /** Marks an executor as no longer listed. */
   void unlisted(ExecutorId id) {
     executors.unlisted(id);
   }
 
-  /** Takes what became of an order. */
+  /** Applies the outcome of an order to an executor. */
   void orderEnded(ExecutorId id, long number, OrderOutcome outcome, BatchTurn turn) {
     if (executors.ended(id, number, outcome, turn)) {
       jobs.changed();
     }
   }
 
-  /** Takes what the advice service told. */
+  /** Applies an answer of the advice service. */
   void advised(long number, AdviceOutcome outcome, BatchTurn turn) {
     advice.answered(number, outcome, turn);
     jobs.changed();
   }
 
-  /** Takes what became of an append. */
+  /** Applies the outcome of an append to the job stream. */
   void appended(WriterPosition position, AppendOutcome outcome, BatchTurn turn) {
     if (!writer.answered(position, outcome, turn)) {
       fenced = true;
     }
   }
 
-  /** Accepts nothing more and starts nothing more. */
+  /** Refuses submissions and starts no runs from now on. */
   void beginStop() {
     stopping = true;
   }
 
-  /** Tells whether everything is stored. */
+  /** Returns whether all changes are stored. */
   boolean settled() {
     return writer.idle();
   }
 
   /**
-   * Does what is due.
+   * Performs the work that is due: answers calls, plans, sends orders and stores changes.
    *
-   * @param contact what the heartbeats have shown of the store
+   * @param contact how well the store can be reached, judged by the heartbeats
    */
   void step(StoreContact contact, BatchTurn turn) {
     long storeSeenAt = storeSeenAt(contact.confirmedAt());
-    // The stream of the jobs may be away while that of ownership is not.
-    long awaySince = Math.min(storeSeenAt, writer.troubleSince().orElse(storeSeenAt));
-    storeAgeMillis = Duration.ofNanos(turn.nowNanos() - awaySince).toMillis();
+    // The job stream may be unavailable while the ownership stream, with the heartbeats, is not.
+    long unreachableSince = Math.min(storeSeenAt, writer.troubleSince().orElse(storeSeenAt));
+    storeAgeMillis = Duration.ofNanos(turn.nowNanos() - unreachableSince).toMillis();
     writer.appendsToAnotherTake(contact.longestAppendNanos());
     writer.expire(turn);
     cancels.step(turn);
@@ -193,7 +201,7 @@
       executors.step(turn);
     }
     plans.startStored(turn);
-    boolean planNow = !turn.more() || turn.nowNanos() - plannedAt > PLAN_BEHIND_NANOS;
+    boolean planNow = !turn.more() || turn.nowNanos() - plannedAt > BUSY_PLAN_INTERVAL_NANOS;
     if (!stopping && planNow && jobs.takeChanged()) {
       plannedAt = turn.nowNanos();
       plans.step(turn);
@@ -205,7 +213,7 @@
   }
 
   /**
-   * Returns when the store could last be reached: by a heartbeat, or by an append of the jobs.
+   * Returns when the store was last reached, by a heartbeat or by an append to the job stream.
    * After an outage a heartbeat may hang for a second while jobs are stored again.
    */
   private long storeSeenAt(long heartbeatAt) {
@@ -213,9 +221,12 @@
     return storedAt - heartbeatAt > 0 ? storedAt : heartbeatAt;
   }
 
-  /** Has the next step plan also if nothing changed, for steps that became due. */
+  /**
+   * Requests a plan even if nothing changed, since the scheduled start time of a step may have
+   * come.
+   */
   void timePassed(BatchTurn turn) {
-    if (turn.nowNanos() - plannedAt > PLAN_ANYWAY_NANOS) {
+    if (turn.nowNanos() - plannedAt > MAX_PLAN_INTERVAL_NANOS) {
       jobs.changed();
     }
   }
@@ -230,7 +241,7 @@
         .ifPresent(id -> writer.put(JobCodec.earlyCancelKey(id), Optional::empty, () -> {}));
   }
 
-  /** Ends the epoch: who still waits is told what is known. */
+  /** Ends the epoch and answers all calls that still wait. */
   void close(BatchTurn turn) {
     writer.close();
     cancels.close();
@@ -240,16 +251,16 @@
   }
 
   /**
-   * Answers a call, at once or once it is stored.
+   * Handles a call; it is answered at once, or once its effect is stored.
    *
-   * @param contact what the heartbeats have shown of the store
+   * @param contact how well the store can be reached, judged by the heartbeats
    */
-  void called(BatchEvent.Called asked, StoreContact contact, BatchTurn turn) {
-    long ticket = asked.ticket();
-    BatchCall call = asked.call();
-    long until = turn.nowNanos() + asked.patience().toNanos();
-    // Before the key is looked at: a VM may repeat a submission whose key was taken away since.
-    if (call instanceof BatchCall.Submit submit && submissions.joined(ticket, submit.job())) {
+  void handleCall(BatchEvent.Called event, StoreContact contact, BatchTurn turn) {
+    long ticket = event.ticket();
+    BatchCall call = event.call();
+    long until = turn.nowNanos() + event.patience().toNanos();
+    // Before the API key is checked: a VM may repeat a submission whose key was revoked meanwhile.
+    if (call instanceof BatchCall.Submit submit && submissions.joinExisting(ticket, submit.job())) {
       return;
     }
     BatchConfiguration configuration = jobs.configuration();
@@ -265,13 +276,14 @@
     }
     switch (call) {
       case BatchCall.Submit submit -> {
-        Optional<RefusalCause> refusal = refusal(queue.get(), hopeless(asked, contact, turn));
+        Optional<RefusalCause> refusal =
+            refusal(queue.get(), cannotStoreInTime(event, contact, turn));
         if (refusal.isPresent()) {
           refuse(ticket, submit.job(), refusal.get(), turn);
           return;
         }
         String organisation = holder.map(KeyHolder::name).orElse("");
-        submissions.submit(ticket, submit, queue.get(), organisation, comeBackMillis(), turn);
+        submissions.submit(ticket, submit, queue.get(), organisation, retryAfterMillis(), turn);
       }
       case BatchCall.Status status -> status(new JobQuery(ticket, status.job(), until), turn);
       case BatchCall.Cancel cancel ->
@@ -281,11 +293,11 @@
     }
   }
 
-  /** Tells whether a submission could not be stored while its caller waits. */
-  private boolean hopeless(BatchEvent.Called asked, StoreContact contact, BatchTurn turn) {
+  /** Returns whether a submission cannot be stored within the time that its caller waits. */
+  private boolean cannotStoreInTime(BatchEvent.Called event, StoreContact contact, BatchTurn turn) {
     long ageNanos = turn.nowNanos() - storeSeenAt(contact.confirmedAt());
-    boolean away = ageNanos > contact.nearNanos(REACHABLE) || writer.storeAway(turn);
-    long waitsNanos = Math.min(asked.patience().toNanos(), CALLER_NANOS);
+    boolean away = ageNanos > contact.nearNanos(STORE_REACHABLE_AGE) || writer.storeAway(turn);
+    long waitsNanos = Math.min(event.patience().toNanos(), CALLER_TIMEOUT_NANOS);
     return away || writer.storedInNanos(contact.lastAppendNanos(), turn) > waitsNanos;
   }
 
@@ -293,33 +305,36 @@
     ready.add(new BatchCommand.Answer(ticket, answer));
   }
 
-  private Optional<RefusalCause> refusal(JobQueue queue, boolean hopeless) {
+  private Optional<RefusalCause> refusal(JobQueue queue, boolean cannotStoreInTime) {
     if (stopping) {
       return Optional.of(RefusalCause.STOPPING);
     }
     if (queue.advised() && !preferences.adviceAvailable()) {
       return Optional.of(RefusalCause.UNSUPPORTED);
     }
-    return hopeless ? Optional.of(RefusalCause.STORE_AWAY) : Optional.empty();
+    return cannotStoreInTime ? Optional.of(RefusalCause.STORE_AWAY) : Optional.empty();
   }
 
   private void refuse(long ticket, String id, RefusalCause cause, BatchTurn turn) {
-    turn.note(BatchLogEvent.JOB_REFUSED, id, cause, comeBackMillis());
+    turn.note(BatchLogEvent.JOB_REFUSED, id, cause, retryAfterMillis());
     turn.count("fescuehook.batch.refused", "cause", cause.tag());
-    answer(ticket, new CallAnswer.Refused(cause, comeBackMillis()));
+    answer(ticket, new CallAnswer.Refused(cause, retryAfterMillis()));
   }
 
-  /** Returns when to come back: an outage that has lasted a while will last about as long again. */
-  private long comeBackMillis() {
-    return Math.clamp(storeAgeMillis, COME_BACK_MILLIS, LATEST_COME_BACK_MILLIS);
+  /**
+   * Returns the delay after which callers shall retry: the age of the last store contact, since an
+   * outage usually lasts about as long again as it has lasted.
+   */
+  private long retryAfterMillis() {
+    return Math.clamp(storeAgeMillis, MIN_RETRY_AFTER_MILLIS, MAX_RETRY_AFTER_MILLIS);
   }
 
-  private void status(JobQuery question, BatchTurn turn) {
-    Optional<JobPhase> phase = jobs.book().shown(question.job());
+  private void status(JobQuery query, BatchTurn turn) {
+    Optional<JobPhase> phase = jobs.book().shown(query.job());
     if (phase.isPresent()) {
-      answer(question.ticket(), new CallAnswer.Phase(phase.get()));
+      answer(query.ticket(), new CallAnswer.Phase(phase.get()));
     } else {
-      unknownJobs.ask(question, turn);
+      unknownJobs.ask(query, turn);
     }
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchTurn.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchTurn.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.fescuehook.model.event.NumberedEvent;
 
-/** One event being applied: its time, and the commands that it gives. */
+/** The context of one event being applied: its time, and the commands that result from it. */
 public final class BatchTurn {
 
   private final long nowNanos;
@@ -13,7 +13,7 @@
   private final List<BatchCommand> commands = new ArrayList<>();
 
   /**
-   * Begins a turn.
+   * Creates the context of an event after which no other event waits.
    *
    * @param nowNanos monotonic time
    * @param wallMillis milliseconds since 1970
@@ -23,11 +23,11 @@
   }
 
   /**
-   * Begins a turn.
+   * Creates the context of an event.
    *
    * @param nowNanos monotonic time
    * @param wallMillis milliseconds since 1970
-   * @param more whether further events wait already
+   * @param more whether further events are queued
    */
   public BatchTurn(long nowNanos, long wallMillis, boolean more) {
     this.nowNanos = nowNanos;
@@ -35,42 +35,45 @@
     this.more = more;
   }
 
-  /** Tells whether further events wait already, so that costly work may be done once for all. */
+  /**
+   * Returns whether further events are queued. Expensive work such as planning can then be
+   * postponed and done once for all of them.
+   */
   public boolean more() {
     return more;
   }
 
-  /** Returns the monotonic time in nanoseconds. */
+  /** Returns the monotonic time of the event, in nanoseconds. */
   public long nowNanos() {
     return nowNanos;
   }
 
-  /** Returns milliseconds since 1970. */
+  /** Returns the wall-clock time of the event, in milliseconds since 1970. */
   public long wallMillis() {
     return wallMillis;
   }
 
-  /** Adds a command; commands are carried out in order. */
+  /** Adds a command; commands are executed in the order of their addition. */
   public void add(BatchCommand command) {
     commands.add(command);
   }
 
-  /** Has an event logged. */
+  /** Adds a command that logs an event. */
   public void note(NumberedEvent event, Object... arguments) {
     commands.add(new BatchCommand.Note(event, List.of(arguments)));
   }
 
-  /** Has a counter incremented. */
+  /** Adds a command that increments a counter. */
   public void count(String metric, String tag, String value) {
     commands.add(new BatchCommand.Count(metric, tag, value));
   }
 
-  /** Measures how long a stage of a job or run took. */
+  /** Adds a command that records the duration of a stage of a job or run. */
   public void stage(String stage, long nanos) {
     add(new BatchCommand.Measure("fescuehook.batch.stage", "stage", stage, nanos));
   }
 
-  /** Returns the commands so far. */
+  /** Returns the commands added so far. */
   public List<BatchCommand> commands() {
     return List.copyOf(commands);
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/CancelHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/CancelHandler.java
@@ -13,9 +13,9 @@
 import org.fescuehook.logic.batch.state.OpenJob;
 
 /**
- * Cancels of jobs: confirmed once the store has them and the executors have taken the stops, so
- * that nothing of the job goes on whatever becomes of this owner; undecided if the epoch ends
- * before.
+ * Handles cancels of jobs. A cancel is confirmed once it is stored and the executors have
+ * acknowledged the stops of the job's runs, so that none of them continues even if this owner
+ * fails. If the epoch ends before, the answer is "undecided".
  */
 final class CancelHandler {
 
@@ -23,23 +23,23 @@
   private final SubmissionHandler submissions;
   private final List<BatchCommand> ready;
 
-  /** Tickets of cancels that are on their way to the store. */
+  /** Tickets of cancels that are being stored. */
   private final Set<Long> awaitingStore = new LinkedHashSet<>();
 
-  /** Cancels that are stored. */
-  private final List<Stopping> awaitingStops = new ArrayList<>();
+  /** Cancels that are stored and wait for the runs of their jobs to stop. */
+  private final List<StoredCancel> awaitingStops = new ArrayList<>();
 
   /**
-   * A cancel that waits for the runs of its job.
+   * A cancel that waits for the runs of its job to stop.
    *
-   * @param runs those that may go on
+   * @param runs the runs that may still continue
    */
-  private record Stopping(JobQuery cancel, List<LiveRun> runs) {}
+  private record StoredCancel(JobQuery cancel, List<LiveRun> runs) {}
 
   /**
-   * Creates a desk without cancels.
+   * Creates a handler without cancels.
    *
-   * @param ready takes answers for the next turn
+   * @param ready list to which answers are added; the owner sends them with its next step
    */
   CancelHandler(JobDuty jobs, SubmissionHandler submissions, List<BatchCommand> ready) {
     this.jobs = jobs;
@@ -48,28 +48,28 @@
   }
 
   /**
-   * Cancels jobs whose submissions have been decided since their cancels came, and confirms the
-   * cancels whose jobs have been stopped.
+   * Performs the cancels that had to wait for the outcome of their job's submission, and confirms
+   * the cancels whose jobs have stopped.
    */
   void step(BatchTurn turn) {
     submissions.takeDueCancels().forEach(due -> cancel(due, turn));
-    Iterator<Stopping> waiting = awaitingStops.iterator();
+    Iterator<StoredCancel> waiting = awaitingStops.iterator();
     while (waiting.hasNext()) {
-      Stopping next = waiting.next();
+      StoredCancel next = waiting.next();
       next.runs().removeIf(run -> !jobs.goesOn(run, turn));
       if (next.runs().isEmpty()) {
         answer(next.cancel().ticket(), new CallAnswer.Cancelled());
         waiting.remove();
       } else if (turn.nowNanos() - next.cancel().until() >= 0) {
-        // Its caller has been told that it is undecided.
+        // The caller has stopped waiting and takes the cancel for undecided.
         waiting.remove();
       }
     }
   }
 
-  /** Takes a cancel. */
+  /** Handles a cancel. */
   void cancel(JobQuery cancel, BatchTurn turn) {
-    if (submissions.cancelledMeanwhile(cancel)) {
+    if (submissions.deferCancel(cancel)) {
       return;
     }
     Optional<OpenJob> job = jobs.book().open(cancel.job());
@@ -80,7 +80,7 @@
     awaitingStore.add(cancel.ticket());
     Runnable stored = () -> stored(cancel);
     if (!job.get().open()) {
-      // Its end may be on its way to the store.
+      // The job has ended, but its end may not be stored yet.
       jobs.persist(job.get(), stored);
       return;
     }
@@ -88,9 +88,9 @@
   }
 
   /**
-   * Answers the cancel of a job that is over, or not known. Its submission may still come, as
-   * callers and VMs repeat what had no answer; so the store remembers the cancel before the caller
-   * is told that there is no such job.
+   * Handles the cancel of a job that has ended or is not known. The submission of an unknown job
+   * may still arrive, as callers and VMs repeat unanswered calls; so the cancel is stored before
+   * the caller is told that the job does not exist.
    */
   private void cancelEarly(JobQuery cancel, BatchTurn turn) {
     if (jobs.book().shown(cancel.job()).isPresent()) {
@@ -112,11 +112,14 @@
   private void stored(JobQuery cancel) {
     if (awaitingStore.remove(cancel.ticket())) {
       List<LiveRun> runs = jobs.book().open(cancel.job()).map(OpenJob::liveRuns).orElse(List.of());
-      awaitingStops.add(new Stopping(cancel, new ArrayList<>(runs)));
+      awaitingStops.add(new StoredCancel(cancel, new ArrayList<>(runs)));
     }
   }
 
-  /** Ends the epoch. Jobs may have ended in the store or not; the next owner ends them. */
+  /**
+   * Ends the epoch and answers all waiting cancels as undecided: whether they were stored may not
+   * be known. The next owner goes on with those that were.
+   */
   void close() {
     CallAnswer undecided = new CallAnswer.Undecided(UndecidedCause.OWNERSHIP_LOST);
     submissions.takeDueCancels().forEach(due -> answer(due.ticket(), undecided));
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/JobQuery.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/JobQuery.java
@@ -1,8 +1,9 @@
 package org.fescuehook.logic.batch;
 
 /**
- * A question about a job, or its cancel, whose answer may have to wait.
+ * A status request or a cancel of a job, which may not be answered at once.
  *
- * @param until how long an answer is of use, monotonic time in nanoseconds
+ * @param job id of the job
+ * @param until when its caller stops waiting for the answer, monotonic time in nanoseconds
  */
 record JobQuery(long ticket, String job, long until) {}
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/SubmissionHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/SubmissionHandler.java
@@ -19,21 +19,23 @@
 import org.fescuehook.model.batch.JobQueue;
 
 /**
- * Submissions on their way to the store: accepted once stored, refused if they surely are not, and
- * undecided otherwise. The same id again joins the submission under way.
+ * Handles submissions: a submission is accepted once it is stored, refused if it is certain not to
+ * be stored, and undecided otherwise. A repeated submission of the same job id joins the pending
+ * one and gets the same answer.
  */
 final class SubmissionHandler {
 
   private final JobDuty jobs;
   private final StateWriter writer;
   private final List<BatchCommand> ready;
-  private final Map<String, PendingSubmission> underWay = new LinkedHashMap<>();
+  private final Map<String, PendingSubmission> pending = new LinkedHashMap<>();
   private final List<JobQuery> dueCancels = new ArrayList<>();
 
   /**
-   * Creates a desk without submissions.
+   * Creates a handler without submissions.
    *
-   * @param ready takes answers and events for the next turn
+   * @param ready list to which answers and log events are added; the owner sends them with its next
+   *     step
    */
   SubmissionHandler(JobDuty jobs, StateWriter writer, List<BatchCommand> ready) {
     this.jobs = jobs;
@@ -41,13 +43,18 @@
     this.ready = ready;
   }
 
-  /** Tells whether a submission is a repetition: of a stored job, or of one on its way there. */
-  boolean joined(long ticket, String id) {
+  /**
+   * Answers a submission that repeats an accepted job, or joins it to the pending submission of the
+   * same job.
+   *
+   * @return false if it is not a repetition
+   */
+  boolean joinExisting(long ticket, String id) {
     if (jobs.book().shown(id).isPresent()) {
       answer(ticket, new CallAnswer.Accepted());
       return true;
     }
-    PendingSubmission earlier = underWay.get(id);
+    PendingSubmission earlier = pending.get(id);
     if (earlier == null) {
       return false;
     }
@@ -58,58 +65,62 @@
   /**
    * Sends a submission to the store.
    *
-   * @param comeBackMillis when its caller comes back if the store does not take it
+   * @param retryAfterMillis delay after which its caller shall retry if it is not stored
    */
   void submit(
       long ticket,
       BatchCall.Submit submit,
       JobQueue queue,
       String organisation,
-      long comeBackMillis,
+      long retryAfterMillis,
       BatchTurn turn) {
     String id = submit.job();
     Optional<JobBook.EndedJob> cancelled = jobs.book().earlyCancel(id);
     if (cancelled.isPresent()) {
-      submitCancelled(ticket, id, cancelled.get(), comeBackMillis, turn);
+      submitCancelled(ticket, id, cancelled.get(), retryAfterMillis, turn);
       return;
     }
     BatchJob job = new BatchJob(id, queue, organisation, turn.wallMillis(), submit.submission());
-    underWay.put(id, PendingSubmission.of(ticket));
+    pending.put(id, PendingSubmission.of(ticket));
     writer.putRefusable(
         JobCodec.jobKey(id),
         () -> Optional.of(JobCodec.encode(job)),
         () -> accepted(job),
-        loss -> notAccepted(id, loss, comeBackMillis),
+        loss -> notAccepted(id, loss, retryAfterMillis),
         turn);
   }
 
-  /** Accepts a job whose cancel came before it: it has ended from the beginning. */
+  /** Accepts a job that was cancelled before it was submitted: it is stored as ended. */
   private void submitCancelled(
-      long ticket, String id, JobBook.EndedJob cancelled, long comeBackMillis, BatchTurn turn) {
-    underWay.put(id, PendingSubmission.of(ticket));
+      long ticket, String id, JobBook.EndedJob cancelled, long retryAfterMillis, BatchTurn turn) {
+    pending.put(id, PendingSubmission.of(ticket));
     writer.putRefusable(
         JobCodec.progressKey(id),
         () -> Optional.of(JobCodec.encodeEnd(cancelled)),
         () -> {
           jobs.book().addEnded(id, cancelled, turn.nowNanos());
           note(BatchLogEvent.CANCELLED_JOB_ACCEPTED, id);
-          decided(id, new CallAnswer.Accepted());
+          complete(id, new CallAnswer.Accepted());
         },
-        loss -> notAccepted(id, loss, comeBackMillis),
+        loss -> notAccepted(id, loss, retryAfterMillis),
         turn);
   }
 
-  /** Keeps a cancel of a submission under way until that is decided; false if there is none. */
-  boolean cancelledMeanwhile(JobQuery cancel) {
-    PendingSubmission waiters = underWay.get(cancel.job());
-    if (waiters == null) {
+  /**
+   * Keeps a cancel until the pending submission of its job has an outcome.
+   *
+   * @return false if no submission of the job is pending
+   */
+  boolean deferCancel(JobQuery cancel) {
+    PendingSubmission pendingSubmission = pending.get(cancel.job());
+    if (pendingSubmission == null) {
       return false;
     }
-    waiters.cancels().add(cancel);
+    pendingSubmission.cancels().add(cancel);
     return true;
   }
 
-  /** Returns, once, the cancels whose submissions have been decided. */
+  /** Removes and returns the cancels that waited for a submission which now has an outcome. */
   List<JobQuery> takeDueCancels() {
     List<JobQuery> due = List.copyOf(dueCancels);
     dueCancels.clear();
@@ -129,26 +140,26 @@
         Math.round(job.submission().estimatedCoreSeconds()),
         chain,
         job.queue().objectiveMillis(chain));
-    decided(job.id(), new CallAnswer.Accepted());
+    complete(job.id(), new CallAnswer.Accepted());
   }
 
-  private void notAccepted(String id, CommitLoss loss, long comeBackMillis) {
+  private void notAccepted(String id, CommitLoss loss, long retryAfterMillis) {
     switch (loss) {
       case NOT_STORED -> {
-        note(BatchLogEvent.JOB_REFUSED, id, loss, comeBackMillis);
-        decided(id, new CallAnswer.Refused(RefusalCause.STORE_AWAY, comeBackMillis));
+        note(BatchLogEvent.JOB_REFUSED, id, loss, retryAfterMillis);
+        complete(id, new CallAnswer.Refused(RefusalCause.STORE_AWAY, retryAfterMillis));
       }
       case UNKNOWN -> {
         note(BatchLogEvent.JOB_UNDECIDED, id, loss);
-        decided(id, new CallAnswer.Undecided(UndecidedCause.OWNERSHIP_LOST));
+        complete(id, new CallAnswer.Undecided(UndecidedCause.OWNERSHIP_LOST));
       }
     }
   }
 
-  private void decided(String id, CallAnswer answer) {
-    PendingSubmission waiters = underWay.remove(id);
-    waiters.tickets().forEach(ticket -> answer(ticket, answer));
-    dueCancels.addAll(waiters.cancels());
+  private void complete(String id, CallAnswer answer) {
+    PendingSubmission pendingSubmission = pending.remove(id);
+    pendingSubmission.tickets().forEach(ticket -> answer(ticket, answer));
+    dueCancels.addAll(pendingSubmission.cancels());
   }
 
   private void answer(long ticket, CallAnswer answer) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/Takeover.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/Takeover.java
@@ -20,42 +20,45 @@
 import org.fescuehook.logic.batch.store.WriterPosition;
 
 /**
- * What a new owner does before it decides: it shuts the former owner out of the jobs' stream by
- * raising the stream's epoch, and then reads the jobs.
+ * The first phase of a new owner, before it schedules: it fences the previous owner off by raising
+ * the epoch of the job stream, and then loads all jobs from the stream.
  */
 final class Takeover {
 
-  /** Pause before a step that the store did not take is repeated. */
+  /** Delay before a failed call to the store is retried. */
   private static final long RETRY_NANOS = Duration.ofMillis(100).toNanos();
 
   /**
-   * How long a take-over may go without a step forward. A page of 1 MB takes 1.2 s over a link of 7
-   * Mbit/s, and about as long to read on a third of a core.
+   * Longest time that a takeover may go without progress. A page of 1 MB takes 1.2 s over a link of
+   * 7 Mbit/s, and about as long to decode on a third of a core.
    */
   private static final long STALL_NANOS = Duration.ofSeconds(5).toNanos();
 
-  /** Exchanges with the store that fit into it; a step may wait for its turn, and be repeated. */
+  /**
+   * Number of the longest recent store appends that the time without progress must allow for: a
+   * call may have to wait for another one, and be repeated once.
+   */
   private static final int STALL_APPENDS = 3;
 
-  /** Time between two log events that the take-over is not complete. */
-  private static final long TELL_NANOS = Duration.ofSeconds(1).toNanos();
+  /** Time between two log events about a takeover that is not complete. */
+  private static final long LOG_INTERVAL_NANOS = Duration.ofSeconds(1).toNanos();
 
   private final long epoch;
   private final long startedAt;
   private final Map<String, byte[]> records = new LinkedHashMap<>();
   private boolean fenced;
-  private final Outstanding underWay = new Outstanding(Outstanding.PAGE);
+  private final Outstanding pendingCall = new Outstanding(Outstanding.PAGE);
   private boolean loaded;
   private Optional<String> afterKey = Optional.empty();
   private long retryAt;
-  private long toldAt;
+  private long loggedAt;
   private long progressAt;
 
   Takeover(long epoch, BatchTurn turn) {
     this.epoch = epoch;
     this.startedAt = turn.nowNanos();
     this.retryAt = turn.nowNanos();
-    this.toldAt = turn.nowNanos();
+    this.loggedAt = turn.nowNanos();
     this.progressAt = turn.nowNanos();
   }
 
@@ -71,22 +74,22 @@
     return loaded;
   }
 
-  /** Tells whether nothing that it waits for has come for a while. */
+  /** Returns whether the takeover has made no progress for too long. */
   boolean stalled(StoreContact contact, BatchTurn turn) {
     long longest = Math.max(STALL_NANOS, STALL_APPENDS * contact.longestAppendNanos());
     return turn.nowNanos() - progressAt > longest;
   }
 
-  /** Has the time without a step forward count from now, as nobody could have made one. */
-  void excuse(BatchTurn turn) {
+  /** Restarts the time without progress, as no VM could have made progress up to now. */
+  void resetStallTimer(BatchTurn turn) {
     progressAt = turn.nowNanos();
   }
 
   void step(BatchTurn turn) {
-    if (underWay.present(turn) || loaded || turn.nowNanos() - retryAt < 0) {
+    if (pendingCall.present(turn) || loaded || turn.nowNanos() - retryAt < 0) {
       return;
     }
-    underWay.begin(turn);
+    pendingCall.begin(turn);
     if (!fenced) {
       turn.add(
           new BatchCommand.Append(
@@ -97,29 +100,33 @@
   }
 
   /**
-   * Tells once a second what an owner that does not decide yet waits for.
+   * Logs once a second what the takeover waits for.
    *
-   * @param missing what it lacks besides the jobs; empty if nothing
+   * @param missing what the new owner lacks besides the jobs
    */
-  void tellWhatIsMissing(String missing, BatchTurn turn) {
-    if (turn.nowNanos() - toldAt < TELL_NANOS) {
+  void logProgress(String missing, BatchTurn turn) {
+    if (turn.nowNanos() - loggedAt < LOG_INTERVAL_NANOS) {
       return;
     }
-    toldAt = turn.nowNanos();
+    loggedAt = turn.nowNanos();
     long millis = Duration.ofNanos(turn.nowNanos() - startedAt).toMillis();
-    turn.note(BatchLogEvent.TAKEOVER_UNDER_WAY, epoch, millis, loaded ? missing : missingOfJobs());
+    turn.note(BatchLogEvent.TAKEOVER_UNDER_WAY, epoch, millis, loaded ? missing : missingJobs());
   }
 
-  private String missingOfJobs() {
+  private String missingJobs() {
     return fenced ? "jobs, " + records.size() + " records read" : "the epoch of the jobs' stream";
   }
 
-  /** Takes the outcome of raising the epoch; false if another owner has come. */
+  /**
+   * Applies the outcome of the append that raises the epoch of the job stream.
+   *
+   * @return false if the stream has a higher epoch, hence a newer owner
+   */
   boolean answered(WriterPosition position, AppendOutcome outcome, BatchTurn turn) {
     if (position.epoch() != epoch || fenced) {
       return true;
     }
-    underWay.end();
+    pendingCall.end();
     return switch (outcome) {
       case AppendOutcome.Stored stored -> {
         fenced = true;
@@ -135,17 +142,22 @@
   }
 
   private boolean retry(BatchTurn turn) {
-    underWay.end();
+    pendingCall.end();
     retryAt = turn.nowNanos() + RETRY_NANOS;
     return true;
   }
 
-  /** Takes a page; one that a former take-over asked for may lack what was accepted since. */
-  void read(long askedIn, List<KeyedRecord> page, Optional<String> more, BatchTurn turn) {
-    if (askedIn != epoch || loaded) {
+  /**
+   * Adds a page of the job stream.
+   *
+   * @param requestedIn epoch of the takeover that requested the page; a page requested by an
+   *     earlier takeover is ignored, since it may lack jobs accepted after it was read
+   */
+  void read(long requestedIn, List<KeyedRecord> page, Optional<String> more, BatchTurn turn) {
+    if (requestedIn != epoch || loaded) {
       return;
     }
-    underWay.end();
+    pendingCall.end();
     progressAt = turn.nowNanos();
     for (KeyedRecord record : page) {
       record.value().ifPresent(value -> records.put(record.key(), value));
@@ -154,18 +166,18 @@
     loaded = more.isEmpty();
   }
 
-  void unreadable(long askedIn, BatchTurn turn) {
-    if (askedIn == epoch) {
+  void unreadable(long requestedIn, BatchTurn turn) {
+    if (requestedIn == epoch) {
       retry(turn);
     }
   }
 
-  /** Builds the jobs from what was read; a record that cannot be read is left out and logged. */
+  /** Decodes the loaded records; a record that cannot be decoded is logged and left out. */
   JobBook book(BatchTurn turn) {
     JobBook book = new JobBook();
     for (Map.Entry<String, byte[]> entry : records.entrySet()) {
       try {
-        take(entry.getKey(), entry.getValue(), book, turn);
+        decode(entry.getKey(), entry.getValue(), book, turn);
       } catch (UnreadableRecordException e) {
         turn.note(BatchLogEvent.RECORD_UNREADABLE, entry.getKey(), e.getMessage());
       }
@@ -173,18 +185,18 @@
     return sorted(book);
   }
 
-  private void take(String key, byte[] value, JobBook book, BatchTurn turn)
+  private void decode(String key, byte[] value, JobBook book, BatchTurn turn)
       throws UnreadableRecordException {
     Optional<String> accepted = JobCodec.jobOf(key);
     if (accepted.isPresent()) {
       book.add(job(accepted.get(), value, turn));
       return;
     }
-    Optional<String> over = JobCodec.endedJobOf(key);
-    if (over.isPresent()) {
-      // Without a progress nothing is known to run, and the job is not to be run again.
-      if (records.containsKey(JobCodec.progressKey(over.get()))) {
-        book.add(job(over.get(), value, turn));
+    Optional<String> ended = JobCodec.endedJobOf(key);
+    if (ended.isPresent()) {
+      // Without a progress record no run is known, and the job must not be started again.
+      if (records.containsKey(JobCodec.progressKey(ended.get()))) {
+        book.add(job(ended.get(), value, turn));
       }
       return;
     }
@@ -210,7 +222,9 @@
     return job;
   }
 
-  /** The store returns keys in its own order; jobs are kept in the order of their acceptance. */
+  /**
+   * Sorts the open jobs by the time of their acceptance; the store returns keys in its own order.
+   */
   private static JobBook sorted(JobBook book) {
     List<OpenJob> jobs = new ArrayList<>(book.openJobs());
     jobs.sort(
@@ -220,7 +234,7 @@
     return sorted;
   }
 
-  /** Returns the live runs of all jobs, also of those that have ended. */
+  /** Returns the live runs of all loaded jobs, including jobs that have ended. */
   static List<LiveRun> inheritedRuns(JobBook book) {
     return book.openJobs().stream().flatMap(job -> job.liveRuns().stream()).toList();
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/UnknownJobHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/UnknownJobHandler.java
@@ -11,60 +11,64 @@
 import org.fescuehook.model.batch.JobPhase;
 
 /**
- * Questions about jobs that this owner does not know. Another VM may have taken over and accepted
- * the job, so "no such job" is said only once the store has confirmed this owner after the question
- * came. That takes one heartbeat, which a slow store delays by seconds; so a question waits as long
- * as an answer is of use.
+ * Answers status requests about jobs that this owner does not know. Another VM may have taken over
+ * and accepted the job, so "no such job" is answered only after the store has confirmed a heartbeat
+ * of this owner that was sent after the request arrived. A slow store delays heartbeats by seconds;
+ * so a request waits for as long as its caller does.
  */
 final class UnknownJobHandler {
 
-  /** The time that a refusal keeps for its way, so that it comes before the caller gives up. */
-  private static final long WAY_NANOS = Duration.ofMillis(100).toNanos();
+  /**
+   * How long before the caller stops waiting the request is refused, so that the refusal reaches
+   * the caller in time.
+   */
+  private static final long ANSWER_MARGIN_NANOS = Duration.ofMillis(100).toNanos();
 
-  private static final long COME_BACK_MILLIS = 1000;
+  private static final long RETRY_AFTER_MILLIS = 1000;
 
-  private final List<Open> open = new ArrayList<>();
+  private final List<WaitingQuery> waiting = new ArrayList<>();
 
-  private record Open(JobQuery question, long askedAt) {}
+  private record WaitingQuery(JobQuery query, long askedAt) {}
 
-  /** Takes a question. */
-  void ask(JobQuery question, BatchTurn turn) {
-    open.add(new Open(question, turn.nowNanos()));
+  /** Adds a status request. */
+  void ask(JobQuery query, BatchTurn turn) {
+    waiting.add(new WaitingQuery(query, turn.nowNanos()));
   }
 
   /**
-   * Answers what can be answered, in the order of the questions.
+   * Answers the requests that can be answered, in the order of their arrival.
    *
    * @param confirmedAt when the last heartbeat that the store confirmed was sent, monotonic time
-   * @param shown looks a job up, which may have been accepted since the question
+   * @param lookup looks up a job, which may have been accepted since the request arrived
    */
-  void step(long confirmedAt, Function<String, Optional<JobPhase>> shown, BatchTurn turn) {
-    Iterator<Open> questions = open.iterator();
-    while (questions.hasNext()) {
-      Open next = questions.next();
-      JobQuery question = next.question();
+  void step(long confirmedAt, Function<String, Optional<JobPhase>> lookup, BatchTurn turn) {
+    Iterator<WaitingQuery> queries = waiting.iterator();
+    while (queries.hasNext()) {
+      WaitingQuery next = queries.next();
+      JobQuery query = next.query();
       if (confirmedAt - next.askedAt() > 0) {
-        Optional<CallAnswer> phase = shown.apply(question.job()).map(CallAnswer.Phase::new);
-        answer(question, phase.orElseGet(CallAnswer.NoSuchJob::new), turn);
-        questions.remove();
-      } else if (turn.nowNanos() - question.until() >= -WAY_NANOS) {
-        answer(question, refusal(RefusalCause.STORE_AWAY), turn);
-        questions.remove();
+        Optional<CallAnswer> phase = lookup.apply(query.job()).map(CallAnswer.Phase::new);
+        answer(query, phase.orElseGet(CallAnswer.NoSuchJob::new), turn);
+        queries.remove();
+      } else if (turn.nowNanos() - query.until() >= -ANSWER_MARGIN_NANOS) {
+        answer(query, refusal(RefusalCause.STORE_AWAY), turn);
+        queries.remove();
       }
     }
   }
 
-  /** Ends with the epoch: the next owner knows. */
+  /** Ends the epoch and refuses all waiting requests, so that callers ask the next owner. */
   void close(BatchTurn turn) {
-    open.forEach(left -> answer(left.question(), refusal(RefusalCause.NOT_OWNER), turn));
-    open.clear();
+    waiting.forEach(
+        unanswered -> answer(unanswered.query(), refusal(RefusalCause.NOT_OWNER), turn));
+    waiting.clear();
   }
 
   private static CallAnswer refusal(RefusalCause cause) {
-    return new CallAnswer.Refused(cause, COME_BACK_MILLIS);
+    return new CallAnswer.Refused(cause, RETRY_AFTER_MILLIS);
   }
 
-  private static void answer(JobQuery question, CallAnswer answer, BatchTurn turn) {
-    turn.add(new BatchCommand.Answer(question.ticket(), answer));
+  private static void answer(JobQuery query, CallAnswer answer, BatchTurn turn) {
+    turn.add(new BatchCommand.Answer(query.ticket(), answer));
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Decides about batch jobs: one entry VM owns them, stores each decision and orders the executors.
+ * Schedules batch jobs: one entry VM owns them, stores each decision and sends orders to executors.
  */
 @NullMarked
 package org.fescuehook.logic.batch;
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/TakeoverProgressTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/TakeoverProgressTest.java
@@ -40,7 +40,7 @@
 
   private List<Object> told(long millis) {
     BatchTurn turn = at(millis);
-    takeover.tellWhatIsMissing("executors", turn);
+    takeover.logProgress("executors", turn);
     return turn.commands().stream()
         .map(BatchCommand.Note.class::cast)
         .flatMap(note -> note.arguments().stream())
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/UnknownJobHandlerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/UnknownJobHandlerTest.java
@@ -20,7 +20,7 @@
  */
 class UnknownJobHandlerTest {
 
-  private final UnknownJobHandler desk = new UnknownJobHandler();
+  private final UnknownJobHandler handler = new UnknownJobHandler();
   private final Map<String, Optional<JobPhase>> accepted =
       new HashMap<>(Map.of("a1", Optional.empty(), "a2", Optional.empty()));
 
@@ -33,12 +33,12 @@
   }
 
   private void ask(long ticket, String job, long nowMillis, long patienceMillis) {
-    desk.ask(new JobQuery(ticket, job, nanos(nowMillis + patienceMillis)), at(nowMillis));
+    handler.ask(new JobQuery(ticket, job, nanos(nowMillis + patienceMillis)), at(nowMillis));
   }
 
   private List<BatchCommand> step(long nowMillis, long confirmedMillis) {
     BatchTurn turn = at(nowMillis);
-    desk.step(nanos(confirmedMillis), accepted::get, turn);
+    handler.step(nanos(confirmedMillis), accepted::get, turn);
     return turn.commands();
   }
 
@@ -85,7 +85,7 @@
   void questionsAreRefusedWhenTheEpochEnds() {
     ask(1, "a1", 100, 900);
     BatchTurn turn = at(200);
-    desk.close(turn);
+    handler.close(turn);
     assertEquals(List.of(answer(1, refused(RefusalCause.NOT_OWNER))), turn.commands());
   }
 }
