--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchCore.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchCore.java
@@ -222,8 +222,8 @@
     if (stoppingSince.isEmpty() || retired) {
       return;
     }
-    boolean settled = owner.map(BatchOwner::settled).orElse(true);
-    if (settled || turn.nowNanos() - stoppingSince.getAsLong() > STOP_TIMEOUT_NANOS) {
+    boolean allStored = owner.map(BatchOwner::allStored).orElse(true);
+    if (allStored || turn.nowNanos() - stoppingSince.getAsLong() > STOP_TIMEOUT_NANOS) {
       retired = true;
       ownership.retire(turn);
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchOwner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchOwner.java
@@ -41,8 +41,8 @@
   private static final long MIN_RETRY_AFTER_MILLIS = 1000;
 
   /**
-   * Longest delay after which callers retry a refused call. Their few attempts then span about 12
-   * s, the longest outage of the store that the users expect.
+   * Longest delay after which callers retry a refused call. With it, their few attempts span about
+   * 12 s, which is the longest outage of the store that the users expect.
    */
   private static final long MAX_RETRY_AFTER_MILLIS = 3000;
 
@@ -59,9 +59,9 @@
   static final Duration ISOLATION_LIMIT = Duration.ofSeconds(10);
 
   /**
-   * Age of the last store contact above which a submission is refused instead of sent to the store,
-   * provided that the store usually answers quickly. A submission that was sent and not answered
-   * leaves its caller uncertain whether it was accepted.
+   * Age of the last store contact above which a submission is refused instead of being sent to the
+   * store; it is longer while the store is slow. A submission that was sent to the store but not
+   * answered leaves its caller uncertain whether it was accepted.
    */
   private static final Duration STORE_REACHABLE_AGE = Duration.ofMillis(1200);
 
@@ -91,7 +91,7 @@
   private final SubmissionHandler submissions;
   private final UnknownJobHandler unknownJobs = new UnknownJobHandler();
   private final CancelHandler cancels;
-  private final List<BatchCommand> ready = new ArrayList<>();
+  private final List<BatchCommand> outgoing = new ArrayList<>();
 
   private boolean fenced;
   private boolean stopping;
@@ -117,8 +117,8 @@
             this,
             turn);
     this.jobs = new JobDuty(book, writer, executors, configuration);
-    this.submissions = new SubmissionHandler(jobs, writer, ready);
-    this.cancels = new CancelHandler(jobs, submissions, ready);
+    this.submissions = new SubmissionHandler(jobs, writer, outgoing);
+    this.cancels = new CancelHandler(jobs, submissions, outgoing);
     this.advice = new AdviceDuty(EpochNumbers.before(epoch), turn);
     this.plans = new PlanDuty(jobs, executors, advice, preferences.work());
     executors.serve(jobs.pools());
@@ -179,7 +179,7 @@
   }
 
   /** Returns whether all changes are stored. */
-  boolean settled() {
+  boolean allStored() {
     return writer.idle();
   }
 
@@ -196,7 +196,7 @@
     writer.appendsToAnotherTake(contact.longestAppendNanos());
     writer.expire(turn);
     cancels.step(turn);
-    unknownJobs.step(contact.confirmedAt(), jobs.book()::shown, turn);
+    unknownJobs.step(contact.confirmedAt(), jobs.book()::storedPhase, turn);
     if (turn.nowNanos() - storeSeenAt < ISOLATION_LIMIT.toNanos()) {
       executors.step(turn);
     }
@@ -208,8 +208,8 @@
     }
     removeExpired(turn);
     writer.flush(turn);
-    ready.forEach(turn::add);
-    ready.clear();
+    outgoing.forEach(turn::add);
+    outgoing.clear();
   }
 
   /**
@@ -247,8 +247,8 @@
     writer.close();
     cancels.close();
     unknownJobs.close(turn);
-    ready.forEach(turn::add);
-    ready.clear();
+    outgoing.forEach(turn::add);
+    outgoing.clear();
   }
 
   /**
@@ -290,7 +290,7 @@
       case BatchCall.Cancel cancel ->
           cancels.cancel(new JobQuery(ticket, cancel.job(), until), turn);
       case BatchCall.CountPending count ->
-          answer(ticket, new CallAnswer.Pending(jobs.book().pending(count.queue())));
+          answer(ticket, new CallAnswer.Pending(jobs.book().pendingJobs(count.queue())));
     }
   }
 
@@ -303,7 +303,7 @@
   }
 
   private void answer(long ticket, CallAnswer answer) {
-    ready.add(new BatchCommand.Answer(ticket, answer));
+    outgoing.add(new BatchCommand.Answer(ticket, answer));
   }
 
   private Optional<RefusalCause> refusal(JobQueue queue, boolean cannotStoreInTime) {
@@ -331,7 +331,7 @@
   }
 
   private void status(JobQuery query, BatchTurn turn) {
-    Optional<JobPhase> phase = jobs.book().shown(query.job());
+    Optional<JobPhase> phase = jobs.book().storedPhase(query.job());
     if (phase.isPresent()) {
       answer(query.ticket(), new CallAnswer.Phase(phase.get()));
     } else {
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/CancelHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/CancelHandler.java
@@ -21,7 +21,7 @@
 
   private final JobDuty jobs;
   private final SubmissionHandler submissions;
-  private final List<BatchCommand> ready;
+  private final List<BatchCommand> outgoing;
 
   /** Tickets of cancels that are being stored. */
   private final Set<Long> awaitingStore = new LinkedHashSet<>();
@@ -39,12 +39,12 @@
   /**
    * Creates a handler without cancels.
    *
-   * @param ready list to which answers are added; the owner sends them with its next step
+   * @param outgoing list to which answers are added; the owner sends them with its next step
    */
-  CancelHandler(JobDuty jobs, SubmissionHandler submissions, List<BatchCommand> ready) {
+  CancelHandler(JobDuty jobs, SubmissionHandler submissions, List<BatchCommand> outgoing) {
     this.jobs = jobs;
     this.submissions = submissions;
-    this.ready = ready;
+    this.outgoing = outgoing;
   }
 
   /**
@@ -93,7 +93,7 @@
    * the caller is told that the job does not exist.
    */
   private void cancelEarly(JobQuery cancel, BatchTurn turn) {
-    if (jobs.book().shown(cancel.job()).isPresent()) {
+    if (jobs.book().storedPhase(cancel.job()).isPresent()) {
       answer(cancel.ticket(), new CallAnswer.Cancelled());
       return;
     }
@@ -104,7 +104,7 @@
 
   private void storedEarly(JobQuery cancel) {
     if (awaitingStore.remove(cancel.ticket())) {
-      boolean came = jobs.book().shown(cancel.job()).isPresent();
+      boolean came = jobs.book().storedPhase(cancel.job()).isPresent();
       answer(cancel.ticket(), came ? new CallAnswer.Cancelled() : new CallAnswer.NoSuchJob());
     }
   }
@@ -130,6 +130,6 @@
   }
 
   private void answer(long ticket, CallAnswer answer) {
-    ready.add(new BatchCommand.Answer(ticket, answer));
+    outgoing.add(new BatchCommand.Answer(ticket, answer));
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/SubmissionHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/SubmissionHandler.java
@@ -27,20 +27,20 @@
 
   private final JobDuty jobs;
   private final StateWriter writer;
-  private final List<BatchCommand> ready;
+  private final List<BatchCommand> outgoing;
   private final Map<String, PendingSubmission> pending = new LinkedHashMap<>();
   private final List<JobQuery> dueCancels = new ArrayList<>();
 
   /**
    * Creates a handler without submissions.
    *
-   * @param ready list to which answers and log events are added; the owner sends them with its next
-   *     step
+   * @param outgoing list to which answers and log events are added; the owner sends them with its
+   *     next step
    */
-  SubmissionHandler(JobDuty jobs, StateWriter writer, List<BatchCommand> ready) {
+  SubmissionHandler(JobDuty jobs, StateWriter writer, List<BatchCommand> outgoing) {
     this.jobs = jobs;
     this.writer = writer;
-    this.ready = ready;
+    this.outgoing = outgoing;
   }
 
   /**
@@ -50,7 +50,7 @@
    * @return false if it is not a repetition
    */
   boolean joinExisting(long ticket, String id) {
-    if (jobs.book().shown(id).isPresent()) {
+    if (jobs.book().storedPhase(id).isPresent()) {
       answer(ticket, new CallAnswer.Accepted());
       return true;
     }
@@ -163,10 +163,10 @@
   }
 
   private void answer(long ticket, CallAnswer answer) {
-    ready.add(new BatchCommand.Answer(ticket, answer));
+    outgoing.add(new BatchCommand.Answer(ticket, answer));
   }
 
   private void note(BatchLogEvent event, Object... arguments) {
-    ready.add(new BatchCommand.Note(event, List.of(arguments)));
+    outgoing.add(new BatchCommand.Note(event, List.of(arguments)));
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobBook.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobBook.java
@@ -80,10 +80,10 @@
   }
 
   /** Returns the state of a job that is reported to callers; empty if there is no such job. */
-  public Optional<JobPhase> shown(String id) {
+  public Optional<JobPhase> storedPhase(String id) {
     OpenJob job = open.get(id);
     if (job != null) {
-      return Optional.of(job.shown());
+      return Optional.of(job.storedPhase());
     }
     return ended.get(id).map(EndedJob::phase);
   }
@@ -119,7 +119,7 @@
   }
 
   /** Returns the number of open jobs of a queue of which no task was started yet. */
-  public int pending(String queue) {
+  public int pendingJobs(String queue) {
     int count = 0;
     for (OpenJob job : open.values()) {
       if (job.job().queue().name().equals(queue) && job.open() && !job.begun()) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobDuty.java
@@ -165,7 +165,7 @@
   }
 
   private void endedAfterJob(OpenJob job, Countdown stored, BatchTurn turn) {
-    if (!job.shown().ended()) {
+    if (!job.storedPhase().ended()) {
       // The end of the job is not stored yet; the end of the run is acknowledged after it.
       stored.hold();
       persist(job, stored::release);
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobRecords.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobRecords.java
@@ -18,12 +18,12 @@
 
   /** Stores the progress of a job. */
   void persist(OpenJob job, Runnable committed) {
-    Encoded encoded = new Encoded(job);
+    EncodedProgress encoded = new EncodedProgress(job);
     writer.put(
         JobCodec.progressKey(job.job().id()),
         encoded::encode,
         () -> {
-          encoded.show();
+          encoded.markStored();
           committed.run();
         });
   }
@@ -78,11 +78,11 @@
    * The progress of a job as it was encoded for an append. The job may have changed again by the
    * time the append is stored, and callers must not be told a state that is not stored.
    */
-  private static final class Encoded {
+  private static final class EncodedProgress {
     private final OpenJob job;
     private Optional<JobPhase> phase = Optional.empty();
 
-    Encoded(OpenJob job) {
+    EncodedProgress(OpenJob job) {
       this.job = job;
     }
 
@@ -95,8 +95,8 @@
      * Reports the encoded state to callers from now on; does nothing if a newer change of the job
      * was encoded in place of this one.
      */
-    void show() {
-      phase.ifPresent(job::show);
+    void markStored() {
+      phase.ifPresent(job::setStoredPhase);
     }
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/OpenJob.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/OpenJob.java
@@ -19,7 +19,7 @@
   private boolean begun;
   private Optional<JobPhase> end = Optional.empty();
   private long endedMillis;
-  private JobPhase shown = JobPhase.QUEUED;
+  private JobPhase storedPhase = JobPhase.QUEUED;
 
   /** Creates a job of which no task was started. */
   public OpenJob(BatchJob job) {
@@ -122,8 +122,8 @@
   }
 
   /** Returns the state that is reported to callers: the newest one that is stored. */
-  public JobPhase shown() {
-    return shown;
+  public JobPhase storedPhase() {
+    return storedPhase;
   }
 
   /** Returns the current state, which may not be stored yet. */
@@ -132,8 +132,8 @@
   }
 
   /** Sets the state that is reported to callers after it has been stored. */
-  public void show(JobPhase stored) {
-    shown = stored;
+  public void setStoredPhase(JobPhase phase) {
+    storedPhase = phase;
   }
 
   /** Returns all live runs. */
@@ -145,6 +145,6 @@
     begun = wasBegun;
     end = ended;
     endedMillis = endedAt;
-    show(phase());
+    setStoredPhase(phase());
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/StepProgress.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/StepProgress.java
@@ -37,7 +37,7 @@
   private int gangFailures;
   private int lastFailedGangRun;
   private int lastLostGangRun;
-  private int undone;
+  private int remaining;
   private OptionalLong queuedSince = OptionalLong.empty();
 
   StepProgress(OpenJob job, int occurrence, int number, BatchStep spec, long chainMillis) {
@@ -50,7 +50,7 @@
     for (int index = 0; index < spec.count(); index++) {
       tasks.add(new TaskProgress(index));
     }
-    this.undone = spec.count();
+    this.remaining = spec.count();
   }
 
   /** Returns the job. */
@@ -93,12 +93,12 @@
 
   /** Returns whether all tasks are done. */
   public boolean done() {
-    return undone == 0;
+    return remaining == 0;
   }
 
   /** Returns the number of tasks that are not done. */
-  public int undone() {
-    return undone;
+  public int remaining() {
+    return remaining;
   }
 
   /** Returns the number of failed runs of the gang. */
@@ -122,8 +122,8 @@
    */
   public int mayMiss() {
     int atWork = (int) tasks.stream().filter(TaskProgress::atWork).count();
-    int most = spec.lasting().map(BatchStep.Lasting::mostAway).orElse(spec.count());
-    return Math.max(0, most - (spec.count() - atWork));
+    int maxUnavailable = spec.lasting().map(BatchStep.Lasting::maxUnavailable).orElse(spec.count());
+    return Math.max(0, maxUnavailable - (spec.count() - atWork));
   }
 
   /** Returns the live runs of all tasks. */
@@ -208,12 +208,12 @@
   public void finish(TaskProgress task) {
     if (spec.gang()) {
       tasks.forEach(TaskProgress::finish);
-      undone = 0;
+      remaining = 0;
       return;
     }
     if (!task.done()) {
       task.finish();
-      undone--;
+      remaining--;
     }
   }
 
@@ -280,12 +280,12 @@
   void restore(TaskProgress task, boolean done, int failures, int lastRun, String checkpoint) {
     task.restore(done, failures, lastRun, checkpoint);
     if (done) {
-      undone--;
+      remaining--;
     }
   }
 
   void restoreDone() {
     tasks.forEach(TaskProgress::finish);
-    undone = 0;
+    remaining = 0;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/SubmissionCodec.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/SubmissionCodec.java
@@ -47,7 +47,7 @@
         .setMostPerExecutor(placement.mostPerExecutor())
         .setImage(step.image())
         .setLasting(lasting.isPresent())
-        .setMissAllowed(lasting.map(BatchStep.Lasting::mostAway).orElse(0))
+        .setMissAllowed(lasting.map(BatchStep.Lasting::maxUnavailable).orElse(0))
         .setTargetMillis(lasting.map(BatchStep.Lasting::targetMillis).orElse(0L))
         .build();
   }
--- a/fescuehook/src/main/java/org/fescuehook/model/batch/BatchStep.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/batch/BatchStep.java
@@ -74,11 +74,12 @@
    * The properties of a long-running step. Its tasks run until their job is cancelled, and are
    * restarted however they end.
    *
-   * @param mostAway largest number of its tasks that the scheduler may make unavailable at once
+   * @param maxUnavailable largest number of its tasks that the scheduler may make unavailable at
+   *     once
    * @param targetMillis upper bound on the response times of tasks that serve users; 0 if the tasks
    *     serve no users
    */
-  public record Lasting(int mostAway, long targetMillis) {}
+  public record Lasting(int maxUnavailable, long targetMillis) {}
 
   /**
    * Where the tasks of a step may run, and where they run well.
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/state/RunEndAcknowledgementTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/state/RunEndAcknowledgementTest.java
@@ -126,10 +126,10 @@
     writer.flush(at(0));
     ended(2, 1, RunEnd.DONE);
     store(0);
-    assertEquals(Optional.of(JobPhase.QUEUED), book.shown(JOB));
+    assertEquals(Optional.of(JobPhase.QUEUED), book.storedPhase(JOB));
     writer.flush(at(20));
     store(1);
-    assertEquals(Optional.of(JobPhase.COMPLETED), book.shown(JOB));
+    assertEquals(Optional.of(JobPhase.COMPLETED), book.storedPhase(JOB));
   }
 
   /** What is stored already is not written again. */
