--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobDuty.java
@@ -113,7 +113,10 @@
     book.openJobs().forEach(job -> records.retireIfEnded(job, turn));
   }
 
-  /** Returns whether a run of a cancelled job may still continue for longer than callers expect. */
+  /**
+   * Returns whether a run may continue for long if this owner fails now: it is live, its executor
+   * has not acknowledged a stop, and its lease does not expire soon.
+   */
   public boolean mayContinue(LiveRun run, BatchTurn turn) {
     return run.task().isLive(run) && !executors.book().endsSoon(run, turn.nowNanos());
   }
@@ -131,7 +134,12 @@
     }
   }
 
-  /** Handles the end of a run. */
+  /**
+   * Handles the end of a run.
+   *
+   * @param stored held until the consequences of the end are stored; its release acknowledges the
+   *     end to the executor
+   */
   public void ended(LiveRun run, EndedRun end, Countdown stored, BatchTurn turn) {
     logEnd(run, end.end(), turn);
     StepProgress step = run.step();
