--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchOwner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchOwner.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import org.fescuehook.logic.batch.advice.AdviceDuty;
+import org.fescuehook.logic.batch.advice.AdviceCache;
 import org.fescuehook.logic.batch.advice.AdviceOutcome;
 import org.fescuehook.logic.batch.call.BatchCall;
 import org.fescuehook.logic.batch.call.CallAnswer;
@@ -17,20 +17,20 @@
 import org.fescuehook.logic.batch.executor.OrderOutcome.EndedRun;
 import org.fescuehook.logic.batch.executor.OrderOutcome.Rejection;
 import org.fescuehook.logic.batch.executor.RunListener;
-import org.fescuehook.logic.batch.ownership.StoreContact;
+import org.fescuehook.logic.batch.ownership.StoreReachability;
 import org.fescuehook.logic.batch.plan.PlanDuty;
-import org.fescuehook.logic.batch.state.JobBook;
 import org.fescuehook.logic.batch.state.JobCodec;
-import org.fescuehook.logic.batch.state.JobDuty;
+import org.fescuehook.logic.batch.state.JobLifecycle;
+import org.fescuehook.logic.batch.state.JobRegistry;
 import org.fescuehook.logic.batch.state.LiveRun;
 import org.fescuehook.logic.batch.store.AppendOutcome;
 import org.fescuehook.logic.batch.store.StateWriter;
 import org.fescuehook.logic.batch.store.WriterPosition;
 import org.fescuehook.model.batch.BatchConfiguration;
+import org.fescuehook.model.batch.BatchOrganisation;
 import org.fescuehook.model.batch.ExecutorProfile;
 import org.fescuehook.model.batch.JobPhase;
 import org.fescuehook.model.batch.JobQueue;
-import org.fescuehook.model.batch.KeyHolder;
 import org.fescuehook.model.fleet.ExecutorId;
 import org.fescuehook.model.preferences.BatchPreferences;
 
@@ -85,8 +85,8 @@
   private final BatchPreferences preferences;
   private final StateWriter writer;
   private final ExecutorDuty executors;
-  private final JobDuty jobs;
-  private final AdviceDuty advice;
+  private final JobLifecycle jobs;
+  private final AdviceCache advice;
   private final PlanDuty plans;
   private final SubmissionHandler submissions;
   private final UnknownJobHandler unknownJobs = new UnknownJobHandler();
@@ -101,12 +101,12 @@
   BatchOwner(
       long epoch,
       BatchPreferences preferences,
-      JobBook book,
+      JobRegistry book,
       BatchConfiguration configuration,
       List<ExecutorProfile> listed,
-      BatchTurn turn) {
+      BatchContext context) {
     this.preferences = preferences;
-    this.writer = new StateWriter(epoch, turn);
+    this.writer = new StateWriter(epoch, context);
     Duration lease = preferences.executorLease();
     this.executors =
         new ExecutorDuty(
@@ -115,16 +115,16 @@
             lease,
             ISOLATION_LIMIT.plus(lease).plus(lease.dividedBy(10)),
             this,
-            turn);
-    this.jobs = new JobDuty(book, writer, executors, configuration);
+            context);
+    this.jobs = new JobLifecycle(book, writer, executors, configuration);
     this.submissions = new SubmissionHandler(jobs, writer, outgoing);
     this.cancels = new CancelHandler(jobs, submissions, outgoing);
-    this.advice = new AdviceDuty(EpochNumbers.before(epoch), turn);
+    this.advice = new AdviceCache(EpochNumbers.before(epoch), context);
     this.plans = new PlanDuty(jobs, executors, advice, preferences.work());
     executors.serve(jobs.pools());
-    listed.forEach(profile -> executors.seen(profile, turn));
-    executors.inherit(Takeover.inheritedRuns(book), turn);
-    jobs.retireEnded(turn);
+    listed.forEach(profile -> executors.seen(profile, context));
+    executors.inherit(Takeover.inheritedRuns(book), context);
+    jobs.retireEnded(context);
   }
 
   /** Returns whether an executor or the store reported a higher epoch, hence a newer owner. */
@@ -142,8 +142,8 @@
    * Applies an entry of the list of executors. Executors rewrite their entries every second or two,
    * mostly unchanged; planning for each of these would overload a weak VM with a large fleet.
    */
-  void seen(ExecutorProfile profile, BatchTurn turn) {
-    if (executors.seen(profile, turn)) {
+  void seen(ExecutorProfile profile, BatchContext context) {
+    if (executors.seen(profile, context)) {
       jobs.changed();
     }
   }
@@ -154,21 +154,21 @@
   }
 
   /** Applies the outcome of an order to an executor. */
-  void orderEnded(ExecutorId id, long number, OrderOutcome outcome, BatchTurn turn) {
-    if (executors.ended(id, number, outcome, turn)) {
+  void orderEnded(ExecutorId id, long number, OrderOutcome outcome, BatchContext context) {
+    if (executors.ended(id, number, outcome, context)) {
       jobs.changed();
     }
   }
 
   /** Applies an answer of the advice service. */
-  void advised(long number, AdviceOutcome outcome, BatchTurn turn) {
-    advice.answered(number, outcome, turn);
+  void advised(long number, AdviceOutcome outcome, BatchContext context) {
+    advice.answered(number, outcome, context);
     jobs.changed();
   }
 
   /** Applies the outcome of an append to the job stream. */
-  void appended(WriterPosition position, AppendOutcome outcome, BatchTurn turn) {
-    if (!writer.answered(position, outcome, turn)) {
+  void appended(WriterPosition position, AppendOutcome outcome, BatchContext context) {
+    if (!writer.answered(position, outcome, context)) {
       fenced = true;
     }
   }
@@ -188,27 +188,27 @@
    *
    * @param contact how well the store can be reached, judged by the heartbeats
    */
-  void step(StoreContact contact, BatchTurn turn) {
+  void step(StoreReachability contact, BatchContext context) {
     long storeSeenAt = storeSeenAt(contact.confirmedAt());
     // The job stream may be unavailable while the ownership stream, with the heartbeats, is not.
     long unreachableSince = Math.min(storeSeenAt, writer.troubleSince().orElse(storeSeenAt));
-    storeAgeMillis = Duration.ofNanos(turn.nowNanos() - unreachableSince).toMillis();
+    storeAgeMillis = Duration.ofNanos(context.nowNanos() - unreachableSince).toMillis();
     writer.appendsToAnotherTake(contact.longestAppendNanos());
-    writer.expire(turn);
-    cancels.step(turn);
-    unknownJobs.step(contact.confirmedAt(), jobs.book()::storedPhase, turn);
-    if (turn.nowNanos() - storeSeenAt < ISOLATION_LIMIT.toNanos()) {
-      executors.step(turn);
+    writer.expire(context);
+    cancels.step(context);
+    unknownJobs.step(contact.confirmedAt(), jobs.book()::storedPhase, context);
+    if (context.nowNanos() - storeSeenAt < ISOLATION_LIMIT.toNanos()) {
+      executors.step(context);
     }
-    plans.startStored(turn);
-    boolean planNow = !turn.more() || turn.nowNanos() - plannedAt > BUSY_PLAN_INTERVAL_NANOS;
+    plans.startStored(context);
+    boolean planNow = !context.more() || context.nowNanos() - plannedAt > BUSY_PLAN_INTERVAL_NANOS;
     if (!stopping && planNow && jobs.takeChanged()) {
-      plannedAt = turn.nowNanos();
-      plans.step(turn);
+      plannedAt = context.nowNanos();
+      plans.step(context);
     }
-    removeExpired(turn);
-    writer.flush(turn);
-    outgoing.forEach(turn::add);
+    removeExpired(context);
+    writer.flush(context);
+    outgoing.forEach(context::add);
     outgoing.clear();
   }
 
@@ -225,29 +225,30 @@
    * Requests a plan even if nothing changed, since the scheduled start time of a step may have
    * come.
    */
-  void timePassed(BatchTurn turn) {
-    if (turn.nowNanos() - plannedAt > MAX_PLAN_INTERVAL_NANOS) {
+  void timePassed(BatchContext context) {
+    if (context.nowNanos() - plannedAt > MAX_PLAN_INTERVAL_NANOS) {
       jobs.changed();
     }
   }
 
-  private void removeExpired(BatchTurn turn) {
+  private void removeExpired(BatchContext context) {
     Optional<String> removed =
         jobs.book()
-            .removeOneExpiredJob(preferences.statusRetention(), turn.nowNanos(), turn.wallMillis());
+            .removeOneExpiredJob(
+                preferences.statusRetention(), context.nowNanos(), context.wallMillis());
     removed.ifPresent(id -> writer.put(JobCodec.progressKey(id), Optional::empty, () -> {}));
     jobs.book()
         .removeOneExpiredEarlyCancel(
-            preferences.statusRetention(), turn.nowNanos(), turn.wallMillis())
+            preferences.statusRetention(), context.nowNanos(), context.wallMillis())
         .ifPresent(id -> writer.put(JobCodec.earlyCancelKey(id), Optional::empty, () -> {}));
   }
 
   /** Ends the epoch and answers all calls that still wait. */
-  void close(BatchTurn turn) {
+  void close(BatchContext context) {
     writer.close();
     cancels.close();
-    unknownJobs.close(turn);
-    outgoing.forEach(turn::add);
+    unknownJobs.close(context);
+    outgoing.forEach(context::add);
     outgoing.clear();
   }
 
@@ -256,10 +257,10 @@
    *
    * @param contact how well the store can be reached, judged by the heartbeats
    */
-  void handleCall(BatchEvent.Called event, StoreContact contact, BatchTurn turn) {
+  void handleCall(BatchEvent.Called event, StoreReachability contact, BatchContext context) {
     long ticket = event.ticket();
     BatchCall call = event.call();
-    long until = turn.nowNanos() + event.patience().toNanos();
+    long until = context.nowNanos() + event.patience().toNanos();
     // Before the API key is checked: a VM may repeat a submission whose key was revoked meanwhile.
     if (call instanceof BatchCall.Submit submit && submissions.joinExisting(ticket, submit.job())) {
       return;
@@ -270,7 +271,7 @@
       answer(ticket, new CallAnswer.NoSuchQueue());
       return;
     }
-    Optional<KeyHolder> holder = configuration.holder(call.apiKey());
+    Optional<BatchOrganisation> holder = configuration.holder(call.apiKey());
     if (!queue.get().open() && holder.isEmpty()) {
       answer(ticket, new CallAnswer.UnknownKey());
       return;
@@ -278,28 +279,29 @@
     switch (call) {
       case BatchCall.Submit submit -> {
         Optional<RefusalCause> refusal =
-            refusal(queue.get(), cannotStoreInTime(event, contact, turn));
+            refusal(queue.get(), cannotStoreInTime(event, contact, context));
         if (refusal.isPresent()) {
-          refuse(ticket, submit.job(), refusal.get(), turn);
+          refuse(ticket, submit.job(), refusal.get(), context);
           return;
         }
-        String organisation = holder.map(KeyHolder::name).orElse("");
-        submissions.submit(ticket, submit, queue.get(), organisation, retryAfterMillis(), turn);
+        String organisation = holder.map(BatchOrganisation::name).orElse("");
+        submissions.submit(ticket, submit, queue.get(), organisation, retryAfterMillis(), context);
       }
-      case BatchCall.Status status -> status(new JobQuery(ticket, status.job(), until), turn);
+      case BatchCall.Status status -> status(new JobQuery(ticket, status.job(), until), context);
       case BatchCall.Cancel cancel ->
-          cancels.cancel(new JobQuery(ticket, cancel.job(), until), turn);
+          cancels.cancel(new JobQuery(ticket, cancel.job(), until), context);
       case BatchCall.CountPending count ->
           answer(ticket, new CallAnswer.Pending(jobs.book().pendingJobs(count.queue())));
     }
   }
 
   /** Returns whether a submission cannot be stored within the time that its caller waits. */
-  private boolean cannotStoreInTime(BatchEvent.Called event, StoreContact contact, BatchTurn turn) {
-    long ageNanos = turn.nowNanos() - storeSeenAt(contact.confirmedAt());
-    boolean away = ageNanos > contact.nearNanos(STORE_REACHABLE_AGE) || writer.storeAway(turn);
+  private boolean cannotStoreInTime(
+      BatchEvent.Called event, StoreReachability contact, BatchContext context) {
+    long ageNanos = context.nowNanos() - storeSeenAt(contact.confirmedAt());
+    boolean away = ageNanos > contact.nearNanos(STORE_REACHABLE_AGE) || writer.storeAway(context);
     long waitsNanos = Math.min(event.patience().toNanos(), CALLER_TIMEOUT_NANOS);
-    return away || writer.storedInNanos(contact.lastAppendNanos(), turn) > waitsNanos;
+    return away || writer.storedInNanos(contact.lastAppendNanos(), context) > waitsNanos;
   }
 
   private void answer(long ticket, CallAnswer answer) {
@@ -316,9 +318,9 @@
     return cannotStoreInTime ? Optional.of(RefusalCause.STORE_AWAY) : Optional.empty();
   }
 
-  private void refuse(long ticket, String id, RefusalCause cause, BatchTurn turn) {
-    turn.note(BatchLogEvent.JOB_REFUSED, id, cause, retryAfterMillis());
-    turn.count("fescuehook.batch.refused", "cause", cause.tag());
+  private void refuse(long ticket, String id, RefusalCause cause, BatchContext context) {
+    context.note(BatchLogEvent.JOB_REFUSED, id, cause, retryAfterMillis());
+    context.count("fescuehook.batch.refused", "cause", cause.tag());
     answer(ticket, new CallAnswer.Refused(cause, retryAfterMillis()));
   }
 
@@ -330,56 +332,56 @@
     return Math.clamp(storeAgeMillis, MIN_RETRY_AFTER_MILLIS, MAX_RETRY_AFTER_MILLIS);
   }
 
-  private void status(JobQuery query, BatchTurn turn) {
+  private void status(JobQuery query, BatchContext context) {
     Optional<JobPhase> phase = jobs.book().storedPhase(query.job());
     if (phase.isPresent()) {
       answer(query.ticket(), new CallAnswer.Phase(phase.get()));
     } else {
-      unknownJobs.ask(query, turn);
+      unknownJobs.ask(query, context);
     }
   }
 
   @Override
-  public void ended(LiveRun run, EndedRun end, Countdown stored, BatchTurn turn) {
-    jobs.ended(run, end, stored, turn);
+  public void ended(LiveRun run, EndedRun end, Countdown stored, BatchContext context) {
+    jobs.ended(run, end, stored, context);
   }
 
   @Override
-  public void strayEnded(EndedRun end, Countdown stored, BatchTurn turn) {
-    jobs.strayEnded(end, stored, turn);
+  public void strayEnded(EndedRun end, Countdown stored, BatchContext context) {
+    jobs.strayEnded(end, stored, context);
   }
 
   @Override
-  public void lost(LiveRun run, String cause, BatchTurn turn) {
-    jobs.lost(run, turn);
+  public void lost(LiveRun run, String cause, BatchContext context) {
+    jobs.lost(run, context);
   }
 
   @Override
-  public void lostWithExecutor(LiveRun run, CrashEvidence evidence, BatchTurn turn) {
-    jobs.lostWithExecutor(run, evidence, turn);
+  public void lostWithExecutor(LiveRun run, CrashEvidence evidence, BatchContext context) {
+    jobs.lostWithExecutor(run, evidence, context);
   }
 
   @Override
-  public void rejected(LiveRun run, Rejection rejection, BatchTurn turn) {
+  public void rejected(LiveRun run, Rejection rejection, BatchContext context) {
     if (rejection == Rejection.NO_TICKET) {
       advice.rejected(run.step(), run.incarnation());
     }
-    jobs.rejected(run, rejection, turn);
+    jobs.rejected(run, rejection, context);
   }
 
   @Override
-  public void unsent(LiveRun run, BatchTurn turn) {
-    jobs.unsent(run, turn);
+  public void unsent(LiveRun run, BatchContext context) {
+    jobs.unsent(run, context);
   }
 
   @Override
-  public void startGivenUp(LiveRun run, BatchTurn turn) {
-    jobs.startGivenUp(run, turn);
+  public void startGivenUp(LiveRun run, BatchContext context) {
+    jobs.startGivenUp(run, context);
   }
 
   @Override
-  public void foundRunning(LiveRun run, BatchTurn turn) {
-    jobs.foundRunning(run, turn);
+  public void foundRunning(LiveRun run, BatchContext context) {
+    jobs.foundRunning(run, context);
   }
 
   @Override
@@ -388,17 +390,17 @@
   }
 
   @Override
-  public void stoodStill(LiveRun run, BatchTurn turn) {
-    jobs.stoodStill(run, turn);
+  public void stoodStill(LiveRun run, BatchContext context) {
+    jobs.stoodStill(run, context);
   }
 
   @Override
-  public void leaving(ExecutorState executor, BatchTurn turn) {
-    jobs.leaving(executor, turn);
+  public void leaving(ExecutorState executor, BatchContext context) {
+    jobs.leaving(executor, context);
   }
 
   @Override
-  public void fenced(BatchTurn turn) {
+  public void fenced(BatchContext context) {
     fenced = true;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/CancelHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/CancelHandler.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 import org.fescuehook.logic.batch.call.CallAnswer;
 import org.fescuehook.logic.batch.call.UndecidedCause;
-import org.fescuehook.logic.batch.state.JobDuty;
+import org.fescuehook.logic.batch.state.ActiveJob;
+import org.fescuehook.logic.batch.state.JobLifecycle;
 import org.fescuehook.logic.batch.state.LiveRun;
-import org.fescuehook.logic.batch.state.OpenJob;
 
 /**
  * Handles cancels of jobs. A cancel is confirmed once it is stored and the executors have
@@ -19,7 +19,7 @@
  */
 final class CancelHandler {
 
-  private final JobDuty jobs;
+  private final JobLifecycle jobs;
   private final SubmissionHandler submissions;
   private final List<BatchCommand> outgoing;
 
@@ -41,7 +41,7 @@
    *
    * @param outgoing list to which answers are added; the owner sends them with its next step
    */
-  CancelHandler(JobDuty jobs, SubmissionHandler submissions, List<BatchCommand> outgoing) {
+  CancelHandler(JobLifecycle jobs, SubmissionHandler submissions, List<BatchCommand> outgoing) {
     this.jobs = jobs;
     this.submissions = submissions;
     this.outgoing = outgoing;
@@ -51,16 +51,16 @@
    * Performs the cancels that had to wait for the outcome of their job's submission, and confirms
    * the cancels whose jobs have stopped.
    */
-  void step(BatchTurn turn) {
-    submissions.takeDueCancels().forEach(due -> cancel(due, turn));
+  void step(BatchContext context) {
+    submissions.takeDueCancels().forEach(due -> cancel(due, context));
     Iterator<StoredCancel> waiting = awaitingStops.iterator();
     while (waiting.hasNext()) {
       StoredCancel next = waiting.next();
-      next.runs().removeIf(run -> !jobs.mayContinue(run, turn));
+      next.runs().removeIf(run -> !jobs.mayContinue(run, context));
       if (next.runs().isEmpty()) {
         answer(next.cancel().ticket(), new CallAnswer.Cancelled());
         waiting.remove();
-      } else if (turn.nowNanos() - next.cancel().until() >= 0) {
+      } else if (context.nowNanos() - next.cancel().until() >= 0) {
         // The caller has stopped waiting and takes the cancel for undecided.
         waiting.remove();
       }
@@ -68,13 +68,13 @@
   }
 
   /** Handles a cancel. */
-  void cancel(JobQuery cancel, BatchTurn turn) {
+  void cancel(JobQuery cancel, BatchContext context) {
     if (submissions.deferCancel(cancel)) {
       return;
     }
-    Optional<OpenJob> job = jobs.book().open(cancel.job());
+    Optional<ActiveJob> job = jobs.book().open(cancel.job());
     if (job.isEmpty()) {
-      cancelEarly(cancel, turn);
+      cancelEarly(cancel, context);
       return;
     }
     awaitingStore.add(cancel.ticket());
@@ -84,7 +84,7 @@
       jobs.persist(job.get(), stored);
       return;
     }
-    jobs.cancel(job.get(), stored, turn);
+    jobs.cancel(job.get(), stored, context);
   }
 
   /**
@@ -92,14 +92,14 @@
    * may still arrive, as callers and VMs repeat unanswered calls; so the cancel is stored before
    * the caller is told that the job does not exist.
    */
-  private void cancelEarly(JobQuery cancel, BatchTurn turn) {
+  private void cancelEarly(JobQuery cancel, BatchContext context) {
     if (jobs.book().storedPhase(cancel.job()).isPresent()) {
       answer(cancel.ticket(), new CallAnswer.Cancelled());
       return;
     }
-    turn.note(BatchLogEvent.UNKNOWN_JOB_CANCELLED, cancel.job());
+    context.note(BatchLogEvent.UNKNOWN_JOB_CANCELLED, cancel.job());
     awaitingStore.add(cancel.ticket());
-    jobs.cancelEarly(cancel.job(), () -> storedEarly(cancel), turn);
+    jobs.cancelEarly(cancel.job(), () -> storedEarly(cancel), context);
   }
 
   private void storedEarly(JobQuery cancel) {
@@ -111,7 +111,8 @@
 
   private void stored(JobQuery cancel) {
     if (awaitingStore.remove(cancel.ticket())) {
-      List<LiveRun> runs = jobs.book().open(cancel.job()).map(OpenJob::liveRuns).orElse(List.of());
+      List<LiveRun> runs =
+          jobs.book().open(cancel.job()).map(ActiveJob::liveRuns).orElse(List.of());
       awaitingStops.add(new StoredCancel(cancel, new ArrayList<>(runs)));
     }
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/SubmissionHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/SubmissionHandler.java
@@ -9,11 +9,11 @@
 import org.fescuehook.logic.batch.call.CallAnswer;
 import org.fescuehook.logic.batch.call.RefusalCause;
 import org.fescuehook.logic.batch.call.UndecidedCause;
-import org.fescuehook.logic.batch.state.JobBook;
+import org.fescuehook.logic.batch.state.ActiveJob;
 import org.fescuehook.logic.batch.state.JobCodec;
-import org.fescuehook.logic.batch.state.JobDuty;
-import org.fescuehook.logic.batch.state.OpenJob;
-import org.fescuehook.logic.batch.store.CommitLoss;
+import org.fescuehook.logic.batch.state.JobLifecycle;
+import org.fescuehook.logic.batch.state.JobRegistry;
+import org.fescuehook.logic.batch.store.CommitFailure;
 import org.fescuehook.logic.batch.store.StateWriter;
 import org.fescuehook.model.batch.BatchJob;
 import org.fescuehook.model.batch.JobQueue;
@@ -25,7 +25,7 @@
  */
 final class SubmissionHandler {
 
-  private final JobDuty jobs;
+  private final JobLifecycle jobs;
   private final StateWriter writer;
   private final List<BatchCommand> outgoing;
   private final Map<String, PendingSubmission> pending = new LinkedHashMap<>();
@@ -37,7 +37,7 @@
    * @param outgoing list to which answers and log events are added; the owner sends them with its
    *     next step
    */
-  SubmissionHandler(JobDuty jobs, StateWriter writer, List<BatchCommand> outgoing) {
+  SubmissionHandler(JobLifecycle jobs, StateWriter writer, List<BatchCommand> outgoing) {
     this.jobs = jobs;
     this.writer = writer;
     this.outgoing = outgoing;
@@ -73,37 +73,41 @@
       JobQueue queue,
       String organisation,
       long retryAfterMillis,
-      BatchTurn turn) {
+      BatchContext context) {
     String id = submit.job();
-    Optional<JobBook.EndedJob> cancelled = jobs.book().earlyCancel(id);
+    Optional<JobRegistry.EndedJob> cancelled = jobs.book().earlyCancel(id);
     if (cancelled.isPresent()) {
-      submitCancelled(ticket, id, cancelled.get(), retryAfterMillis, turn);
+      submitCancelled(ticket, id, cancelled.get(), retryAfterMillis, context);
       return;
     }
-    BatchJob job = new BatchJob(id, queue, organisation, turn.wallMillis(), submit.submission());
+    BatchJob job = new BatchJob(id, queue, organisation, context.wallMillis(), submit.submission());
     pending.put(id, PendingSubmission.of(ticket));
     writer.putRefusable(
         JobCodec.jobKey(id),
         () -> Optional.of(JobCodec.encode(job)),
         () -> accepted(job),
         loss -> notAccepted(id, loss, retryAfterMillis),
-        turn);
+        context);
   }
 
   /** Accepts a job that was cancelled before it was submitted: it is stored as ended. */
   private void submitCancelled(
-      long ticket, String id, JobBook.EndedJob cancelled, long retryAfterMillis, BatchTurn turn) {
+      long ticket,
+      String id,
+      JobRegistry.EndedJob cancelled,
+      long retryAfterMillis,
+      BatchContext context) {
     pending.put(id, PendingSubmission.of(ticket));
     writer.putRefusable(
         JobCodec.progressKey(id),
         () -> Optional.of(JobCodec.encodeEnd(cancelled)),
         () -> {
-          jobs.book().addEnded(id, cancelled, turn.nowNanos());
+          jobs.book().addEnded(id, cancelled, context.nowNanos());
           note(BatchLogEvent.CANCELLED_JOB_ACCEPTED, id);
           complete(id, new CallAnswer.Accepted());
         },
         loss -> notAccepted(id, loss, retryAfterMillis),
-        turn);
+        context);
   }
 
   /**
@@ -128,7 +132,7 @@
   }
 
   private void accepted(BatchJob job) {
-    jobs.book().add(new OpenJob(job));
+    jobs.book().add(new ActiveJob(job));
     jobs.changed();
     long chain = job.submission().estimatedChainMillis();
     note(
@@ -143,7 +147,7 @@
     complete(job.id(), new CallAnswer.Accepted());
   }
 
-  private void notAccepted(String id, CommitLoss loss, long retryAfterMillis) {
+  private void notAccepted(String id, CommitFailure loss, long retryAfterMillis) {
     switch (loss) {
       case NOT_STORED -> {
         note(BatchLogEvent.JOB_REFUSED, id, loss, retryAfterMillis);
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/Takeover.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/Takeover.java
@@ -7,14 +7,14 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.OptionalLong;
-import org.fescuehook.logic.batch.ownership.StoreContact;
-import org.fescuehook.logic.batch.state.JobBook;
+import org.fescuehook.logic.batch.ownership.StoreReachability;
+import org.fescuehook.logic.batch.state.ActiveJob;
 import org.fescuehook.logic.batch.state.JobCodec;
+import org.fescuehook.logic.batch.state.JobRegistry;
 import org.fescuehook.logic.batch.state.LiveRun;
-import org.fescuehook.logic.batch.state.OpenJob;
 import org.fescuehook.logic.batch.store.AppendOutcome;
 import org.fescuehook.logic.batch.store.KeyedRecord;
-import org.fescuehook.logic.batch.store.Outstanding;
+import org.fescuehook.logic.batch.store.PendingCall;
 import org.fescuehook.logic.batch.store.StreamName;
 import org.fescuehook.logic.batch.store.UnreadableRecordException;
 import org.fescuehook.logic.batch.store.WriterPosition;
@@ -47,19 +47,19 @@
   private final long startedAt;
   private final Map<String, byte[]> records = new LinkedHashMap<>();
   private boolean fenced;
-  private final Outstanding pendingCall = new Outstanding(Outstanding.PAGE);
+  private final PendingCall pendingCall = new PendingCall(PendingCall.PAGE);
   private boolean loaded;
   private Optional<String> afterKey = Optional.empty();
   private long retryAt;
   private long loggedAt;
   private long progressAt;
 
-  Takeover(long epoch, BatchTurn turn) {
+  Takeover(long epoch, BatchContext context) {
     this.epoch = epoch;
-    this.startedAt = turn.nowNanos();
-    this.retryAt = turn.nowNanos();
-    this.loggedAt = turn.nowNanos();
-    this.progressAt = turn.nowNanos();
+    this.startedAt = context.nowNanos();
+    this.retryAt = context.nowNanos();
+    this.loggedAt = context.nowNanos();
+    this.progressAt = context.nowNanos();
   }
 
   long epoch() {
@@ -75,28 +75,28 @@
   }
 
   /** Returns whether the takeover has made no progress for too long. */
-  boolean stalled(StoreContact contact, BatchTurn turn) {
+  boolean stalled(StoreReachability contact, BatchContext context) {
     long longest = Math.max(STALL_NANOS, STALL_APPENDS * contact.longestAppendNanos());
-    return turn.nowNanos() - progressAt > longest;
+    return context.nowNanos() - progressAt > longest;
   }
 
   /** Restarts the time without progress, as no VM could have made progress up to now. */
-  void resetStallTimer(BatchTurn turn) {
-    progressAt = turn.nowNanos();
+  void resetStallTimer(BatchContext context) {
+    progressAt = context.nowNanos();
   }
 
-  void step(BatchTurn turn) {
-    if (pendingCall.present(turn) || loaded || turn.nowNanos() - retryAt < 0) {
+  void step(BatchContext context) {
+    if (pendingCall.present(context) || loaded || context.nowNanos() - retryAt < 0) {
       return;
     }
-    pendingCall.begin(turn);
+    pendingCall.begin(context);
     if (!fenced) {
-      turn.add(
+      context.add(
           new BatchCommand.Append(
               StreamName.STATE, new WriterPosition(epoch, 0), OptionalLong.empty(), List.of()));
       return;
     }
-    turn.add(new BatchCommand.LoadState(epoch, afterKey));
+    context.add(new BatchCommand.LoadState(epoch, afterKey));
   }
 
   /**
@@ -104,13 +104,13 @@
    *
    * @param missing what the new owner lacks besides the jobs
    */
-  void logProgress(String missing, BatchTurn turn) {
-    if (turn.nowNanos() - loggedAt < LOG_INTERVAL_NANOS) {
+  void logProgress(String missing, BatchContext context) {
+    if (context.nowNanos() - loggedAt < LOG_INTERVAL_NANOS) {
       return;
     }
-    loggedAt = turn.nowNanos();
-    long millis = Duration.ofNanos(turn.nowNanos() - startedAt).toMillis();
-    turn.note(BatchLogEvent.TAKEOVER_UNDER_WAY, epoch, millis, loaded ? missing : missingJobs());
+    loggedAt = context.nowNanos();
+    long millis = Duration.ofNanos(context.nowNanos() - startedAt).toMillis();
+    context.note(BatchLogEvent.TAKEOVER_UNDER_WAY, epoch, millis, loaded ? missing : missingJobs());
   }
 
   private String missingJobs() {
@@ -122,7 +122,7 @@
    *
    * @return false if the stream has a higher epoch, hence a newer owner
    */
-  boolean answered(WriterPosition position, AppendOutcome outcome, BatchTurn turn) {
+  boolean answered(WriterPosition position, AppendOutcome outcome, BatchContext context) {
     if (position.epoch() != epoch || fenced) {
       return true;
     }
@@ -130,20 +130,20 @@
     return switch (outcome) {
       case AppendOutcome.Stored stored -> {
         fenced = true;
-        progressAt = turn.nowNanos();
+        progressAt = context.nowNanos();
         yield true;
       }
-      case AppendOutcome.Refused refused -> retry(turn);
-      case AppendOutcome.Unanswered unanswered -> retry(turn);
+      case AppendOutcome.Refused refused -> retry(context);
+      case AppendOutcome.Unanswered unanswered -> retry(context);
       case AppendOutcome.Fenced higher -> false;
       case AppendOutcome.Conflict conflict -> false;
       case AppendOutcome.OutOfSequence expected -> false;
     };
   }
 
-  private boolean retry(BatchTurn turn) {
+  private boolean retry(BatchContext context) {
     pendingCall.end();
-    retryAt = turn.nowNanos() + RETRY_NANOS;
+    retryAt = context.nowNanos() + RETRY_NANOS;
     return true;
   }
 
@@ -153,12 +153,12 @@
    * @param requestedIn epoch of the takeover that requested the page; a page requested by an
    *     earlier takeover is ignored, since it may lack jobs accepted after it was read
    */
-  void read(long requestedIn, List<KeyedRecord> page, Optional<String> more, BatchTurn turn) {
+  void read(long requestedIn, List<KeyedRecord> page, Optional<String> more, BatchContext context) {
     if (requestedIn != epoch || loaded) {
       return;
     }
     pendingCall.end();
-    progressAt = turn.nowNanos();
+    progressAt = context.nowNanos();
     for (KeyedRecord record : page) {
       record.value().ifPresent(value -> records.put(record.key(), value));
     }
@@ -166,58 +166,59 @@
     loaded = more.isEmpty();
   }
 
-  void unreadable(long requestedIn, BatchTurn turn) {
+  void unreadable(long requestedIn, BatchContext context) {
     if (requestedIn == epoch) {
-      retry(turn);
+      retry(context);
     }
   }
 
   /** Decodes the loaded records; a record that cannot be decoded is logged and left out. */
-  JobBook book(BatchTurn turn) {
-    JobBook book = new JobBook();
+  JobRegistry book(BatchContext context) {
+    JobRegistry book = new JobRegistry();
     for (Map.Entry<String, byte[]> entry : records.entrySet()) {
       try {
-        decode(entry.getKey(), entry.getValue(), book, turn);
+        decode(entry.getKey(), entry.getValue(), book, context);
       } catch (UnreadableRecordException e) {
-        turn.note(BatchLogEvent.RECORD_UNREADABLE, entry.getKey(), e.getMessage());
+        context.note(BatchLogEvent.RECORD_UNREADABLE, entry.getKey(), e.getMessage());
       }
     }
     return sorted(book);
   }
 
-  private void decode(String key, byte[] value, JobBook book, BatchTurn turn)
+  private void decode(String key, byte[] value, JobRegistry book, BatchContext context)
       throws UnreadableRecordException {
     Optional<String> accepted = JobCodec.jobOf(key);
     if (accepted.isPresent()) {
-      book.add(job(accepted.get(), value, turn));
+      book.add(job(accepted.get(), value, context));
       return;
     }
     Optional<String> ended = JobCodec.endedJobOf(key);
     if (ended.isPresent()) {
       // Without a progress record no run is known, and the job must not be started again.
       if (records.containsKey(JobCodec.progressKey(ended.get()))) {
-        book.add(job(ended.get(), value, turn));
+        book.add(job(ended.get(), value, context));
       }
       return;
     }
     Optional<String> cancelled = JobCodec.earlyCancelOf(key);
     if (cancelled.isPresent()) {
       JobCodec.decodeEnd(cancelled.get(), value)
-          .ifPresent(end -> book.addEarlyCancel(cancelled.get(), end, turn.nowNanos()));
+          .ifPresent(end -> book.addEarlyCancel(cancelled.get(), end, context.nowNanos()));
       return;
     }
     Optional<String> progressOf = JobCodec.progressOf(key);
     if (progressOf.isPresent()) {
       JobCodec.decodeEnd(progressOf.get(), value)
-          .ifPresent(end -> book.addEnded(progressOf.get(), end, turn.nowNanos()));
+          .ifPresent(end -> book.addEnded(progressOf.get(), end, context.nowNanos()));
     }
   }
 
-  private OpenJob job(String id, byte[] value, BatchTurn turn) throws UnreadableRecordException {
-    OpenJob job = new OpenJob(JobCodec.decodeJob(id, value));
+  private ActiveJob job(String id, byte[] value, BatchContext context)
+      throws UnreadableRecordException {
+    ActiveJob job = new ActiveJob(JobCodec.decodeJob(id, value));
     byte[] progress = records.get(JobCodec.progressKey(id));
     if (progress != null) {
-      JobCodec.restore(job, progress, turn.nowNanos());
+      JobCodec.restore(job, progress, context.nowNanos());
     }
     return job;
   }
@@ -225,17 +226,17 @@
   /**
    * Sorts the open jobs by the time of their acceptance; the store returns keys in its own order.
    */
-  private static JobBook sorted(JobBook book) {
-    List<OpenJob> jobs = new ArrayList<>(book.openJobs());
+  private static JobRegistry sorted(JobRegistry book) {
+    List<ActiveJob> jobs = new ArrayList<>(book.openJobs());
     jobs.sort(
         (one, other) -> Long.compare(one.job().acceptedMillis(), other.job().acceptedMillis()));
-    JobBook sorted = book.withoutOpenJobs();
+    JobRegistry sorted = book.withoutOpenJobs();
     jobs.forEach(sorted::add);
     return sorted;
   }
 
   /** Returns the live runs of all loaded jobs, including jobs that have ended. */
-  static List<LiveRun> inheritedRuns(JobBook book) {
+  static List<LiveRun> inheritedRuns(JobRegistry book) {
     return book.openJobs().stream().flatMap(job -> job.liveRuns().stream()).toList();
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/UnknownJobHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/UnknownJobHandler.java
@@ -31,8 +31,8 @@
   private record WaitingQuery(JobQuery query, long askedAt) {}
 
   /** Adds a status request. */
-  void ask(JobQuery query, BatchTurn turn) {
-    waiting.add(new WaitingQuery(query, turn.nowNanos()));
+  void ask(JobQuery query, BatchContext context) {
+    waiting.add(new WaitingQuery(query, context.nowNanos()));
   }
 
   /**
@@ -41,26 +41,26 @@
    * @param confirmedAt when the last heartbeat that the store confirmed was sent, monotonic time
    * @param lookup looks up a job, which may have been accepted since the request arrived
    */
-  void step(long confirmedAt, Function<String, Optional<JobPhase>> lookup, BatchTurn turn) {
+  void step(long confirmedAt, Function<String, Optional<JobPhase>> lookup, BatchContext context) {
     Iterator<WaitingQuery> queries = waiting.iterator();
     while (queries.hasNext()) {
       WaitingQuery next = queries.next();
       JobQuery query = next.query();
       if (confirmedAt - next.askedAt() > 0) {
         Optional<CallAnswer> phase = lookup.apply(query.job()).map(CallAnswer.Phase::new);
-        answer(query, phase.orElseGet(CallAnswer.NoSuchJob::new), turn);
+        answer(query, phase.orElseGet(CallAnswer.NoSuchJob::new), context);
         queries.remove();
-      } else if (turn.nowNanos() - query.until() >= -ANSWER_MARGIN_NANOS) {
-        answer(query, refusal(RefusalCause.STORE_AWAY), turn);
+      } else if (context.nowNanos() - query.until() >= -ANSWER_MARGIN_NANOS) {
+        answer(query, refusal(RefusalCause.STORE_AWAY), context);
         queries.remove();
       }
     }
   }
 
   /** Ends the epoch and refuses all waiting requests, so that callers ask the next owner. */
-  void close(BatchTurn turn) {
+  void close(BatchContext context) {
     waiting.forEach(
-        unanswered -> answer(unanswered.query(), refusal(RefusalCause.NOT_OWNER), turn));
+        unanswered -> answer(unanswered.query(), refusal(RefusalCause.NOT_OWNER), context));
     waiting.clear();
   }
 
@@ -68,7 +68,7 @@
     return new CallAnswer.Refused(cause, RETRY_AFTER_MILLIS);
   }
 
-  private static void answer(JobQuery query, CallAnswer answer, BatchTurn turn) {
-    turn.add(new BatchCommand.Answer(query.ticket(), answer));
+  private static void answer(JobQuery query, CallAnswer answer, BatchContext context) {
+    context.add(new BatchCommand.Answer(query.ticket(), answer));
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/advice/AdviceDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/advice/AdviceCache.java
@@ -8,10 +8,10 @@
 import java.util.Optional;
 import java.util.Set;
 import org.fescuehook.logic.batch.BatchCommand;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.BatchLogEvent;
-import org.fescuehook.logic.batch.BatchTurn;
 import org.fescuehook.logic.batch.state.StepProgress;
-import org.fescuehook.logic.batch.store.Outstanding;
+import org.fescuehook.logic.batch.store.PendingCall;
 import org.fescuehook.model.fleet.Incarnation;
 
 /**
@@ -20,7 +20,7 @@
  * request is pending. Which incarnations of executors may run a step never changes; only tickets
  * expire.
  */
-public final class AdviceDuty {
+public final class AdviceCache {
 
   /** Largest number of executors that the service accepts in one call. */
   private static final int MAX_EXECUTORS = 100;
@@ -37,7 +37,7 @@
   private final Map<StepProgress, StepAdvice> steps = new HashMap<>();
   private final long numberBeforeFirst;
   private Optional<Request> pendingRequest = Optional.empty();
-  private final Outstanding pendingCall = new Outstanding(Outstanding.ADVICE);
+  private final PendingCall pendingCall = new PendingCall(PendingCall.ADVICE);
   private long lastNumber;
   private long retryAt;
 
@@ -58,10 +58,10 @@
    *
    * @param numberBeforeFirst number directly below the request numbers of this epoch
    */
-  public AdviceDuty(long numberBeforeFirst, BatchTurn turn) {
+  public AdviceCache(long numberBeforeFirst, BatchContext context) {
     this.numberBeforeFirst = numberBeforeFirst;
     this.lastNumber = numberBeforeFirst;
-    this.retryAt = turn.nowNanos();
+    this.retryAt = context.nowNanos();
   }
 
   /** Returns the executors for which a step has a valid ticket. */
@@ -97,30 +97,30 @@
    *
    * @param usable executors that the step could run on
    */
-  public void ask(StepProgress step, List<Incarnation> usable, BatchTurn turn) {
-    if (pendingCall.present(turn) || turn.nowNanos() - retryAt < 0) {
+  public void ask(StepProgress step, List<Incarnation> usable, BatchContext context) {
+    if (pendingCall.present(context) || context.nowNanos() - retryAt < 0) {
       return;
     }
     StepAdvice advice = steps.computeIfAbsent(step, name -> new StepAdvice());
     List<Incarnation> requested =
         usable.stream()
             .filter(executor -> !advice.forbidden.contains(executor))
-            .filter(executor -> ticket(step, executor, turn.nowNanos()).isEmpty())
+            .filter(executor -> ticket(step, executor, context.nowNanos()).isEmpty())
             .limit(MAX_EXECUTORS)
             .toList();
     if (requested.isEmpty()) {
       return;
     }
     lastNumber++;
-    pendingCall.begin(turn);
+    pendingCall.begin(context);
     pendingRequest = Optional.of(new Request(lastNumber, step, requested));
-    turn.add(
+    context.add(
         new BatchCommand.AskAdvice(
             lastNumber, step.name(), requested.stream().map(Incarnation::id).toList()));
   }
 
   /** Applies the outcome of a request; an outcome from an earlier epoch is ignored. */
-  public void answered(long number, AdviceOutcome outcome, BatchTurn turn) {
+  public void answered(long number, AdviceOutcome outcome, BatchContext context) {
     if (number <= numberBeforeFirst
         || pendingRequest.filter(request -> request.number() == number).isEmpty()) {
       return;
@@ -129,16 +129,16 @@
     pendingRequest = Optional.empty();
     pendingCall.end();
     switch (outcome) {
-      case AdviceOutcome.Given given -> given(request, given, turn);
+      case AdviceOutcome.Given given -> given(request, given, context);
       case AdviceOutcome.Unavailable(String reason) -> {
-        retryAt = turn.nowNanos() + RETRY_NANOS;
-        turn.note(BatchLogEvent.ADVICE_MISSING, request.step().name(), reason);
-        turn.count("fescuehook.batch.advice", "outcome", "unavailable");
+        retryAt = context.nowNanos() + RETRY_NANOS;
+        context.note(BatchLogEvent.ADVICE_MISSING, request.step().name(), reason);
+        context.count("fescuehook.batch.advice", "outcome", "unavailable");
       }
     }
   }
 
-  private void given(Request request, AdviceOutcome.Given given, BatchTurn turn) {
+  private void given(Request request, AdviceOutcome.Given given, BatchContext context) {
     StepAdvice advice = steps.computeIfAbsent(request.step(), name -> new StepAdvice());
     long valid = Duration.ofMillis(given.validMillis()).toNanos() - TICKET_MARGIN_NANOS;
     for (Incarnation executor : request.executors()) {
@@ -146,16 +146,16 @@
       if (ticket == null) {
         advice.forbidden.add(executor);
       } else {
-        advice.tickets.put(executor, new Ticket(ticket, turn.nowNanos() + valid));
+        advice.tickets.put(executor, new Ticket(ticket, context.nowNanos() + valid));
       }
     }
-    turn.note(
+    context.note(
         BatchLogEvent.ADVICE_GIVEN,
         request.step().name(),
         given.tickets().size(),
         request.executors().size(),
         given.validMillis());
-    turn.count("fescuehook.batch.advice", "outcome", "given");
+    context.count("fescuehook.batch.advice", "outcome", "given");
   }
 
   /** Discards a ticket that an executor rejected, so that a new one is requested. */
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobLifecycle.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.BatchLogEvent;
-import org.fescuehook.logic.batch.BatchTurn;
 import org.fescuehook.logic.batch.executor.Countdown;
 import org.fescuehook.logic.batch.executor.CrashEvidence;
 import org.fescuehook.logic.batch.executor.ExecutorDuty;
@@ -19,17 +19,20 @@
 import org.fescuehook.model.batch.RunEnd;
 
 /** Changes jobs according to the outcome of their runs and to cancels, and stores each change. */
-public final class JobDuty {
+public final class JobLifecycle {
 
-  private final JobBook book;
+  private final JobRegistry book;
   private final JobRecords records;
   private final ExecutorDuty executors;
   private BatchConfiguration configuration;
   private boolean changed = true;
 
   /** Creates the lifecycle of the jobs that a new owner has loaded. */
-  public JobDuty(
-      JobBook book, StateWriter writer, ExecutorDuty executors, BatchConfiguration configuration) {
+  public JobLifecycle(
+      JobRegistry book,
+      StateWriter writer,
+      ExecutorDuty executors,
+      BatchConfiguration configuration) {
     this.book = book;
     this.records = new JobRecords(book, writer);
     this.executors = executors;
@@ -37,7 +40,7 @@
   }
 
   /** Returns the jobs. */
-  public JobBook book() {
+  public JobRegistry book() {
     return book;
   }
 
@@ -50,7 +53,7 @@
   /**
    * Returns the queue of a job as declared now or, if it was removed, when the job was accepted.
    */
-  public JobQueue queue(OpenJob job) {
+  public JobQueue queue(ActiveJob job) {
     JobQueue accepted = job.job().queue();
     return configuration.queue(accepted.name()).orElse(accepted);
   }
@@ -81,56 +84,56 @@
   }
 
   /** Stores the progress of a job. */
-  public void persist(OpenJob job, Runnable committed) {
+  public void persist(ActiveJob job, Runnable committed) {
     records.persist(job, committed);
   }
 
   /** Ends a job that its caller cancelled. */
-  public void cancel(OpenJob job, Runnable committed, BatchTurn turn) {
-    end(job, JobPhase.CANCELLED, committed, turn);
+  public void cancel(ActiveJob job, Runnable committed, BatchContext context) {
+    end(job, JobPhase.CANCELLED, committed, context);
   }
 
   /** Stores the cancel of a job that is not known, as its submission may still arrive. */
-  public void cancelEarly(String id, Runnable committed, BatchTurn turn) {
-    records.cancelEarly(id, committed, turn);
+  public void cancelEarly(String id, Runnable committed, BatchContext context) {
+    records.cancelEarly(id, committed, context);
   }
 
-  private void end(OpenJob job, JobPhase phase, Runnable committed, BatchTurn turn) {
-    long millis = turn.wallMillis() - job.job().acceptedMillis();
-    turn.note(BatchLogEvent.JOB_ENDED, job.job().id(), phase, millis);
-    turn.stage("whole", Math.max(0, TimeUnit.MILLISECONDS.toNanos(millis)));
-    turn.count("fescuehook.batch.jobs.ended", "phase", phase.name());
-    job.end(phase, turn.wallMillis());
+  private void end(ActiveJob job, JobPhase phase, Runnable committed, BatchContext context) {
+    long millis = context.wallMillis() - job.job().acceptedMillis();
+    context.note(BatchLogEvent.JOB_ENDED, job.job().id(), phase, millis);
+    context.stage("whole", Math.max(0, TimeUnit.MILLISECONDS.toNanos(millis)));
+    context.count("fescuehook.batch.jobs.ended", "phase", phase.name());
+    job.end(phase, context.wallMillis());
     if (phase != JobPhase.COMPLETED) {
-      job.liveRuns().forEach(run -> executors.stop(run, "its job ended", turn));
+      job.liveRuns().forEach(run -> executors.stop(run, "its job ended", context));
     }
-    records.end(job, committed, turn);
+    records.end(job, committed, context);
     changed = true;
   }
 
   /** Retires loaded jobs that ended under a former owner and have no live runs. */
-  public void retireEnded(BatchTurn turn) {
-    book.openJobs().forEach(job -> records.retireIfEnded(job, turn));
+  public void retireEnded(BatchContext context) {
+    book.openJobs().forEach(job -> records.retireIfEnded(job, context));
   }
 
   /**
    * Returns whether a run may continue for long if this owner fails now: it is live, its executor
    * has not acknowledged a stop, and its lease does not expire soon.
    */
-  public boolean mayContinue(LiveRun run, BatchTurn turn) {
-    return run.task().isLive(run) && !executors.book().endsSoon(run, turn.nowNanos());
+  public boolean mayContinue(LiveRun run, BatchContext context) {
+    return run.task().isLive(run) && !executors.book().endsSoon(run, context.nowNanos());
   }
 
   /** Handles a run of a former owner that was found running: stops it if it is no longer needed. */
-  public void foundRunning(LiveRun run, BatchTurn turn) {
+  public void foundRunning(LiveRun run, BatchContext context) {
     StepProgress step = run.step();
     if (!step.job().open()) {
-      executors.stop(run, "its job ended", turn);
+      executors.stop(run, "its job ended", context);
     } else if (run.task().done()) {
-      executors.stop(run, "its task is done", turn);
+      executors.stop(run, "its task is done", context);
     } else if (step.spec().gang() && !step.waiting().isEmpty()) {
       // A member has ended, and the former owner may have failed before it stopped the others.
-      breakGang(step, turn);
+      breakGang(step, context);
     }
   }
 
@@ -140,80 +143,81 @@
    * @param stored held until the consequences of the end are stored; its release acknowledges the
    *     end to the executor
    */
-  public void ended(LiveRun run, EndedRun end, Countdown stored, BatchTurn turn) {
-    logEnd(run, end.end(), turn);
+  public void ended(LiveRun run, EndedRun end, Countdown stored, BatchContext context) {
+    logEnd(run, end.end(), context);
     StepProgress step = run.step();
     TaskProgress task = run.task();
     step.end(task);
     step.saved(task, end.checkpoint());
     changed = true;
     if (!step.job().open()) {
-      endedAfterJob(step.job(), stored, turn);
+      endedAfterJob(step.job(), stored, context);
       return;
     }
     stored.hold();
     Runnable committed = stored::release;
     if (step.spec().lasting().isPresent()) {
       // A long-running task starts again however its run ended.
-      if (!giveUpIfCrashing(step, task, committed, turn)) {
+      if (!giveUpIfCrashing(step, task, committed, context)) {
         persist(step.job(), committed);
       }
       return;
     }
     switch (end.end()) {
-      case DONE -> finish(step, task, committed, turn);
-      case FAILED -> fail(run, task, committed, turn);
+      case DONE -> finish(step, task, committed, context);
+      case FAILED -> fail(run, task, committed, context);
       case STOPPED, LEASE_EXPIRED, GANG_BROKEN, GANG_INCOMPLETE -> {
-        if (!giveUpIfCrashing(step, task, committed, turn)) {
-          breakGang(step, turn);
+        if (!giveUpIfCrashing(step, task, committed, context)) {
+          breakGang(step, context);
           persist(step.job(), committed);
         }
       }
     }
   }
 
-  private void endedAfterJob(OpenJob job, Countdown stored, BatchTurn turn) {
+  private void endedAfterJob(ActiveJob job, Countdown stored, BatchContext context) {
     if (!job.storedPhase().ended()) {
       // The end of the job is not stored yet; the end of the run is acknowledged after it.
       stored.hold();
       persist(job, stored::release);
     }
-    records.retireIfEnded(job, turn);
+    records.retireIfEnded(job, context);
   }
 
-  private static void logEnd(LiveRun run, RunEnd end, BatchTurn turn) {
-    long millis = (turn.nowNanos() - run.placedAt()) / 1_000_000;
-    turn.note(BatchLogEvent.RUN_ENDED, run.run(), run.incarnation(), end, run.percent(), millis);
-    turn.stage("ran", turn.nowNanos() - run.placedAt());
-    turn.count("fescuehook.batch.runs.ended", "how", end.name());
+  private static void logEnd(LiveRun run, RunEnd end, BatchContext context) {
+    long millis = (context.nowNanos() - run.placedAt()) / 1_000_000;
+    context.note(BatchLogEvent.RUN_ENDED, run.run(), run.incarnation(), end, run.percent(), millis);
+    context.stage("ran", context.nowNanos() - run.placedAt());
+    context.count("fescuehook.batch.runs.ended", "how", end.name());
   }
 
-  private void finish(StepProgress step, TaskProgress task, Runnable committed, BatchTurn turn) {
+  private void finish(
+      StepProgress step, TaskProgress task, Runnable committed, BatchContext context) {
     step.finish(task);
     if (step.job().allDone()) {
-      end(step.job(), JobPhase.COMPLETED, committed, turn);
+      end(step.job(), JobPhase.COMPLETED, committed, context);
     } else {
       persist(step.job(), committed);
     }
   }
 
-  private void fail(LiveRun run, TaskProgress task, Runnable committed, BatchTurn turn) {
+  private void fail(LiveRun run, TaskProgress task, Runnable committed, BatchContext context) {
     StepProgress step = run.step();
     int failures = step.fail(task, run.run().number(), run.incarnation());
     if (!step.done() && failures >= queue(step.job()).maxAttempts()) {
-      end(step.job(), JobPhase.FAILED, committed, turn);
+      end(step.job(), JobPhase.FAILED, committed, context);
       return;
     }
-    if (!giveUpIfCrashing(step, task, committed, turn)) {
-      breakGang(step, turn);
+    if (!giveUpIfCrashing(step, task, committed, context)) {
+      breakGang(step, context);
       persist(step.job(), committed);
     }
   }
 
   /** Stops the remaining members of a gang that has lost one, so that the whole gang restarts. */
-  private void breakGang(StepProgress step, BatchTurn turn) {
+  private void breakGang(StepProgress step, BatchContext context) {
     if (step.spec().gang() && !step.done()) {
-      step.liveRuns().forEach(run -> executors.stop(run, "a member of its gang ended", turn));
+      step.liveRuns().forEach(run -> executors.stop(run, "a member of its gang ended", context));
     }
   }
 
@@ -221,11 +225,11 @@
    * Handles the end of a run that the owner had given up or does not know. If the run is done, its
    * task is done all the same; any other end is ignored.
    */
-  public void strayEnded(EndedRun end, Countdown stored, BatchTurn turn) {
+  public void strayEnded(EndedRun end, Countdown stored, BatchContext context) {
     if (end.end() != RunEnd.DONE) {
       return;
     }
-    Optional<OpenJob> job = book.open(end.run().task().job());
+    Optional<ActiveJob> job = book.open(end.run().task().job());
     Optional<StepProgress> step =
         job.flatMap(open -> open.step(end.run().task().occurrence(), end.run().task().step()));
     Optional<TaskProgress> task = step.flatMap(found -> found.task(end.run().task().index()));
@@ -239,13 +243,13 @@
       records.whenStored(job.get(), stored::release);
       return;
     }
-    finish(step.get(), task.get(), stored::release, turn);
+    finish(step.get(), task.get(), stored::release, context);
     // Another run of the task may be live elsewhere.
-    task.get().live().ifPresent(run -> executors.stop(run, "its task is done", turn));
+    task.get().live().ifPresent(run -> executors.stop(run, "its task is done", context));
   }
 
   /** Handles a run that is lost: it is dead, but its executor reported no end. */
-  public void lost(LiveRun run, BatchTurn turn) {
+  public void lost(LiveRun run, BatchContext context) {
     StepProgress step = run.step();
     TaskProgress task = run.task();
     if (!task.isLive(run)) {
@@ -254,13 +258,13 @@
     step.end(task);
     changed = true;
     if (!step.job().open()) {
-      records.retireIfEnded(step.job(), turn);
+      records.retireIfEnded(step.job(), context);
       return;
     }
-    if (giveUpIfCrashing(step, task, () -> {}, turn)) {
+    if (giveUpIfCrashing(step, task, () -> {}, context)) {
       return;
     }
-    breakGang(step, turn);
+    breakGang(step, context);
     persist(step.job(), () -> {});
   }
 
@@ -269,17 +273,17 @@
    * crash every other one it starts on, so the evidence against it is counted and stored; the next
    * owner continues the count.
    */
-  public void lostWithExecutor(LiveRun run, CrashEvidence evidence, BatchTurn turn) {
+  public void lostWithExecutor(LiveRun run, CrashEvidence evidence, BatchContext context) {
     StepProgress step = run.step();
     TaskProgress task = run.task();
     boolean counts = step.job().open() && !step.done() && task.isLive(run);
     if (!counts) {
-      lost(run, turn);
+      lost(run, context);
       return;
     }
-    turn.count("fescuehook.batch.runs.crashed", "evidence", evidence.tag());
+    context.count("fescuehook.batch.runs.crashed", "evidence", evidence.tag());
     task.crashed(step.evidenceAgainst(run, evidence), run.run().number());
-    lost(run, turn);
+    lost(run, context);
   }
 
   /**
@@ -288,47 +292,47 @@
    * @return false if the task may be started again
    */
   private boolean giveUpIfCrashing(
-      StepProgress step, TaskProgress task, Runnable committed, BatchTurn turn) {
+      StepProgress step, TaskProgress task, Runnable committed, BatchContext context) {
     if (step.done() || !task.mustGiveUp()) {
       return false;
     }
     CrashRecord crashes = task.crashes();
-    turn.note(
+    context.note(
         BatchLogEvent.TASK_GIVEN_UP,
         step.name(task),
         crashes.early(),
         crashes.late(),
         crashes.other());
-    end(step.job(), JobPhase.FAILED, committed, turn);
+    end(step.job(), JobPhase.FAILED, committed, context);
     return true;
   }
 
   /** Handles a run whose start the executor rejected. */
-  public void rejected(LiveRun run, Rejection rejection, BatchTurn turn) {
-    turn.note(BatchLogEvent.RUN_LOST, run.run(), run.incarnation(), "rejected: " + rejection);
-    lost(run, turn);
+  public void rejected(LiveRun run, Rejection rejection, BatchContext context) {
+    context.note(BatchLogEvent.RUN_LOST, run.run(), run.incarnation(), "rejected: " + rejection);
+    lost(run, context);
   }
 
   /** Handles a run whose start was never sent; it does not count as a run of its task. */
-  public void unsent(LiveRun run, BatchTurn turn) {
+  public void unsent(LiveRun run, BatchContext context) {
     TaskProgress task = run.task();
     if (task.isLive(run)) {
       task.unsent();
     }
-    lost(run, turn);
+    lost(run, context);
   }
 
   /** Handles a run whose start was not answered: it may run, so it is stopped. */
-  public void startGivenUp(LiveRun run, BatchTurn turn) {
-    executors.stop(run, "its start had no answer", turn);
-    breakGang(run.step(), turn);
+  public void startGivenUp(LiveRun run, BatchContext context) {
+    executors.stop(run, "its start had no answer", context);
+    breakGang(run.step(), context);
   }
 
   /** Handles a run that makes hardly any progress on its executor: stops it to move it. */
-  public void stoodStill(LiveRun run, BatchTurn turn) {
+  public void stoodStill(LiveRun run, BatchContext context) {
     if (run.step().job().open() && !run.step().done()) {
-      executors.stop(run, "it hardly progresses there", turn);
-      breakGang(run.step(), turn);
+      executors.stop(run, "it hardly progresses there", context);
+      breakGang(run.step(), context);
     }
   }
 
@@ -343,14 +347,14 @@
    * long-running or would not end in time. A run that is lost with its executor can be restarted
    * only after its lease has expired.
    */
-  public void leaving(ExecutorState executor, BatchTurn turn) {
+  public void leaving(ExecutorState executor, BatchContext context) {
     for (LiveRun run : executor.runs().stream().toList()) {
       boolean lateThere = run.estimatedLeftMillis() > executor.profile().remainingMillis();
       boolean lasting = run.step().spec().lasting().isPresent();
       boolean moves = run.step().spec().checkpointing() || lateThere || lasting;
       if (moves && !run.step().done()) {
-        executors.stop(run, "its executor is leaving", turn);
-        breakGang(run.step(), turn);
+        executors.stop(run, "its executor is leaving", context);
+        breakGang(run.step(), context);
       }
     }
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobRecords.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobRecords.java
@@ -1,23 +1,23 @@
 package org.fescuehook.logic.batch.state;
 
 import java.util.Optional;
-import org.fescuehook.logic.batch.BatchTurn;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.store.StateWriter;
 import org.fescuehook.model.batch.JobPhase;
 
 /** Writes the records of jobs to the store and retires jobs once their end is stored. */
 final class JobRecords {
 
-  private final JobBook book;
+  private final JobRegistry book;
   private final StateWriter writer;
 
-  JobRecords(JobBook book, StateWriter writer) {
+  JobRecords(JobRegistry book, StateWriter writer) {
     this.book = book;
     this.writer = writer;
   }
 
   /** Stores the progress of a job. */
-  void persist(OpenJob job, Runnable committed) {
+  void persist(ActiveJob job, Runnable committed) {
     EncodedProgress encoded = new EncodedProgress(job);
     writer.put(
         JobCodec.progressKey(job.job().id()),
@@ -29,7 +29,7 @@
   }
 
   /** Calls back once the current progress of a job is stored. */
-  void whenStored(OpenJob job, Runnable committed) {
+  void whenStored(ActiveJob job, Runnable committed) {
     writer.whenStored(JobCodec.progressKey(job.job().id()), committed);
   }
 
@@ -37,14 +37,14 @@
    * Stores the end of a job. While the job has live runs, the store also keeps the job itself, so
    * that a new owner knows which runs it has to stop.
    */
-  void end(OpenJob job, Runnable committed, BatchTurn turn) {
+  void end(ActiveJob job, Runnable committed, BatchContext context) {
     String id = job.job().id();
     boolean noLiveRuns = job.liveRuns().isEmpty();
     persist(
         job,
         () -> {
           if (noLiveRuns) {
-            book.retire(job, turn.nowNanos());
+            book.retire(job, context.nowNanos());
           }
           committed.run();
         });
@@ -56,20 +56,21 @@
   }
 
   /** Retires a job if it has ended and has no live runs. */
-  void retireIfEnded(OpenJob job, BatchTurn turn) {
+  void retireIfEnded(ActiveJob job, BatchContext context) {
     if (job.open() || !job.liveRuns().isEmpty()) {
       return;
     }
     String id = job.job().id();
-    persist(job, () -> book.retire(job, turn.nowNanos()));
+    persist(job, () -> book.retire(job, context.nowNanos()));
     writer.put(JobCodec.jobKey(id), Optional::empty, () -> {});
     writer.put(JobCodec.endedJobKey(id), Optional::empty, () -> {});
   }
 
   /** Stores the cancel of a job that is not known, as its submission may still arrive. */
-  void cancelEarly(String id, Runnable committed, BatchTurn turn) {
-    JobBook.EndedJob cancelled = new JobBook.EndedJob(JobPhase.CANCELLED, turn.wallMillis());
-    book.addEarlyCancel(id, cancelled, turn.nowNanos());
+  void cancelEarly(String id, Runnable committed, BatchContext context) {
+    JobRegistry.EndedJob cancelled =
+        new JobRegistry.EndedJob(JobPhase.CANCELLED, context.wallMillis());
+    book.addEarlyCancel(id, cancelled, context.nowNanos());
     byte[] stored = JobCodec.encodeEnd(cancelled);
     writer.put(JobCodec.earlyCancelKey(id), () -> Optional.of(stored), committed);
   }
@@ -79,10 +80,10 @@
    * time the append is stored, and callers must not be told a state that is not stored.
    */
   private static final class EncodedProgress {
-    private final OpenJob job;
+    private final ActiveJob job;
     private Optional<JobPhase> phase = Optional.empty();
 
-    EncodedProgress(OpenJob job) {
+    EncodedProgress(ActiveJob job) {
       this.job = job;
     }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobBook.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobRegistry.java
@@ -12,7 +12,7 @@
  * The jobs that the owner keeps in memory: active jobs in the order of their acceptance, ended jobs
  * whose state is still reported to callers, and cancels of jobs that are not known.
  */
-public final class JobBook {
+public final class JobRegistry {
 
   /**
    * Most cancels of unknown jobs that are kept, as callers may send any number of them; this many
@@ -20,7 +20,7 @@
    */
   private static final int MAX_EARLY_CANCELS = 10_000;
 
-  private final Map<String, OpenJob> open = new LinkedHashMap<>();
+  private final Map<String, ActiveJob> open = new LinkedHashMap<>();
   private final RetainedRecords<EndedJob> ended;
 
   /** Jobs that were cancelled before they were submitted; their submissions may still arrive. */
@@ -30,17 +30,17 @@
   public record EndedJob(JobPhase phase, long endedMillis) {}
 
   /** Creates a registry without jobs. */
-  public JobBook() {
+  public JobRegistry() {
     this(new RetainedRecords<>(Integer.MAX_VALUE), new RetainedRecords<>(MAX_EARLY_CANCELS));
   }
 
-  private JobBook(RetainedRecords<EndedJob> ended, RetainedRecords<EndedJob> earlyCancels) {
+  private JobRegistry(RetainedRecords<EndedJob> ended, RetainedRecords<EndedJob> earlyCancels) {
     this.ended = ended;
     this.earlyCancels = earlyCancels;
   }
 
   /** Adds a job that is open, or that has ended and still has live runs. */
-  public void add(OpenJob job) {
+  public void add(ActiveJob job) {
     String id = job.job().id();
     open.put(id, job);
     ended.remove(id);
@@ -65,12 +65,12 @@
   }
 
   /** Returns a registry with the same ended jobs and early cancels but without active jobs. */
-  public JobBook withoutOpenJobs() {
-    return new JobBook(ended, earlyCancels);
+  public JobRegistry withoutOpenJobs() {
+    return new JobRegistry(ended, earlyCancels);
   }
 
   /** Returns an active job: one that is open, or has ended and was not retired yet. */
-  public Optional<OpenJob> open(String id) {
+  public Optional<ActiveJob> open(String id) {
     return Optional.ofNullable(open.get(id));
   }
 
@@ -81,7 +81,7 @@
 
   /** Returns the state of a job that is reported to callers; empty if there is no such job. */
   public Optional<JobPhase> storedPhase(String id) {
-    OpenJob job = open.get(id);
+    ActiveJob job = open.get(id);
     if (job != null) {
       return Optional.of(job.storedPhase());
     }
@@ -89,12 +89,12 @@
   }
 
   /** Returns the active jobs. */
-  public Collection<OpenJob> openJobs() {
+  public Collection<ActiveJob> openJobs() {
     return open.values();
   }
 
   /** Moves a job without live runs, whose end is stored, from the active to the ended jobs. */
-  public void retire(OpenJob job, long nowNanos) {
+  public void retire(ActiveJob job, long nowNanos) {
     String id = job.job().id();
     if (open.remove(id, job)) {
       addEnded(id, new EndedJob(job.end().orElseThrow(), job.endedMillis()), nowNanos);
@@ -121,7 +121,7 @@
   /** Returns the number of open jobs of a queue of which no task was started yet. */
   public int pendingJobs(String queue) {
     int count = 0;
-    for (OpenJob job : open.values()) {
+    for (ActiveJob job : open.values()) {
       if (job.job().queue().name().equals(queue) && job.open() && !job.begun()) {
         count++;
       }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/StepProgress.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/StepProgress.java
@@ -27,7 +27,7 @@
    */
   private static final int MAX_MOVES = 1;
 
-  private final OpenJob job;
+  private final ActiveJob job;
   private final int occurrence;
   private final int number;
   private final BatchStep spec;
@@ -40,7 +40,7 @@
   private int remaining;
   private OptionalLong queuedSince = OptionalLong.empty();
 
-  StepProgress(OpenJob job, int occurrence, int number, BatchStep spec, long chainMillis) {
+  StepProgress(ActiveJob job, int occurrence, int number, BatchStep spec, long chainMillis) {
     this.job = job;
     this.occurrence = occurrence;
     this.number = number;
@@ -54,7 +54,7 @@
   }
 
   /** Returns the job. */
-  public OpenJob job() {
+  public ActiveJob job() {
     return job;
   }
 
@@ -122,7 +122,8 @@
    */
   public int mayMiss() {
     int atWork = (int) tasks.stream().filter(TaskProgress::atWork).count();
-    int maxUnavailable = spec.lasting().map(BatchStep.Lasting::maxUnavailable).orElse(spec.count());
+    int maxUnavailable =
+        spec.lasting().map(BatchStep.LongRunning::maxUnavailable).orElse(spec.count());
     return Math.max(0, maxUnavailable - (spec.count() - atWork));
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/model/batch/KeyHolder.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/batch/BatchOrganisation.java
@@ -9,10 +9,10 @@
  * @param apiKeys API keys that its calls carry
  * @param guaranteedAccelerators number of accelerators guaranteed to its jobs of priority 0
  */
-public record KeyHolder(String name, Set<String> apiKeys, int guaranteedAccelerators) {
+public record BatchOrganisation(String name, Set<String> apiKeys, int guaranteedAccelerators) {
 
   /** Copies the set. */
-  public KeyHolder {
+  public BatchOrganisation {
     apiKeys = Set.copyOf(apiKeys);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/model/batch/BatchStep.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/batch/BatchStep.java
@@ -19,14 +19,14 @@
  */
 public record BatchStep(
     int count,
-    Demand demand,
+    ResourceVector demand,
     long estimateMillis,
     List<Integer> dependsOn,
     PlacementRule placement,
     boolean checkpointing,
     boolean gang,
     String image,
-    Optional<Lasting> lasting) {
+    Optional<LongRunning> lasting) {
 
   private static final double MILLIS_PER_SECOND = 1000.0;
 
@@ -38,7 +38,7 @@
   /** Creates a step that is not long-running: its tasks end by themselves. */
   public BatchStep(
       int count,
-      Demand demand,
+      ResourceVector demand,
       long estimateMillis,
       List<Integer> dependsOn,
       PlacementRule placement,
@@ -79,7 +79,7 @@
    * @param targetMillis upper bound on the response times of tasks that serve users; 0 if the tasks
    *     serve no users
    */
-  public record Lasting(int maxUnavailable, long targetMillis) {}
+  public record LongRunning(int maxUnavailable, long targetMillis) {}
 
   /**
    * Where the tasks of a step may run, and where they run well.
