--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/CrashJudge.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/CrashJudge.java
@@ -85,7 +85,7 @@
       return alone ? CrashEvidence.STRONG_ALONE : CrashEvidence.STRONG;
     }
     // A task that lasts outlives many executors, and any of them may be lost by itself.
-    boolean lasting = run.step().spec().lasting().isPresent();
+    boolean lasting = run.step().spec().longRunning().isPresent();
     boolean longAtWork = run.seenRunning() && !within(run.runningSince(), lostAt, SOON.toNanos());
     if (lasting && longAtWork) {
       return CrashEvidence.NONE;
@@ -96,7 +96,7 @@
   /** A run that has worked for half of its estimate may have ended before its executor was lost. */
   private static long soonNanos(LiveRun run) {
     BatchStep spec = run.step().spec();
-    if (spec.lasting().isPresent()) {
+    if (spec.longRunning().isPresent()) {
       return SOON.toNanos();
     }
     return Math.min(SOON.toNanos(), TimeUnit.MILLISECONDS.toNanos(spec.estimateMillis()) / 2);
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorJudge.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorJudge.java
@@ -70,7 +70,7 @@
     boolean comparable =
         run.stage() == Stage.RUNNING
             && run.checkpoint().isEmpty()
-            && run.step().spec().lasting().isEmpty()
+            && run.step().spec().longRunning().isEmpty()
             && !run.wasSlowedDown()
             && !run.step().spec().placement().sameRack();
     double estimate = run.step().spec().estimateMillis();
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/Pacer.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/Pacer.java
@@ -62,10 +62,10 @@
   /** Returns the tail of a serving task over its bound; 0 for other tasks. */
   private static double nearness(ExecutorState executor, ActiveRun active) {
     Optional<BatchStep> step = executor.run(active.run()).map(run -> run.step().spec());
-    if (step.isEmpty() || !step.get().serves()) {
+    if (step.isEmpty() || !step.get().servesUsers()) {
       return 0;
     }
-    return (double) active.load() / step.get().lasting().orElseThrow().targetMillis();
+    return (double) active.load() / step.get().longRunning().orElseThrow().targetMillis();
   }
 
   private static int next(Pace pace, double nearest, long heldNanos) {
@@ -86,7 +86,7 @@
         percent,
         Math.round(nearest * FULL_PERCENT));
     for (LiveRun run : executor.runs()) {
-      if (!run.step().spec().serves()) {
+      if (!run.step().spec().servesUsers()) {
         orders.pace(executor, run, percent, context);
       }
     }
@@ -96,7 +96,7 @@
   void started(ExecutorState executor, LiveRun run, BatchContext context) {
     Pace pace = paces.get(executor);
     boolean slowed = pace != null && pace.percent() < FULL_PERCENT;
-    if (slowed && !run.step().spec().serves()) {
+    if (slowed && !run.step().spec().servesUsers()) {
       orders.pace(executor, run, pace.percent(), context);
     }
   }
@@ -109,11 +109,11 @@
       List<LiveRun> runs,
       Function<LiveRun, Optional<ExecutorState>> executors,
       BatchContext context) {
-    if (runs.stream().noneMatch(run -> run.step().spec().serves())) {
+    if (runs.stream().noneMatch(run -> run.step().spec().servesUsers())) {
       return;
     }
     for (LiveRun run : runs) {
-      if (!run.step().spec().serves()) {
+      if (!run.step().spec().servesUsers()) {
         executors
             .apply(run)
             .ifPresent(executor -> orders.pace(executor, run, FULL_PERCENT, context));
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/Displacer.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/Displacer.java
@@ -162,7 +162,7 @@
         if (!movable || !waiting.rank().before(rank)) {
           continue;
         }
-        boolean lasting = run.step().spec().lasting().isPresent();
+        boolean lasting = run.step().spec().longRunning().isPresent();
         if (lasting && missed.merge(run.step(), 1, Integer::sum) > run.step().mayMiss()) {
           continue;
         }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/PlanDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/PlanDuty.java
@@ -147,7 +147,7 @@
     long spare = objective - step.estimatedChainMillis();
     long waited = Math.max(0, context.wallMillis() - due);
     long queued = context.nowNanos() - step.queuedSince(context.nowNanos());
-    if (step.spec().lasting().isPresent()) {
+    if (step.spec().longRunning().isPresent()) {
       return Timing.ofLasting(queued);
     }
     return new Timing(
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/Room.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/Room.java
@@ -181,12 +181,12 @@
 
   private static Optional<Shape> shape(WaitingStep waiting, boolean nearOnly) {
     BatchStep spec = waiting.step().spec();
-    if (spec.placement().mostPerExecutor() > 0) {
+    if (spec.placement().maxPerExecutor() > 0) {
       return Optional.empty();
     }
     boolean tolerates = waiting.timing().toleratesOthers();
     return groupKey(waiting, nearOnly)
-        .map(group -> new Shape(group, spec.demand(), spec.serves(), tolerates));
+        .map(group -> new Shape(group, spec.demand(), spec.servesUsers(), tolerates));
   }
 
   /** Returns the first group; absent if not one task fits there. */
@@ -271,7 +271,7 @@
       return 0;
     }
     int fitting = slot.free().fits(spec.demand());
-    int most = spec.placement().mostPerExecutor();
+    int most = spec.placement().maxPerExecutor();
     if (most == 0) {
       return fitting;
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/Slot.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/Slot.java
@@ -65,9 +65,9 @@
 
   /** Remembers that a task of a step is here. */
   void holds(BatchStep step) {
-    serving |= step.serves();
-    filling |= !step.serves();
-    fragile |= step.gang() || step.lasting().isPresent();
+    serving |= step.servesUsers();
+    filling |= !step.servesUsers();
+    fragile |= step.gang() || step.longRunning().isPresent();
   }
 
   /** Remembers that a run is here, and whether that may crash the executor. */
@@ -88,7 +88,7 @@
 
   /** Tells whether other work here would lengthen response times: this step's, or by this step. */
   boolean disturbs(BatchStep step) {
-    return step.serves() ? filling : serving;
+    return step.servesUsers() ? filling : serving;
   }
 
   void give(ResourceVector demand) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/Timing.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/Timing.java
@@ -27,7 +27,7 @@
 
   /** Work without an end is of use whenever it runs, and late from the first moment on. */
   static Timing ofLasting(long queuedNanos) {
-    return new Timing(queuedNanos, queuedNanos, 0, Long.MAX_VALUE / JobQueue.LATEST_OBJECTIVES);
+    return new Timing(queuedNanos, queuedNanos, 0, Long.MAX_VALUE / JobQueue.MAX_USEFUL_OBJECTIVES);
   }
 
   /** What its caller can still get. */
@@ -46,7 +46,7 @@
     if (over <= 0) {
       return Prospect.IN_TIME;
     }
-    boolean useful = over <= objectiveNanos * (JobQueue.LATEST_OBJECTIVES - 1);
+    boolean useful = over <= objectiveNanos * (JobQueue.MAX_USEFUL_OBJECTIVES - 1);
     return useful ? Prospect.LATE : Prospect.TOO_LATE;
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobLifecycle.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobLifecycle.java
@@ -156,7 +156,7 @@
     }
     stored.hold();
     Runnable committed = stored::release;
-    if (step.spec().lasting().isPresent()) {
+    if (step.spec().longRunning().isPresent()) {
       // A long-running task starts again however its run ended.
       if (!giveUpIfCrashing(step, task, committed, context)) {
         persist(step.job(), committed);
@@ -233,7 +233,7 @@
     Optional<StepProgress> step =
         job.flatMap(open -> open.step(end.run().task().occurrence(), end.run().task().step()));
     Optional<TaskProgress> task = step.flatMap(found -> found.task(end.run().task().index()));
-    if (task.isEmpty() || step.get().spec().lasting().isPresent()) {
+    if (task.isEmpty() || step.get().spec().longRunning().isPresent()) {
       return;
     }
     stored.hold();
@@ -350,8 +350,8 @@
   public void leaving(ExecutorState executor, BatchContext context) {
     for (LiveRun run : executor.runs().stream().toList()) {
       boolean lateThere = run.estimatedLeftMillis() > executor.profile().remainingMillis();
-      boolean lasting = run.step().spec().lasting().isPresent();
-      boolean moves = run.step().spec().checkpointing() || lateThere || lasting;
+      boolean longRunning = run.step().spec().longRunning().isPresent();
+      boolean moves = run.step().spec().checkpointing() || lateThere || longRunning;
       if (moves && !run.step().done()) {
         executors.stop(run, "its executor is leaving", context);
         breakGang(run.step(), context);
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/StepProgress.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/StepProgress.java
@@ -123,7 +123,7 @@
   public int mayMiss() {
     int atWork = (int) tasks.stream().filter(TaskProgress::atWork).count();
     int maxUnavailable =
-        spec.lasting().map(BatchStep.LongRunning::maxUnavailable).orElse(spec.count());
+        spec.longRunning().map(BatchStep.LongRunning::maxUnavailable).orElse(spec.count());
     return Math.max(0, maxUnavailable - (spec.count() - atWork));
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/SubmissionCodec.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/SubmissionCodec.java
@@ -31,7 +31,7 @@
 
   private static StoredStep encode(BatchStep step) {
     BatchStep.PlacementRule placement = step.placement();
-    Optional<BatchStep.LongRunning> lasting = step.lasting();
+    Optional<BatchStep.LongRunning> longRunning = step.longRunning();
     return StoredStep.newBuilder()
         .setCount(step.count())
         .setMilliCores(step.demand().milliCores())
@@ -44,11 +44,11 @@
         .setSameRack(placement.sameRack())
         .setLabel(placement.label().orElse(""))
         .setAffinityRack(placement.affinity().map(RackId::value).orElse(""))
-        .setMostPerExecutor(placement.mostPerExecutor())
+        .setMostPerExecutor(placement.maxPerExecutor())
         .setImage(step.image())
-        .setLasting(lasting.isPresent())
-        .setMissAllowed(lasting.map(BatchStep.LongRunning::maxUnavailable).orElse(0))
-        .setTargetMillis(lasting.map(BatchStep.LongRunning::targetMillis).orElse(0L))
+        .setLasting(longRunning.isPresent())
+        .setMissAllowed(longRunning.map(BatchStep.LongRunning::maxUnavailable).orElse(0))
+        .setTargetMillis(longRunning.map(BatchStep.LongRunning::targetMillis).orElse(0L))
         .build();
   }
 
@@ -81,10 +81,10 @@
         stored.getCheckpointing(),
         stored.getGang(),
         stored.getImage(),
-        lasting(stored));
+        longRunning(stored));
   }
 
-  private static Optional<BatchStep.LongRunning> lasting(StoredStep stored) {
+  private static Optional<BatchStep.LongRunning> longRunning(StoredStep stored) {
     return stored.getLasting()
         ? Optional.of(new BatchStep.LongRunning(stored.getMissAllowed(), stored.getTargetMillis()))
         : Optional.empty();
--- a/fescuehook/src/main/java/org/fescuehook/model/batch/BatchStep.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/batch/BatchStep.java
@@ -15,7 +15,7 @@
  * @param checkpointing whether its tasks save checkpoints
  * @param gang whether its tasks must all run at the same time
  * @param image name of the program that the tasks run; tasks of one image behave alike
- * @param lasting present if its tasks run until their job is cancelled
+ * @param longRunning present if its tasks run until their job is cancelled
  */
 public record BatchStep(
     int count,
@@ -26,7 +26,7 @@
     boolean checkpointing,
     boolean gang,
     String image,
-    Optional<LongRunning> lasting) {
+    Optional<LongRunning> longRunning) {
 
   private static final double MILLIS_PER_SECOND = 1000.0;
 
@@ -61,8 +61,8 @@
    * Returns whether its tasks serve users. Other runs on the same executor lengthen the response
    * times of such tasks.
    */
-  public boolean serves() {
-    return lasting.filter(work -> work.targetMillis() > 0).isPresent();
+  public boolean servesUsers() {
+    return longRunning.filter(work -> work.targetMillis() > 0).isPresent();
   }
 
   /** Returns the estimated work of all tasks, in seconds of one core. */
@@ -87,11 +87,11 @@
    * @param sameRack whether the tasks run slowly unless all of them are in one rack
    * @param label label that an executor must have; empty for any executor
    * @param affinity rack that holds the data of the tasks; in other racks they run slowly
-   * @param mostPerExecutor largest number of tasks of one occurrence of the step on one executor; 0
+   * @param maxPerExecutor largest number of tasks of one occurrence of the step on one executor; 0
    *     for no limit
    */
   public record PlacementRule(
-      boolean sameRack, Optional<String> label, Optional<RackId> affinity, int mostPerExecutor) {
+      boolean sameRack, Optional<String> label, Optional<RackId> affinity, int maxPerExecutor) {
 
     /** Permits any placement and prefers none. */
     public static final PlacementRule ANYWHERE =
--- a/fescuehook/src/main/java/org/fescuehook/model/batch/JobQueue.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/batch/JobQueue.java
@@ -26,7 +26,7 @@
   /**
    * A job that ends later than this multiple of its objective is of no use to its caller any more.
    */
-  public static final int LATEST_OBJECTIVES = 3;
+  public static final int MAX_USEFUL_OBJECTIVES = 3;
 
   /**
    * Returns the objective: the time within which a job should end.
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/VirtualWork.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/VirtualWork.java
@@ -132,11 +132,11 @@
 
   /** Tells whether a run ends by itself. */
   boolean ends(TaskRun run) {
-    return spec(run.task()).lasting().isEmpty() || sick.contains(running.get(run));
+    return spec(run.task()).longRunning().isEmpty() || sick.contains(running.get(run));
   }
 
   boolean serves(TaskRun run) {
-    return spec(run.task()).serves();
+    return spec(run.task()).servesUsers();
   }
 
   /**
@@ -147,7 +147,7 @@
     if (!serves(run)) {
       return demand(run.task()).milliCores();
     }
-    long bound = spec(run.task()).lasting().orElseThrow().targetMillis();
+    long bound = spec(run.task()).longRunning().orElseThrow().targetMillis();
     return Math.round(bound * (1 + othersAtWork) / 3);
   }
 
@@ -191,7 +191,7 @@
   }
 
   int percent(TaskRun run, long workedMillis) {
-    if (spec(run.task()).lasting().isPresent()) {
+    if (spec(run.task()).longRunning().isPresent()) {
       return workedMillis >= STARTUP_MILLIS ? PERCENT : 0;
     }
     return (int) Math.min(PERCENT, workedMillis * PERCENT / duration(run.task()));
@@ -216,7 +216,7 @@
   /** A start: no other run of the task may be alive, and none may have ended done. */
   void started(TaskRun run, ExecutorId executor, long nowMillis) {
     assertTrue(submissions.containsKey(run.task().job()), () -> "unasked start of " + run);
-    boolean lasts = spec(run.task()).lasting().isPresent();
+    boolean lasts = spec(run.task()).longRunning().isPresent();
     assertFalse(
         !lasts && finished.contains(run.task()), () -> run + " starts although its task is done");
     long orderedAt = lateSince.orElse(nowMillis);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/FormerRoom.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/FormerRoom.java
@@ -148,7 +148,7 @@
       return 0;
     }
     int fitting = slot.free().fits(spec.demand());
-    int most = spec.placement().mostPerExecutor();
+    int most = spec.placement().maxPerExecutor();
     if (most == 0) {
       return fitting;
     }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/FormerSlot.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/FormerSlot.java
@@ -46,13 +46,13 @@
 
   /** Remembers that a task of a step is here. */
   void holds(BatchStep step) {
-    serving |= step.serves();
-    filling |= !step.serves();
+    serving |= step.servesUsers();
+    filling |= !step.servesUsers();
   }
 
   /** Tells whether other work here would lengthen response times: this step's, or by this step. */
   boolean disturbs(BatchStep step) {
-    return step.serves() ? filling : serving;
+    return step.servesUsers() ? filling : serving;
   }
 
   void give(ResourceVector demand) {
--- a/fescuehook/src/test/java/org/fescuehook/platform/SubmissionParserTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/SubmissionParserTest.java
@@ -86,8 +86,8 @@
             .steps()
             .getFirst();
 
-    assertEquals(Optional.of(new BatchStep.LongRunning(1, 80)), step.lasting());
-    assertTrue(step.serves());
+    assertEquals(Optional.of(new BatchStep.LongRunning(1, 80)), step.longRunning());
+    assertTrue(step.servesUsers());
   }
 
   @Test
@@ -98,6 +98,6 @@
             .getFirst();
 
     assertEquals(new ResourceVector(0, 9, 0), step.demand());
-    assertEquals(Optional.empty(), step.lasting());
+    assertEquals(Optional.empty(), step.longRunning());
   }
 }
