--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchContext.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchContext.java
@@ -9,7 +9,7 @@
 
   private final long nowNanos;
   private final long wallMillis;
-  private final boolean more;
+  private final boolean moreEventsQueued;
   private final List<BatchCommand> commands = new ArrayList<>();
 
   /**
@@ -27,20 +27,20 @@
    *
    * @param nowNanos monotonic time
    * @param wallMillis milliseconds since 1970
-   * @param more whether further events are queued
+   * @param moreEventsQueued whether further events are queued
    */
-  public BatchContext(long nowNanos, long wallMillis, boolean more) {
+  public BatchContext(long nowNanos, long wallMillis, boolean moreEventsQueued) {
     this.nowNanos = nowNanos;
     this.wallMillis = wallMillis;
-    this.more = more;
+    this.moreEventsQueued = moreEventsQueued;
   }
 
   /**
    * Returns whether further events are queued. Expensive work such as planning can then be
    * postponed and done once for all of them.
    */
-  public boolean more() {
-    return more;
+  public boolean moreEventsQueued() {
+    return moreEventsQueued;
   }
 
   /** Returns the monotonic time of the event, in nanoseconds. */
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchCore.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchCore.java
@@ -74,11 +74,13 @@
    *
    * @param nowNanos monotonic time
    * @param wallMillis milliseconds since 1970
-   * @param more whether further events are queued; planning is then postponed for a short time
+   * @param moreEventsQueued whether further events are queued; planning is then postponed for a
+   *     short time
    * @return the commands to execute, in order
    */
-  public List<BatchCommand> apply(BatchEvent event, long nowNanos, long wallMillis, boolean more) {
-    BatchContext context = new BatchContext(nowNanos, wallMillis, more);
+  public List<BatchCommand> apply(
+      BatchEvent event, long nowNanos, long wallMillis, boolean moreEventsQueued) {
+    BatchContext context = new BatchContext(nowNanos, wallMillis, moreEventsQueued);
     handle(event, context);
     step(context);
     return context.commands();
@@ -160,7 +162,7 @@
         BatchLogEvent.CONFIGURATION_IN_FORCE,
         newer.version(),
         newer.queues().size(),
-        newer.holders().size());
+        newer.organisations().size());
     owner.ifPresent(owning -> owning.configure(newer));
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchOwner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchOwner.java
@@ -201,7 +201,8 @@
       executors.step(context);
     }
     plans.startStored(context);
-    boolean planNow = !context.more() || context.nowNanos() - plannedAt > BUSY_PLAN_INTERVAL_NANOS;
+    boolean planNow =
+        !context.moreEventsQueued() || context.nowNanos() - plannedAt > BUSY_PLAN_INTERVAL_NANOS;
     if (!stopping && planNow && jobs.takeChanged()) {
       plannedAt = context.nowNanos();
       plans.step(context);
@@ -271,8 +272,8 @@
       answer(ticket, new CallAnswer.NoSuchQueue());
       return;
     }
-    Optional<BatchOrganisation> holder = configuration.holder(call.apiKey());
-    if (!queue.get().open() && holder.isEmpty()) {
+    Optional<BatchOrganisation> caller = configuration.organisation(call.apiKey());
+    if (!queue.get().open() && caller.isEmpty()) {
       answer(ticket, new CallAnswer.UnknownKey());
       return;
     }
@@ -284,7 +285,7 @@
           refuse(ticket, submit.job(), refusal.get(), context);
           return;
         }
-        String organisation = holder.map(BatchOrganisation::name).orElse("");
+        String organisation = caller.map(BatchOrganisation::name).orElse("");
         submissions.submit(ticket, submit, queue.get(), organisation, retryAfterMillis(), context);
       }
       case BatchCall.Status status -> status(new JobQuery(ticket, status.job(), until), context);
--- a/fescuehook/src/main/java/org/fescuehook/model/batch/BatchConfiguration.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/batch/BatchConfiguration.java
@@ -9,15 +9,15 @@
  *
  * @param version version number, which increases with each change
  * @param queues the queues by name
- * @param holders the organisations
+ * @param organisations the organisations
  */
 public record BatchConfiguration(
-    long version, Map<String, JobQueue> queues, List<BatchOrganisation> holders) {
+    long version, Map<String, JobQueue> queues, List<BatchOrganisation> organisations) {
 
   /** Copies the collections. */
   public BatchConfiguration {
     queues = Map.copyOf(queues);
-    holders = List.copyOf(holders);
+    organisations = List.copyOf(organisations);
   }
 
   /** Returns the queue of the given name; empty if it is not declared. */
@@ -26,15 +26,17 @@
   }
 
   /** Returns the organisation to which an API key belongs; empty if it belongs to none. */
-  public Optional<BatchOrganisation> holder(String apiKey) {
-    return holders.stream().filter(holder -> holder.apiKeys().contains(apiKey)).findFirst();
+  public Optional<BatchOrganisation> organisation(String apiKey) {
+    return organisations.stream()
+        .filter(declared -> declared.apiKeys().contains(apiKey))
+        .findFirst();
   }
 
   /** Returns the accelerators guaranteed to an organisation; 0 if it is not declared. */
   public int guaranteedAccelerators(String organisation) {
-    for (BatchOrganisation holder : holders) {
-      if (holder.name().equals(organisation)) {
-        return holder.guaranteedAccelerators();
+    for (BatchOrganisation declared : organisations) {
+      if (declared.name().equals(organisation)) {
+        return declared.guaranteedAccelerators();
       }
     }
     return 0;
--- a/fescuehook/src/main/java/org/fescuehook/platform/CallerEdge.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/CallerEdge.java
@@ -106,7 +106,7 @@
     }
     JobQueue queue = route.get().queue();
     String key = request.headers().get(KEY_HEADER, "");
-    if (!queue.open() && table.get().configuration().holder(key).isEmpty()) {
+    if (!queue.open() && table.get().configuration().organisation(key).isEmpty()) {
       sink.accept(new CallAnswer.UnknownKey());
       return;
     }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/BatchCluster.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/BatchCluster.java
@@ -336,7 +336,7 @@
    * store.
    */
   Optional<CallAnswer> status(String job) {
-    String key = configuration.holders().getFirst().apiKeys().iterator().next();
+    String key = configuration.organisations().getFirst().apiKeys().iterator().next();
     Optional<Long> asked = call(new BatchCall.Status(NORMAL, key, job));
     long limit = nowMillis + ANSWER_LIMIT_MILLIS;
     while (asked.isPresent() && !answers.containsKey(asked.get()) && nowMillis < limit) {
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/ClusterOrders.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ClusterOrders.java
@@ -82,7 +82,7 @@
     OrderOutcome outcome =
         executor == null || !executor.up()
             ? new OrderOutcome.Unanswered("closed")
-            : executor.take(command.fence(), command.order(), cluster.nowMillis());
+            : executor.take(command.fencingToken(), command.order(), cluster.nowMillis());
     cluster.in(poll ? cluster.faults.pollMillis : 1, () -> ended(vm, command, outcome));
   }
 
@@ -90,7 +90,8 @@
     FakeExecutor executor = cluster.executors.get(id);
     if (executor != null) {
       cluster.work.late(
-          sentAt, () -> executor.take(command.fence(), command.order(), cluster.nowMillis()));
+          sentAt,
+          () -> executor.take(command.fencingToken(), command.order(), cluster.nowMillis()));
     }
   }
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/OrphanedRunTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/OrphanedRunTest.java
@@ -122,11 +122,12 @@
     BatchConfiguration without = Declared.configuration();
     Map<String, JobQueue> queues = new HashMap<>(without.queues());
     queues.put(SIDE, new JobQueue(SIDE, SIDE, 1, 3, 3, 1000, false, false));
-    OrphanedRun history = new OrphanedRun(5, new BatchConfiguration(1, queues, without.holders()));
+    OrphanedRun history =
+        new OrphanedRun(5, new BatchConfiguration(1, queues, without.organisations()));
     history.cluster.addExecutor(Declared.ofPool("side-0", "r1", SIDE));
     history.cluster.run(500);
     String job = history.submit(SIDE, Jobs.tasks(1, 8, OrphanedRun.LONG_MILLIS));
-    history.cluster.configure(new BatchConfiguration(2, without.queues(), without.holders()));
+    history.cluster.configure(new BatchConfiguration(2, without.queues(), without.organisations()));
     history.cluster.run(500);
     history.cancelAndKillOwner(job);
     measure("pool of no queue", history, job);
--- a/fescuehook/src/test/java/org/fescuehook/platform/ConfigurationParserTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/ConfigurationParserTest.java
@@ -34,9 +34,9 @@
         Optional.of(new JobQueue("q1", "p", 2, 2, 3.0, 3000, false, false)),
         parsed.configuration().queue("q1"));
     assertTrue(parsed.configuration().queue("q2").orElseThrow().advised());
-    assertEquals("t", parsed.configuration().holder("k2").orElseThrow().name());
+    assertEquals("t", parsed.configuration().organisation("k2").orElseThrow().name());
     assertEquals(48, parsed.configuration().guaranteedAccelerators("t"));
-    assertEquals(Optional.empty(), parsed.configuration().holder("k3"));
+    assertEquals(Optional.empty(), parsed.configuration().organisation("k3"));
   }
 
   @Test
