--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchCore.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchCore.java
@@ -273,19 +273,19 @@
     }
     Takeover done = takeover.get();
     takeover = Optional.empty();
-    JobRegistry book = done.book(context);
+    JobRegistry registry = done.registry(context);
     context.note(
         BatchLogEvent.OWNING,
         done.epoch(),
-        book.openJobs().stream().filter(ActiveJob::open).count(),
-        Takeover.inheritedRuns(book).size(),
+        registry.activeJobs().stream().filter(ActiveJob::open).count(),
+        Takeover.inheritedRuns(registry).size(),
         (context.nowNanos() - done.startedAt()) / 1_000_000);
     owner =
         Optional.of(
             new BatchOwner(
                 done.epoch(),
                 preferences,
-                book,
+                registry,
                 configuration.get(),
                 List.copyOf(listed.values()),
                 context));
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchOwner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchOwner.java
@@ -46,10 +46,7 @@
    */
   private static final long MAX_RETRY_AFTER_MILLIS = 3000;
 
-  /**
-   * Difference between the longest lease that an executor grants and the lease requested; it covers
-   * the time that an order takes to reach the executor.
-   */
+  /** Longest lease less the lease requested; it covers the time that an order takes to arrive. */
   private static final Duration LEASE_MARGIN = Duration.ofMillis(200);
 
   /**
@@ -65,14 +62,10 @@
    */
   private static final Duration STORE_REACHABLE_AGE = Duration.ofMillis(1200);
 
-  /**
-   * Longest time that a caller waits for an answer; calls forwarded by other VMs do not state it.
-   */
+  /** Longest time that a caller waits for an answer; forwarded calls do not state it. */
   private static final long CALLER_TIMEOUT_NANOS = Duration.ofMillis(2800).toNanos();
 
-  /**
-   * Longest time between two plans; it bounds the delay of start times and preemption deadlines.
-   */
+  /** Longest time between two plans, and so the delay until a due step or preemption is seen. */
   private static final long MAX_PLAN_INTERVAL_NANOS = Duration.ofMillis(200).toNanos();
 
   /**
@@ -101,7 +94,7 @@
   BatchOwner(
       long epoch,
       BatchPreferences preferences,
-      JobRegistry book,
+      JobRegistry registry,
       BatchConfiguration configuration,
       List<ExecutorProfile> listed,
       BatchContext context) {
@@ -116,14 +109,14 @@
             ISOLATION_LIMIT.plus(lease).plus(lease.dividedBy(10)),
             this,
             context);
-    this.jobs = new JobLifecycle(book, writer, executors, configuration);
+    this.jobs = new JobLifecycle(registry, writer, executors, configuration);
     this.submissions = new SubmissionHandler(jobs, writer, outgoing);
     this.cancels = new CancelHandler(jobs, submissions, outgoing);
     this.advice = new AdviceCache(EpochNumbers.before(epoch), context);
     this.plans = new PlanDuty(jobs, executors, advice, preferences.work());
     executors.serve(jobs.pools());
     listed.forEach(profile -> executors.seen(profile, context));
-    executors.inherit(Takeover.inheritedRuns(book), context);
+    executors.inherit(Takeover.inheritedRuns(registry), context);
     jobs.retireEnded(context);
   }
 
@@ -196,7 +189,7 @@
     writer.appendsToAnotherTake(contact.longestAppendNanos());
     writer.expire(context);
     cancels.step(context);
-    unknownJobs.step(contact.confirmedAt(), jobs.book()::storedPhase, context);
+    unknownJobs.step(contact.confirmedAt(), jobs.registry()::storedPhase, context);
     if (context.nowNanos() - storeSeenAt < ISOLATION_LIMIT.toNanos()) {
       executors.step(context);
     }
@@ -234,11 +227,11 @@
 
   private void removeExpired(BatchContext context) {
     Optional<String> removed =
-        jobs.book()
+        jobs.registry()
             .removeOneExpiredJob(
                 preferences.statusRetention(), context.nowNanos(), context.wallMillis());
     removed.ifPresent(id -> writer.put(JobCodec.progressKey(id), Optional::empty, () -> {}));
-    jobs.book()
+    jobs.registry()
         .removeOneExpiredEarlyCancel(
             preferences.statusRetention(), context.nowNanos(), context.wallMillis())
         .ifPresent(id -> writer.put(JobCodec.earlyCancelKey(id), Optional::empty, () -> {}));
@@ -292,7 +285,7 @@
       case BatchCall.Cancel cancel ->
           cancels.cancel(new JobQuery(ticket, cancel.job(), until), context);
       case BatchCall.CountPending count ->
-          answer(ticket, new CallAnswer.Pending(jobs.book().pendingJobs(count.queue())));
+          answer(ticket, new CallAnswer.Pending(jobs.registry().pendingJobs(count.queue())));
     }
   }
 
@@ -325,16 +318,13 @@
     answer(ticket, new CallAnswer.Refused(cause, retryAfterMillis()));
   }
 
-  /**
-   * Returns the delay after which callers shall retry: the age of the last store contact, since an
-   * outage usually lasts about as long again as it has lasted.
-   */
+  /** Returns the retry delay for callers: an outage may last as long again as it has lasted. */
   private long retryAfterMillis() {
     return Math.clamp(storeAgeMillis, MIN_RETRY_AFTER_MILLIS, MAX_RETRY_AFTER_MILLIS);
   }
 
   private void status(JobQuery query, BatchContext context) {
-    Optional<JobPhase> phase = jobs.book().storedPhase(query.job());
+    Optional<JobPhase> phase = jobs.registry().storedPhase(query.job());
     if (phase.isPresent()) {
       answer(query.ticket(), new CallAnswer.Phase(phase.get()));
     } else {
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/CancelHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/CancelHandler.java
@@ -72,7 +72,7 @@
     if (submissions.deferCancel(cancel)) {
       return;
     }
-    Optional<ActiveJob> job = jobs.book().open(cancel.job());
+    Optional<ActiveJob> job = jobs.registry().active(cancel.job());
     if (job.isEmpty()) {
       cancelEarly(cancel, context);
       return;
@@ -93,7 +93,7 @@
    * the caller is told that the job does not exist.
    */
   private void cancelEarly(JobQuery cancel, BatchContext context) {
-    if (jobs.book().storedPhase(cancel.job()).isPresent()) {
+    if (jobs.registry().storedPhase(cancel.job()).isPresent()) {
       answer(cancel.ticket(), new CallAnswer.Cancelled());
       return;
     }
@@ -104,7 +104,7 @@
 
   private void storedEarly(JobQuery cancel) {
     if (awaitingStore.remove(cancel.ticket())) {
-      boolean came = jobs.book().storedPhase(cancel.job()).isPresent();
+      boolean came = jobs.registry().storedPhase(cancel.job()).isPresent();
       answer(cancel.ticket(), came ? new CallAnswer.Cancelled() : new CallAnswer.NoSuchJob());
     }
   }
@@ -112,7 +112,7 @@
   private void stored(JobQuery cancel) {
     if (awaitingStore.remove(cancel.ticket())) {
       List<LiveRun> runs =
-          jobs.book().open(cancel.job()).map(ActiveJob::liveRuns).orElse(List.of());
+          jobs.registry().active(cancel.job()).map(ActiveJob::liveRuns).orElse(List.of());
       awaitingStops.add(new StoredCancel(cancel, new ArrayList<>(runs)));
     }
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/SubmissionHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/SubmissionHandler.java
@@ -50,7 +50,7 @@
    * @return false if it is not a repetition
    */
   boolean joinExisting(long ticket, String id) {
-    if (jobs.book().storedPhase(id).isPresent()) {
+    if (jobs.registry().storedPhase(id).isPresent()) {
       answer(ticket, new CallAnswer.Accepted());
       return true;
     }
@@ -75,7 +75,7 @@
       long retryAfterMillis,
       BatchContext context) {
     String id = submit.job();
-    Optional<JobRegistry.EndedJob> cancelled = jobs.book().earlyCancel(id);
+    Optional<JobRegistry.EndedJob> cancelled = jobs.registry().earlyCancel(id);
     if (cancelled.isPresent()) {
       submitCancelled(ticket, id, cancelled.get(), retryAfterMillis, context);
       return;
@@ -102,7 +102,7 @@
         JobCodec.progressKey(id),
         () -> Optional.of(JobCodec.encodeEnd(cancelled)),
         () -> {
-          jobs.book().addEnded(id, cancelled, context.nowNanos());
+          jobs.registry().addEnded(id, cancelled, context.nowNanos());
           note(BatchLogEvent.CANCELLED_JOB_ACCEPTED, id);
           complete(id, new CallAnswer.Accepted());
         },
@@ -132,7 +132,7 @@
   }
 
   private void accepted(BatchJob job) {
-    jobs.book().add(new ActiveJob(job));
+    jobs.registry().add(new ActiveJob(job));
     jobs.changed();
     long chain = job.submission().estimatedChainMillis();
     note(
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/Takeover.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/Takeover.java
@@ -173,43 +173,43 @@
   }
 
   /** Decodes the loaded records; a record that cannot be decoded is logged and left out. */
-  JobRegistry book(BatchContext context) {
-    JobRegistry book = new JobRegistry();
+  JobRegistry registry(BatchContext context) {
+    JobRegistry registry = new JobRegistry();
     for (Map.Entry<String, byte[]> entry : records.entrySet()) {
       try {
-        decode(entry.getKey(), entry.getValue(), book, context);
+        decode(entry.getKey(), entry.getValue(), registry, context);
       } catch (UnreadableRecordException e) {
         context.note(BatchLogEvent.RECORD_UNREADABLE, entry.getKey(), e.getMessage());
       }
     }
-    return sorted(book);
+    return sorted(registry);
   }
 
-  private void decode(String key, byte[] value, JobRegistry book, BatchContext context)
+  private void decode(String key, byte[] value, JobRegistry registry, BatchContext context)
       throws UnreadableRecordException {
     Optional<String> accepted = JobCodec.jobOf(key);
     if (accepted.isPresent()) {
-      book.add(job(accepted.get(), value, context));
+      registry.add(job(accepted.get(), value, context));
       return;
     }
     Optional<String> ended = JobCodec.endedJobOf(key);
     if (ended.isPresent()) {
       // Without a progress record no run is known, and the job must not be started again.
       if (records.containsKey(JobCodec.progressKey(ended.get()))) {
-        book.add(job(ended.get(), value, context));
+        registry.add(job(ended.get(), value, context));
       }
       return;
     }
     Optional<String> cancelled = JobCodec.earlyCancelOf(key);
     if (cancelled.isPresent()) {
       JobCodec.decodeEnd(cancelled.get(), value)
-          .ifPresent(end -> book.addEarlyCancel(cancelled.get(), end, context.nowNanos()));
+          .ifPresent(end -> registry.addEarlyCancel(cancelled.get(), end, context.nowNanos()));
       return;
     }
     Optional<String> progressOf = JobCodec.progressOf(key);
     if (progressOf.isPresent()) {
       JobCodec.decodeEnd(progressOf.get(), value)
-          .ifPresent(end -> book.addEnded(progressOf.get(), end, context.nowNanos()));
+          .ifPresent(end -> registry.addEnded(progressOf.get(), end, context.nowNanos()));
     }
   }
 
@@ -226,17 +226,17 @@
   /**
    * Sorts the open jobs by the time of their acceptance; the store returns keys in its own order.
    */
-  private static JobRegistry sorted(JobRegistry book) {
-    List<ActiveJob> jobs = new ArrayList<>(book.openJobs());
+  private static JobRegistry sorted(JobRegistry registry) {
+    List<ActiveJob> jobs = new ArrayList<>(registry.activeJobs());
     jobs.sort(
         (one, other) -> Long.compare(one.job().acceptedMillis(), other.job().acceptedMillis()));
-    JobRegistry sorted = book.withoutOpenJobs();
+    JobRegistry sorted = registry.withoutActiveJobs();
     jobs.forEach(sorted::add);
     return sorted;
   }
 
   /** Returns the live runs of all loaded jobs, including jobs that have ended. */
-  static List<LiveRun> inheritedRuns(JobRegistry book) {
-    return book.openJobs().stream().flatMap(job -> job.liveRuns().stream()).toList();
+  static List<LiveRun> inheritedRuns(JobRegistry registry) {
+    return registry.activeJobs().stream().flatMap(job -> job.liveRuns().stream()).toList();
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorBook.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorBook.java
@@ -47,7 +47,7 @@
    * or has not answered for so long that its leases are nearly over.
    */
   public boolean endsSoon(LiveRun run, long nowNanos) {
-    return run.stopTaken()
+    return run.stopAcknowledged()
         || find(run.executor())
             .filter(executor -> executor.lease().untilNanos() - nowNanos <= SOON_NANOS)
             .isPresent();
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorDuty.java
@@ -205,7 +205,7 @@
         starts.ended(executor, run, new OrderOutcome.Unanswered("no outcome came"), context);
         continue;
       }
-      boolean stopOwed = run.stage() == Stage.STOPPING && !run.stopTaken();
+      boolean stopOwed = run.stage() == Stage.STOPPING && !run.stopAcknowledged();
       if (stopOwed && context.nowNanos() - run.orderedAt() > STOP_REPEAT_NANOS) {
         orders.stop(executor, run, context);
       }
@@ -327,7 +327,7 @@
         outcome,
         millis);
     if (outcome instanceof OrderOutcome.Done) {
-      run.stopTaken(context.nowNanos());
+      run.stopAcknowledged(context.nowNanos());
     }
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorJudge.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorJudge.java
@@ -71,7 +71,7 @@
         run.stage() == Stage.RUNNING
             && run.checkpoint().isEmpty()
             && run.step().spec().longRunning().isEmpty()
-            && !run.wasSlowedDown()
+            && !run.wasThrottled()
             && !run.step().spec().placement().sameRack();
     double estimate = run.step().spec().estimateMillis();
     double elapsed = Duration.ofNanos(nowNanos - run.stageSince()).toMillis();
@@ -86,12 +86,12 @@
     if (speed >= SLUGGISH || asFastAsOthers(run)) {
       return false;
     }
-    if (run.judgeOnce()) {
+    if (run.markEvaluated()) {
       executor.speed().sluggish(nowNanos);
     }
     double left = (PERCENT - run.percent()) / Math.max(1, run.percent()) * elapsed;
     boolean worthMoving = executor.speed().slow(nowNanos) && left > estimate * WORTH_MOVING;
-    return worthMoving && run.step().mayMove(run);
+    return worthMoving && run.step().countMove(run);
   }
 
   /**
@@ -99,7 +99,7 @@
    * may be by ten times, and not the executor. Two executors of a gang are rarely slow at once.
    */
   private static boolean asFastAsOthers(LiveRun run) {
-    OptionalDouble usual = run.step().usualSpeed(run);
+    OptionalDouble usual = run.step().medianSpeedOfOthers(run);
     return usual.isPresent() && run.speed() > usual.getAsDouble() * SLOWER_THAN_OTHERS;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/OrderSender.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/OrderSender.java
@@ -88,7 +88,7 @@
 
   /** Orders a run to work at a share of its speed. */
   void pace(ExecutorState executor, LiveRun run, int percent, BatchContext context) {
-    run.slowedDown();
+    run.markThrottled();
     send(executor, new ExecutorOrder.Pace(run.run(), percent), context);
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/PlanDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/PlanDuty.java
@@ -86,7 +86,7 @@
 
   private List<WaitingStep> waiting(BatchContext context) {
     List<WaitingStep> waiting = new ArrayList<>();
-    for (ActiveJob job : jobs.book().openJobs()) {
+    for (ActiveJob job : jobs.registry().activeJobs()) {
       if (!job.open()) {
         continue;
       }
@@ -169,7 +169,7 @@
   /** Returns the accelerators that the open jobs of priority 0 need, by organisation. */
   private Map<String, Integer> guaranteedNeed() {
     Map<String, Integer> need = new HashMap<>();
-    for (ActiveJob job : jobs.book().openJobs()) {
+    for (ActiveJob job : jobs.registry().activeJobs()) {
       if (job.open() && jobs.queue(job).priority() == 0) {
         int accelerators =
             job.steps().stream()
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobLifecycle.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobLifecycle.java
@@ -21,7 +21,7 @@
 /** Changes jobs according to the outcome of their runs and to cancels, and stores each change. */
 public final class JobLifecycle {
 
-  private final JobRegistry book;
+  private final JobRegistry registry;
   private final JobRecords records;
   private final ExecutorDuty executors;
   private BatchConfiguration configuration;
@@ -29,19 +29,19 @@
 
   /** Creates the lifecycle of the jobs that a new owner has loaded. */
   public JobLifecycle(
-      JobRegistry book,
+      JobRegistry registry,
       StateWriter writer,
       ExecutorDuty executors,
       BatchConfiguration configuration) {
-    this.book = book;
-    this.records = new JobRecords(book, writer);
+    this.registry = registry;
+    this.records = new JobRecords(registry, writer);
     this.executors = executors;
     this.configuration = configuration;
   }
 
   /** Returns the jobs. */
-  public JobRegistry book() {
-    return book;
+  public JobRegistry registry() {
+    return registry;
   }
 
   /** Applies a newer configuration. */
@@ -67,7 +67,7 @@
   public Set<String> pools() {
     Set<String> pools = new HashSet<>();
     configuration.queues().values().forEach(queue -> pools.add(queue.pool()));
-    book.openJobs().forEach(job -> pools.add(queue(job).pool()));
+    registry.activeJobs().forEach(job -> pools.add(queue(job).pool()));
     return pools;
   }
 
@@ -113,7 +113,7 @@
 
   /** Retires loaded jobs that ended under a former owner and have no live runs. */
   public void retireEnded(BatchContext context) {
-    book.openJobs().forEach(job -> records.retireIfEnded(job, context));
+    registry.activeJobs().forEach(job -> records.retireIfEnded(job, context));
   }
 
   /**
@@ -229,7 +229,7 @@
     if (end.end() != RunEnd.DONE) {
       return;
     }
-    Optional<ActiveJob> job = book.open(end.run().task().job());
+    Optional<ActiveJob> job = registry.active(end.run().task().job());
     Optional<StepProgress> step =
         job.flatMap(open -> open.step(end.run().task().occurrence(), end.run().task().step()));
     Optional<TaskProgress> task = step.flatMap(found -> found.task(end.run().task().index()));
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobRecords.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobRecords.java
@@ -8,11 +8,11 @@
 /** Writes the records of jobs to the store and retires jobs once their end is stored. */
 final class JobRecords {
 
-  private final JobRegistry book;
+  private final JobRegistry registry;
   private final StateWriter writer;
 
-  JobRecords(JobRegistry book, StateWriter writer) {
-    this.book = book;
+  JobRecords(JobRegistry registry, StateWriter writer) {
+    this.registry = registry;
     this.writer = writer;
   }
 
@@ -44,7 +44,7 @@
         job,
         () -> {
           if (noLiveRuns) {
-            book.retire(job, context.nowNanos());
+            registry.retire(job, context.nowNanos());
           }
           committed.run();
         });
@@ -61,7 +61,7 @@
       return;
     }
     String id = job.job().id();
-    persist(job, () -> book.retire(job, context.nowNanos()));
+    persist(job, () -> registry.retire(job, context.nowNanos()));
     writer.put(JobCodec.jobKey(id), Optional::empty, () -> {});
     writer.put(JobCodec.endedJobKey(id), Optional::empty, () -> {});
   }
@@ -70,7 +70,7 @@
   void cancelEarly(String id, Runnable committed, BatchContext context) {
     JobRegistry.EndedJob cancelled =
         new JobRegistry.EndedJob(JobPhase.CANCELLED, context.wallMillis());
-    book.addEarlyCancel(id, cancelled, context.nowNanos());
+    registry.addEarlyCancel(id, cancelled, context.nowNanos());
     byte[] stored = JobCodec.encodeEnd(cancelled);
     writer.put(JobCodec.earlyCancelKey(id), () -> Optional.of(stored), committed);
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobRegistry.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobRegistry.java
@@ -20,7 +20,7 @@
    */
   private static final int MAX_EARLY_CANCELS = 10_000;
 
-  private final Map<String, ActiveJob> open = new LinkedHashMap<>();
+  private final Map<String, ActiveJob> active = new LinkedHashMap<>();
   private final RetainedRecords<EndedJob> ended;
 
   /** Jobs that were cancelled before they were submitted; their submissions may still arrive. */
@@ -42,7 +42,7 @@
   /** Adds a job that is open, or that has ended and still has live runs. */
   public void add(ActiveJob job) {
     String id = job.job().id();
-    open.put(id, job);
+    active.put(id, job);
     ended.remove(id);
   }
 
@@ -65,23 +65,23 @@
   }
 
   /** Returns a registry with the same ended jobs and early cancels but without active jobs. */
-  public JobRegistry withoutOpenJobs() {
+  public JobRegistry withoutActiveJobs() {
     return new JobRegistry(ended, earlyCancels);
   }
 
   /** Returns an active job: one that is open, or has ended and was not retired yet. */
-  public Optional<ActiveJob> open(String id) {
-    return Optional.ofNullable(open.get(id));
+  public Optional<ActiveJob> active(String id) {
+    return Optional.ofNullable(active.get(id));
   }
 
   /** Returns the progress of a task of an active job. */
   public Optional<TaskProgress> task(TaskName name) {
-    return open(name.job()).flatMap(job -> job.task(name));
+    return active(name.job()).flatMap(job -> job.task(name));
   }
 
   /** Returns the state of a job that is reported to callers; empty if there is no such job. */
   public Optional<JobPhase> storedPhase(String id) {
-    ActiveJob job = open.get(id);
+    ActiveJob job = active.get(id);
     if (job != null) {
       return Optional.of(job.storedPhase());
     }
@@ -89,14 +89,14 @@
   }
 
   /** Returns the active jobs. */
-  public Collection<ActiveJob> openJobs() {
-    return open.values();
+  public Collection<ActiveJob> activeJobs() {
+    return active.values();
   }
 
   /** Moves a job without live runs, whose end is stored, from the active to the ended jobs. */
   public void retire(ActiveJob job, long nowNanos) {
     String id = job.job().id();
-    if (open.remove(id, job)) {
+    if (active.remove(id, job)) {
       addEnded(id, new EndedJob(job.end().orElseThrow(), job.endedMillis()), nowNanos);
     }
   }
@@ -121,7 +121,7 @@
   /** Returns the number of open jobs of a queue of which no task was started yet. */
   public int pendingJobs(String queue) {
     int count = 0;
-    for (ActiveJob job : open.values()) {
+    for (ActiveJob job : active.values()) {
       if (job.job().queue().name().equals(queue) && job.open() && !job.begun()) {
         count++;
       }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/LiveRun.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/LiveRun.java
@@ -27,8 +27,8 @@
   private final boolean inherited;
   private Stage stage;
   private boolean startUncertain;
-  private boolean stopTaken;
-  private long stopTakenAt;
+  private boolean stopAcknowledged;
+  private long stopAcknowledgedAt;
   private long stageSince;
   private long orderedAt;
   private int orders;
@@ -224,9 +224,9 @@
   }
 
   /** Records that the executor acknowledged the stop: from now on it will not start this run. */
-  public void stopTaken(long nowNanos) {
-    stopTaken = true;
-    stopTakenAt = nowNanos;
+  public void stopAcknowledged(long nowNanos) {
+    stopAcknowledged = true;
+    stopAcknowledgedAt = nowNanos;
     startUncertain = false;
   }
 
@@ -237,14 +237,14 @@
    * @param longestStopNanos longest time that a stop may take
    */
   public void stillListed(long pollSentAt, long longestStopNanos) {
-    if (stopTaken && pollSentAt - stopTakenAt > longestStopNanos) {
-      stopTaken = false;
+    if (stopAcknowledged && pollSentAt - stopAcknowledgedAt > longestStopNanos) {
+      stopAcknowledged = false;
     }
   }
 
   /** Returns whether the executor acknowledged the stop. */
-  public boolean stopTaken() {
-    return stopTaken;
+  public boolean stopAcknowledged() {
+    return stopAcknowledged;
   }
 
   /** Returns whether the answer to a poll sent at the given time must list it if it is alive. */
@@ -253,7 +253,7 @@
       case PLACED, STARTING -> false;
       case INHERITED -> true;
       case RUNNING -> pollSentAt - stageSince > 0;
-      case STOPPING -> stopTaken && pollSentAt - stopTakenAt > 0;
+      case STOPPING -> stopAcknowledged && pollSentAt - stopAcknowledgedAt > 0;
     };
   }
 
@@ -274,12 +274,12 @@
   }
 
   /** Records that it was throttled, so that its speed says nothing about its executor. */
-  public void slowedDown() {
+  public void markThrottled() {
     throttled = true;
   }
 
   /** Returns whether it was ever throttled. */
-  public boolean wasSlowedDown() {
+  public boolean wasThrottled() {
     return throttled;
   }
 
@@ -292,7 +292,7 @@
   }
 
   /** Returns true at the first call only, so that a run is evaluated at most once. */
-  public boolean judgeOnce() {
+  public boolean markEvaluated() {
     boolean first = !evaluated;
     evaluated = true;
     return first;
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/StepProgress.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/StepProgress.java
@@ -120,7 +120,7 @@
    * Returns how many more tasks of a long-running step may be stopped now. Tasks that are not past
    * their startup, for whatever cause, count against the declared limit.
    */
-  public int mayMiss() {
+  public int disruptionsAllowed() {
     int atWork = (int) tasks.stream().filter(TaskProgress::atWork).count();
     int maxUnavailable =
         spec.longRunning().map(BatchStep.LongRunning::maxUnavailable).orElse(spec.count());
@@ -160,7 +160,7 @@
    * second; empty while too few of them have made progress. The members of a gang have equal work,
    * so that one other member is enough.
    */
-  public OptionalDouble usualSpeed(LiveRun run) {
+  public OptionalDouble medianSpeedOfOthers(LiveRun run) {
     double[] speeds =
         liveRuns().stream()
             .filter(other -> other != run && other.percent() > 0)
@@ -178,7 +178,7 @@
    *
    * @return false if its task, or its gang, was already moved as often as is allowed
    */
-  public boolean mayMove(LiveRun run) {
+  public boolean countMove(LiveRun run) {
     TaskProgress counted = spec.gang() ? tasks.getFirst() : tasks.get(run.run().task().index());
     return counted.move() <= MAX_MOVES;
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/FormerDisplacer.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/FormerDisplacer.java
@@ -148,7 +148,8 @@
           continue;
         }
         boolean lasting = run.step().spec().longRunning().isPresent();
-        if (lasting && missed.merge(run.step(), 1, Integer::sum) > run.step().mayMiss()) {
+        if (lasting
+            && missed.merge(run.step(), 1, Integer::sum) > run.step().disruptionsAllowed()) {
           continue;
         }
         if (run.step().spec().gang()) {
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/state/RunEndAcknowledgementTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/state/RunEndAcknowledgementTest.java
@@ -51,19 +51,19 @@
           false,
           "image");
 
-  private final JobRegistry book = new JobRegistry();
+  private final JobRegistry registry = new JobRegistry();
   private final StateWriter writer = new StateWriter(EPOCH, at(0));
   private final JobLifecycle jobs = jobs();
   private final List<Integer> acknowledged = new ArrayList<>();
 
   private JobLifecycle jobs() {
     Submission submission = new Submission("spec", List.of(TWO_TASKS), Optional.empty());
-    book.add(new ActiveJob(new BatchJob(JOB, QUEUE, "north", 0, submission)));
+    registry.add(new ActiveJob(new BatchJob(JOB, QUEUE, "north", 0, submission)));
     Duration lease = Duration.ofSeconds(6);
     ExecutorDuty executors =
         new ExecutorDuty(EPOCH, lease, lease, lease, new IgnoringListener(), at(0));
     return new JobLifecycle(
-        book, writer, executors, new BatchConfiguration(1, Map.of("q", QUEUE), List.of()));
+        registry, writer, executors, new BatchConfiguration(1, Map.of("q", QUEUE), List.of()));
   }
 
   private static BatchContext at(long millis) {
@@ -107,7 +107,7 @@
 
   @Test
   void theEndOfACancelledTaskIsAcknowledgedOnceTheCancelIsStored() {
-    jobs.cancel(book.open(JOB).orElseThrow(), () -> {}, at(0));
+    jobs.cancel(registry.active(JOB).orElseThrow(), () -> {}, at(0));
     ended(1, 0, RunEnd.DONE);
     assertEquals(List.of(), acknowledged);
     writer.flush(at(0));
@@ -126,10 +126,10 @@
     writer.flush(at(0));
     ended(2, 1, RunEnd.DONE);
     store(0);
-    assertEquals(Optional.of(JobPhase.QUEUED), book.storedPhase(JOB));
+    assertEquals(Optional.of(JobPhase.QUEUED), registry.storedPhase(JOB));
     writer.flush(at(20));
     store(1);
-    assertEquals(Optional.of(JobPhase.COMPLETED), book.storedPhase(JOB));
+    assertEquals(Optional.of(JobPhase.COMPLETED), registry.storedPhase(JOB));
   }
 
   /** What is stored already is not written again. */
