--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchOwner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchOwner.java
@@ -34,45 +34,46 @@
 import org.fescuehook.model.fleet.ExecutorId;
 import org.fescuehook.model.preferences.BatchPreferences;
 
-/** The owner's work during one epoch. */
+/** Schedules the batch jobs during one epoch, in which this VM is their owner. */
 final class BatchOwner implements RunListener {
 
-  /** When callers come back at the soonest after a refusal. */
-  private static final long COME_BACK_MILLIS = 1000;
+  /** Shortest delay after which callers retry a refused call. */
+  private static final long MIN_RETRY_AFTER_MILLIS = 1000;
 
   /**
-   * When they come back at the latest: their few attempts then span some 12 s, the longest outage
-   * of the store that the users expect.
+   * Longest delay after which callers retry a refused call. With it, their few attempts span about
+   * 12 s, which is the longest outage of the store that the users expect.
    */
-  private static final long LATEST_COME_BACK_MILLIS = 3000;
+  private static final long MAX_RETRY_AFTER_MILLIS = 3000;
 
-  /** Part of the longest lease that is asked for; the rest covers the order's way. */
-  private static final Duration LEASE_SLACK = Duration.ofMillis(200);
+  /** Longest lease less the lease requested; it covers the time that an order takes to arrive. */
+  private static final Duration LEASE_MARGIN = Duration.ofMillis(200);
 
   /**
-   * How long an owner that cannot reach the store goes on renewing leases. An outage of the store
-   * lasts some 10 s; another owner cannot exist while it lasts.
+   * How long an owner that cannot reach the store goes on renewing the leases of executors. An
+   * outage of the store lasts about 10 s, and no other VM can become the owner during it.
    */
   static final Duration ISOLATION_LIMIT = Duration.ofSeconds(10);
 
   /**
-   * Age of the store's last word above which a submission is refused and not sent, while the store
-   * is quick: what is sent without an answer leaves its caller uncertain.
+   * Age of the last store contact above which a submission is refused instead of being sent to the
+   * store; it is longer while the store is slow. A submission that was sent to the store but not
+   * answered leaves its caller uncertain whether it was accepted.
    */
-  private static final Duration REACHABLE = Duration.ofMillis(1200);
+  private static final Duration STORE_REACHABLE_AGE = Duration.ofMillis(1200);
 
-  /** How long a caller waits at most; calls that other VMs pass on do not tell it. */
-  private static final long CALLER_NANOS = Duration.ofMillis(2800).toNanos();
+  /** Longest time that a caller waits for an answer; forwarded calls do not state it. */
+  private static final long CALLER_TIMEOUT_NANOS = Duration.ofMillis(2800).toNanos();
 
-  /** Longest time without a plan; patience and due times are kept to it. */
-  private static final long PLAN_ANYWAY_NANOS = Duration.ofMillis(200).toNanos();
+  /** Longest time between two plans, and so the delay until a due step or preemption is seen. */
+  private static final long MAX_PLAN_INTERVAL_NANOS = Duration.ofMillis(200).toNanos();
 
   /**
-   * Time between plans while more events wait. A plan with hundreds of waiting tasks takes 1 to 3
-   * ms on a third of a core; one for each event of a busy second would leave no time for the
-   * events.
+   * Time between two plans while further events are queued. A plan with hundreds of waiting tasks
+   * takes 1 to 3 ms on a third of a core; planning after each event of a busy second would leave no
+   * time for the events themselves.
    */
-  private static final long PLAN_BEHIND_NANOS = Duration.ofMillis(50).toNanos();
+  private static final long BUSY_PLAN_INTERVAL_NANOS = Duration.ofMillis(50).toNanos();
 
   private final BatchPreferences preferences;
   private final StateWriter writer;
@@ -80,10 +81,10 @@
   private final JobLifecycle jobs;
   private final AdviceCache advice;
   private final PlanDuty plans;
-  private final SubmissionDesk submissions;
-  private final UnknownJobDesk unknownJobs = new UnknownJobDesk();
-  private final CancelDesk cancels;
-  private final List<BatchCommand> ready = new ArrayList<>();
+  private final SubmissionHandler submissions;
+  private final UnknownJobHandler unknownJobs = new UnknownJobHandler();
+  private final CancelHandler cancels;
+  private final List<BatchCommand> outgoing = new ArrayList<>();
 
   private boolean fenced;
   private boolean stopping;
@@ -93,7 +94,7 @@
   BatchOwner(
       long epoch,
       BatchPreferences preferences,
-      JobRegistry book,
+      JobRegistry registry,
       BatchConfiguration configuration,
       List<ExecutorProfile> listed,
       BatchContext context) {
@@ -103,36 +104,36 @@
     this.executors =
         new ExecutorDuty(
             epoch,
-            lease.minus(LEASE_SLACK),
+            lease.minus(LEASE_MARGIN),
             lease,
             ISOLATION_LIMIT.plus(lease).plus(lease.dividedBy(10)),
             this,
             context);
-    this.jobs = new JobLifecycle(book, writer, executors, configuration);
-    this.submissions = new SubmissionDesk(jobs, writer, ready);
-    this.cancels = new CancelDesk(jobs, submissions, ready);
+    this.jobs = new JobLifecycle(registry, writer, executors, configuration);
+    this.submissions = new SubmissionHandler(jobs, writer, outgoing);
+    this.cancels = new CancelHandler(jobs, submissions, outgoing);
     this.advice = new AdviceCache(EpochNumbers.before(epoch), context);
     this.plans = new PlanDuty(jobs, executors, advice, preferences.work());
     executors.serve(jobs.pools());
     listed.forEach(profile -> executors.seen(profile, context));
-    executors.inherit(Takeover.inheritedRuns(book), context);
-    jobs.retireGone(context);
+    executors.inherit(Takeover.inheritedRuns(registry), context);
+    jobs.retireEnded(context);
   }
 
-  /** Tells whether an executor or the store has shown that another VM owns now. */
+  /** Returns whether an executor or the store reported a higher epoch, hence a newer owner. */
   boolean fenced() {
     return fenced;
   }
 
-  /** Takes a newer configuration. */
+  /** Applies a newer configuration. */
   void configure(BatchConfiguration newer) {
     jobs.configure(newer);
     executors.serve(jobs.pools());
   }
 
   /**
-   * Takes in an entry of the list of executors. They write theirs each second or two, mostly the
-   * same; a plan for each of them takes more time than a weak VM has for a large fleet.
+   * Applies an entry of the list of executors. Executors rewrite their entries every second or two,
+   * mostly unchanged; planning for each of these would overload a weak VM with a large fleet.
    */
   void seen(ExecutorProfile profile, BatchContext context) {
     if (executors.seen(profile, context)) {
@@ -140,72 +141,73 @@
     }
   }
 
-  /** Takes in that an executor is no longer listed. */
+  /** Marks an executor as no longer listed. */
   void unlisted(ExecutorId id) {
     executors.unlisted(id);
   }
 
-  /** Takes what became of an order. */
+  /** Applies the outcome of an order to an executor. */
   void orderEnded(ExecutorId id, long number, OrderOutcome outcome, BatchContext context) {
     if (executors.ended(id, number, outcome, context)) {
       jobs.changed();
     }
   }
 
-  /** Takes what the advice service told. */
+  /** Applies an answer of the advice service. */
   void advised(long number, AdviceOutcome outcome, BatchContext context) {
     advice.answered(number, outcome, context);
     jobs.changed();
   }
 
-  /** Takes what became of an append. */
+  /** Applies the outcome of an append to the job stream. */
   void appended(WriterPosition position, AppendOutcome outcome, BatchContext context) {
     if (!writer.answered(position, outcome, context)) {
       fenced = true;
     }
   }
 
-  /** Accepts nothing more and starts nothing more. */
+  /** Refuses submissions and starts no runs from now on. */
   void beginStop() {
     stopping = true;
   }
 
-  /** Tells whether everything is stored. */
-  boolean settled() {
+  /** Returns whether all changes are stored. */
+  boolean allStored() {
     return writer.idle();
   }
 
   /**
-   * Does what is due.
+   * Performs the work that is due: answers calls, plans, sends orders and stores changes.
    *
-   * @param contact what the heartbeats have shown of the store
+   * @param contact how well the store can be reached, judged by the heartbeats
    */
   void step(StoreReachability contact, BatchContext context) {
     long storeSeenAt = storeSeenAt(contact.confirmedAt());
-    // The stream of the jobs may be away while that of ownership is not.
-    long awaySince = Math.min(storeSeenAt, writer.troubleSince().orElse(storeSeenAt));
-    storeAgeMillis = Duration.ofNanos(context.nowNanos() - awaySince).toMillis();
+    // The job stream may be unavailable while the ownership stream, with the heartbeats, is not.
+    long unreachableSince = Math.min(storeSeenAt, writer.troubleSince().orElse(storeSeenAt));
+    storeAgeMillis = Duration.ofNanos(context.nowNanos() - unreachableSince).toMillis();
     writer.appendsToAnotherTake(contact.longestAppendNanos());
     writer.expire(context);
     cancels.step(context);
-    unknownJobs.step(contact.confirmedAt(), jobs.book()::shown, context);
+    unknownJobs.step(contact.confirmedAt(), jobs.registry()::storedPhase, context);
     if (context.nowNanos() - storeSeenAt < ISOLATION_LIMIT.toNanos()) {
       executors.step(context);
     }
     plans.startStored(context);
-    boolean planNow = !context.more() || context.nowNanos() - plannedAt > PLAN_BEHIND_NANOS;
+    boolean planNow =
+        !context.moreEventsQueued() || context.nowNanos() - plannedAt > BUSY_PLAN_INTERVAL_NANOS;
     if (!stopping && planNow && jobs.takeChanged()) {
       plannedAt = context.nowNanos();
       plans.step(context);
     }
-    forgetEnded(context);
+    removeExpired(context);
     writer.flush(context);
-    ready.forEach(context::add);
-    ready.clear();
+    outgoing.forEach(context::add);
+    outgoing.clear();
   }
 
   /**
-   * Returns when the store could last be reached: by a heartbeat, or by an append of the jobs.
+   * Returns when the store was last reached, by a heartbeat or by an append to the job stream.
    * After an outage a heartbeat may hang for a second while jobs are stored again.
    */
   private long storeSeenAt(long heartbeatAt) {
@@ -213,45 +215,48 @@
     return storedAt - heartbeatAt > 0 ? storedAt : heartbeatAt;
   }
 
-  /** Has the next step plan also if nothing changed, for steps that became due. */
+  /**
+   * Requests a plan even if nothing changed, since the scheduled start time of a step may have
+   * come.
+   */
   void timePassed(BatchContext context) {
-    if (context.nowNanos() - plannedAt > PLAN_ANYWAY_NANOS) {
+    if (context.nowNanos() - plannedAt > MAX_PLAN_INTERVAL_NANOS) {
       jobs.changed();
     }
   }
 
-  private void forgetEnded(BatchContext context) {
-    Optional<String> forgotten =
-        jobs.book()
-            .forgetOneShownFor(
+  private void removeExpired(BatchContext context) {
+    Optional<String> removed =
+        jobs.registry()
+            .removeOneExpiredJob(
                 preferences.statusRetention(), context.nowNanos(), context.wallMillis());
-    forgotten.ifPresent(id -> writer.put(JobCodec.progressKey(id), Optional::empty, () -> {}));
-    jobs.book()
-        .forgetOneEarlyCancel(
+    removed.ifPresent(id -> writer.put(JobCodec.progressKey(id), Optional::empty, () -> {}));
+    jobs.registry()
+        .removeOneExpiredEarlyCancel(
             preferences.statusRetention(), context.nowNanos(), context.wallMillis())
         .ifPresent(id -> writer.put(JobCodec.earlyCancelKey(id), Optional::empty, () -> {}));
   }
 
-  /** Ends the epoch: who still waits is told what is known. */
+  /** Ends the epoch and answers all calls that still wait. */
   void close(BatchContext context) {
     writer.close();
     cancels.close();
     unknownJobs.close(context);
-    ready.forEach(context::add);
-    ready.clear();
+    outgoing.forEach(context::add);
+    outgoing.clear();
   }
 
   /**
-   * Answers a call, at once or once it is stored.
+   * Handles a call; it is answered at once, or once its effect is stored.
    *
-   * @param contact what the heartbeats have shown of the store
+   * @param contact how well the store can be reached, judged by the heartbeats
    */
-  void called(BatchEvent.Called asked, StoreReachability contact, BatchContext context) {
-    long ticket = asked.ticket();
-    BatchCall call = asked.call();
-    long until = context.nowNanos() + asked.patience().toNanos();
-    // Before the key is looked at: a VM may repeat a submission whose key was taken away since.
-    if (call instanceof BatchCall.Submit submit && submissions.joined(ticket, submit.job())) {
+  void handleCall(BatchEvent.Called event, StoreReachability contact, BatchContext context) {
+    long ticket = event.ticket();
+    BatchCall call = event.call();
+    long until = context.nowNanos() + event.patience().toNanos();
+    // Before the API key is checked: a VM may repeat a submission whose key was revoked meanwhile.
+    if (call instanceof BatchCall.Submit submit && submissions.joinExisting(ticket, submit.job())) {
       return;
     }
     BatchConfiguration configuration = jobs.configuration();
@@ -260,69 +265,70 @@
       answer(ticket, new CallAnswer.NoSuchQueue());
       return;
     }
-    Optional<BatchOrganisation> holder = configuration.holder(call.apiKey());
-    if (!queue.get().open() && holder.isEmpty()) {
+    Optional<BatchOrganisation> caller = configuration.organisation(call.apiKey());
+    if (!queue.get().open() && caller.isEmpty()) {
       answer(ticket, new CallAnswer.UnknownKey());
       return;
     }
     switch (call) {
       case BatchCall.Submit submit -> {
-        Optional<RefusalCause> refusal = refusal(queue.get(), hopeless(asked, contact, context));
+        Optional<RefusalCause> refusal =
+            refusal(queue.get(), cannotStoreInTime(event, contact, context));
         if (refusal.isPresent()) {
           refuse(ticket, submit.job(), refusal.get(), context);
           return;
         }
-        String organisation = holder.map(BatchOrganisation::name).orElse("");
-        submissions.submit(ticket, submit, queue.get(), organisation, comeBackMillis(), context);
+        String organisation = caller.map(BatchOrganisation::name).orElse("");
+        submissions.submit(ticket, submit, queue.get(), organisation, retryAfterMillis(), context);
       }
-      case BatchCall.Status status -> status(new JobQuestion(ticket, status.job(), until), context);
+      case BatchCall.Status status -> status(new JobQuery(ticket, status.job(), until), context);
       case BatchCall.Cancel cancel ->
-          cancels.cancel(new JobQuestion(ticket, cancel.job(), until), context);
+          cancels.cancel(new JobQuery(ticket, cancel.job(), until), context);
       case BatchCall.CountPending count ->
-          answer(ticket, new CallAnswer.Pending(jobs.book().pending(count.queue())));
+          answer(ticket, new CallAnswer.Pending(jobs.registry().pendingJobs(count.queue())));
     }
   }
 
-  /** Tells whether a submission could not be stored while its caller waits. */
-  private boolean hopeless(
-      BatchEvent.Called asked, StoreReachability contact, BatchContext context) {
+  /** Returns whether a submission cannot be stored within the time that its caller waits. */
+  private boolean cannotStoreInTime(
+      BatchEvent.Called event, StoreReachability contact, BatchContext context) {
     long ageNanos = context.nowNanos() - storeSeenAt(contact.confirmedAt());
-    boolean away = ageNanos > contact.nearNanos(REACHABLE) || writer.storeAway(context);
-    long waitsNanos = Math.min(asked.patience().toNanos(), CALLER_NANOS);
+    boolean away = ageNanos > contact.nearNanos(STORE_REACHABLE_AGE) || writer.storeAway(context);
+    long waitsNanos = Math.min(event.patience().toNanos(), CALLER_TIMEOUT_NANOS);
     return away || writer.storedInNanos(contact.lastAppendNanos(), context) > waitsNanos;
   }
 
   private void answer(long ticket, CallAnswer answer) {
-    ready.add(new BatchCommand.Answer(ticket, answer));
+    outgoing.add(new BatchCommand.Answer(ticket, answer));
   }
 
-  private Optional<RefusalCause> refusal(JobQueue queue, boolean hopeless) {
+  private Optional<RefusalCause> refusal(JobQueue queue, boolean cannotStoreInTime) {
     if (stopping) {
       return Optional.of(RefusalCause.STOPPING);
     }
     if (queue.advised() && !preferences.adviceAvailable()) {
       return Optional.of(RefusalCause.UNSUPPORTED);
     }
-    return hopeless ? Optional.of(RefusalCause.STORE_AWAY) : Optional.empty();
+    return cannotStoreInTime ? Optional.of(RefusalCause.STORE_AWAY) : Optional.empty();
   }
 
   private void refuse(long ticket, String id, RefusalCause cause, BatchContext context) {
-    context.note(BatchLogEvent.JOB_REFUSED, id, cause, comeBackMillis());
+    context.note(BatchLogEvent.JOB_REFUSED, id, cause, retryAfterMillis());
     context.count("fescuehook.batch.refused", "cause", cause.tag());
-    answer(ticket, new CallAnswer.Refused(cause, comeBackMillis()));
+    answer(ticket, new CallAnswer.Refused(cause, retryAfterMillis()));
   }
 
-  /** Returns when to come back: an outage that has lasted a while will last about as long again. */
-  private long comeBackMillis() {
-    return Math.clamp(storeAgeMillis, COME_BACK_MILLIS, LATEST_COME_BACK_MILLIS);
+  /** Returns the retry delay for callers: an outage may last as long again as it has lasted. */
+  private long retryAfterMillis() {
+    return Math.clamp(storeAgeMillis, MIN_RETRY_AFTER_MILLIS, MAX_RETRY_AFTER_MILLIS);
   }
 
-  private void status(JobQuestion question, BatchContext context) {
-    Optional<JobPhase> phase = jobs.book().shown(question.job());
+  private void status(JobQuery query, BatchContext context) {
+    Optional<JobPhase> phase = jobs.registry().storedPhase(query.job());
     if (phase.isPresent()) {
-      answer(question.ticket(), new CallAnswer.Phase(phase.get()));
+      answer(query.ticket(), new CallAnswer.Phase(phase.get()));
     } else {
-      unknownJobs.ask(question, context);
+      unknownJobs.ask(query, context);
     }
   }
 
--- /dev/null
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/SubmissionHandler.java
@@ -0,0 +1,176 @@
+package org.fescuehook.logic.batch;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import org.fescuehook.logic.batch.call.BatchCall;
+import org.fescuehook.logic.batch.call.CallAnswer;
+import org.fescuehook.logic.batch.call.RefusalCause;
+import org.fescuehook.logic.batch.call.UndecidedCause;
+import org.fescuehook.logic.batch.state.ActiveJob;
+import org.fescuehook.logic.batch.state.JobCodec;
+import org.fescuehook.logic.batch.state.JobLifecycle;
+import org.fescuehook.logic.batch.state.JobRegistry;
+import org.fescuehook.logic.batch.store.CommitFailure;
+import org.fescuehook.logic.batch.store.StateWriter;
+import org.fescuehook.model.batch.BatchJob;
+import org.fescuehook.model.batch.JobQueue;
+
+/**
+ * Handles submissions: a submission is accepted once it is stored, refused if it is certain not to
+ * be stored, and undecided otherwise. A repeated submission of the same job id joins the pending
+ * one and gets the same answer.
+ */
+final class SubmissionHandler {
+
+  private final JobLifecycle jobs;
+  private final StateWriter writer;
+  private final List<BatchCommand> outgoing;
+  private final Map<String, PendingSubmission> pending = new LinkedHashMap<>();
+  private final List<JobQuery> dueCancels = new ArrayList<>();
+
+  /**
+   * Creates a handler without submissions.
+   *
+   * @param outgoing list to which answers and log events are added; the owner sends them with its
+   *     next step
+   */
+  SubmissionHandler(JobLifecycle jobs, StateWriter writer, List<BatchCommand> outgoing) {
+    this.jobs = jobs;
+    this.writer = writer;
+    this.outgoing = outgoing;
+  }
+
+  /**
+   * Answers a submission that repeats an accepted job, or joins it to the pending submission of the
+   * same job.
+   *
+   * @return false if it is not a repetition
+   */
+  boolean joinExisting(long ticket, String id) {
+    if (jobs.registry().storedPhase(id).isPresent()) {
+      answer(ticket, new CallAnswer.Accepted());
+      return true;
+    }
+    PendingSubmission earlier = pending.get(id);
+    if (earlier == null) {
+      return false;
+    }
+    earlier.tickets().add(ticket);
+    return true;
+  }
+
+  /**
+   * Sends a submission to the store.
+   *
+   * @param retryAfterMillis delay after which its caller shall retry if it is not stored
+   */
+  void submit(
+      long ticket,
+      BatchCall.Submit submit,
+      JobQueue queue,
+      String organisation,
+      long retryAfterMillis,
+      BatchContext context) {
+    String id = submit.job();
+    Optional<JobRegistry.EndedJob> cancelled = jobs.registry().earlyCancel(id);
+    if (cancelled.isPresent()) {
+      submitCancelled(ticket, id, cancelled.get(), retryAfterMillis, context);
+      return;
+    }
+    BatchJob job = new BatchJob(id, queue, organisation, context.wallMillis(), submit.submission());
+    pending.put(id, PendingSubmission.of(ticket));
+    writer.putRefusable(
+        JobCodec.jobKey(id),
+        () -> Optional.of(JobCodec.encode(job)),
+        () -> accepted(job),
+        loss -> notAccepted(id, loss, retryAfterMillis),
+        context);
+  }
+
+  /** Accepts a job that was cancelled before it was submitted: it is stored as ended. */
+  private void submitCancelled(
+      long ticket,
+      String id,
+      JobRegistry.EndedJob cancelled,
+      long retryAfterMillis,
+      BatchContext context) {
+    pending.put(id, PendingSubmission.of(ticket));
+    writer.putRefusable(
+        JobCodec.progressKey(id),
+        () -> Optional.of(JobCodec.encodeEnd(cancelled)),
+        () -> {
+          jobs.registry().addEnded(id, cancelled, context.nowNanos());
+          note(BatchLogEvent.CANCELLED_JOB_ACCEPTED, id);
+          complete(id, new CallAnswer.Accepted());
+        },
+        loss -> notAccepted(id, loss, retryAfterMillis),
+        context);
+  }
+
+  /**
+   * Keeps a cancel until the pending submission of its job has an outcome.
+   *
+   * @return false if no submission of the job is pending
+   */
+  boolean deferCancel(JobQuery cancel) {
+    PendingSubmission pendingSubmission = pending.get(cancel.job());
+    if (pendingSubmission == null) {
+      return false;
+    }
+    pendingSubmission.cancels().add(cancel);
+    return true;
+  }
+
+  /** Removes and returns the cancels that waited for a submission which now has an outcome. */
+  List<JobQuery> takeDueCancels() {
+    List<JobQuery> due = List.copyOf(dueCancels);
+    dueCancels.clear();
+    return due;
+  }
+
+  private void accepted(BatchJob job) {
+    jobs.registry().add(new ActiveJob(job));
+    jobs.changed();
+    long chain = job.submission().estimatedChainMillis();
+    note(
+        BatchLogEvent.JOB_ACCEPTED,
+        job.id(),
+        job.queue().name(),
+        job.organisation(),
+        job.submission().tasks(),
+        Math.round(job.submission().estimatedCoreSeconds()),
+        chain,
+        job.queue().objectiveMillis(chain));
+    complete(job.id(), new CallAnswer.Accepted());
+  }
+
+  private void notAccepted(String id, CommitFailure loss, long retryAfterMillis) {
+    switch (loss) {
+      case NOT_STORED -> {
+        note(BatchLogEvent.JOB_REFUSED, id, loss, retryAfterMillis);
+        complete(id, new CallAnswer.Refused(RefusalCause.STORE_AWAY, retryAfterMillis));
+      }
+      case UNKNOWN -> {
+        note(BatchLogEvent.JOB_UNDECIDED, id, loss);
+        complete(id, new CallAnswer.Undecided(UndecidedCause.OWNERSHIP_LOST));
+      }
+    }
+  }
+
+  private void complete(String id, CallAnswer answer) {
+    PendingSubmission pendingSubmission = pending.remove(id);
+    pendingSubmission.tickets().forEach(ticket -> answer(ticket, answer));
+    dueCancels.addAll(pendingSubmission.cancels());
+  }
+
+  private void answer(long ticket, CallAnswer answer) {
+    outgoing.add(new BatchCommand.Answer(ticket, answer));
+  }
+
+  private void note(BatchLogEvent event, Object... arguments) {
+    outgoing.add(new BatchCommand.Note(event, List.of(arguments)));
+  }
+}
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/Takeover.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/Takeover.java
@@ -20,42 +20,45 @@
 import org.fescuehook.logic.batch.store.WriterPosition;
 
 /**
- * What a new owner does before it decides: it shuts the former owner out of the jobs' stream by
- * raising the stream's epoch, and then reads the jobs.
+ * The first phase of a new owner, before it schedules: it fences the previous owner off by raising
+ * the epoch of the job stream, and then loads all jobs from the stream.
  */
 final class Takeover {
 
-  /** Pause before a step that the store did not take is repeated. */
+  /** Delay before a failed call to the store is retried. */
   private static final long RETRY_NANOS = Duration.ofMillis(100).toNanos();
 
   /**
-   * How long a take-over may go without a step forward. A page of 1 MB takes 1.2 s over a link of 7
-   * Mbit/s, and about as long to read on a third of a core.
+   * Longest time that a takeover may go without progress. A page of 1 MB takes 1.2 s over a link of
+   * 7 Mbit/s, and about as long to decode on a third of a core.
    */
   private static final long STALL_NANOS = Duration.ofSeconds(5).toNanos();
 
-  /** Exchanges with the store that fit into it; a step may wait for its turn, and be repeated. */
+  /**
+   * Number of the longest recent store appends that the time without progress must allow for: a
+   * call may have to wait for another one, and be repeated once.
+   */
   private static final int STALL_APPENDS = 3;
 
-  /** Time between two log events that the take-over is not complete. */
-  private static final long TELL_NANOS = Duration.ofSeconds(1).toNanos();
+  /** Time between two log events about a takeover that is not complete. */
+  private static final long LOG_INTERVAL_NANOS = Duration.ofSeconds(1).toNanos();
 
   private final long epoch;
   private final long startedAt;
   private final Map<String, byte[]> records = new LinkedHashMap<>();
   private boolean fenced;
-  private final PendingCall underWay = new PendingCall(PendingCall.PAGE);
+  private final PendingCall pendingCall = new PendingCall(PendingCall.PAGE);
   private boolean loaded;
   private Optional<String> afterKey = Optional.empty();
   private long retryAt;
-  private long toldAt;
+  private long loggedAt;
   private long progressAt;
 
   Takeover(long epoch, BatchContext context) {
     this.epoch = epoch;
     this.startedAt = context.nowNanos();
     this.retryAt = context.nowNanos();
-    this.toldAt = context.nowNanos();
+    this.loggedAt = context.nowNanos();
     this.progressAt = context.nowNanos();
   }
 
@@ -71,22 +74,22 @@
     return loaded;
   }
 
-  /** Tells whether nothing that it waits for has come for a while. */
+  /** Returns whether the takeover has made no progress for too long. */
   boolean stalled(StoreReachability contact, BatchContext context) {
     long longest = Math.max(STALL_NANOS, STALL_APPENDS * contact.longestAppendNanos());
     return context.nowNanos() - progressAt > longest;
   }
 
-  /** Has the time without a step forward count from now, as nobody could have made one. */
-  void excuse(BatchContext context) {
+  /** Restarts the time without progress, as no VM could have made progress up to now. */
+  void resetStallTimer(BatchContext context) {
     progressAt = context.nowNanos();
   }
 
   void step(BatchContext context) {
-    if (underWay.present(context) || loaded || context.nowNanos() - retryAt < 0) {
+    if (pendingCall.present(context) || loaded || context.nowNanos() - retryAt < 0) {
       return;
     }
-    underWay.begin(context);
+    pendingCall.begin(context);
     if (!fenced) {
       context.add(
           new BatchCommand.Append(
@@ -97,30 +100,33 @@
   }
 
   /**
-   * Tells once a second what an owner that does not decide yet waits for.
+   * Logs once a second what the takeover waits for.
    *
-   * @param missing what it lacks besides the jobs; empty if nothing
+   * @param missing what the new owner lacks besides the jobs
    */
-  void tellWhatIsMissing(String missing, BatchContext context) {
-    if (context.nowNanos() - toldAt < TELL_NANOS) {
+  void logProgress(String missing, BatchContext context) {
+    if (context.nowNanos() - loggedAt < LOG_INTERVAL_NANOS) {
       return;
     }
-    toldAt = context.nowNanos();
+    loggedAt = context.nowNanos();
     long millis = Duration.ofNanos(context.nowNanos() - startedAt).toMillis();
-    context.note(
-        BatchLogEvent.TAKEOVER_UNDER_WAY, epoch, millis, loaded ? missing : missingOfJobs());
+    context.note(BatchLogEvent.TAKEOVER_UNDER_WAY, epoch, millis, loaded ? missing : missingJobs());
   }
 
-  private String missingOfJobs() {
+  private String missingJobs() {
     return fenced ? "jobs, " + records.size() + " records read" : "the epoch of the jobs' stream";
   }
 
-  /** Takes the outcome of raising the epoch; false if another owner has come. */
+  /**
+   * Applies the outcome of the append that raises the epoch of the job stream.
+   *
+   * @return false if the stream has a higher epoch, hence a newer owner
+   */
   boolean answered(WriterPosition position, AppendOutcome outcome, BatchContext context) {
     if (position.epoch() != epoch || fenced) {
       return true;
     }
-    underWay.end();
+    pendingCall.end();
     return switch (outcome) {
       case AppendOutcome.Stored stored -> {
         fenced = true;
@@ -136,17 +142,22 @@
   }
 
   private boolean retry(BatchContext context) {
-    underWay.end();
+    pendingCall.end();
     retryAt = context.nowNanos() + RETRY_NANOS;
     return true;
   }
 
-  /** Takes a page; one that a former take-over asked for may lack what was accepted since. */
-  void read(long askedIn, List<KeyedRecord> page, Optional<String> more, BatchContext context) {
-    if (askedIn != epoch || loaded) {
+  /**
+   * Adds a page of the job stream.
+   *
+   * @param requestedIn epoch of the takeover that requested the page; a page requested by an
+   *     earlier takeover is ignored, since it may lack jobs accepted after it was read
+   */
+  void read(long requestedIn, List<KeyedRecord> page, Optional<String> more, BatchContext context) {
+    if (requestedIn != epoch || loaded) {
       return;
     }
-    underWay.end();
+    pendingCall.end();
     progressAt = context.nowNanos();
     for (KeyedRecord record : page) {
       record.value().ifPresent(value -> records.put(record.key(), value));
@@ -155,50 +166,50 @@
     loaded = more.isEmpty();
   }
 
-  void unreadable(long askedIn, BatchContext context) {
-    if (askedIn == epoch) {
+  void unreadable(long requestedIn, BatchContext context) {
+    if (requestedIn == epoch) {
       retry(context);
     }
   }
 
-  /** Builds the jobs from what was read; a record that cannot be read is left out and logged. */
-  JobRegistry book(BatchContext context) {
-    JobRegistry book = new JobRegistry();
+  /** Decodes the loaded records; a record that cannot be decoded is logged and left out. */
+  JobRegistry registry(BatchContext context) {
+    JobRegistry registry = new JobRegistry();
     for (Map.Entry<String, byte[]> entry : records.entrySet()) {
       try {
-        take(entry.getKey(), entry.getValue(), book, context);
+        decode(entry.getKey(), entry.getValue(), registry, context);
       } catch (UnreadableRecordException e) {
         context.note(BatchLogEvent.RECORD_UNREADABLE, entry.getKey(), e.getMessage());
       }
     }
-    return sorted(book);
+    return sorted(registry);
   }
 
-  private void take(String key, byte[] value, JobRegistry book, BatchContext context)
+  private void decode(String key, byte[] value, JobRegistry registry, BatchContext context)
       throws UnreadableRecordException {
     Optional<String> accepted = JobCodec.jobOf(key);
     if (accepted.isPresent()) {
-      book.add(job(accepted.get(), value, context));
+      registry.add(job(accepted.get(), value, context));
       return;
     }
-    Optional<String> over = JobCodec.endedJobOf(key);
-    if (over.isPresent()) {
-      // Without a progress nothing is known to run, and the job is not to be run again.
-      if (records.containsKey(JobCodec.progressKey(over.get()))) {
-        book.add(job(over.get(), value, context));
+    Optional<String> ended = JobCodec.endedJobOf(key);
+    if (ended.isPresent()) {
+      // Without a progress record no run is known, and the job must not be started again.
+      if (records.containsKey(JobCodec.progressKey(ended.get()))) {
+        registry.add(job(ended.get(), value, context));
       }
       return;
     }
     Optional<String> cancelled = JobCodec.earlyCancelOf(key);
     if (cancelled.isPresent()) {
       JobCodec.decodeEnd(cancelled.get(), value)
-          .ifPresent(end -> book.addEarlyCancel(cancelled.get(), end, context.nowNanos()));
+          .ifPresent(end -> registry.addEarlyCancel(cancelled.get(), end, context.nowNanos()));
       return;
     }
     Optional<String> progressOf = JobCodec.progressOf(key);
     if (progressOf.isPresent()) {
       JobCodec.decodeEnd(progressOf.get(), value)
-          .ifPresent(end -> book.addEnded(progressOf.get(), end, context.nowNanos()));
+          .ifPresent(end -> registry.addEnded(progressOf.get(), end, context.nowNanos()));
     }
   }
 
@@ -212,18 +223,20 @@
     return job;
   }
 
-  /** The store returns keys in its own order; jobs are kept in the order of their acceptance. */
-  private static JobRegistry sorted(JobRegistry book) {
-    List<ActiveJob> jobs = new ArrayList<>(book.openJobs());
+  /**
+   * Sorts the open jobs by the time of their acceptance; the store returns keys in its own order.
+   */
+  private static JobRegistry sorted(JobRegistry registry) {
+    List<ActiveJob> jobs = new ArrayList<>(registry.activeJobs());
     jobs.sort(
         (one, other) -> Long.compare(one.job().acceptedMillis(), other.job().acceptedMillis()));
-    JobRegistry sorted = book.withoutOpenJobs();
+    JobRegistry sorted = registry.withoutActiveJobs();
     jobs.forEach(sorted::add);
     return sorted;
   }
 
-  /** Returns the live runs of all jobs, also of those that have ended. */
-  static List<LiveRun> inheritedRuns(JobRegistry book) {
-    return book.openJobs().stream().flatMap(job -> job.liveRuns().stream()).toList();
+  /** Returns the live runs of all loaded jobs, including jobs that have ended. */
+  static List<LiveRun> inheritedRuns(JobRegistry registry) {
+    return registry.activeJobs().stream().flatMap(job -> job.liveRuns().stream()).toList();
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/Displacer.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/Displacer.java
@@ -162,8 +162,9 @@
         if (!movable || !waiting.rank().before(rank)) {
           continue;
         }
-        boolean lasting = run.step().spec().lasting().isPresent();
-        if (lasting && missed.merge(run.step(), 1, Integer::sum) > run.step().mayMiss()) {
+        boolean lasting = run.step().spec().longRunning().isPresent();
+        if (lasting
+            && missed.merge(run.step(), 1, Integer::sum) > run.step().disruptionsAllowed()) {
           continue;
         }
         if (run.step().spec().gang()) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/PlanDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/PlanDuty.java
@@ -86,7 +86,7 @@
 
   private List<WaitingStep> waiting(BatchContext context) {
     List<WaitingStep> waiting = new ArrayList<>();
-    for (ActiveJob job : jobs.book().openJobs()) {
+    for (ActiveJob job : jobs.registry().activeJobs()) {
       if (!job.open()) {
         continue;
       }
@@ -147,7 +147,7 @@
     long spare = objective - step.estimatedChainMillis();
     long waited = Math.max(0, context.wallMillis() - due);
     long queued = context.nowNanos() - step.queuedSince(context.nowNanos());
-    if (step.spec().lasting().isPresent()) {
+    if (step.spec().longRunning().isPresent()) {
       return Timing.ofLasting(queued);
     }
     return new Timing(
@@ -169,7 +169,7 @@
   /** Returns the accelerators that the open jobs of priority 0 need, by organisation. */
   private Map<String, Integer> guaranteedNeed() {
     Map<String, Integer> need = new HashMap<>();
-    for (ActiveJob job : jobs.book().openJobs()) {
+    for (ActiveJob job : jobs.registry().activeJobs()) {
       if (job.open() && jobs.queue(job).priority() == 0) {
         int accelerators =
             job.steps().stream()
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobLifecycle.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobLifecycle.java
@@ -18,39 +18,41 @@
 import org.fescuehook.model.batch.JobQueue;
 import org.fescuehook.model.batch.RunEnd;
 
-/** Changes jobs by what becomes of their runs, and stores each change. */
+/** Changes jobs according to the outcome of their runs and to cancels, and stores each change. */
 public final class JobLifecycle {
 
-  private final JobRegistry book;
+  private final JobRegistry registry;
   private final JobRecords records;
   private final ExecutorDuty executors;
   private BatchConfiguration configuration;
   private boolean changed = true;
 
-  /** Creates the duty of an owner that has loaded the jobs. */
+  /** Creates the lifecycle of the jobs that a new owner has loaded. */
   public JobLifecycle(
-      JobRegistry book,
+      JobRegistry registry,
       StateWriter writer,
       ExecutorDuty executors,
       BatchConfiguration configuration) {
-    this.book = book;
-    this.records = new JobRecords(book, writer);
+    this.registry = registry;
+    this.records = new JobRecords(registry, writer);
     this.executors = executors;
     this.configuration = configuration;
   }
 
   /** Returns the jobs. */
-  public JobRegistry book() {
-    return book;
+  public JobRegistry registry() {
+    return registry;
   }
 
-  /** Takes a newer configuration. */
+  /** Applies a newer configuration. */
   public void configure(BatchConfiguration newer) {
     configuration = newer;
     changed = true;
   }
 
-  /** Returns the queue of a job as it is declared now, or was when the job came. */
+  /**
+   * Returns the queue of a job as declared now or, if it was removed, when the job was accepted.
+   */
   public JobQueue queue(ActiveJob job) {
     JobQueue accepted = job.job().queue();
     return configuration.queue(accepted.name()).orElse(accepted);
@@ -61,27 +63,27 @@
     return configuration;
   }
 
-  /** Returns the pools that jobs may run in: those of declared queues, and of jobs kept open. */
+  /** Returns the pools that jobs may run in: those of all declared queues and of active jobs. */
   public Set<String> pools() {
     Set<String> pools = new HashSet<>();
     configuration.queues().values().forEach(queue -> pools.add(queue.pool()));
-    book.openJobs().forEach(job -> pools.add(queue(job).pool()));
+    registry.activeJobs().forEach(job -> pools.add(queue(job).pool()));
     return pools;
   }
 
-  /** Tells whether a plan may turn out differently since this was asked last. */
+  /** Returns and clears the mark that a new plan may differ from the last one. */
   public boolean takeChanged() {
-    boolean was = changed;
+    boolean result = changed;
     changed = false;
-    return was;
+    return result;
   }
 
-  /** Has the next plan looked at everything anew. */
+  /** Marks that a new plan may differ from the last one. */
   public void changed() {
     changed = true;
   }
 
-  /** Stores how far a job is. */
+  /** Stores the progress of a job. */
   public void persist(ActiveJob job, Runnable committed) {
     records.persist(job, committed);
   }
@@ -91,7 +93,7 @@
     end(job, JobPhase.CANCELLED, committed, context);
   }
 
-  /** Remembers the cancel of a job that is not known, as its submission may still come. */
+  /** Stores the cancel of a job that is not known, as its submission may still arrive. */
   public void cancelEarly(String id, Runnable committed, BatchContext context) {
     records.cancelEarly(id, committed, context);
   }
@@ -109,17 +111,20 @@
     changed = true;
   }
 
-  /** Retires the jobs of former owners that have ended and of which nothing runs. */
-  public void retireGone(BatchContext context) {
-    book.openJobs().forEach(job -> records.retireIfGone(job, context));
+  /** Retires loaded jobs that ended under a former owner and have no live runs. */
+  public void retireEnded(BatchContext context) {
+    registry.activeJobs().forEach(job -> records.retireIfEnded(job, context));
   }
 
-  /** Tells whether a run may go on for longer than callers of a cancel expect. */
-  public boolean goesOn(LiveRun run, BatchContext context) {
+  /**
+   * Returns whether a run may continue for long if this owner fails now: it is live, its executor
+   * has not acknowledged a stop, and its lease does not expire soon.
+   */
+  public boolean mayContinue(LiveRun run, BatchContext context) {
     return run.task().isLive(run) && !executors.book().endsSoon(run, context.nowNanos());
   }
 
-  /** A run of a former owner is at work: it is stopped if nobody wants it any more. */
+  /** Handles a run of a former owner that was found running: stops it if it is no longer needed. */
   public void foundRunning(LiveRun run, BatchContext context) {
     StepProgress step = run.step();
     if (!step.job().open()) {
@@ -127,14 +132,19 @@
     } else if (run.task().done()) {
       executors.stop(run, "its task is done", context);
     } else if (step.spec().gang() && !step.waiting().isEmpty()) {
-      // The former owner may not have come to stop the others.
+      // A member has ended, and the former owner may have failed before it stopped the others.
       breakGang(step, context);
     }
   }
 
-  /** A run has ended. */
+  /**
+   * Handles the end of a run.
+   *
+   * @param stored held until the consequences of the end are stored; its release acknowledges the
+   *     end to the executor
+   */
   public void ended(LiveRun run, EndedRun end, Countdown stored, BatchContext context) {
-    noteEnd(run, end.end(), context);
+    logEnd(run, end.end(), context);
     StepProgress step = run.step();
     TaskProgress task = run.task();
     step.end(task);
@@ -146,9 +156,9 @@
     }
     stored.hold();
     Runnable committed = stored::release;
-    if (step.spec().lasting().isPresent()) {
-      // It starts again however it ended.
-      if (!givenUp(step, task, committed, context)) {
+    if (step.spec().longRunning().isPresent()) {
+      // A long-running task starts again however its run ended.
+      if (!giveUpIfCrashing(step, task, committed, context)) {
         persist(step.job(), committed);
       }
       return;
@@ -157,7 +167,7 @@
       case DONE -> finish(step, task, committed, context);
       case FAILED -> fail(run, task, committed, context);
       case STOPPED, LEASE_EXPIRED, GANG_BROKEN, GANG_INCOMPLETE -> {
-        if (!givenUp(step, task, committed, context)) {
+        if (!giveUpIfCrashing(step, task, committed, context)) {
           breakGang(step, context);
           persist(step.job(), committed);
         }
@@ -166,15 +176,15 @@
   }
 
   private void endedAfterJob(ActiveJob job, Countdown stored, BatchContext context) {
-    if (!job.shown().ended()) {
-      // The end of the job is on its way to the store; this end is acknowledged after it.
+    if (!job.storedPhase().ended()) {
+      // The end of the job is not stored yet; the end of the run is acknowledged after it.
       stored.hold();
       persist(job, stored::release);
     }
-    records.retireIfGone(job, context);
+    records.retireIfEnded(job, context);
   }
 
-  private static void noteEnd(LiveRun run, RunEnd end, BatchContext context) {
+  private static void logEnd(LiveRun run, RunEnd end, BatchContext context) {
     long millis = (context.nowNanos() - run.placedAt()) / 1_000_000;
     context.note(BatchLogEvent.RUN_ENDED, run.run(), run.incarnation(), end, run.percent(), millis);
     context.stage("ran", context.nowNanos() - run.placedAt());
@@ -198,43 +208,47 @@
       end(step.job(), JobPhase.FAILED, committed, context);
       return;
     }
-    if (!givenUp(step, task, committed, context)) {
+    if (!giveUpIfCrashing(step, task, committed, context)) {
       breakGang(step, context);
       persist(step.job(), committed);
     }
   }
 
-  /** One member is gone, so the others end too and the whole gang is tried again. */
+  /** Stops the remaining members of a gang that has lost one, so that the whole gang restarts. */
   private void breakGang(StepProgress step, BatchContext context) {
     if (step.spec().gang() && !step.done()) {
       step.liveRuns().forEach(run -> executors.stop(run, "a member of its gang ended", context));
     }
   }
 
-  /** A run that was given up has ended; done work counts all the same. */
+  /**
+   * Handles the end of a run that the owner had given up or does not know. If the run is done, its
+   * task is done all the same; any other end is ignored.
+   */
   public void strayEnded(EndedRun end, Countdown stored, BatchContext context) {
     if (end.end() != RunEnd.DONE) {
       return;
     }
-    Optional<ActiveJob> job = book.open(end.run().task().job());
+    Optional<ActiveJob> job = registry.active(end.run().task().job());
     Optional<StepProgress> step =
         job.flatMap(open -> open.step(end.run().task().occurrence(), end.run().task().step()));
     Optional<TaskProgress> task = step.flatMap(found -> found.task(end.run().task().index()));
-    if (task.isEmpty() || step.get().spec().lasting().isPresent()) {
+    if (task.isEmpty() || step.get().spec().longRunning().isPresent()) {
       return;
     }
     stored.hold();
     if (task.get().done() || !job.get().open()) {
-      // Perhaps known to this owner alone: the next one would not find the end, and start it again.
+      // This may not be stored yet. If the end were acknowledged now and this owner failed, the
+      // next owner would start the task again.
       records.whenStored(job.get(), stored::release);
       return;
     }
     finish(step.get(), task.get(), stored::release, context);
-    // Another run of the task may be under way elsewhere.
+    // Another run of the task may be live elsewhere.
     task.get().live().ifPresent(run -> executors.stop(run, "its task is done", context));
   }
 
-  /** A run is gone without an end. */
+  /** Handles a run that is lost: it is dead, but its executor reported no end. */
   public void lost(LiveRun run, BatchContext context) {
     StepProgress step = run.step();
     TaskProgress task = run.task();
@@ -244,10 +258,10 @@
     step.end(task);
     changed = true;
     if (!step.job().open()) {
-      records.retireIfGone(step.job(), context);
+      records.retireIfEnded(step.job(), context);
       return;
     }
-    if (givenUp(step, task, () -> {}, context)) {
+    if (giveUpIfCrashing(step, task, () -> {}, context)) {
       return;
     }
     breakGang(step, context);
@@ -255,8 +269,9 @@
   }
 
   /**
-   * A run is gone with its executor. Its task may have caused that, and would do so again wherever
-   * it starts; what speaks against it is stored, so that each owner counts on from there.
+   * Handles a run that was lost with its executor. Its task may have crashed the executor and may
+   * crash every other one it starts on, so the evidence against it is counted and stored; the next
+   * owner continues the count.
    */
   public void lostWithExecutor(LiveRun run, CrashEvidence evidence, BatchContext context) {
     StepProgress step = run.step();
@@ -267,14 +282,18 @@
       return;
     }
     context.count("fescuehook.batch.runs.crashed", "evidence", evidence.tag());
-    task.crashed(step.against(run, evidence), run.run().number());
+    task.crashed(step.evidenceAgainst(run, evidence), run.run().number());
     lost(run, context);
   }
 
-  /** Ends the job of a task that must not be started again; false if the task may be. */
-  private boolean givenUp(
+  /**
+   * Fails the job of a task that must not be started again.
+   *
+   * @return false if the task may be started again
+   */
+  private boolean giveUpIfCrashing(
       StepProgress step, TaskProgress task, Runnable committed, BatchContext context) {
-    if (step.done() || !task.hopeless()) {
+    if (step.done() || !task.mustGiveUp()) {
       return false;
     }
     CrashRecord crashes = task.crashes();
@@ -288,13 +307,13 @@
     return true;
   }
 
-  /** A start was rejected. */
+  /** Handles a run whose start the executor rejected. */
   public void rejected(LiveRun run, Rejection rejection, BatchContext context) {
     context.note(BatchLogEvent.RUN_LOST, run.run(), run.incarnation(), "rejected: " + rejection);
     lost(run, context);
   }
 
-  /** No start of a run was sent, so the run says nothing of its task and does not count. */
+  /** Handles a run whose start was never sent; it does not count as a run of its task. */
   public void unsent(LiveRun run, BatchContext context) {
     TaskProgress task = run.task();
     if (task.isLive(run)) {
@@ -303,13 +322,13 @@
     lost(run, context);
   }
 
-  /** A start had no answer. */
+  /** Handles a run whose start was not answered: it may run, so it is stopped. */
   public void startGivenUp(LiveRun run, BatchContext context) {
     executors.stop(run, "its start had no answer", context);
     breakGang(run.step(), context);
   }
 
-  /** A run hardly progresses where it is. */
+  /** Handles a run that makes hardly any progress on its executor: stops it to move it. */
   public void stoodStill(LiveRun run, BatchContext context) {
     if (run.step().job().open() && !run.step().done()) {
       executors.stop(run, "it hardly progresses there", context);
@@ -317,21 +336,22 @@
     }
   }
 
-  /** A run has saved progress. */
+  /** Records a checkpoint that a run has saved. */
   public void saved(LiveRun run, String checkpoint) {
     StepProgress step = run.step();
     step.saved(run.task(), checkpoint);
   }
 
   /**
-   * Work moves away from an executor that is about to leave, if it saves its progress or would not
-   * end in time: what is lost with an executor can start again only when its lease has expired.
+   * Moves runs away from an executor that is about to leave: those that save checkpoints, are
+   * long-running or would not end in time. A run that is lost with its executor can be restarted
+   * only after its lease has expired.
    */
   public void leaving(ExecutorState executor, BatchContext context) {
     for (LiveRun run : executor.runs().stream().toList()) {
       boolean lateThere = run.estimatedLeftMillis() > executor.profile().remainingMillis();
-      boolean lasting = run.step().spec().lasting().isPresent();
-      boolean moves = run.step().spec().checkpointing() || lateThere || lasting;
+      boolean longRunning = run.step().spec().longRunning().isPresent();
+      boolean moves = run.step().spec().checkpointing() || lateThere || longRunning;
       if (moves && !run.step().done()) {
         executors.stop(run, "its executor is leaving", context);
         breakGang(run.step(), context);
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobRecords.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobRecords.java
@@ -5,85 +5,85 @@
 import org.fescuehook.logic.batch.store.StateWriter;
 import org.fescuehook.model.batch.JobPhase;
 
-/** Keeps the records of jobs in the store as the book has them. */
+/** Writes the records of jobs to the store and retires jobs once their end is stored. */
 final class JobRecords {
 
-  private final JobRegistry book;
+  private final JobRegistry registry;
   private final StateWriter writer;
 
-  JobRecords(JobRegistry book, StateWriter writer) {
-    this.book = book;
+  JobRecords(JobRegistry registry, StateWriter writer) {
+    this.registry = registry;
     this.writer = writer;
   }
 
-  /** Stores how far a job is. */
+  /** Stores the progress of a job. */
   void persist(ActiveJob job, Runnable committed) {
-    Encoded encoded = new Encoded(job);
+    EncodedProgress encoded = new EncodedProgress(job);
     writer.put(
         JobCodec.progressKey(job.job().id()),
         encoded::encode,
         () -> {
-          encoded.show();
+          encoded.markStored();
           committed.run();
         });
   }
 
-  /** Calls back once the newest progress of a job is stored. */
+  /** Calls back once the current progress of a job is stored. */
   void whenStored(ActiveJob job, Runnable committed) {
     writer.whenStored(JobCodec.progressKey(job.job().id()), committed);
   }
 
   /**
-   * Stores the end of a job. While something of it may run, the store names that, so that an owner
-   * that comes meanwhile knows what it has to stop.
+   * Stores the end of a job. While the job has live runs, the store also keeps the job itself, so
+   * that a new owner knows which runs it has to stop.
    */
   void end(ActiveJob job, Runnable committed, BatchContext context) {
     String id = job.job().id();
-    boolean gone = job.liveRuns().isEmpty();
+    boolean noLiveRuns = job.liveRuns().isEmpty();
     persist(
         job,
         () -> {
-          if (gone) {
-            book.retire(job, context.nowNanos());
+          if (noLiveRuns) {
+            registry.retire(job, context.nowNanos());
           }
           committed.run();
         });
-    if (!gone) {
+    if (!noLiveRuns) {
       byte[] stored = JobCodec.encode(job.job());
       writer.put(JobCodec.endedJobKey(id), () -> Optional.of(stored), () -> {});
     }
     writer.put(JobCodec.jobKey(id), Optional::empty, () -> {});
   }
 
-  /** Retires a job that has ended once nothing of it can run any more. */
-  void retireIfGone(ActiveJob job, BatchContext context) {
+  /** Retires a job if it has ended and has no live runs. */
+  void retireIfEnded(ActiveJob job, BatchContext context) {
     if (job.open() || !job.liveRuns().isEmpty()) {
       return;
     }
     String id = job.job().id();
-    persist(job, () -> book.retire(job, context.nowNanos()));
+    persist(job, () -> registry.retire(job, context.nowNanos()));
     writer.put(JobCodec.jobKey(id), Optional::empty, () -> {});
     writer.put(JobCodec.endedJobKey(id), Optional::empty, () -> {});
   }
 
-  /** Remembers the cancel of a job that is not known, as its submission may still come. */
+  /** Stores the cancel of a job that is not known, as its submission may still arrive. */
   void cancelEarly(String id, Runnable committed, BatchContext context) {
     JobRegistry.EndedJob cancelled =
         new JobRegistry.EndedJob(JobPhase.CANCELLED, context.wallMillis());
-    book.addEarlyCancel(id, cancelled, context.nowNanos());
+    registry.addEarlyCancel(id, cancelled, context.nowNanos());
     byte[] stored = JobCodec.encodeEnd(cancelled);
     writer.put(JobCodec.earlyCancelKey(id), () -> Optional.of(stored), committed);
   }
 
   /**
-   * What of a job goes out with an append. The job may have changed again when that is stored, and
-   * nobody may be shown what no store has.
+   * The progress of a job as it was encoded for an append. The job may have changed again by the
+   * time the append is stored, and callers must not be told a state that is not stored.
    */
-  private static final class Encoded {
+  private static final class EncodedProgress {
     private final ActiveJob job;
     private Optional<JobPhase> phase = Optional.empty();
 
-    Encoded(ActiveJob job) {
+    EncodedProgress(ActiveJob job) {
       this.job = job;
     }
 
@@ -92,9 +92,12 @@
       return Optional.of(JobCodec.encodeProgress(job));
     }
 
-    /** Shows what was encoded; nothing if a newer change of the job went out in its place. */
-    void show() {
-      phase.ifPresent(job::show);
+    /**
+     * Reports the encoded state to callers from now on; does nothing if a newer change of the job
+     * was encoded in place of this one.
+     */
+    void markStored() {
+      phase.ifPresent(job::setStoredPhase);
     }
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/TakeoverProgressTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/TakeoverProgressTest.java
@@ -40,7 +40,7 @@
 
   private List<Object> told(long millis) {
     BatchContext context = at(millis);
-    takeover.tellWhatIsMissing("executors", context);
+    takeover.logProgress("executors", context);
     return context.commands().stream()
         .map(BatchCommand.Note.class::cast)
         .flatMap(note -> note.arguments().stream())
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/FormerDisplacer.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/FormerDisplacer.java
@@ -147,8 +147,9 @@
         if (!movable || !waiting.rank().before(rank)) {
           continue;
         }
-        boolean lasting = run.step().spec().lasting().isPresent();
-        if (lasting && missed.merge(run.step(), 1, Integer::sum) > run.step().mayMiss()) {
+        boolean lasting = run.step().spec().longRunning().isPresent();
+        if (lasting
+            && missed.merge(run.step(), 1, Integer::sum) > run.step().disruptionsAllowed()) {
           continue;
         }
         if (run.step().spec().gang()) {
