--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/DeclarationsChecks.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/DeclarationsChecks.java
@@ -47,7 +47,7 @@
   private List<Fault> unknownOrganisations() {
     Set<String> known = organisationNames();
     List<Fault> faults = new ArrayList<>(unknownHolders(known));
-    for (Placed<List<Condition>> conditions : items.conditions()) {
+    for (DeclaredItem<List<Condition>> conditions : items.conditions()) {
       for (Condition condition : conditions.value()) {
         if (condition instanceof Condition.OfOrganisation(var organisation)
             && !known.contains(organisation.value())) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/DeclarationsComparison.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/DeclarationsComparison.java
@@ -23,13 +23,13 @@
    */
   public DeclarationsComparison(Optional<Declarations> before, Declarations after) {
     comparePolicy(before.map(Declarations::policy), after.policy());
-    compare(before, after, "organisation", DescribedItems::organisations);
-    compare(before, after, "guarantee", DescribedItems::guarantees);
-    compare(before, after, "rule", DescribedItems::rules);
-    compareMany(before, after, "worker", DescribedItems::workers);
-    compareMany(before, after, "executor", DescribedItems::executors);
-    compareAddresses(before, after, "worker", DescribedItems::workerAddresses);
-    compareAddresses(before, after, "executor", DescribedItems::executorAddresses);
+    compare(before, after, "organisation", ItemDescriptions::organisations);
+    compare(before, after, "guarantee", ItemDescriptions::guarantees);
+    compare(before, after, "rule", ItemDescriptions::rules);
+    compareMany(before, after, "worker", ItemDescriptions::workers);
+    compareMany(before, after, "executor", ItemDescriptions::executors);
+    compareAddresses(before, after, "worker", ItemDescriptions::workerAddresses);
+    compareAddresses(before, after, "executor", ItemDescriptions::executorAddresses);
     compareTotals(before, after);
   }
 
@@ -39,8 +39,8 @@
   }
 
   private void comparePolicy(Optional<PolicyPreferences> before, PolicyPreferences after) {
-    Map<String, String> old = before.map(DescribedItems::policy).orElse(Map.of());
-    DescribedItems.policy(after)
+    Map<String, String> old = before.map(ItemDescriptions::policy).orElse(Map.of());
+    ItemDescriptions.policy(after)
         .forEach((key, value) -> add("policy " + key, old.getOrDefault(key, ""), value));
   }
 
@@ -90,11 +90,14 @@
   }
 
   private void compareTotals(Optional<Declarations> before, Declarations after) {
-    add("fleet in sum", before.map(DescribedItems::fleet).orElse(""), DescribedItems.fleet(after));
+    add(
+        "fleet in sum",
+        before.map(ItemDescriptions::fleet).orElse(""),
+        ItemDescriptions.fleet(after));
     add(
         "guaranteed in sum",
-        before.map(DescribedItems::held).orElse(""),
-        DescribedItems.held(after));
+        before.map(ItemDescriptions::held).orElse(""),
+        ItemDescriptions.held(after));
   }
 
   private void add(String subject, String before, String after) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/Placed.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/DeclaredItem.java
@@ -12,7 +12,7 @@
  * @param value the item
  * @param section its section
  */
-record Placed<T>(T value, IniSection section) {
+record DeclaredItem<T>(T value, IniSection section) {
 
   /** Returns a fault of the item as a whole. */
   Fault fault(String problem, String accepted) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/DeclaredItems.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/DeclaredItems.java
@@ -20,12 +20,12 @@
 final class DeclaredItems {
 
   private final IniDocument document;
-  private final List<Placed<Organisation>> organisations = new ArrayList<>();
-  private final List<Placed<GuaranteedShape>> guarantees = new ArrayList<>();
-  private final List<Placed<Rule>> rules = new ArrayList<>();
-  private final List<Placed<List<Condition>>> conditions = new ArrayList<>();
-  private final List<Placed<Worker>> workers = new ArrayList<>();
-  private final List<Placed<Executor>> executors = new ArrayList<>();
+  private final List<DeclaredItem<Organisation>> organisations = new ArrayList<>();
+  private final List<DeclaredItem<GuaranteedShape>> guarantees = new ArrayList<>();
+  private final List<DeclaredItem<Rule>> rules = new ArrayList<>();
+  private final List<DeclaredItem<List<Condition>>> conditions = new ArrayList<>();
+  private final List<DeclaredItem<Worker>> workers = new ArrayList<>();
+  private final List<DeclaredItem<Executor>> executors = new ArrayList<>();
   private final List<Fault> faults;
   private PolicyPreferences policy = PolicyPreferences.DEFAULT;
 
@@ -38,28 +38,28 @@
     return document;
   }
 
-  List<Placed<Organisation>> organisations() {
+  List<DeclaredItem<Organisation>> organisations() {
     return organisations;
   }
 
-  List<Placed<GuaranteedShape>> guarantees() {
+  List<DeclaredItem<GuaranteedShape>> guarantees() {
     return guarantees;
   }
 
-  List<Placed<Rule>> rules() {
+  List<DeclaredItem<Rule>> rules() {
     return rules;
   }
 
   /** Returns the conditions of all rules, also of those whose decision has a fault. */
-  List<Placed<List<Condition>>> conditions() {
+  List<DeclaredItem<List<Condition>>> conditions() {
     return conditions;
   }
 
-  List<Placed<Worker>> workers() {
+  List<DeclaredItem<Worker>> workers() {
     return workers;
   }
 
-  List<Placed<Executor>> executors() {
+  List<DeclaredItem<Executor>> executors() {
     return executors;
   }
 
@@ -92,7 +92,7 @@
         policy);
   }
 
-  private static <T> List<T> values(List<Placed<T>> items, Comparator<T> order) {
-    return items.stream().map(Placed::value).sorted(order).toList();
+  private static <T> List<T> values(List<DeclaredItem<T>> items, Comparator<T> order) {
+    return items.stream().map(DeclaredItem::value).sorted(order).toList();
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/FleetChecks.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/FleetChecks.java
@@ -53,17 +53,17 @@
   }
 
   private void checkNames() {
-    Map<String, Placed<?>> seen = new HashMap<>();
-    for (Placed<Worker> worker : items.workers()) {
+    Map<String, DeclaredItem<?>> seen = new HashMap<>();
+    for (DeclaredItem<Worker> worker : items.workers()) {
       checkName(seen, "worker " + worker.value().id(), worker);
     }
-    for (Placed<Executor> executor : items.executors()) {
+    for (DeclaredItem<Executor> executor : items.executors()) {
       checkName(seen, "executor " + executor.value().id(), executor);
     }
   }
 
-  private void checkName(Map<String, Placed<?>> seen, String name, Placed<?> item) {
-    Placed<?> first = seen.putIfAbsent(name, item);
+  private void checkName(Map<String, DeclaredItem<?>> seen, String name, DeclaredItem<?> item) {
+    DeclaredItem<?> first = seen.putIfAbsent(name, item);
     if (first != null && reported.add(item.section())) {
       String problem = "declares " + name + ", which " + first.where() + " declares too";
       faults.add(item.fault(problem, "a name of its own"));
@@ -71,21 +71,21 @@
   }
 
   private void checkAddresses() {
-    Map<InetSocketAddress, Placed<?>> seen = new HashMap<>();
-    for (Placed<Worker> worker : items.workers()) {
+    Map<InetSocketAddress, DeclaredItem<?>> seen = new HashMap<>();
+    for (DeclaredItem<Worker> worker : items.workers()) {
       checkAddress(seen, worker.value().address(), DeclarationKeys.WORKER_ADDRESS, worker);
     }
-    for (Placed<Executor> executor : items.executors()) {
+    for (DeclaredItem<Executor> executor : items.executors()) {
       checkAddress(seen, executor.value().address(), DeclarationKeys.EXECUTOR_ADDRESS, executor);
     }
   }
 
   private void checkAddress(
-      Map<InetSocketAddress, Placed<?>> seen,
+      Map<InetSocketAddress, DeclaredItem<?>> seen,
       InetSocketAddress address,
       Key<InetSocketAddress> key,
-      Placed<?> item) {
-    Placed<?> first = seen.putIfAbsent(address, item);
+      DeclaredItem<?> item) {
+    DeclaredItem<?> first = seen.putIfAbsent(address, item);
     if (first != null && reported.add(item.section())) {
       String problem =
           "gives " + Addresses.format(address) + ", which " + first.where() + " gives too";
@@ -94,10 +94,10 @@
   }
 
   private void checkRacks() {
-    Map<RackId, Placed<Worker>> seen = new HashMap<>();
-    for (Placed<Worker> worker : items.workers()) {
+    Map<RackId, DeclaredItem<Worker>> seen = new HashMap<>();
+    for (DeclaredItem<Worker> worker : items.workers()) {
       RackId rack = worker.value().rack();
-      Placed<Worker> first = seen.putIfAbsent(rack, worker);
+      DeclaredItem<Worker> first = seen.putIfAbsent(rack, worker);
       if (first == null || first.value().domain().equals(worker.value().domain())) {
         continue;
       }
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/FleetParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/FleetParser.java
@@ -62,7 +62,7 @@
       int index = i;
       int faultsBefore = items.faults().size();
       SectionReader reader =
-          new SectionReader(section, items.faults(), text -> Sequence.expand(text, index));
+          new SectionReader(section, items.faults(), text -> SequenceExpander.expand(text, index));
       itemReader.read(section, names.get().get(i), reader);
       if (items.faults().size() > faultsBefore) {
         // one faulty item is enough: the others of the range share its lines
@@ -87,7 +87,7 @@
     Capacity capacity = new Capacity(accelerators.get(), cores.get(), memory.get() / MEBIBYTE);
     Worker worker =
         new Worker(new WorkerId(name), address.get(), domain.get(), rack.get(), capacity);
-    items.workers().add(new Placed<>(worker, section));
+    items.workers().add(new DeclaredItem<>(worker, section));
   }
 
   private void readExecutor(IniSection section, String name, SectionReader reader) {
@@ -111,7 +111,7 @@
     Executor executor =
         new Executor(
             new ExecutorId(name), address.get(), domain.get(), slots.get(), connections.get());
-    items.executors().add(new Placed<>(executor, section));
+    items.executors().add(new DeclaredItem<>(executor, section));
   }
 
   /** Reads one item of a range. */
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/GuaranteeChecks.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/GuaranteeChecks.java
@@ -20,7 +20,7 @@
 
   GuaranteeChecks(DeclaredItems items) {
     this.items = items;
-    this.workers = items.workers().stream().map(Placed::value).toList();
+    this.workers = items.workers().stream().map(DeclaredItem::value).toList();
   }
 
   /** Returns the faults. */
@@ -34,7 +34,7 @@
     return faults;
   }
 
-  private void checkAlone(Placed<GuaranteedShape> guarantee) {
+  private void checkAlone(DeclaredItem<GuaranteedShape> guarantee) {
     Shape shape = guarantee.value().shape();
     RackCapacity racks = new RackCapacity(workers);
     if (racks.largestFit(shape.perMember(), 0) == 0) {
@@ -72,7 +72,7 @@
   }
 
   private void checkQuotas() {
-    for (Placed<Organisation> organisation : items.organisations()) {
+    for (DeclaredItem<Organisation> organisation : items.organisations()) {
       long needed = guaranteedAccelerators(organisation.value().id());
       if (needed > organisation.value().quotaAccelerators()) {
         faults.add(
@@ -87,7 +87,7 @@
   private long guaranteedAccelerators(OrganisationId holder) {
     return Total.ofGuarantees(
             items.guarantees().stream()
-                .map(Placed::value)
+                .map(DeclaredItem::value)
                 .filter(guarantee -> guarantee.organisation().equals(holder))
                 .toList())
         .accelerators();
@@ -96,7 +96,7 @@
   private void checkSum() {
     Total fleet = Total.ofWorkers(workers);
     Total sum = Total.NONE;
-    for (Placed<GuaranteedShape> guarantee : items.guarantees()) {
+    for (DeclaredItem<GuaranteedShape> guarantee : items.guarantees()) {
       Total before = sum;
       sum = sum.plus(guarantee.value());
       if (fleet.contains(before) && !fleet.contains(sum)) {
@@ -109,7 +109,7 @@
   }
 
   private void checkTogether() {
-    Optional<Placed<GuaranteedShape>> left =
+    Optional<DeclaredItem<GuaranteedShape>> left =
         new GuaranteePacking(workers).firstLeft(items.guarantees());
     left.ifPresent(
         guarantee ->
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/GuaranteePacking.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/GuaranteePacking.java
@@ -14,18 +14,18 @@
  */
 final class GuaranteePacking {
 
-  private static final Comparator<Placed<GuaranteedShape>> TIED_TO_RACKS_FIRST =
+  private static final Comparator<DeclaredItem<GuaranteedShape>> TIED_TO_RACKS_FIRST =
       Comparator.comparingInt(
           guarantee -> {
             int racks = guarantee.value().shape().maxRacks();
             return racks == 0 ? Integer.MAX_VALUE : racks;
           });
-  private static final Comparator<Placed<GuaranteedShape>> LARGE_MEMBERS_FIRST =
+  private static final Comparator<DeclaredItem<GuaranteedShape>> LARGE_MEMBERS_FIRST =
       Comparator.comparingInt(guarantee -> -guarantee.value().shape().perMember().accelerators());
-  private static final Comparator<Placed<GuaranteedShape>> LARGE_SHAPES_FIRST =
+  private static final Comparator<DeclaredItem<GuaranteedShape>> LARGE_SHAPES_FIRST =
       Comparator.comparingInt(guarantee -> -guarantee.value().shape().accelerators());
 
-  private static final List<Comparator<Placed<GuaranteedShape>>> ORDERS =
+  private static final List<Comparator<DeclaredItem<GuaranteedShape>>> ORDERS =
       List.of(
           TIED_TO_RACKS_FIRST.thenComparing(LARGE_SHAPES_FIRST),
           TIED_TO_RACKS_FIRST.thenComparing(LARGE_MEMBERS_FIRST).thenComparing(LARGE_SHAPES_FIRST),
@@ -38,9 +38,10 @@
   }
 
   /** Returns a guarantee that finds no room; empty if an arrangement was found. */
-  Optional<Placed<GuaranteedShape>> firstLeft(List<Placed<GuaranteedShape>> guarantees) {
-    Optional<Placed<GuaranteedShape>> left = Optional.empty();
-    for (Comparator<Placed<GuaranteedShape>> order : ORDERS) {
+  Optional<DeclaredItem<GuaranteedShape>> firstLeft(
+      List<DeclaredItem<GuaranteedShape>> guarantees) {
+    Optional<DeclaredItem<GuaranteedShape>> left = Optional.empty();
+    for (Comparator<DeclaredItem<GuaranteedShape>> order : ORDERS) {
       left = place(guarantees.stream().sorted(order).toList());
       if (left.isEmpty()) {
         return left;
@@ -49,9 +50,10 @@
     return left;
   }
 
-  private Optional<Placed<GuaranteedShape>> place(List<Placed<GuaranteedShape>> guarantees) {
+  private Optional<DeclaredItem<GuaranteedShape>> place(
+      List<DeclaredItem<GuaranteedShape>> guarantees) {
     RackCapacity free = new RackCapacity(workers);
-    for (Placed<GuaranteedShape> guarantee : guarantees) {
+    for (DeclaredItem<GuaranteedShape> guarantee : guarantees) {
       Shape shape = guarantee.value().shape();
       for (int i = 0; i < guarantee.value().count(); i++) {
         if (!free.take(shape.members(), shape.perMember(), shape.maxRacks())) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/DescribedItems.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/ItemDescriptions.java
@@ -13,9 +13,9 @@
 import org.fescuehook.model.rule.Rule;
 
 /** Describes each declared item by its name, so that two declarations can be compared. */
-final class DescribedItems {
+final class ItemDescriptions {
 
-  private DescribedItems() {}
+  private ItemDescriptions() {}
 
   static Map<String, String> policy(PolicyPreferences policy) {
     Map<String, String> values = new LinkedHashMap<>();
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/RackCapacity.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/RackCapacity.java
@@ -37,25 +37,25 @@
 
   /** Takes the resources of a shape and tells whether there was room; takes nothing if not. */
   boolean take(int members, Capacity member, int maxRacks) {
-    List<Room> chosen = choose(members, member, maxRacks);
-    if (chosen.stream().map(Room::fit).reduce(0, RackCapacity::cappedSum) < members) {
+    List<RackFit> chosen = choose(members, member, maxRacks);
+    if (chosen.stream().map(RackFit::fit).reduce(0, RackCapacity::cappedSum) < members) {
       return false;
     }
     int left = members;
-    for (Room room : chosen) {
+    for (RackFit room : chosen) {
       left -= takeFromRack(room.workers(), member, left);
     }
     return true;
   }
 
   /** Prefers the fullest single rack that has room, else the racks with the most room. */
-  private List<Room> choose(int members, Capacity member, int maxRacks) {
-    List<Room> byRoom =
+  private List<RackFit> choose(int members, Capacity member, int maxRacks) {
+    List<RackFit> byRoom =
         racks.values().stream()
-            .map(workers -> new Room(workers, fit(workers, member)))
-            .sorted(Comparator.comparingInt(Room::fit))
+            .map(workers -> new RackFit(workers, fit(workers, member)))
+            .sorted(Comparator.comparingInt(RackFit::fit))
             .toList();
-    for (Room room : byRoom) {
+    for (RackFit room : byRoom) {
       if (room.fit() >= members) {
         return List.of(room);
       }
@@ -91,7 +91,7 @@
   }
 
   /** Free resources of a rack's workers and how many members fit there. */
-  private record Room(List<Capacity> workers, int fit) {}
+  private record RackFit(List<Capacity> workers, int fit) {}
 
   private static int fit(List<Capacity> workers, Capacity member) {
     return workers.stream().map(worker -> worker.fits(member)).reduce(0, RackCapacity::cappedSum);
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/RuleChecks.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/RuleChecks.java
@@ -13,18 +13,18 @@
 /** Checks that each rule has a number of its own and can match. */
 final class RuleChecks {
 
-  private final List<Placed<Rule>> rules;
+  private final List<DeclaredItem<Rule>> rules;
 
-  RuleChecks(List<Placed<Rule>> rules) {
+  RuleChecks(List<DeclaredItem<Rule>> rules) {
     this.rules = rules;
   }
 
   /** Returns the faults. */
   List<Fault> faults() {
     List<Fault> faults = new ArrayList<>();
-    Map<Integer, Placed<Rule>> seen = new HashMap<>();
-    for (Placed<Rule> rule : rules) {
-      Placed<Rule> first = seen.putIfAbsent(rule.value().number(), rule);
+    Map<Integer, DeclaredItem<Rule>> seen = new HashMap<>();
+    for (DeclaredItem<Rule> rule : rules) {
+      DeclaredItem<Rule> first = seen.putIfAbsent(rule.value().number(), rule);
       if (first != null) {
         String problem = "two rules have this number; the first is at " + first.where();
         faults.add(rule.fault(problem, "a number of its own for each rule"));
@@ -37,7 +37,7 @@
   List<Fault> warnings(Declarations declarations) {
     List<Fault> warnings = new ArrayList<>();
     for (Finding finding : new UnreachableRuleFinder().find(declarations)) {
-      for (Placed<Rule> rule : rules) {
+      for (DeclaredItem<Rule> rule : rules) {
         if (rule.value().number() == finding.rule()) {
           String problem = "can never match: " + finding.reason();
           warnings.add(rule.fault(problem, "a rule that some job can reach"));
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/SectionsParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/SectionsParser.java
@@ -66,7 +66,7 @@
     if (allPresent(weight, quota, share)) {
       OrganisationId id = new OrganisationId(section.title());
       Organisation organisation = new Organisation(id, weight.get(), quota.get(), share.get());
-      items.organisations().add(new Placed<>(organisation, section));
+      items.organisations().add(new DeclaredItem<>(organisation, section));
     }
   }
 
@@ -85,7 +85,7 @@
       Shape shape = new Shape(members.get(), member, racks.get());
       GuaranteedShape guarantee =
           new GuaranteedShape(section.title(), holder.get(), shape, count.get());
-      items.guarantees().add(new Placed<>(guarantee, section));
+      items.guarantees().add(new DeclaredItem<>(guarantee, section));
     }
   }
 
@@ -94,7 +94,7 @@
     SectionReader reader = reader(section, DeclarationKeys.RULE);
     Optional<List<Condition>> when = reader.read(DeclarationKeys.WHEN);
     Optional<Verdict> then = reader.read(DeclarationKeys.THEN);
-    when.ifPresent(conditions -> items.conditions().add(new Placed<>(conditions, section)));
+    when.ifPresent(conditions -> items.conditions().add(new DeclaredItem<>(conditions, section)));
     if (!NUMBER.matcher(section.title()).matches() || Integer.parseInt(section.title()) == 0) {
       items
           .faults()
@@ -103,7 +103,7 @@
     }
     if (allPresent(when, then)) {
       Rule rule = new Rule(Integer.parseInt(section.title()), when.get(), then.get());
-      items.rules().add(new Placed<>(rule, section));
+      items.rules().add(new DeclaredItem<>(rule, section));
     }
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/Sequence.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/SequenceExpander.java
@@ -9,12 +9,12 @@
  * {@code {01../8}} by one after every 8 items, {@code {1..3}} begins again after 3. The first
  * number may be an IPv4 address. Leading zeros keep the width.
  */
-final class Sequence {
+final class SequenceExpander {
 
   private static final Pattern FORM =
       Pattern.compile("\\{(\\d{1,9}|\\d{1,3}(?:\\.\\d{1,3}){3})\\.\\.(\\d{1,9})?(?:/(\\d{1,5}))?}");
 
-  private Sequence() {}
+  private SequenceExpander() {}
 
   /**
    * Returns the text for one item; what is no sequence stays as it is.
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/IniParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/IniParser.java
@@ -44,14 +44,14 @@
   private static List<IniSection> parseFile(
       IniSource source, Map<String, Place> seen, List<Fault> faults) throws FaultyInputException {
     String text = new Utf8Decoder().decode(source);
-    LineScan scan = new LineScan(source.file(), text);
+    LineScanner scan = new LineScanner(source.file(), text);
     faults.addAll(scan.faults());
     Map<String, ImmutableNode> nodes = new HashMap<>();
     for (ImmutableNode node : load(source.file(), text).getChildren()) {
       nodes.put(node.getNodeName(), node);
     }
     List<IniSection> sections = new ArrayList<>();
-    for (LineScan.Header header : scan.headers()) {
+    for (LineScanner.Header header : scan.headers()) {
       String name = header.place().section();
       Place first = seen.putIfAbsent(name, header.place());
       if (first != null) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/LineScan.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/LineScanner.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** Finds the lines of section headers and keys, which the INI library does not tell. */
-final class LineScan {
+final class LineScanner {
 
   private final String file;
   private final List<Header> headers = new ArrayList<>();
@@ -19,7 +19,7 @@
   record Header(Place place, List<Place> keys) {}
 
   /** Scans the text. */
-  LineScan(String file, String text) {
+  LineScanner(String file, String text) {
     this.file = file;
     scan(text);
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/membership/PeerTable.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/membership/PeerTable.java
@@ -15,22 +15,22 @@
   /** No peer heard. */
   public static final PeerTable EMPTY = new PeerTable(Map.of());
 
-  private final Map<VmId, Heard> peers;
+  private final Map<VmId, LastHeartbeat> peers;
 
-  private PeerTable(Map<VmId, Heard> peers) {
+  private PeerTable(Map<VmId, LastHeartbeat> peers) {
     this.peers = peers;
   }
 
   /** Returns the table after a heartbeat. */
   public PeerTable heard(PeerReport report, long nowNanos) {
-    Map<VmId, Heard> next = new HashMap<>(peers);
-    next.put(report.vm(), new Heard(report, nowNanos));
+    Map<VmId, LastHeartbeat> next = new HashMap<>(peers);
+    next.put(report.vm(), new LastHeartbeat(report, nowNanos));
     return new PeerTable(Map.copyOf(next));
   }
 
   /** Returns the table without the peers that were silent for longer than {@code limit}. */
   public PeerTable withoutSilent(Duration limit, long nowNanos) {
-    Map<VmId, Heard> next =
+    Map<VmId, LastHeartbeat> next =
         peers.entrySet().stream()
             .filter(peer -> nowNanos - peer.getValue().atNanos <= limit.toNanos())
             .collect(Collectors.toUnmodifiableMap(Map.Entry::getKey, Map.Entry::getValue));
@@ -56,14 +56,14 @@
   public Map<VmId, Long> folded(Duration timeout, long nowNanos) {
     return peers.values().stream()
         .filter(heard -> nowNanos - heard.atNanos <= timeout.toNanos())
-        .map(Heard::report)
+        .map(LastHeartbeat::report)
         .collect(Collectors.toUnmodifiableMap(PeerReport::vm, PeerReport::controlNext));
   }
 
   /** Returns a peer heard within {@code timeout} with the highest revision above another. */
   public Optional<PeerReport> ahead(long revision, Duration timeout, long nowNanos) {
     Optional<PeerReport> best = Optional.empty();
-    for (Heard heard : peers.values()) {
+    for (LastHeartbeat heard : peers.values()) {
       long known = best.map(PeerReport::revision).orElse(revision);
       if (nowNanos - heard.atNanos <= timeout.toNanos() && heard.report.revision() > known) {
         best = Optional.of(heard.report);
@@ -75,11 +75,11 @@
   private Set<VmId> select(Duration timeout, long nowNanos, Predicate<PeerReport> condition) {
     return peers.values().stream()
         .filter(heard -> nowNanos - heard.atNanos <= timeout.toNanos())
-        .map(Heard::report)
+        .map(LastHeartbeat::report)
         .filter(condition)
         .map(PeerReport::vm)
         .collect(Collectors.toUnmodifiableSet());
   }
 
-  private record Heard(PeerReport report, long atNanos) {}
+  private record LastHeartbeat(PeerReport report, long atNanos) {}
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/rule/Extent.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/rule/RuleCoverage.java
@@ -18,7 +18,7 @@
  * @param whenNotUrgent whether other jobs match
  * @param minutes whether each minute of the day matches
  */
-record Extent(
+record RuleCoverage(
     Optional<OrganisationId> organisation,
     boolean organisationsClash,
     Range accelerators,
@@ -30,9 +30,9 @@
 
   private static final int MINUTES_PER_DAY = 24 * 60;
 
-  static Extent of(Rule rule) {
-    Extent extent =
-        new Extent(
+  static RuleCoverage of(Rule rule) {
+    RuleCoverage extent =
+        new RuleCoverage(
             Optional.empty(), false, Range.ALL, Range.ALL, new Range(0, 1), true, true, day());
     for (Condition condition : rule.when()) {
       extent = extent.and(condition);
@@ -46,10 +46,10 @@
     return minutes;
   }
 
-  private Extent and(Condition condition) {
+  private RuleCoverage and(Condition condition) {
     return switch (condition) {
       case Condition.OfOrganisation(var id) ->
-          new Extent(
+          new RuleCoverage(
               Optional.of(id),
               organisationsClash || (organisation.isPresent() && !organisation.get().equals(id)),
               accelerators,
@@ -69,8 +69,8 @@
     };
   }
 
-  private Extent withRanges(Range accelerators, Range declaredSeconds, Range load) {
-    return new Extent(
+  private RuleCoverage withRanges(Range accelerators, Range declaredSeconds, Range load) {
+    return new RuleCoverage(
         organisation,
         organisationsClash,
         accelerators,
@@ -81,8 +81,8 @@
         minutes);
   }
 
-  private Extent withUrgency(boolean urgent) {
-    return new Extent(
+  private RuleCoverage withUrgency(boolean urgent) {
+    return new RuleCoverage(
         organisation,
         organisationsClash,
         accelerators,
@@ -93,13 +93,13 @@
         minutes);
   }
 
-  private Extent withMinutes(int from, int until) {
+  private RuleCoverage withMinutes(int from, int until) {
     boolean[] kept = minutes.clone();
     for (int m = 0; m < kept.length; m++) {
       boolean inside = from <= until ? m >= from && m <= until : m >= from || m <= until;
       kept[m] &= inside;
     }
-    return new Extent(
+    return new RuleCoverage(
         organisation,
         organisationsClash,
         accelerators,
@@ -123,7 +123,7 @@
         || (!whenUrgent && !whenNotUrgent);
   }
 
-  boolean contains(Extent other) {
+  boolean contains(RuleCoverage other) {
     for (int m = 0; m < minutes.length; m++) {
       if (other.minutes[m] && !minutes[m]) {
         return false;
--- a/fescuehook/src/main/java/org/fescuehook/logic/rule/UnreachableRuleFinder.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/rule/UnreachableRuleFinder.java
@@ -39,19 +39,19 @@
   }
 
   private static Optional<String> reason(Rule rule, List<Rule> earlier, Declarations declarations) {
-    Optional<String> contradiction = contradiction(Extent.of(rule), declarations);
+    Optional<String> contradiction = contradiction(RuleCoverage.of(rule), declarations);
     if (contradiction.isPresent()) {
       return contradiction;
     }
     for (Rule e : earlier) {
-      if (Extent.of(e).contains(Extent.of(rule))) {
+      if (RuleCoverage.of(e).contains(RuleCoverage.of(rule))) {
         return Optional.of("rule " + e.number() + " matches all that it matches");
       }
     }
     return Optional.empty();
   }
 
-  private static Optional<String> contradiction(Extent extent, Declarations declarations) {
+  private static Optional<String> contradiction(RuleCoverage extent, Declarations declarations) {
     if (extent.isEmpty()) {
       return Optional.of("its conditions contradict each other");
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/Replayer.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/Replayer.java
@@ -44,7 +44,7 @@
   private final FeasibilityChecker feasibility = new FeasibilityChecker();
   private final RuleMatcher matcher = new RuleMatcher();
 
-  private final PriorityQueue<Timed> queue = new PriorityQueue<>();
+  private final PriorityQueue<ScheduledAction> queue = new PriorityQueue<>();
   private final Map<JobId, ReplayedJob> jobs = new HashMap<>();
   private final List<ReplayedJob> submitted = new ArrayList<>();
   private final TreeMap<Long, ReplayedJob> waiting = new TreeMap<>();
@@ -75,10 +75,11 @@
     this.listener = listener;
   }
 
-  private record Timed(long atMillis, long order, Runnable action) implements Comparable<Timed> {
+  private record ScheduledAction(long atMillis, long order, Runnable action)
+      implements Comparable<ScheduledAction> {
 
     @Override
-    public int compareTo(Timed other) {
+    public int compareTo(ScheduledAction other) {
       int byTime = Long.compare(atMillis, other.atMillis);
       return byTime != 0 ? byTime : Long.compare(order, other.order);
     }
@@ -99,7 +100,7 @@
   }
 
   private void at(long millis, Runnable action) {
-    queue.add(new Timed(millis, nextOrder++, action));
+    queue.add(new ScheduledAction(millis, nextOrder++, action));
   }
 
   private void happen(TraceEvent event) {
