--- a/fescuehook/src/main/java/org/fescuehook/model/configuration/Configuration.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/configuration/Configuration.java
@@ -6,7 +6,7 @@
  * @param revision offset of the record that published it; higher is newer
  * @param baseRevision revision it was based on
  * @param author who published it
- * @param reason why, in the author's words
+ * @param reason reason for the publication, as stated by the author
  * @param text the declarations as published, INI
  * @param declarations the declarations as parsed
  */
--- a/fescuehook/src/main/java/org/fescuehook/model/configuration/PolicyPreferences.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/configuration/PolicyPreferences.java
@@ -6,11 +6,12 @@
  * Declared weights and bounds of the scheduling policy.
  *
  * @param fragmentationWeight weight of low fragmentation against low completion time, 0 to 1
- * @param reclaimBound longest time from a holder's demand to its guaranteed shape being free
- * @param checkpointNotice time that a borrower has for its checkpoint before it is stopped
- * @param urgentStartBound longest time from submission to start of an urgent job
- * @param maxWait wait after which a job that can run is placed before all others
- * @param maxAttempts failed attempts after which a job is given up
+ * @param reclaimBound maximum time from the demand of a guarantee's holder until its guaranteed
+ *     shape is free
+ * @param checkpointNotice time that a borrower gets to write a checkpoint before it is stopped
+ * @param urgentStartBound maximum time from the submission of an urgent job to its start
+ * @param maxWait waiting time after which a job that can run is placed before all others
+ * @param maxAttempts number of failed attempts after which a job is not retried any more
  */
 public record PolicyPreferences(
     double fragmentationWeight,
@@ -20,7 +21,7 @@
     Duration maxWait,
     int maxAttempts) {
 
-  /** Values in force where nothing is declared. */
+  /** Values that apply if nothing is declared. */
   public static final PolicyPreferences DEFAULT =
       new PolicyPreferences(
           0.5,
--- a/fescuehook/src/main/java/org/fescuehook/model/event/NumberedEvent.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/event/NumberedEvent.java
@@ -1,12 +1,12 @@
 package org.fescuehook.model.event;
 
 /**
- * A kind of log line. Each package that logs has an enum of its own; numbers are unique over all of
- * them and stand in docs/EVENTS.md.
+ * A kind of log event with a fixed number. Each package that logs declares its events in an enum of
+ * its own. Numbers are unique across all of these enums and are listed in docs/EVENTS.md.
  */
 public interface NumberedEvent {
 
-  /** Returns the number, never used again for another kind. */
+  /** Returns the number, which is never reused for another kind of event. */
   int number();
 
   /** Returns the SLF4J message format. */
--- a/fescuehook/src/main/java/org/fescuehook/model/fleet/Capacity.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/fleet/Capacity.java
@@ -28,7 +28,7 @@
   }
 
   /**
-   * Returns this capacity less another.
+   * Returns the difference of this capacity and another.
    *
    * @throws IllegalArgumentException if a component would be negative
    */
@@ -39,7 +39,7 @@
         memoryMegabytes - other.memoryMegabytes);
   }
 
-  /** Returns this capacity {@code count} times. */
+  /** Returns this capacity multiplied by {@code count}. */
   public Capacity times(int count) {
     return new Capacity(accelerators * count, cores * count, memoryMegabytes * count);
   }
@@ -51,7 +51,7 @@
         && memoryMegabytes >= other.memoryMegabytes;
   }
 
-  /** Returns how many times {@code unit} fits in this capacity at once. */
+  /** Returns how many instances of {@code unit} fit into this capacity at the same time. */
   public int fits(Capacity unit) {
     long most = Integer.MAX_VALUE;
     if (unit.accelerators > 0) {
--- a/fescuehook/src/main/java/org/fescuehook/model/fleet/Incarnation.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/fleet/Incarnation.java
@@ -3,28 +3,28 @@
 import java.util.OptionalLong;
 
 /**
- * One life of an executor, from its start to its end. An executor may start again under the id that
- * it had; it then knows nothing of before, and what it counts begins anew.
+ * One process of an executor, from its start to its end. An executor may restart under the same id.
+ * The new process knows nothing of the previous one, and its counters start again.
  *
- * @param id name of the executor, which several of its lives may have
- * @param bornMillis when it started by its own clock of the day, milliseconds since 1970; absent if
- *     it does not tell
+ * @param id name of the executor, which several of its incarnations may share
+ * @param bornMillis start time by its own wall clock, milliseconds since 1970; absent if the
+ *     executor does not report it
  */
 public record Incarnation(ExecutorId id, OptionalLong bornMillis) {
 
-  /** Returns the incarnation of an executor that does not tell when it started. */
+  /** Returns the incarnation of an executor that does not report its start time. */
   public static Incarnation undated(ExecutorId id) {
     return new Incarnation(id, OptionalLong.empty());
   }
 
-  /** Tells whether another one is known to have started later under the same id. */
+  /** Tells whether the other incarnation is known to have started later under the same id. */
   public boolean before(Incarnation other) {
     return id.equals(other.id)
         && dated(other)
         && bornMillis.getAsLong() < other.bornMillis.getAsLong();
   }
 
-  /** Tells whether another one is known not to be this one. */
+  /** Tells whether the other is known to be a different incarnation. */
   public boolean differsFrom(Incarnation other) {
     return !id.equals(other.id) || (dated(other) && !bornMillis.equals(other.bornMillis));
   }
@@ -33,7 +33,7 @@
     return bornMillis.isPresent() && other.bornMillis.isPresent();
   }
 
-  /** Returns the same one with its start, if that was not known before. */
+  /** Returns this incarnation with the reported start time, if its own start time is unknown. */
   public Incarnation datedBy(OptionalLong told) {
     return bornMillis.isPresent() ? this : new Incarnation(id, told);
   }
--- a/fescuehook/src/main/java/org/fescuehook/model/fleet/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/fleet/package-info.java
@@ -1,4 +1,4 @@
-/** What the fleet is made of: racks, failure domains, workers and executors, as declared. */
+/** The declared fleet: racks, failure domains, workers and executors. */
 @NullMarked
 package org.fescuehook.model.fleet;
 
--- a/fescuehook/src/main/java/org/fescuehook/model/job/AttemptId.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/job/AttemptId.java
@@ -1,7 +1,7 @@
 package org.fescuehook.model.job;
 
 /**
- * One attempt at running a job.
+ * Identifier of one attempt at running a job.
  *
  * @param job the job
  * @param number 1 for the first attempt
--- a/fescuehook/src/main/java/org/fescuehook/model/job/Job.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/job/Job.java
@@ -9,10 +9,11 @@
  * @param id identifier, given by the entry VM that accepted it
  * @param organisation organisation that submitted it
  * @param requestId the caller's own id, unique per organisation, if given
- * @param shape what it needs at once
- * @param urgent whether it has to start within the urgent bound
+ * @param shape resources that it needs at the same time
+ * @param urgent whether it has to start within the policy's bound for urgent jobs
  * @param checkpointable whether a checkpoint keeps its progress
- * @param declaredSeconds run time that the caller declared, often far off
+ * @param declaredSeconds run time estimated by the caller, in seconds; often far from the actual
+ *     run time
  * @param submittedMillis time of submission, milliseconds since 1970 by the accepting VM's clock
  * @param command what the worker runs
  */
--- a/fescuehook/src/main/java/org/fescuehook/model/job/JobId.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/job/JobId.java
@@ -1,7 +1,7 @@
 package org.fescuehook.model.job;
 
 /**
- * Identifier of a job, unique over the life of the system.
+ * Identifier of a job. An id is never reused.
  *
  * @param value the name, not blank
  */
--- a/fescuehook/src/main/java/org/fescuehook/model/job/Placement.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/job/Placement.java
@@ -4,9 +4,9 @@
 import org.fescuehook.model.fleet.WorkerId;
 
 /**
- * Where the members of a gang run.
+ * Assignment of the members of a gang to workers.
  *
- * @param members worker of each member, by member number; a worker may stand more than once
+ * @param members worker of each member, indexed by member number; a worker may occur more than once
  */
 public record Placement(List<WorkerId> members) {
 
--- a/fescuehook/src/main/java/org/fescuehook/model/job/Shape.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/job/Shape.java
@@ -3,15 +3,16 @@
 import org.fescuehook.model.fleet.Capacity;
 
 /**
- * What a gang needs at once: a number of equal members, in at most so many racks.
+ * Resources that a gang needs at the same time: a number of identical members, spread over a
+ * limited number of racks.
  *
  * @param members number of members, at least 1
- * @param perMember resources of each member, on one worker
- * @param maxRacks most racks over which the members may be spread; 0 for any number
+ * @param perMember resources of each member, all on one worker
+ * @param maxRacks maximum number of racks over which the members may be spread; 0 for no limit
  */
 public record Shape(int members, Capacity perMember, int maxRacks) {
 
-  /** Largest gang that the system accepts. */
+  /** Maximum number of members of a gang. */
   public static final int MAX_MEMBERS = 64;
 
   /** Checks the bounds. */
@@ -24,7 +25,7 @@
     }
   }
 
-  /** Returns the accelerators of all members. */
+  /** Returns the total number of accelerators of all members. */
   public int accelerators() {
     return members * perMember.accelerators();
   }
--- a/fescuehook/src/main/java/org/fescuehook/model/log/LogPage.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/log/LogPage.java
@@ -3,11 +3,12 @@
 import java.util.List;
 
 /**
- * Result of one read.
+ * A page of records read from a stream of the log.
  *
- * @param earliest oldest offset still kept
+ * @param earliest oldest offset that the log still keeps
  * @param next offset that the next appended record gets
- * @param records records in the order of their offsets, without gaps but for what retention removed
+ * @param records records in the order of their offsets; offsets are missing only where retention
+ *     removed records
  */
 public record LogPage(long earliest, long next, List<LogRecord> records) {
 
--- a/fescuehook/src/main/java/org/fescuehook/model/preferences/AddressPreferences.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/preferences/AddressPreferences.java
@@ -4,14 +4,15 @@
 import java.util.Optional;
 
 /**
- * Where this entry VM listens and where the platform is. Port 0 lets the system choose one.
+ * Addresses on which this entry VM listens, and addresses of the platform's services. With port 0
+ * the operating system chooses a free port.
  *
- * @param service where callers connect
- * @param peer where other entry VMs connect
- * @param operator where operators connect; loopback unless a token is set
+ * @param service address to which callers connect
+ * @param peer address to which other entry VMs connect
+ * @param operator address to which operators connect; a loopback address unless a token is set
  * @param operatorToken bearer token that operators present
- * @param log the platform's log service
- * @param list the platform's list of VMs
+ * @param log address of the platform's log service
+ * @param list address of the platform's list of VMs
  */
 public record AddressPreferences(
     InetSocketAddress service,
--- a/fescuehook/src/main/java/org/fescuehook/model/preferences/BatchPreferences.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/preferences/BatchPreferences.java
@@ -3,12 +3,13 @@
 import java.time.Duration;
 
 /**
- * Bounds of the decisions about batch jobs, as agreed with the operators of the executors.
+ * Limits for the scheduling of batch jobs, as agreed with the operators of the executors.
  *
  * @param executorLease longest lease that an executor grants
- * @param statusRetention how long the state of an ended job is shown
- * @param work how work behaves on the executors
- * @param adviceAvailable whether there is a service that names the executors that may run a step
+ * @param statusRetention time for which the state of an ended job remains available
+ * @param work timing of tasks on the executors
+ * @param adviceAvailable whether there is an advice service, which names the executors that may run
+ *     a step
  */
 public record BatchPreferences(
     Duration executorLease,
--- a/fescuehook/src/main/java/org/fescuehook/model/preferences/ControlPreferences.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/preferences/ControlPreferences.java
@@ -3,16 +3,17 @@
 import java.time.Duration;
 
 /**
- * Times and limits of ownership, leases and records.
+ * Intervals and timeouts of ownership, leases and the control stream.
  *
  * @param ownerHeartbeat interval between the owner's heartbeat records
- * @param ownerTimeout silence of the owner after which a stand-by claims
- * @param claimStagger added to the timeout for each rank of the stand-by
- * @param leaseTtl time for which a worker's lease is asked and renewed
+ * @param ownerTimeout time without a heartbeat of the owner after which a standby VM claims
+ *     ownership
+ * @param claimStagger time that is added to the timeout once for each rank of the standby VM
+ * @param leaseTtl duration for which a lease on a worker is requested and renewed
  * @param renewInterval interval between renewals of a lease
- * @param grantTimeout time after which a planned attempt without all its leases is ended
+ * @param grantTimeout time after which a planned attempt that has not got all its leases is ended
  * @param snapshotInterval interval between snapshots of the control stream
- * @param tick interval between ticks of the decision thread
+ * @param tick interval between the tick events of the decision thread
  */
 public record ControlPreferences(
     Duration ownerHeartbeat,
@@ -24,7 +25,7 @@
     Duration snapshotInterval,
     Duration tick) {
 
-  /** Values in force where nothing is set. */
+  /** Values that apply if nothing is set. */
   public static final ControlPreferences DEFAULT =
       new ControlPreferences(
           Duration.ofMillis(500),
--- a/fescuehook/src/main/java/org/fescuehook/model/preferences/EntryPreferences.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/preferences/EntryPreferences.java
@@ -3,11 +3,11 @@
 /**
  * All settings of an entry VM.
  *
- * @param identity who it is
- * @param addresses where it listens and where the platform is
- * @param control ownership, leases and records
- * @param requests the request path
- * @param membership membership and stopping
+ * @param identity name and failure domain of the VM
+ * @param addresses addresses on which it listens, and addresses of the platform's services
+ * @param control settings of ownership, leases and the control stream
+ * @param requests settings for the handling of short requests
+ * @param membership settings of membership and of graceful stopping
  */
 public record EntryPreferences(
     IdentityPreferences identity,
--- a/fescuehook/src/main/java/org/fescuehook/model/preferences/IdentityPreferences.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/preferences/IdentityPreferences.java
@@ -4,9 +4,9 @@
 import org.fescuehook.model.fleet.VmId;
 
 /**
- * Who this entry VM is.
+ * Name and failure domain of a VM.
  *
- * @param vm its name
- * @param domain its failure domain
+ * @param vm name of the VM
+ * @param domain failure domain of the VM
  */
 public record IdentityPreferences(VmId vm, FailureDomain domain) {}
--- a/fescuehook/src/main/java/org/fescuehook/model/preferences/MembershipPreferences.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/preferences/MembershipPreferences.java
@@ -3,16 +3,16 @@
 import java.time.Duration;
 
 /**
- * Times of membership, logging on to peers, and stopping.
+ * Intervals and timeouts of membership, heartbeats to peers, and graceful stopping.
  *
  * @param listInterval interval between fetches of the list of VMs
  * @param peerHeartbeat interval between heartbeats to each peer
- * @param peerTimeout silence after which a peer counts as gone
- * @param staleAfter time without contact to the log and without a peer that has it, after which
- *     this VM is no longer ready
- * @param drainDelay time between turning unready and closing the service port, so that the balancer
- *     notices
- * @param drainLimit longest time for answering what is in flight at a stop
+ * @param peerTimeout time without a heartbeat after which a peer is considered gone
+ * @param staleAfter time without contact to the log and to peers after which this VM is no longer
+ *     ready
+ * @param drainDelay time between becoming unready and closing the service port, so that the load
+ *     balancer notices
+ * @param drainLimit maximum time for answering the requests in flight when the VM stops
  */
 public record MembershipPreferences(
     Duration listInterval,
@@ -22,7 +22,7 @@
     Duration drainDelay,
     Duration drainLimit) {
 
-  /** Values in force where nothing is set. */
+  /** Values that apply if nothing is set. */
   public static final MembershipPreferences DEFAULT =
       new MembershipPreferences(
           Duration.ofSeconds(1),
--- a/fescuehook/src/main/java/org/fescuehook/model/preferences/ProcessorPreferences.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/preferences/ProcessorPreferences.java
@@ -1,17 +1,17 @@
 package org.fescuehook.model.preferences;
 
 /**
- * The processor that a VM has for its work.
+ * Processing power that a VM may use.
  *
- * @param share share of a core, 0 to 1
- * @param cores how many times as fast as a core of usual speed
+ * @param share fraction of a core that the VM may use, 0 to 1
+ * @param speedFactor speed of that core as a multiple of the usual speed
  */
-public record ProcessorPreferences(double share, double cores) {
+public record ProcessorPreferences(double share, double speedFactor) {
 
   private static final double MILLI = 1000;
 
   /** Returns the processing power in thousandths of a core of usual speed. */
   public int milliCores() {
-    return (int) Math.round(share * cores * MILLI);
+    return (int) Math.round(share * speedFactor * MILLI);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/model/preferences/RequestPreferences.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/preferences/RequestPreferences.java
@@ -3,17 +3,17 @@
 import java.time.Duration;
 
 /**
- * Limits of the request path.
+ * Limits for the handling of short requests.
  *
- * @param defaultTimeout deadline of a request that names none
- * @param maxTimeout longest deadline that a request may name
- * @param maxBodyBytes largest body of a request, in bytes
- * @param maxHeaderBytes largest sum of the headers of a request, in bytes
- * @param maxCallerConnections most connections of callers at once
- * @param queueLength most requests waiting for a slot, for each urgency class
- * @param retryBudget retries as a share of the requests of the last 10 s
- * @param maxTries most dispatches of one repeatable request
- * @param headerTimeout longest time for a caller to send a whole head and body
+ * @param defaultTimeout timeout of a request that states no deadline
+ * @param maxTimeout longest timeout that a request may ask for
+ * @param maxBodyBytes maximum size of the body of a request, in bytes
+ * @param maxHeaderBytes maximum total size of the headers of a request, in bytes
+ * @param maxCallerConnections maximum number of concurrent connections of callers
+ * @param queueLength maximum number of requests waiting for a slot, for each urgency class
+ * @param retryBudget maximum ratio of retries to the requests of the last 10 s
+ * @param maxTries maximum number of dispatches of one repeatable request
+ * @param headerTimeout time within which a caller has to send the complete headers and body
  * @param idleTimeout time after which a caller's idle connection is closed
  * @param probeInterval interval between probes of an idle connection to an executor
  * @param claimWindow time for which the outcome of a request id is kept
@@ -32,7 +32,7 @@
     Duration probeInterval,
     Duration claimWindow) {
 
-  /** Values in force where nothing is set. */
+  /** Values that apply if nothing is set. */
   public static final RequestPreferences DEFAULT =
       new RequestPreferences(
           Duration.ofSeconds(10),
--- a/fescuehook/src/main/java/org/fescuehook/model/preferences/SchedulerPreferences.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/preferences/SchedulerPreferences.java
@@ -6,10 +6,10 @@
 /**
  * All settings of a VM that schedules batch jobs.
  *
- * @param identity who it is
- * @param addresses where it listens and where the store is
- * @param processor what it has for its work
- * @param batch bounds of the decisions
+ * @param identity name and failure domain of the VM
+ * @param addresses addresses on which it listens, and addresses of other services
+ * @param processor processing power that it may use
+ * @param batch limits for the scheduling of batch jobs
  */
 public record SchedulerPreferences(
     IdentityPreferences identity,
@@ -18,14 +18,15 @@
     BatchPreferences batch) {
 
   /**
-   * Where a VM listens, and where the store is.
+   * Addresses on which a VM listens, and addresses of the services that it uses.
    *
-   * @param callers where callers connect
-   * @param readiness where readiness is asked for
-   * @param peers where other VMs pass calls on
-   * @param metrics where metrics are served
-   * @param store the shared store
-   * @param advice the service that names the executors that may run a step; absent if there is none
+   * @param callers address to which callers connect
+   * @param readiness address that answers whether the VM is ready
+   * @param peers address to which other VMs forward calls
+   * @param metrics address that serves metrics
+   * @param store address of the shared store
+   * @param advice address of the advice service, which names the executors that may run a step;
+   *     absent if there is none
    */
   public record Addresses(
       InetSocketAddress callers,
--- a/fescuehook/src/main/java/org/fescuehook/model/request/Ran.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/request/Ran.java
@@ -2,13 +2,13 @@
 
 import java.util.Locale;
 
-/** What is known about whether a request was run. */
+/** Whether a request was run, as far as is known. */
 public enum Ran {
-  /** It surely was not run and will not be. */
+  /** The request was not run and will not be run. */
   NO,
-  /** It may have been run, in whole or in part. */
+  /** The request may have been run, completely or in part. */
   UNKNOWN,
-  /** It was run. */
+  /** The request was run. */
   YES;
 
   /** Returns the word used on the wire. */
--- a/fescuehook/src/main/java/org/fescuehook/model/request/RefusalReason.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/request/RefusalReason.java
@@ -2,7 +2,10 @@
 
 import java.util.Locale;
 
-/** Why the system gave a caller no answer of a backend server. Each has a counter. */
+/**
+ * Reason for which a caller gets an error instead of the answer of a backend server. Each reason is
+ * counted in the metrics.
+ */
 public enum RefusalReason {
   /** The request itself is wrong: framing, header, body or field. */
   BAD_REQUEST(400, Ran.NO, false),
@@ -10,13 +13,13 @@
   UNKNOWN_ORGANISATION(403, Ran.NO, false),
   /** No such job, or no such resource. */
   NOT_FOUND(404, Ran.NO, false),
-  /** Header, body or field beyond its bound. */
+  /** A header, the body or a field exceeds its size limit. */
   TOO_LARGE(413, Ran.NO, false),
   /** A rule refuses the job. */
   REFUSED_BY_RULE(422, Ran.NO, false),
-  /** No shape of the declared fleet can ever hold the job. */
+  /** The declared fleet can never hold the job, even if nothing else runs. */
   NEVER_RUNNABLE(422, Ran.NO, false),
-  /** The organisation has its share of requests in flight. */
+  /** The organisation already has as many requests in flight as its share allows. */
   ORGANISATION_SHARE(429, Ran.NO, true),
   /** A bounded queue or ring is full. */
   QUEUE_FULL(503, Ran.NO, true),
@@ -24,17 +27,17 @@
   NO_EXECUTOR(503, Ran.NO, true),
   /** The VM is stopping. */
   DRAINING(503, Ran.NO, true),
-  /** The VM has no configuration, or cannot tell that its configuration is current. */
+  /** The VM has no configuration, or cannot confirm that its configuration is current. */
   NOT_READY(503, Ran.NO, true),
   /** The log is needed and cannot be reached. */
   LOG_UNAVAILABLE(503, Ran.NO, true),
-  /** The same request id is being run. */
+  /** A request with the same id is still being processed. */
   IN_PROGRESS(409, Ran.UNKNOWN, true),
-  /** The request id was used for another request; this one was not run. */
+  /** The request id was already used for a different request; this one was not run. */
   REQUEST_ID_REUSED(422, Ran.NO, false),
-  /** The same request id was run, and its answer was too large to be kept. */
+  /** A request with the same id was run, but its answer was too large to be stored. */
   OUTCOME_NOT_KEPT(410, Ran.YES, false),
-  /** The same request id was claimed and its outcome is not known. */
+  /** A request with the same id was claimed by an entry VM, and its outcome is not known. */
   OUTCOME_UNKNOWN(502, Ran.UNKNOWN, false),
   /** The deadline passed before the request was sent to an executor. */
   DEADLINE_BEFORE_DISPATCH(504, Ran.NO, true),
@@ -42,9 +45,9 @@
   DEADLINE_AFTER_DISPATCH(504, Ran.UNKNOWN, false),
   /** The connection to the executor broke after the request was sent. */
   CONNECTION_LOST(502, Ran.UNKNOWN, false),
-  /** The executor's answer was cut, malformed, or another request's. */
+  /** The executor's answer was truncated or malformed, or belonged to another request. */
   BAD_ANSWER(502, Ran.UNKNOWN, false),
-  /** Executors refused the request as not run until attempts or time ended. */
+  /** Executors rejected the request without running it until no attempts or no time were left. */
   EXECUTORS_REFUSED(503, Ran.NO, true);
 
   private final int status;
--- a/fescuehook/src/main/java/org/fescuehook/model/rule/Condition.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/rule/Condition.java
@@ -5,10 +5,10 @@
 /** One condition of a rule. All conditions of a rule have to hold for it to match. */
 public sealed interface Condition {
 
-  /** The job is of this organisation. */
+  /** The job belongs to this organisation. */
   record OfOrganisation(OrganisationId organisation) implements Condition {}
 
-  /** The job asks for a number of accelerators in this range, both ends included. */
+  /** The number of accelerators that the job needs is in this range, both ends included. */
   record AcceleratorsBetween(int least, int most) implements Condition {}
 
   /** The declared run time in seconds is in this range, both ends included. */
@@ -17,7 +17,10 @@
   /** The job is urgent, or is not. */
   record Urgent(boolean urgent) implements Condition {}
 
-  /** The time of day in UTC is from this minute to that one; may pass over midnight. */
+  /**
+   * The minute of the day in UTC is in this range, both ends included; the range may cross
+   * midnight.
+   */
   record MinuteOfDayBetween(int from, int until) implements Condition {}
 
   /** The share of the fleet's accelerators in use is in this range, 0 to 1, both ends included. */
--- a/fescuehook/src/main/java/org/fescuehook/model/rule/Verdict.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/rule/Verdict.java
@@ -1,12 +1,12 @@
 package org.fescuehook.model.rule;
 
-/** What a rule decides about the jobs that it matches. */
+/** Decision of a rule about the jobs that it matches. */
 public sealed interface Verdict {
 
   /**
    * The job may run.
    *
-   * @param priority higher is tried first
+   * @param priority jobs with a higher priority are tried first
    * @param mayBorrow whether it may use capacity beyond its organisation's guaranteed shapes
    */
   record Admit(int priority, boolean mayBorrow) implements Verdict {}
