--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/CheckedDeclarations.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/CheckedDeclarations.java
@@ -5,11 +5,12 @@
 import org.fescuehook.model.configuration.Declarations;
 
 /**
- * Declarations of correct form, with what the checks found.
+ * Declarations without syntax faults, and the findings of the checks.
  *
  * @param declarations the declarations
- * @param faults what keeps them from being published, as a guarantee that cannot be met
- * @param warnings what is allowed and hardly meant, as a rule that never matches
+ * @param faults faults that prevent publication, for example a guarantee that the fleet cannot hold
+ * @param warnings likely mistakes that do not prevent publication, for example a rule that never
+ *     matches
  */
 public record CheckedDeclarations(
     Declarations declarations, List<Fault> faults, List<Fault> warnings) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/ConditionParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/ConditionParser.java
@@ -58,7 +58,7 @@
         case "organisation" -> new Condition.OfOrganisation(ORGANISATION.reader().read(value));
         case "accelerators" -> accelerators(value);
         case "declared" -> declared(value);
-        case "urgent" -> new Condition.Urgent(flag(value));
+        case "urgent" -> new Condition.Urgent(parseBoolean(value));
         case "time" -> time(value);
         case "load" -> load(value);
         default -> throw new MalformedValueException("is no known condition");
@@ -71,7 +71,7 @@
   private static Condition accelerators(String value) throws MalformedValueException {
     Range range = Range.of(value);
     int least = COUNT.reader().read(range.least());
-    int most = range.open() ? Integer.MAX_VALUE : COUNT.reader().read(range.most());
+    int most = range.hasNoUpperEnd() ? Integer.MAX_VALUE : COUNT.reader().read(range.most());
     requireOrder(least <= most);
     return new Condition.AcceleratorsBetween(least, most);
   }
@@ -79,7 +79,8 @@
   private static Condition declared(String value) throws MalformedValueException {
     Range range = Range.of(value);
     long least = DURATION.reader().read(range.least()).toSeconds();
-    long most = range.open() ? Long.MAX_VALUE : DURATION.reader().read(range.most()).toSeconds();
+    long most =
+        range.hasNoUpperEnd() ? Long.MAX_VALUE : DURATION.reader().read(range.most()).toSeconds();
     requireOrder(least <= most);
     return new Condition.DeclaredSecondsBetween(least, most);
   }
@@ -87,7 +88,7 @@
   private static Condition load(String value) throws MalformedValueException {
     Range range = Range.of(value);
     double least = SHARE.reader().read(range.least());
-    double most = range.open() ? 1 : SHARE.reader().read(range.most());
+    double most = range.hasNoUpperEnd() ? 1 : SHARE.reader().read(range.most());
     requireOrder(least <= most);
     return new Condition.LoadBetween(least, most);
   }
@@ -114,7 +115,7 @@
     throw new MalformedValueException("\"" + text + "\" is no time of day as 22:00");
   }
 
-  private static boolean flag(String value) throws MalformedValueException {
+  private static boolean parseBoolean(String value) throws MalformedValueException {
     return switch (value) {
       case "true", "yes" -> true;
       case "false", "no" -> false;
@@ -128,7 +129,7 @@
     }
   }
 
-  /** The two ends of a range as text; a single value is both. */
+  /** The lower and upper end of a range as text; a single value is taken for both. */
   private record Range(String least, String most) {
 
     static Range of(String value) {
@@ -140,7 +141,7 @@
           value.substring(0, separator).strip(), value.substring(separator + 1).strip());
     }
 
-    boolean open() {
+    boolean hasNoUpperEnd() {
       return most.isEmpty();
     }
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/ConditionWriter.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/ConditionWriter.java
@@ -7,7 +7,7 @@
 import org.fescuehook.logic.ini.Values;
 import org.fescuehook.model.rule.Condition;
 
-/** Writes conditions as {@link ConditionParser} reads them. */
+/** Writes conditions in the syntax that {@link ConditionParser} reads. */
 final class ConditionWriter {
 
   private ConditionWriter() {}
@@ -25,7 +25,7 @@
           "declared=" + seconds(least) + "-" + (most == Long.MAX_VALUE ? "" : seconds(most));
       case Condition.Urgent(boolean urgent) -> "urgent=" + urgent;
       case Condition.MinuteOfDayBetween(int from, int until) ->
-          "time=" + clock(from) + "-" + clock(until);
+          "time=" + timeOfDay(from) + "-" + timeOfDay(until);
       case Condition.LoadBetween(double least, double most) ->
           "load=" + share(least) + "-" + share(most);
     };
@@ -39,7 +39,7 @@
     return Values.decimal(0, 1).writer().apply(share);
   }
 
-  private static String clock(int minute) {
+  private static String timeOfDay(int minute) {
     return "%02d:%02d".formatted(minute / 60, minute % 60);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/DeclarationKeys.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/DeclarationKeys.java
@@ -17,7 +17,10 @@
 import org.fescuehook.model.rule.Condition;
 import org.fescuehook.model.rule.Verdict;
 
-/** Every key of the declarations, from which they are parsed and documented. */
+/**
+ * Defines all keys of the declarations. The parser and the documentation both use these
+ * definitions.
+ */
 final class DeclarationKeys {
 
   static final String POLICY = "policy";
@@ -29,9 +32,9 @@
   static final String WORKERS = "workers";
   static final String EXECUTORS = "executors";
 
-  private static final int MOST = 1_000_000;
-  private static final long MEBIBYTE = 1L << 20;
-  private static final long MOST_MEMORY = 1L << 46;
+  private static final int MAX_COUNT = 1_000_000;
+  private static final long BYTES_PER_MEBIBYTE = 1L << 20;
+  private static final long MAX_MEMORY_BYTES = 1L << 46;
 
   static final Key<Double> FRAGMENTATION_WEIGHT =
       Key.optional(
@@ -79,14 +82,14 @@
       Key.required(
           ORGANISATION,
           "quota-accelerators",
-          Values.count(0, MOST),
+          Values.count(0, MAX_COUNT),
           "64",
           "Most accelerators in use at once, guaranteed and borrowed.");
   static final Key<Integer> REQUEST_SHARE =
       Key.required(
           ORGANISATION,
           "request-share",
-          Values.count(0, MOST),
+          Values.count(0, MAX_COUNT),
           "100",
           "Most short requests in flight at one entry VM.");
 
@@ -116,7 +119,7 @@
       Key.optional(
           GUARANTEE,
           "max-racks",
-          Values.count(0, MOST),
+          Values.count(0, MAX_COUNT),
           0,
           "Most racks over which the members may be spread; 0 for any number.");
   static final Key<Integer> COUNT =
@@ -167,7 +170,7 @@
       Key.required(
           EXECUTOR,
           "connections",
-          Values.count(1, MOST),
+          Values.count(1, MAX_COUNT),
           "64",
           "Connections that it accepts at once, summed over all entry VMs; at least slots.");
 
@@ -205,7 +208,7 @@
 
   private DeclarationKeys() {}
 
-  /** Returns the keys of one kind of section. */
+  /** Returns the keys that a kind of section may have. */
   static List<Key<?>> of(String section) {
     return ALL.stream().filter(key -> key.section().equals(section)).toList();
   }
@@ -229,6 +232,6 @@
   }
 
   private static ValueType<Long> memory() {
-    return Sizes.between(MEBIBYTE, MOST_MEMORY, MEBIBYTE);
+    return Sizes.between(BYTES_PER_MEBIBYTE, MAX_MEMORY_BYTES, BYTES_PER_MEBIBYTE);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/DeclarationsChecks.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/DeclarationsChecks.java
@@ -9,7 +9,7 @@
 import org.fescuehook.logic.ini.IniSection;
 import org.fescuehook.model.rule.Condition;
 
-/** Checks items of the declarations against one another. */
+/** Checks that the declared items are consistent with each other. */
 final class DeclarationsChecks {
 
   private static final List<String> FLEET_KINDS =
@@ -25,7 +25,7 @@
     this.items = items;
   }
 
-  /** Returns what keeps the declarations from being published. */
+  /** Returns the faults that prevent the declarations from being published. */
   List<Fault> faults() {
     List<Fault> faults = new ArrayList<>(new FleetChecks(items).faults());
     faults.addAll(new RuleChecks(items.rules()).faults());
@@ -33,13 +33,13 @@
       return faults;
     }
     faults.addAll(unknownOrganisations());
-    if (!items.faulty(FLEET_KINDS)) {
+    if (!items.hasFault(FLEET_KINDS)) {
       faults.addAll(new GuaranteeChecks(items).faults());
     }
     return faults;
   }
 
-  /** Returns what is allowed and hardly meant. */
+  /** Returns likely mistakes that do not prevent publication. */
   List<Fault> warnings() {
     return new RuleChecks(items.rules()).warnings(items.toDeclarations());
   }
@@ -68,7 +68,7 @@
         .toList();
   }
 
-  /** Returns the names of all organisation sections, also of those with a fault. */
+  /** Returns the names of all organisation sections, including those that have a fault. */
   private Set<String> organisationNames() {
     return items.document().sections().stream()
         .filter(section -> section.kind().equals(DeclarationKeys.ORGANISATION))
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/DeclarationsComparison.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/DeclarationsComparison.java
@@ -9,15 +9,15 @@
 import org.fescuehook.model.configuration.Declarations;
 import org.fescuehook.model.configuration.PolicyPreferences;
 
-/** Compares declarations in an operator's words. */
+/** Compares two sets of declarations and describes the differences for operators. */
 public final class DeclarationsComparison {
 
-  private static final int NAMES_SHOWN = 3;
+  private static final int MAX_NAMES_LISTED = 3;
 
   private final List<Difference> differences = new ArrayList<>();
 
   /**
-   * Compares two declarations.
+   * Compares two sets of declarations.
    *
    * @param before the declarations in force; empty if there are none yet
    */
@@ -33,7 +33,7 @@
     compareTotals(before, after);
   }
 
-  /** Returns the differences; empty if the declarations mean the same. */
+  /** Returns the differences; empty if the declarations are equivalent. */
   public List<Difference> differences() {
     return List.copyOf(differences);
   }
@@ -56,7 +56,7 @@
     }
   }
 
-  /** Compares backend servers and gathers those with the same difference into one line. */
+  /** Compares backend servers and combines those that differ in the same way into one line. */
   private void compareMany(
       Optional<Declarations> before,
       Declarations after,
@@ -64,15 +64,15 @@
       Function<Declarations, Map<String, String>> items) {
     Map<String, String> old = before.map(items).orElse(Map.of());
     Map<String, String> current = items.apply(after);
-    Map<Difference, List<String>> alike = new LinkedHashMap<>();
+    Map<Difference, List<String>> namesByDifference = new LinkedHashMap<>();
     for (String name : union(old, current)) {
       Difference difference =
           new Difference("", old.getOrDefault(name, ""), current.getOrDefault(name, ""));
       if (!difference.before().equals(difference.after())) {
-        alike.computeIfAbsent(difference, unused -> new ArrayList<>()).add(name);
+        namesByDifference.computeIfAbsent(difference, unused -> new ArrayList<>()).add(name);
       }
     }
-    alike.forEach(
+    namesByDifference.forEach(
         (difference, names) -> add(subject(kind, names), difference.before(), difference.after()));
   }
 
@@ -96,8 +96,8 @@
         ItemDescriptions.fleet(after));
     add(
         "guaranteed in sum",
-        before.map(ItemDescriptions::held).orElse(""),
-        ItemDescriptions.held(after));
+        before.map(ItemDescriptions::guaranteed).orElse(""),
+        ItemDescriptions.guaranteed(after));
   }
 
   private void add(String subject, String before, String after) {
@@ -116,7 +116,7 @@
     if (names.size() == 1) {
       return kind + " " + names.getFirst();
     }
-    if (names.size() <= NAMES_SHOWN) {
+    if (names.size() <= MAX_NAMES_LISTED) {
       return names.size() + " " + kind + "s " + String.join(", ", names);
     }
     return "%d %ss %s, %s ... %s"
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/DeclarationsDocument.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/DeclarationsDocument.java
@@ -2,10 +2,12 @@
 
 import org.fescuehook.logic.ini.KeyTable;
 
-/** Documents the declarations from the keys that the parser uses. */
+/** Generates documentation of the declarations from the keys that the parser uses. */
 public final class DeclarationsDocument {
 
-  /** Returns a table in Markdown of the keys of one kind of section, as {@code organisation}. */
+  /**
+   * Returns a Markdown table of the keys of one kind of section, for example {@code organisation}.
+   */
   public String table(String section) {
     return new KeyTable(DeclarationKeys.of(section)).markdown();
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/DeclarationsParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/DeclarationsParser.java
@@ -9,7 +9,10 @@
 import org.fescuehook.logic.ini.IniSource;
 import org.fescuehook.model.configuration.Declarations;
 
-/** Parses and checks declarations, which may be spread over files; reports all faults at once. */
+/**
+ * Parses and checks declarations, which may be spread over several files. Reports all faults at
+ * once.
+ */
 public final class DeclarationsParser {
 
   private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,62}");
@@ -20,7 +23,7 @@
   /**
    * Parses and checks declarations.
    *
-   * @throws FaultyInputException if anything is wrong with them
+   * @throws FaultyInputException if there are any faults
    */
   public CheckedDeclarations check(List<IniSource> sources) throws FaultyInputException {
     CheckedDeclarations checked = parse(sources);
@@ -31,9 +34,10 @@
   }
 
   /**
-   * Parses declarations; what they lack in sense stands in the result.
+   * Parses declarations. Faults found by the consistency checks are part of the result.
    *
-   * @throws FaultyInputException if their form is wrong; it names the faults of sense as well
+   * @throws FaultyInputException if there are syntax faults; the exception also carries the faults
+   *     of the consistency checks
    */
   public CheckedDeclarations parse(List<IniSource> sources) throws FaultyInputException {
     DeclaredItems items = parseItems(sources);
@@ -47,9 +51,10 @@
   }
 
   /**
-   * Reads declarations without checking their sense, for what was published already.
+   * Parses declarations without the consistency checks, for declarations that are already
+   * published.
    *
-   * @throws FaultyInputException if their form is wrong
+   * @throws FaultyInputException if there are syntax faults
    */
   public Declarations read(List<IniSource> sources) throws FaultyInputException {
     DeclaredItems items = parseItems(sources);
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/DeclaredItem.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/DeclaredItem.java
@@ -14,12 +14,12 @@
  */
 record DeclaredItem<T>(T value, IniSection section) {
 
-  /** Returns a fault of the item as a whole. */
+  /** Returns a fault that concerns the item as a whole. */
   Fault fault(String problem, String accepted) {
     return new Fault(section.place(), "", problem, accepted);
   }
 
-  /** Returns a fault of one of its keys. */
+  /** Returns a fault that concerns one key of the item. */
   Fault fault(Key<?> key, String problem, String accepted) {
     Place place =
         section.entry(key.name()).map(IniEntry::place).orElse(section.place().withKey(key.name()));
@@ -27,8 +27,8 @@
     return new Fault(place, value, problem, accepted);
   }
 
-  /** Returns file and line of the item. */
-  String where() {
+  /** Returns the file and line where the item is declared. */
+  String location() {
     return section.place().file() + ":" + section.place().line();
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/DeclaredItems.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/DeclaredItems.java
@@ -16,7 +16,7 @@
 import org.fescuehook.model.rule.Condition;
 import org.fescuehook.model.rule.Rule;
 
-/** Items of the declarations with their sections, and the faults of form, while they are read. */
+/** Collects the declared items with their sections, and the syntax faults, during parsing. */
 final class DeclaredItems {
 
   private final IniDocument document;
@@ -50,7 +50,7 @@
     return rules;
   }
 
-  /** Returns the conditions of all rules, also of those whose decision has a fault. */
+  /** Returns the conditions of all rules, including rules whose verdict has a fault. */
   List<DeclaredItem<List<Condition>>> conditions() {
     return conditions;
   }
@@ -63,7 +63,7 @@
     return executors;
   }
 
-  /** Returns the faults of form; readers add to it. */
+  /** Returns the modifiable list of syntax faults, to which parsers add. */
   List<Fault> faults() {
     return faults;
   }
@@ -73,14 +73,14 @@
   }
 
   /** Tells whether a section of one of these kinds has a fault. */
-  boolean faulty(List<String> kinds) {
+  boolean hasFault(List<String> kinds) {
     return document.sections().stream()
         .filter(section -> kinds.contains(section.kind()))
         .map(IniSection::name)
         .anyMatch(name -> faults.stream().anyMatch(fault -> fault.place().section().equals(name)));
   }
 
-  /** Returns the items in their documented order. */
+  /** Returns the items as declarations, each kind of item in its documented order. */
   Declarations toDeclarations() {
     return new Declarations(
         values(organisations, Comparator.comparing(Organisation::id)),
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/Descriptions.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/Descriptions.java
@@ -5,7 +5,7 @@
 import org.fescuehook.model.job.Shape;
 import org.fescuehook.model.organisation.GuaranteedShape;
 
-/** Puts declared items into an operator's words. */
+/** Describes capacities, shapes and guarantees in text for operators. */
 final class Descriptions {
 
   private Descriptions() {}
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/Difference.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/Difference.java
@@ -1,11 +1,11 @@
 package org.fescuehook.logic.configuration;
 
 /**
- * One difference between two declarations.
+ * One difference between two sets of declarations.
  *
- * @param subject what differs, as {@code organisation surveys}
- * @param before how it is declared now; empty if it is not
- * @param after how the other declares it; empty if it does not
+ * @param subject item that differs, for example {@code organisation surveys}
+ * @param before its description in the first set; empty if the item is missing there
+ * @param after its description in the second set; empty if the item is missing there
  */
 public record Difference(String subject, String before, String after) {
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/FleetChecks.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/FleetChecks.java
@@ -16,22 +16,25 @@
 import org.fescuehook.model.fleet.RackId;
 import org.fescuehook.model.fleet.Worker;
 
-/** Checks that the fleet is not empty and that names, addresses and racks are not mixed up. */
+/**
+ * Checks that the fleet is not empty, that names and addresses are unique, and that each rack is in
+ * one failure domain.
+ */
 final class FleetChecks {
 
   private final DeclaredItems items;
   private final List<Fault> faults = new ArrayList<>();
-  private final Set<IniSection> reported = new HashSet<>();
+  private final Set<IniSection> reportedSections = new HashSet<>();
 
   FleetChecks(DeclaredItems items) {
     this.items = items;
   }
 
-  /** Returns the faults; of a range of many alike items the first one only. */
+  /** Returns the faults. A section that declares a range of items gets only its first fault. */
   List<Fault> faults() {
     checkNotEmpty();
-    checkNames();
-    checkAddresses();
+    checkNamesUnique();
+    checkAddressesUnique();
     checkRacks();
     return faults;
   }
@@ -52,43 +55,45 @@
     }
   }
 
-  private void checkNames() {
+  private void checkNamesUnique() {
     Map<String, DeclaredItem<?>> seen = new HashMap<>();
     for (DeclaredItem<Worker> worker : items.workers()) {
-      checkName(seen, "worker " + worker.value().id(), worker);
+      checkNameUnique(seen, "worker " + worker.value().id(), worker);
     }
     for (DeclaredItem<Executor> executor : items.executors()) {
-      checkName(seen, "executor " + executor.value().id(), executor);
+      checkNameUnique(seen, "executor " + executor.value().id(), executor);
     }
   }
 
-  private void checkName(Map<String, DeclaredItem<?>> seen, String name, DeclaredItem<?> item) {
+  private void checkNameUnique(
+      Map<String, DeclaredItem<?>> seen, String name, DeclaredItem<?> item) {
     DeclaredItem<?> first = seen.putIfAbsent(name, item);
-    if (first != null && reported.add(item.section())) {
-      String problem = "declares " + name + ", which " + first.where() + " declares too";
+    if (first != null && reportedSections.add(item.section())) {
+      String problem = "declares " + name + ", which " + first.location() + " declares too";
       faults.add(item.fault(problem, "a name of its own"));
     }
   }
 
-  private void checkAddresses() {
+  private void checkAddressesUnique() {
     Map<InetSocketAddress, DeclaredItem<?>> seen = new HashMap<>();
     for (DeclaredItem<Worker> worker : items.workers()) {
-      checkAddress(seen, worker.value().address(), DeclarationKeys.WORKER_ADDRESS, worker);
+      checkAddressUnique(seen, worker.value().address(), DeclarationKeys.WORKER_ADDRESS, worker);
     }
     for (DeclaredItem<Executor> executor : items.executors()) {
-      checkAddress(seen, executor.value().address(), DeclarationKeys.EXECUTOR_ADDRESS, executor);
+      checkAddressUnique(
+          seen, executor.value().address(), DeclarationKeys.EXECUTOR_ADDRESS, executor);
     }
   }
 
-  private void checkAddress(
+  private void checkAddressUnique(
       Map<InetSocketAddress, DeclaredItem<?>> seen,
       InetSocketAddress address,
       Key<InetSocketAddress> key,
       DeclaredItem<?> item) {
     DeclaredItem<?> first = seen.putIfAbsent(address, item);
-    if (first != null && reported.add(item.section())) {
+    if (first != null && reportedSections.add(item.section())) {
       String problem =
-          "gives " + Addresses.format(address) + ", which " + first.where() + " gives too";
+          "gives " + Addresses.format(address) + ", which " + first.location() + " gives too";
       faults.add(item.fault(key, problem, "an address of its own for each backend server"));
     }
   }
@@ -101,10 +106,10 @@
       if (first == null || first.value().domain().equals(worker.value().domain())) {
         continue;
       }
-      if (reported.add(worker.section())) {
+      if (reportedSections.add(worker.section())) {
         String problem =
             "puts rack %s in failure domain %s; %s puts it in %s"
-                .formatted(rack, worker.value().domain(), first.where(), first.value().domain());
+                .formatted(rack, worker.value().domain(), first.location(), first.value().domain());
         faults.add(worker.fault(DeclarationKeys.RACK, problem, "each rack in one failure domain"));
       }
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/FleetParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/FleetParser.java
@@ -14,10 +14,10 @@
 import org.fescuehook.model.fleet.Worker;
 import org.fescuehook.model.fleet.WorkerId;
 
-/** Parses the sections on workers and executors, one each or a range of many alike. */
+/** Parses the sections that declare one worker or executor, or a range of similar ones. */
 final class FleetParser {
 
-  private static final long MEBIBYTE = 1L << 20;
+  private static final long BYTES_PER_MEBIBYTE = 1L << 20;
 
   private final DeclaredItems items;
 
@@ -28,14 +28,14 @@
   /** Parses {@code [worker NAME]}. */
   void parseWorker(IniSection section) {
     SectionReader reader = new SectionReader(section, items.faults());
-    reader.refuseUnknown(DeclarationKeys.of(DeclarationKeys.WORKER));
+    reader.reportUnknownKeys(DeclarationKeys.of(DeclarationKeys.WORKER));
     readWorker(section, section.title(), reader);
   }
 
   /** Parses {@code [executor NAME]}. */
   void parseExecutor(IniSection section) {
     SectionReader reader = new SectionReader(section, items.faults());
-    reader.refuseUnknown(DeclarationKeys.of(DeclarationKeys.EXECUTOR));
+    reader.reportUnknownKeys(DeclarationKeys.of(DeclarationKeys.EXECUTOR));
     readExecutor(section, section.title(), reader);
   }
 
@@ -50,11 +50,11 @@
   }
 
   private void parseRange(IniSection section, String kind, ItemReader itemReader) {
-    new SectionReader(section, items.faults()).refuseUnknown(DeclarationKeys.of(kind));
+    new SectionReader(section, items.faults()).reportUnknownKeys(DeclarationKeys.of(kind));
     Optional<List<String>> names = NameRange.names(section.title());
     if (names.isEmpty()) {
       String accepted =
-          "[%ss NAME-{001..030}] with at most %d names".formatted(kind, NameRange.MOST);
+          "[%ss NAME-{001..030}] with at most %d names".formatted(kind, NameRange.MAX_NAMES);
       items.faults().add(new Fault(section.place(), "", "has no range of names", accepted));
       return;
     }
@@ -65,7 +65,7 @@
           new SectionReader(section, items.faults(), text -> SequenceExpander.expand(text, index));
       itemReader.read(section, names.get().get(i), reader);
       if (items.faults().size() > faultsBefore) {
-        // one faulty item is enough: the others of the range share its lines
+        // The other items of the range stem from the same lines and would repeat the fault.
         return;
       }
     }
@@ -84,7 +84,8 @@
     if (accelerators.isEmpty() || cores.isEmpty() || memory.isEmpty()) {
       return;
     }
-    Capacity capacity = new Capacity(accelerators.get(), cores.get(), memory.get() / MEBIBYTE);
+    Capacity capacity =
+        new Capacity(accelerators.get(), cores.get(), memory.get() / BYTES_PER_MEBIBYTE);
     Worker worker =
         new Worker(new WorkerId(name), address.get(), domain.get(), rack.get(), capacity);
     items.workers().add(new DeclaredItem<>(worker, section));
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/GuaranteeChecks.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/GuaranteeChecks.java
@@ -11,7 +11,10 @@
 import org.fescuehook.model.organisation.Organisation;
 import org.fescuehook.model.organisation.OrganisationId;
 
-/** Checks that the fleet can hold every guaranteed shape, alone and all at once. */
+/**
+ * Checks that the fleet can hold every guaranteed shape on its own, and all of them at the same
+ * time.
+ */
 final class GuaranteeChecks {
 
   private final DeclaredItems items;
@@ -25,16 +28,16 @@
 
   /** Returns the faults. */
   List<Fault> faults() {
-    items.guarantees().forEach(this::checkAlone);
+    items.guarantees().forEach(this::checkFitsAlone);
     checkQuotas();
-    checkSum();
+    checkFitsInTotal();
     if (faults.isEmpty()) {
-      checkTogether();
+      checkFitTogether();
     }
     return faults;
   }
 
-  private void checkAlone(DeclaredItem<GuaranteedShape> guarantee) {
+  private void checkFitsAlone(DeclaredItem<GuaranteedShape> guarantee) {
     Shape shape = guarantee.value().shape();
     RackCapacity racks = new RackCapacity(workers);
     if (racks.largestFit(shape.perMember(), 0) == 0) {
@@ -48,7 +51,7 @@
     if (fit >= shape.members()) {
       return;
     }
-    String room =
+    String racksUsed =
         switch (shape.maxRacks()) {
           case 0 -> "the fleet";
           case 1 -> "the largest rack";
@@ -56,7 +59,7 @@
         };
     String problem =
         "needs %s at once; %s can hold %d"
-            .formatted(Descriptions.plural(shape.members(), "member"), room, fit);
+            .formatted(Descriptions.plural(shape.members(), "member"), racksUsed, fit);
     String accepted = "members of at most " + fit;
     if (shape.maxRacks() > 0) {
       accepted += ", or a larger max-racks";
@@ -93,7 +96,7 @@
         .accelerators();
   }
 
-  private void checkSum() {
+  private void checkFitsInTotal() {
     Total fleet = Total.ofWorkers(workers);
     Total sum = Total.NONE;
     for (DeclaredItem<GuaranteedShape> guarantee : items.guarantees()) {
@@ -108,10 +111,10 @@
     }
   }
 
-  private void checkTogether() {
-    Optional<DeclaredItem<GuaranteedShape>> left =
-        new GuaranteePacking(workers).firstLeft(items.guarantees());
-    left.ifPresent(
+  private void checkFitTogether() {
+    Optional<DeclaredItem<GuaranteedShape>> unplaced =
+        new GuaranteePacking(workers).firstUnplaced(items.guarantees());
+    unplaced.ifPresent(
         guarantee ->
             faults.add(
                 guarantee.fault(
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/GuaranteePacking.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/GuaranteePacking.java
@@ -8,13 +8,13 @@
 import org.fescuehook.model.organisation.GuaranteedShape;
 
 /**
- * Looks for an arrangement that holds all guaranteed shapes at once. The search is a heuristic: it
- * places shapes one by one in several orders, so it may miss an arrangement of a fleet that is
- * guaranteed almost whole.
+ * Searches for a placement of all guaranteed shapes at the same time. The search is a heuristic: it
+ * places the shapes one by one, in several orders. It may therefore miss a placement if almost the
+ * whole fleet is guaranteed.
  */
 final class GuaranteePacking {
 
-  private static final Comparator<DeclaredItem<GuaranteedShape>> TIED_TO_RACKS_FIRST =
+  private static final Comparator<DeclaredItem<GuaranteedShape>> FEWEST_RACKS_FIRST =
       Comparator.comparingInt(
           guarantee -> {
             int racks = guarantee.value().shape().maxRacks();
@@ -27,9 +27,9 @@
 
   private static final List<Comparator<DeclaredItem<GuaranteedShape>>> ORDERS =
       List.of(
-          TIED_TO_RACKS_FIRST.thenComparing(LARGE_SHAPES_FIRST),
-          TIED_TO_RACKS_FIRST.thenComparing(LARGE_MEMBERS_FIRST).thenComparing(LARGE_SHAPES_FIRST),
-          LARGE_MEMBERS_FIRST.thenComparing(TIED_TO_RACKS_FIRST).thenComparing(LARGE_SHAPES_FIRST));
+          FEWEST_RACKS_FIRST.thenComparing(LARGE_SHAPES_FIRST),
+          FEWEST_RACKS_FIRST.thenComparing(LARGE_MEMBERS_FIRST).thenComparing(LARGE_SHAPES_FIRST),
+          LARGE_MEMBERS_FIRST.thenComparing(FEWEST_RACKS_FIRST).thenComparing(LARGE_SHAPES_FIRST));
 
   private final List<Worker> workers;
 
@@ -37,17 +37,17 @@
     this.workers = workers;
   }
 
-  /** Returns a guarantee that finds no room; empty if an arrangement was found. */
-  Optional<DeclaredItem<GuaranteedShape>> firstLeft(
+  /** Returns a guarantee that could not be placed; empty if all were placed. */
+  Optional<DeclaredItem<GuaranteedShape>> firstUnplaced(
       List<DeclaredItem<GuaranteedShape>> guarantees) {
-    Optional<DeclaredItem<GuaranteedShape>> left = Optional.empty();
+    Optional<DeclaredItem<GuaranteedShape>> unplaced = Optional.empty();
     for (Comparator<DeclaredItem<GuaranteedShape>> order : ORDERS) {
-      left = place(guarantees.stream().sorted(order).toList());
-      if (left.isEmpty()) {
-        return left;
+      unplaced = place(guarantees.stream().sorted(order).toList());
+      if (unplaced.isEmpty()) {
+        return unplaced;
       }
     }
-    return left;
+    return unplaced;
   }
 
   private Optional<DeclaredItem<GuaranteedShape>> place(
@@ -56,7 +56,7 @@
     for (DeclaredItem<GuaranteedShape> guarantee : guarantees) {
       Shape shape = guarantee.value().shape();
       for (int i = 0; i < guarantee.value().count(); i++) {
-        if (!free.take(shape.members(), shape.perMember(), shape.maxRacks())) {
+        if (!free.allocate(shape.members(), shape.perMember(), shape.maxRacks())) {
           return Optional.of(guarantee);
         }
       }
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/ItemDescriptions.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/ItemDescriptions.java
@@ -12,7 +12,10 @@
 import org.fescuehook.model.organisation.Organisation;
 import org.fescuehook.model.rule.Rule;
 
-/** Describes each declared item by its name, so that two declarations can be compared. */
+/**
+ * Maps the name of each declared item to its description, so that two sets of declarations can be
+ * compared.
+ */
 final class ItemDescriptions {
 
   private ItemDescriptions() {}
@@ -95,7 +98,7 @@
     return Total.ofWorkers(declarations.fleet().workers()).describe();
   }
 
-  static String held(Declarations declarations) {
+  static String guaranteed(Declarations declarations) {
     return Total.ofGuarantees(declarations.guarantees()).describe();
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/NameRange.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/NameRange.java
@@ -6,18 +6,21 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Names of many alike items, as {@code w-{001..030}}. */
+/** Expands ranges of names such as {@code w-{001..030}}. */
 final class NameRange {
 
-  /** Most items that one section may declare. */
-  static final int MOST = 10_000;
+  /** Maximum number of items that one section may declare. */
+  static final int MAX_NAMES = 10_000;
 
   private static final Pattern FORM =
       Pattern.compile("([^{}]*)\\{(\\d{1,6})\\.\\.(\\d{1,6})}([^{}]*)");
 
   private NameRange() {}
 
-  /** Returns the names in the order of their numbers; empty if the text is no such range. */
+  /**
+   * Returns the names in the order of their numbers; empty if the text is not a range of names or
+   * has more than {@link #MAX_NAMES}.
+   */
   static Optional<List<String>> names(String text) {
     Matcher matcher = FORM.matcher(text);
     if (!matcher.matches()) {
@@ -25,7 +28,7 @@
     }
     int first = Integer.parseInt(matcher.group(2));
     int last = Integer.parseInt(matcher.group(3));
-    if (last < first || last - first >= MOST) {
+    if (last < first || last - first >= MAX_NAMES) {
       return Optional.empty();
     }
     int width = matcher.group(2).length();
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/RackCapacity.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/RackCapacity.java
@@ -9,12 +9,12 @@
 import org.fescuehook.model.fleet.RackId;
 import org.fescuehook.model.fleet.Worker;
 
-/** Free resources of the workers of each rack. */
+/** Tracks the free resources of the workers in each rack. */
 final class RackCapacity {
 
   private final Map<RackId, List<Capacity>> racks = new LinkedHashMap<>();
 
-  /** Begins with all workers free. */
+  /** Creates the tracker with all resources free. */
   RackCapacity(List<Worker> workers) {
     for (Worker worker : workers) {
       racks.computeIfAbsent(worker.rack(), rack -> new ArrayList<>()).add(worker.capacity());
@@ -22,9 +22,9 @@
   }
 
   /**
-   * Returns how many members fit at once.
+   * Returns how many members fit at the same time.
    *
-   * @param maxRacks most racks that may be used; 0 for any number
+   * @param maxRacks maximum number of racks that may be used; 0 for no limit
    */
   int largestFit(Capacity member, int maxRacks) {
     long most = maxRacks == 0 ? Long.MAX_VALUE : maxRacks;
@@ -35,49 +35,54 @@
         .reduce(0, RackCapacity::cappedSum);
   }
 
-  /** Takes the resources of a shape and tells whether there was room; takes nothing if not. */
-  boolean take(int members, Capacity member, int maxRacks) {
+  /**
+   * Allocates the resources of a shape. Returns false and allocates nothing if they are not free.
+   */
+  boolean allocate(int members, Capacity member, int maxRacks) {
     List<RackFit> chosen = choose(members, member, maxRacks);
     if (chosen.stream().map(RackFit::fit).reduce(0, RackCapacity::cappedSum) < members) {
       return false;
     }
     int left = members;
-    for (RackFit room : chosen) {
-      left -= takeFromRack(room.workers(), member, left);
+    for (RackFit rack : chosen) {
+      left -= allocateInRack(rack.workers(), member, left);
     }
     return true;
   }
 
-  /** Prefers the fullest single rack that has room, else the racks with the most room. */
+  /**
+   * Returns the fullest single rack that can hold all members, or else the racks that can hold the
+   * most members.
+   */
   private List<RackFit> choose(int members, Capacity member, int maxRacks) {
-    List<RackFit> byRoom =
+    List<RackFit> byFit =
         racks.values().stream()
             .map(workers -> new RackFit(workers, fit(workers, member)))
             .sorted(Comparator.comparingInt(RackFit::fit))
             .toList();
-    for (RackFit room : byRoom) {
-      if (room.fit() >= members) {
-        return List.of(room);
+    for (RackFit rack : byFit) {
+      if (rack.fit() >= members) {
+        return List.of(rack);
       }
     }
-    int most = maxRacks == 0 ? byRoom.size() : Math.min(maxRacks, byRoom.size());
-    return byRoom.reversed().subList(0, most);
+    int most = maxRacks == 0 ? byFit.size() : Math.min(maxRacks, byFit.size());
+    return byFit.reversed().subList(0, most);
   }
 
-  private static int takeFromRack(List<Capacity> workers, Capacity member, int wanted) {
-    int taken = 0;
-    while (taken < wanted) {
-      int fullest = fullestWithRoom(workers, member);
+  private static int allocateInRack(List<Capacity> workers, Capacity member, int wanted) {
+    int allocated = 0;
+    while (allocated < wanted) {
+      int fullest = fullestThatFits(workers, member);
       if (fullest < 0) {
-        return taken;
+        return allocated;
       }
       workers.set(fullest, workers.get(fullest).minus(member));
-      taken++;
+      allocated++;
     }
-    return taken;
+    return allocated;
   }
 
-  private static int fullestWithRoom(List<Capacity> workers, Capacity member) {
+  private static int fullestThatFits(List<Capacity> workers, Capacity member) {
     int best = -1;
     for (int i = 0; i < workers.size(); i++) {
       if (!workers.get(i).contains(member)) {
@@ -90,7 +95,7 @@
     return best;
   }
 
-  /** Free resources of a rack's workers and how many members fit there. */
+  /** Free resources of the workers in a rack, and how many members fit there. */
   private record RackFit(List<Capacity> workers, int fit) {}
 
   private static int fit(List<Capacity> workers, Capacity member) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/RuleChecks.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/RuleChecks.java
@@ -10,7 +10,7 @@
 import org.fescuehook.model.configuration.Declarations;
 import org.fescuehook.model.rule.Rule;
 
-/** Checks that each rule has a number of its own and can match. */
+/** Checks that each rule has a unique number and can match. */
 final class RuleChecks {
 
   private final List<DeclaredItem<Rule>> rules;
@@ -26,7 +26,7 @@
     for (DeclaredItem<Rule> rule : rules) {
       DeclaredItem<Rule> first = seen.putIfAbsent(rule.value().number(), rule);
       if (first != null) {
-        String problem = "two rules have this number; the first is at " + first.where();
+        String problem = "two rules have this number; the first is at " + first.location();
         faults.add(rule.fault(problem, "a number of its own for each rule"));
       }
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/SectionsParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/SectionsParser.java
@@ -21,7 +21,7 @@
 final class SectionsParser {
 
   private static final Pattern NUMBER = Pattern.compile("\\d{1,6}");
-  private static final long MEBIBYTE = 1L << 20;
+  private static final long BYTES_PER_MEBIBYTE = 1L << 20;
 
   private final DeclaredItems items;
 
@@ -81,7 +81,8 @@
     Optional<Integer> racks = reader.read(DeclarationKeys.MAX_RACKS);
     Optional<Integer> count = reader.read(DeclarationKeys.COUNT);
     if (allPresent(holder, members, accelerators, cores, memory, racks, count)) {
-      Capacity member = new Capacity(accelerators.get(), cores.get(), memory.get() / MEBIBYTE);
+      Capacity member =
+          new Capacity(accelerators.get(), cores.get(), memory.get() / BYTES_PER_MEBIBYTE);
       Shape shape = new Shape(members.get(), member, racks.get());
       GuaranteedShape guarantee =
           new GuaranteedShape(section.title(), holder.get(), shape, count.get());
@@ -109,7 +110,7 @@
 
   private SectionReader reader(IniSection section, String kind) {
     SectionReader reader = new SectionReader(section, items.faults());
-    reader.refuseUnknown(DeclarationKeys.of(kind));
+    reader.reportUnknownKeys(DeclarationKeys.of(kind));
     return reader;
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/SequenceExpander.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/SequenceExpander.java
@@ -5,9 +5,10 @@
 import java.util.regex.Pattern;
 
 /**
- * Values that differ from item to item of a range. {@code {7101..}} counts up by one for each item,
- * {@code {01../8}} by one after every 8 items, {@code {1..3}} begins again after 3. The first
- * number may be an IPv4 address. Leading zeros keep the width.
+ * Expands sequences in the values of a section that declares a range of items, so that each item
+ * gets its own value. {@code {7101..}} counts up by one for each item, {@code {01../8}} by one
+ * after every 8 items, and {@code {1..3}} starts again after 3. The first number may be an IPv4
+ * address. Leading zeros set the width of the number.
  */
 final class SequenceExpander {
 
@@ -17,9 +18,9 @@
   private SequenceExpander() {}
 
   /**
-   * Returns the text for one item; what is no sequence stays as it is.
+   * Returns the text with its sequences replaced by the values for one item.
    *
-   * @param index number of the item in its range, from 0
+   * @param index position of the item in its range, from 0
    */
   static String expand(String text, int index) {
     Matcher matcher = FORM.matcher(text);
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/Total.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/Total.java
@@ -6,7 +6,8 @@
 import org.fescuehook.model.organisation.GuaranteedShape;
 
 /**
- * Resources summed over workers or guarantees; wide enough for any declarations.
+ * Total resources of workers or guarantees, counted in {@code long} so that the sum over all
+ * declared items cannot overflow.
  *
  * @param accelerators number of accelerators
  * @param cores number of processor cores
@@ -43,7 +44,7 @@
         && memoryMegabytes >= other.memoryMegabytes;
   }
 
-  /** Returns the amounts in an operator's words. */
+  /** Describes the amounts in text for operators. */
   String describe() {
     return "%d accelerators, %d cores and %s"
         .formatted(accelerators, cores, Sizes.formatMebibytes(memoryMegabytes));
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/VerdictParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/VerdictParser.java
@@ -6,7 +6,7 @@
 import org.fescuehook.logic.ini.ValueType;
 import org.fescuehook.model.rule.Verdict;
 
-/** Parses and writes what a rule decides. */
+/** Parses and writes the verdict of a rule. */
 final class VerdictParser {
 
   private static final String ACCEPTED =
@@ -14,7 +14,7 @@
   private static final Pattern ADMIT =
       Pattern.compile("admit(?:\\s+priority=(\\d{1,4}))?(?:\\s+borrow=(yes|no))?");
   private static final Pattern REFUSE = Pattern.compile("refuse\\s+\"([^\"]{1,500})\"");
-  private static final int MOST_PRIORITY = 1000;
+  private static final int MAX_PRIORITY = 1000;
 
   static final ValueType<Verdict> TYPE =
       new ValueType<>(ACCEPTED, VerdictParser::parse, VerdictParser::write);
@@ -25,8 +25,8 @@
     Matcher admit = ADMIT.matcher(text);
     if (admit.matches()) {
       int priority = admit.group(1) == null ? 0 : Integer.parseInt(admit.group(1));
-      if (priority > MOST_PRIORITY) {
-        throw new MalformedValueException("has a priority above " + MOST_PRIORITY);
+      if (priority > MAX_PRIORITY) {
+        throw new MalformedValueException("has a priority above " + MAX_PRIORITY);
       }
       return new Verdict.Admit(priority, !"no".equals(admit.group(2)));
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/Addresses.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/Addresses.java
@@ -6,26 +6,29 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Addresses as {@code IP:port}; names are refused, since nothing is resolved. */
+/**
+ * Value types for addresses of the form {@code IP:port}. Host names are rejected because names are
+ * not resolved.
+ */
 public final class Addresses {
 
   private static final Pattern FORM =
       Pattern.compile("(?:\\[([0-9A-Fa-f:.]+)]|([^:\\[\\]]+)):(\\d{1,5})");
-  private static final int LARGEST_PORT = 65_535;
+  private static final int MAX_PORT = 65_535;
 
   private static final String NONE = "none";
 
   private Addresses() {}
 
-  /** Returns the type of addresses with a port from {@code leastPort} on. */
+  /** Returns the type of addresses whose port is at least {@code leastPort}. */
   public static ValueType<InetSocketAddress> fromPort(int leastPort) {
     String accepted =
         "IP:port with a port of %d to %d, as 10.0.0.5:7000 or [fd00::5]:7000"
-            .formatted(leastPort, LARGEST_PORT);
+            .formatted(leastPort, MAX_PORT);
     return new ValueType<>(accepted, text -> parse(text, leastPort), Addresses::format);
   }
 
-  /** Returns the type of an address that may be missing, written as {@code none}. */
+  /** Returns the type of an optional address; {@code none} stands for no address. */
   public static ValueType<Optional<InetSocketAddress>> orNone(int leastPort) {
     ValueType<InetSocketAddress> address = fromPort(leastPort);
     return new ValueType<>(
@@ -49,14 +52,14 @@
       throw new MalformedValueException("is not IP:port");
     }
     int port = Integer.parseInt(matcher.group(3));
-    if (port < leastPort || port > LARGEST_PORT) {
+    if (port < leastPort || port > MAX_PORT) {
       throw new MalformedValueException("has a port out of range");
     }
     String host = matcher.group(1) != null ? matcher.group(1) : matcher.group(2);
-    return new InetSocketAddress(literal(host), port);
+    return new InetSocketAddress(parseIpAddress(host), port);
   }
 
-  private static InetAddress literal(String host) throws MalformedValueException {
+  private static InetAddress parseIpAddress(String host) throws MalformedValueException {
     try {
       return InetAddress.ofLiteral(host);
     } catch (IllegalArgumentException e) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/Durations.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/Durations.java
@@ -5,17 +5,17 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Durations with a unit: ms, s, m or h. */
+/** Value types for durations with a unit: ms, s, m or h. */
 public final class Durations {
 
   private static final Pattern FORM = Pattern.compile("(\\d{1,12}(?:\\.\\d{1,3})?)\\s*([A-Za-z]*)");
-  private static final Map<String, Long> MILLIS =
+  private static final Map<String, Long> MILLIS_BY_UNIT =
       Map.of("ms", 1L, "s", 1000L, "m", 60_000L, "h", 3_600_000L);
-  private static final Duration LONGEST = Duration.ofDays(366);
+  private static final Duration MAX_DURATION = Duration.ofDays(366);
 
   private Durations() {}
 
-  /** Returns the type of durations from {@code least} on, at most a year. */
+  /** Returns the type of durations from {@code least} to a year. */
   public static ValueType<Duration> from(Duration least) {
     String accepted = "a duration of at least " + format(least) + " in ms, s, m or h, as 500ms";
     return new ValueType<>(accepted, text -> parse(text, least), Durations::format);
@@ -25,8 +25,8 @@
   public static String format(Duration duration) {
     long millis = duration.toMillis();
     for (String unit : new String[] {"h", "m", "s"}) {
-      if (millis != 0 && millis % MILLIS.get(unit) == 0) {
-        return millis / MILLIS.get(unit) + unit;
+      if (millis != 0 && millis % MILLIS_BY_UNIT.get(unit) == 0) {
+        return millis / MILLIS_BY_UNIT.get(unit) + unit;
       }
     }
     return millis + "ms";
@@ -41,7 +41,7 @@
     if (unit.isEmpty()) {
       throw new MalformedValueException("has no unit");
     }
-    Long millis = MILLIS.get(unit);
+    Long millis = MILLIS_BY_UNIT.get(unit);
     if (millis == null) {
       throw new MalformedValueException("has the unknown unit \"" + unit + "\"");
     }
@@ -50,7 +50,7 @@
     if (duration.compareTo(least) < 0) {
       throw new MalformedValueException("is below " + format(least));
     }
-    if (duration.compareTo(LONGEST) > 0) {
+    if (duration.compareTo(MAX_DURATION) > 0) {
       throw new MalformedValueException("is above a year");
     }
     return duration;
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/Fault.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/Fault.java
@@ -3,22 +3,22 @@
 import java.util.Comparator;
 
 /**
- * Something wrong in an INI file, with its place and what would be accepted.
+ * An error in an INI file, with its place and a description of the accepted input.
  *
  * @param place where it is
- * @param value text that stands there; empty if nothing does
- * @param problem what is wrong with it
+ * @param value text found at that place; empty if there is none
+ * @param problem what is wrong
  * @param accepted what would be accepted
  */
 public record Fault(Place place, String value, String problem, String accepted) {
 
-  /** Order of files, then lines, then text. */
+  /** Orders faults by file, then line, then message. */
   public static final Comparator<Fault> BY_PLACE =
       Comparator.comparing((Fault fault) -> fault.place().file())
           .thenComparing(fault -> fault.place().line())
           .thenComparing(Fault::message);
 
-  /** Returns the fault as one line. */
+  /** Returns the fault as a message of one line. */
   public String message() {
     String shown = value.isEmpty() ? "" : " = " + value;
     return place + shown + ": " + problem + "; accepted: " + accepted;
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/FaultyInputException.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/FaultyInputException.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** An INI file was refused; carries every fault that was found. */
+/** Thrown if INI files are rejected; carries all faults that were found. */
 public final class FaultyInputException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/IniDocument.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/IniDocument.java
@@ -4,12 +4,12 @@
 import java.util.Optional;
 
 /**
- * What was read from one or more files.
+ * Content of one or more INI files.
  *
  * @param files names of the files
  * @param complete whether every file could be read; if not, sections may be missing
- * @param sections sections in the order of files and lines, each name once
- * @param faults faults of form: encoding, lines without a key, repeated sections and keys
+ * @param sections sections in the order of files and lines; names are unique
+ * @param faults syntax faults: wrong encoding, lines without a key, repeated sections and keys
  */
 public record IniDocument(
     List<String> files, boolean complete, List<IniSection> sections, List<Fault> faults) {
@@ -21,7 +21,7 @@
     faults = List.copyOf(faults);
   }
 
-  /** Returns a section by its whole name. */
+  /** Returns the section with the given full name. */
   public Optional<IniSection> section(String name) {
     return sections.stream().filter(section -> section.name().equals(name)).findFirst();
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/IniEntry.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/IniEntry.java
@@ -3,7 +3,7 @@
 /**
  * A key with its value.
  *
- * @param place where the key stands
+ * @param place place of the key
  * @param value its value, without quotes and comments
  */
 public record IniEntry(Place place, String value) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/IniParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/IniParser.java
@@ -14,16 +14,15 @@
 import org.apache.commons.configuration2.tree.ImmutableNode;
 
 /**
- * Parses INI files in UTF-8 by the INI library. Keys and values are separated by {@code =},
- * comments begin with {@code #} or {@code ;}. Values are taken as they stand, without
- * interpolation.
+ * Parses INI files in UTF-8 with the INI library. Keys and values are separated by {@code =}, and
+ * comments begin with {@code #} or {@code ;}. Values are taken literally, without interpolation.
  */
 public final class IniParser {
 
   private static final String SEPARATOR = "=";
   private static final String COMMENT_MARKS = "#;";
 
-  /** Parses files that make up one document; a section may stand in one of them only. */
+  /** Parses files that together form one document; a section may occur in only one of them. */
   public IniDocument parse(List<IniSource> sources) {
     List<IniSection> sections = new ArrayList<>();
     List<Fault> faults = new ArrayList<>();
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/IniSection.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/IniSection.java
@@ -4,10 +4,10 @@
 import java.util.Optional;
 
 /**
- * A section.
+ * * A section of an INI file.
  *
- * @param place where its header stands
- * @param entries its keys in the order of their lines, each key once
+ * @param place place of its header
+ * @param entries its entries in the order of their lines; keys are unique
  */
 public record IniSection(Place place, List<IniEntry> entries) {
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/KeyTable.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/KeyTable.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * Table of keys for documents.
+ * Table of keys for the documentation.
  *
  * @param keys the keys, in the order of the rows
  */
@@ -19,19 +19,23 @@
     StringBuilder text =
         new StringBuilder("| Key | Default | Meaning | Accepted |\n|---|---|---|---|\n");
     for (Key<?> key : keys) {
-      String fallback = key.fallbackText().map(KeyTable::shown).orElse("must be given");
+      String fallback = key.fallbackText().map(KeyTable::formatFallback).orElse("must be given");
       text.append(
           "| `%s` | %s | %s | %s |\n"
-              .formatted(key.name(), fallback, cell(key.meaning()), cell(key.type().accepted())));
+              .formatted(
+                  key.name(),
+                  fallback,
+                  escapeCell(key.meaning()),
+                  escapeCell(key.type().accepted())));
     }
     return text.toString();
   }
 
-  private static String shown(String fallback) {
+  private static String formatFallback(String fallback) {
     return fallback.isEmpty() ? "none" : "`" + fallback + "`";
   }
 
-  private static String cell(String text) {
+  private static String escapeCell(String text) {
     return text.replace("|", "\\|");
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/LineScanner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/LineScanner.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Finds the lines of section headers and keys, which the INI library does not tell. */
+/** Finds the line numbers of section headers and keys, which the INI library does not report. */
 final class LineScanner {
 
   private final String file;
@@ -13,7 +13,7 @@
   /**
    * A section header.
    *
-   * @param place where it stands
+   * @param place place of the header
    * @param keys places of the keys up to the next header
    */
   record Header(Place place, List<Place> keys) {}
@@ -38,7 +38,7 @@
     int number = 0;
     for (String raw : text.lines().toList()) {
       number++;
-      // the same blanks as the INI library cuts off
+      // trim() removes the same characters as the INI library
       String line = raw.trim();
       if (line.isEmpty() || line.startsWith("#") || line.startsWith(";")) {
         continue;
@@ -69,7 +69,10 @@
     scanValue(key, line.substring(separator + 1).trim());
   }
 
-  /** Refuses what the INI library would read as more or less than the line shows. */
+  /**
+   * Adds a fault for values that the INI library would not take literally: those that continue on
+   * the next line, and quoted ones.
+   */
   private void scanValue(Place key, String value) {
     if (value.endsWith("\\")) {
       faults.add(new Fault(key, value, "goes on in the next line", "each value on one line"));
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/MalformedValueException.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/MalformedValueException.java
@@ -1,10 +1,13 @@
 package org.fescuehook.logic.ini;
 
-/** A text is no value of its type; the message says why. */
+/** Thrown if a text is not a valid value of its type; the message says why. */
 public final class MalformedValueException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** Creates the exception with what is wrong, as a predicate of the value. */
+  /**
+   * Creates the exception. The problem is phrased as a predicate about the value, for example
+   * {@code is not a duration}.
+   */
   public MalformedValueException(String problem) {
     super(problem);
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/Place.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/Place.java
@@ -4,18 +4,18 @@
  * A place in an INI file.
  *
  * @param file name of the file
- * @param line line number from 1; 0 for the file as a whole
+ * @param line line number from 1; 0 if the file as a whole is meant
  * @param section name of the section; empty if none is meant
  * @param key name of the key; empty if none is meant
  */
 public record Place(String file, int line, String section, String key) {
 
-  /** Returns the place of a file as a whole. */
+  /** Returns the place that stands for a whole file. */
   public static Place ofFile(String file) {
     return new Place(file, 0, "", "");
   }
 
-  /** Returns the place of another key of the same section, on the same line. */
+  /** Returns the place of another key in the same section and on the same line. */
   public Place withKey(String other) {
     return new Place(file, line, section, other);
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/SectionReader.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/SectionReader.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.function.UnaryOperator;
 
-/** Reads typed values of one section and gathers the faults of all of them. */
+/** Reads typed values of one section and collects their faults. */
 public final class SectionReader {
 
   private final IniSection section;
@@ -14,14 +14,14 @@
   /**
    * Creates a reader.
    *
-   * @param faults gets a fault for each value that is missing or malformed
+   * @param faults receives a fault for each value that is missing or malformed
    */
   public SectionReader(IniSection section, List<Fault> faults) {
     this(section, faults, UnaryOperator.identity());
   }
 
   /**
-   * Creates a reader that rewrites each value before it is read.
+   * Creates a reader that transforms the text of each value before it is parsed.
    *
    * @param expansion applied to the text of each value
    */
@@ -31,7 +31,10 @@
     this.expansion = expansion;
   }
 
-  /** Returns a value, its fallback, or nothing if it is missing or malformed. */
+  /**
+   * Returns the value of a key, or its default if the key is not set; empty if the value is
+   * malformed or a required key is not set.
+   */
   public <T> Optional<T> read(Key<T> key) {
     Optional<IniEntry> entry = section.entry(key.name());
     if (entry.isEmpty()) {
@@ -51,8 +54,8 @@
     }
   }
 
-  /** Reports each key of the section that is not among the known ones. */
-  public void refuseUnknown(List<Key<?>> known) {
+  /** Adds a fault for each key of the section that is not among the known ones. */
+  public void reportUnknownKeys(List<Key<?>> known) {
     List<String> names = known.stream().map(Key::name).toList();
     for (IniEntry entry : section.entries()) {
       if (!names.contains(entry.key())) {
@@ -62,7 +65,7 @@
     }
   }
 
-  /** Returns the place of a key, or of the section if the key is not given. */
+  /** Returns the place of a key, or of its section if the key is not set. */
   public Place place(Key<?> key) {
     return section
         .entry(key.name())
@@ -70,8 +73,8 @@
         .orElse(section.place().withKey(key.name()));
   }
 
-  /** Tells whether the section gives the key. */
-  public boolean gives(Key<?> key) {
+  /** Tells whether the section sets the key. */
+  public boolean isSet(Key<?> key) {
     return section.entry(key.name()).isPresent();
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/Sizes.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/Sizes.java
@@ -4,11 +4,11 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Sizes in bytes with a unit: B, KiB, MiB or GiB. */
+/** Value types for sizes in bytes with a unit: B, KiB, MiB or GiB. */
 public final class Sizes {
 
   private static final Pattern FORM = Pattern.compile("(\\d{1,9})\\s*([A-Za-z]*)");
-  private static final Map<String, Long> BYTES =
+  private static final Map<String, Long> BYTES_BY_UNIT =
       Map.of("B", 1L, "KiB", 1L << 10, "MiB", 1L << 20, "GiB", 1L << 30);
 
   private static final long MEBIBYTES_PER_GIBIBYTE = 1024;
@@ -27,14 +27,17 @@
   /** Returns the size in the largest unit that gives a whole number. */
   public static String format(long bytes) {
     for (String unit : new String[] {"GiB", "MiB", "KiB"}) {
-      if (bytes != 0 && bytes % BYTES.get(unit) == 0) {
-        return bytes / BYTES.get(unit) + unit;
+      if (bytes != 0 && bytes % BYTES_BY_UNIT.get(unit) == 0) {
+        return bytes / BYTES_BY_UNIT.get(unit) + unit;
       }
     }
     return bytes + "B";
   }
 
-  /** Returns a number of MiB as {@link #format} does; for sums beyond what bytes can count. */
+  /**
+   * Formats a number of MiB like {@link #format}, for totals that would overflow a {@code long} if
+   * counted in bytes.
+   */
   public static String formatMebibytes(long mebibytes) {
     boolean whole = mebibytes != 0 && mebibytes % MEBIBYTES_PER_GIBIBYTE == 0;
     return whole ? mebibytes / MEBIBYTES_PER_GIBIBYTE + "GiB" : mebibytes + "MiB";
@@ -50,7 +53,7 @@
     if (unit.isEmpty()) {
       throw new MalformedValueException("has no unit");
     }
-    Long factor = BYTES.get(unit);
+    Long factor = BYTES_BY_UNIT.get(unit);
     if (factor == null) {
       throw new MalformedValueException("has the unknown unit \"" + unit + "\"");
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/Utf8Decoder.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/Utf8Decoder.java
@@ -8,12 +8,16 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Decodes UTF-8 and refuses anything else with its place. */
+/** Decodes UTF-8 and reports the place of the first malformed byte. */
 final class Utf8Decoder {
 
   private static final String BYTE_ORDER_MARK = "\uFEFF";
 
-  /** Returns the text, without a byte order mark. */
+  /**
+   * Returns the text without a byte order mark.
+   *
+   * @throws FaultyInputException if the content is not UTF-8
+   */
   String decode(IniSource source) throws FaultyInputException {
     ByteBuffer bytes = ByteBuffer.wrap(source.content());
     CharBuffer chars = CharBuffer.allocate(source.content().length + 1);
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/ValueType.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/ValueType.java
@@ -5,7 +5,7 @@
 /**
  * Type of a value: how it is read, written and described.
  *
- * @param accepted what is accepted, for messages and documents
+ * @param accepted accepted input, for messages and the documentation
  * @param reader reads a value from text
  * @param writer writes a value as text that the reader accepts
  * @param confidential whether messages hide the value
@@ -20,7 +20,7 @@
     this(accepted, reader, writer, false);
   }
 
-  /** Returns the text as messages show it. */
+  /** Returns the text as shown in messages. */
   public String shown(String text) {
     return confidential && !text.isEmpty() ? HIDDEN : text;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/Values.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/Values.java
@@ -4,17 +4,17 @@
 import java.util.function.Function;
 import java.util.regex.Pattern;
 
-/** Types of plain values: names, numbers, shares, secrets. */
+/** Value types for names, numbers and secrets. */
 public final class Values {
 
   private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,62}");
   private static final Pattern DIGITS = Pattern.compile("\\d{1,9}");
   private static final Pattern DECIMAL = Pattern.compile("\\d{1,6}(\\.\\d{1,6})?");
-  private static final int LEAST_SECRET = 16;
+  private static final int MIN_SECRET_LENGTH = 16;
 
   private Values() {}
 
-  /** Returns the type of names that become {@code T}. */
+  /** Returns the type of names, which the constructor converts to {@code T}. */
   public static <T> ValueType<T> name(Function<String, T> constructor) {
     String accepted = "a name of 1 to 63 letters, digits, '.', '_' or '-'";
     return new ValueType<>(
@@ -29,13 +29,13 @@
 
   /** Returns the type of decimals in a range, both ends included. */
   public static ValueType<Double> decimal(double least, double most) {
-    String accepted = "a decimal of " + plain(least) + " to " + plain(most);
-    return new ValueType<>(accepted, text -> parseDecimal(text, least, most), Values::plain);
+    String accepted = "a decimal of " + formatNumber(least) + " to " + formatNumber(most);
+    return new ValueType<>(accepted, text -> parseDecimal(text, least, most), Values::formatNumber);
   }
 
   /** Returns the type of bearer tokens. */
   public static ValueType<Optional<String>> secret() {
-    String accepted = "at least " + LEAST_SECRET + " printable characters without spaces";
+    String accepted = "at least " + MIN_SECRET_LENGTH + " printable characters without spaces";
     return new ValueType<>(accepted, Values::parseSecret, token -> token.orElse("none"), true);
   }
 
@@ -71,13 +71,13 @@
 
   private static Optional<String> parseSecret(String text) throws MalformedValueException {
     boolean printable = text.chars().allMatch(c -> c > ' ' && c < 0x7f);
-    if (text.length() < LEAST_SECRET || !printable) {
+    if (text.length() < MIN_SECRET_LENGTH || !printable) {
       throw new MalformedValueException("is too short or has characters that no header can carry");
     }
     return Optional.of(text);
   }
 
-  private static String plain(double value) {
+  private static String formatNumber(double value) {
     return value == Math.rint(value) ? String.valueOf((long) value) : String.valueOf(value);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/package-info.java
@@ -1,6 +1,4 @@
-/**
- * INI text with the place of each section and key, typed values, and faults that name their place.
- */
+/** Parses INI text into sections and typed values; every section, key and fault knows its place. */
 @NullMarked
 package org.fescuehook.logic.ini;
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/preferences/PortProbe.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/preferences/PortProbe.java
@@ -6,9 +6,9 @@
 /** Tells whether this machine can listen on an address. */
 public interface PortProbe {
 
-  /** A probe that finds no problem, for settings that are checked on another machine. */
+  /** A probe that never reports a problem, for checking the settings of another machine. */
   PortProbe NONE = address -> Optional.empty();
 
-  /** Returns why the address cannot be listened on; empty if it can. */
+  /** Returns why this machine cannot listen on the address; empty if it can. */
   Optional<String> problem(InetSocketAddress address);
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/preferences/SchedulerKeys.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/preferences/SchedulerKeys.java
@@ -9,11 +9,11 @@
 import org.fescuehook.logic.ini.Key;
 import org.fescuehook.logic.ini.Values;
 
-/** Every key of the settings of a VM that schedules batch jobs. */
+/** Defines all keys of the settings of a VM that schedules batch jobs. */
 final class SchedulerKeys {
 
-  private static final double LEAST_PROCESSOR = 0.01;
-  private static final double MOST_CORES = 1000;
+  private static final double MIN_CORE_SHARE = 0.01;
+  private static final double MAX_SPEED_FACTOR = 1000;
 
   static final Key<InetSocketAddress> CALLERS =
       listening("callers", "0.0.0.0:7000", "Where callers connect.");
@@ -41,14 +41,14 @@
       Key.optional(
           "processor",
           "share",
-          Values.decimal(LEAST_PROCESSOR, 1),
+          Values.decimal(MIN_CORE_SHARE, 1),
           1.0,
           "Share of a core that this VM may use; the strongest VMs decide.");
   static final Key<Double> PROCESSOR_CORES =
       Key.optional(
           "processor",
           "cores",
-          Values.decimal(LEAST_PROCESSOR, MOST_CORES),
+          Values.decimal(MIN_CORE_SHARE, MAX_SPEED_FACTOR),
           1.0,
           "Speed of that core, in cores of usual speed.");
   static final Key<Duration> EXECUTOR_LEASE =
--- a/fescuehook/src/main/java/org/fescuehook/logic/preferences/SchedulerSettingsParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/preferences/SchedulerSettingsParser.java
@@ -19,7 +19,7 @@
   /**
    * Parses a settings file.
    *
-   * @throws FaultyInputException if anything is wrong with it
+   * @throws FaultyInputException if there are any faults
    */
   public SchedulerPreferences parse(IniSource source) throws FaultyInputException {
     SettingsValues values =
--- a/fescuehook/src/main/java/org/fescuehook/logic/preferences/SettingKeys.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/preferences/SettingKeys.java
@@ -16,7 +16,10 @@
 import org.fescuehook.model.preferences.MembershipPreferences;
 import org.fescuehook.model.preferences.RequestPreferences;
 
-/** Every key of the settings, from which they are parsed and documented. */
+/**
+ * Defines all keys of the settings of an entry VM. The parser and the documentation both use these
+ * definitions.
+ */
 final class SettingKeys {
 
   static final Key<VmId> VM =
@@ -239,7 +242,7 @@
           DRAIN_DELAY,
           DRAIN_LIMIT);
 
-  private static final int MOST = 1_000_000;
+  private static final int MAX_COUNT = 1_000_000;
 
   private SettingKeys() {}
 
@@ -263,12 +266,12 @@
     return Key.optional("membership", name, positive(), fallback, meaning);
   }
 
-  private static Key<Long> size(String name, long most, long fallback, String meaning) {
-    return Key.optional("requests", name, Sizes.between(1024, most, 1), fallback, meaning);
+  private static Key<Long> size(String name, long maxBytes, long fallback, String meaning) {
+    return Key.optional("requests", name, Sizes.between(1024, maxBytes, 1), fallback, meaning);
   }
 
   private static Key<Integer> count(String name, int fallback, String meaning) {
-    return Key.optional("requests", name, Values.count(1, MOST), fallback, meaning);
+    return Key.optional("requests", name, Values.count(1, MAX_COUNT), fallback, meaning);
   }
 
   private static ValueType<Duration> positive() {
--- a/fescuehook/src/main/java/org/fescuehook/logic/preferences/SettingsChecks.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/preferences/SettingsChecks.java
@@ -8,10 +8,13 @@
 import org.fescuehook.logic.ini.Durations;
 import org.fescuehook.logic.ini.Key;
 
-/** Checks settings against one another and against this machine. */
+/**
+ * Checks that settings are consistent with each other and that this machine can listen on the
+ * configured addresses.
+ */
 final class SettingsChecks {
 
-  private static final List<Key<InetSocketAddress>> LISTENING =
+  private static final List<Key<InetSocketAddress>> LISTENING_ADDRESSES =
       List.of(SettingKeys.SERVICE, SettingKeys.PEER, SettingKeys.OPERATOR);
 
   private final SettingsValues values;
@@ -22,7 +25,7 @@
     this.probe = probe;
   }
 
-  /** Adds a fault to the values for each contradiction. */
+  /** Adds a fault for each violated constraint to the values. */
   void check() {
     checkDurations();
     checkPortsDiffer();
@@ -53,7 +56,7 @@
     String problem =
         "%sis not above %s%s.%s (%s)"
             .formatted(
-                unlessGiven(key),
+                defaultPrefix(key),
                 times,
                 other.section(),
                 other.name(),
@@ -69,23 +72,26 @@
     }
     String most = Durations.format(bound.get());
     String problem =
-        "%sis above %s.%s (%s)".formatted(unlessGiven(key), other.section(), other.name(), most);
+        "%sis above %s.%s (%s)".formatted(defaultPrefix(key), other.section(), other.name(), most);
     values.fault(key, problem, "a duration of at most " + most);
   }
 
-  /** Returns the default of a key that is not given, since the message shows no value then. */
-  private String unlessGiven(Key<Duration> key) {
-    return values.given(key) ? "" : "its default " + Durations.format(values.get(key)) + " ";
+  /**
+   * Returns a prefix that names the default of a key that is not set. Messages show the value of a
+   * key only if it is set.
+   */
+  private String defaultPrefix(Key<Duration> key) {
+    return values.isSet(key) ? "" : "its default " + Durations.format(values.get(key)) + " ";
   }
 
   private void checkPortsDiffer() {
-    for (int i = 0; i < LISTENING.size(); i++) {
-      for (int j = i + 1; j < LISTENING.size(); j++) {
-        Optional<InetSocketAddress> first = values.find(LISTENING.get(i));
-        Optional<InetSocketAddress> second = values.find(LISTENING.get(j));
+    for (int i = 0; i < LISTENING_ADDRESSES.size(); i++) {
+      for (int j = i + 1; j < LISTENING_ADDRESSES.size(); j++) {
+        Optional<InetSocketAddress> first = values.find(LISTENING_ADDRESSES.get(i));
+        Optional<InetSocketAddress> second = values.find(LISTENING_ADDRESSES.get(j));
         if (first.isPresent() && second.isPresent() && overlap(first.get(), second.get())) {
-          String problem = "is the same port as " + LISTENING.get(i).name();
-          values.fault(LISTENING.get(j), problem, "a port of its own");
+          String problem = "is the same port as " + LISTENING_ADDRESSES.get(i).name();
+          values.fault(LISTENING_ADDRESSES.get(j), problem, "a port of its own");
         }
       }
     }
@@ -114,7 +120,7 @@
   }
 
   private void checkPortsFree() {
-    for (Key<InetSocketAddress> key : LISTENING) {
+    for (Key<InetSocketAddress> key : LISTENING_ADDRESSES) {
       values.find(key).ifPresent(address -> checkPortFree(key, address));
     }
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/preferences/SettingsDocument.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/preferences/SettingsDocument.java
@@ -4,10 +4,10 @@
 import org.fescuehook.logic.ini.Key;
 import org.fescuehook.logic.ini.KeyTable;
 
-/** Documents the settings from the keys that the parser uses. */
+/** Generates documentation of the settings from the keys that the parser uses. */
 public final class SettingsDocument {
 
-  private static final String INDENT = "# ";
+  private static final String COMMENT_PREFIX = "# ";
   private static final String HEAD =
       """
       # Settings of an entry VM
@@ -33,7 +33,9 @@
       addresses differ. `operator` is a loopback address unless `operator-token` is set.
       """;
 
-  /** Returns a full example in INI, with each key explained and at its default. */
+  /**
+   * Returns a complete example INI file in which each key is explained and has its default value.
+   */
   public String example() {
     StringBuilder text = new StringBuilder();
     for (String section : sections()) {
@@ -56,11 +58,15 @@
   }
 
   private static void appendExample(StringBuilder text, Key<?> key) {
-    text.append(INDENT).append(key.meaning()).append('\n');
-    text.append(INDENT).append("Accepted: ").append(key.type().accepted()).append(".\n");
-    boolean leftOut = key.equals(SettingKeys.OPERATOR_TOKEN);
-    String value = leftOut ? "at-least-sixteen-characters" : key.example();
-    text.append(leftOut ? INDENT : "").append(key.name()).append(" = ").append(value).append('\n');
+    text.append(COMMENT_PREFIX).append(key.meaning()).append('\n');
+    text.append(COMMENT_PREFIX).append("Accepted: ").append(key.type().accepted()).append(".\n");
+    boolean commentedOut = key.equals(SettingKeys.OPERATOR_TOKEN);
+    String value = commentedOut ? "at-least-sixteen-characters" : key.example();
+    text.append(commentedOut ? COMMENT_PREFIX : "")
+        .append(key.name())
+        .append(" = ")
+        .append(value)
+        .append('\n');
   }
 
   private static List<String> sections() {
--- a/fescuehook/src/main/java/org/fescuehook/logic/preferences/SettingsParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/preferences/SettingsParser.java
@@ -11,7 +11,7 @@
 import org.fescuehook.model.preferences.MembershipPreferences;
 import org.fescuehook.model.preferences.RequestPreferences;
 
-/** Parses and checks settings; reports all faults at once. */
+/** Parses and checks the settings of an entry VM; reports all faults at once. */
 public final class SettingsParser {
 
   private final PortProbe probe;
@@ -19,7 +19,7 @@
   /**
    * Creates a parser.
    *
-   * @param probe tells whether the listening addresses can be used
+   * @param probe checks whether this machine can listen on the configured addresses
    */
   public SettingsParser(PortProbe probe) {
     this.probe = probe;
@@ -28,7 +28,7 @@
   /**
    * Parses a settings file.
    *
-   * @throws FaultyInputException if anything is wrong with it
+   * @throws FaultyInputException if there are any faults
    */
   public EntryPreferences parse(IniSource source) throws FaultyInputException {
     SettingsValues values =
--- a/fescuehook/src/main/java/org/fescuehook/logic/preferences/SettingsValues.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/preferences/SettingsValues.java
@@ -12,7 +12,9 @@
 import org.fescuehook.logic.ini.Place;
 import org.fescuehook.logic.ini.SectionReader;
 
-/** Values of all keys of one settings file, with the faults of those that are malformed. */
+/**
+ * Holds the values of all keys of a settings file, and the faults of missing and malformed values.
+ */
 final class SettingsValues {
 
   private final List<Key<?>> keys;
@@ -20,11 +22,11 @@
   private final Map<Key<?>, SectionReader> readers = new HashMap<>();
   private final List<Fault> faults = new ArrayList<>();
 
-  /** Reads every key of a program's settings. */
+  /** Reads the values of the given keys. */
   SettingsValues(List<Key<?>> keys, String file, IniDocument document) {
     this.keys = List.copyOf(keys);
     faults.addAll(document.faults());
-    refuseUnknownSections(document);
+    reportUnknownSections(document);
     for (String section : sections()) {
       readSection(file, document, section);
     }
@@ -36,14 +38,14 @@
     return (Optional<T>) values.get(key);
   }
 
-  /** Returns the value of a key that was read without fault. */
+  /** Returns the value of a key that has no fault. */
   <T> T get(Key<T> key) {
     return find(key).orElseThrow();
   }
 
-  /** Tells whether the file gives the key. */
-  boolean given(Key<?> key) {
-    return readers.get(key).gives(key);
+  /** Tells whether the file sets the key. */
+  boolean isSet(Key<?> key) {
+    return readers.get(key).isSet(key);
   }
 
   /** Adds a fault at a key. */
@@ -60,7 +62,7 @@
     return keys.stream().<String>map(Key::section).distinct().toList();
   }
 
-  private void refuseUnknownSections(IniDocument document) {
+  private void reportUnknownSections(IniDocument document) {
     for (IniSection section : document.sections()) {
       if (!sections().contains(section.name())) {
         String accepted = "one of [" + String.join("], [", sections()) + "]";
@@ -72,9 +74,9 @@
   private void readSection(String file, IniDocument document, String name) {
     IniSection absent = new IniSection(new Place(file, 0, name, ""), List.of());
     SectionReader reader = new SectionReader(document.section(name).orElse(absent), faults);
-    List<Key<?>> own = keys.stream().filter(key -> key.section().equals(name)).toList();
-    reader.refuseUnknown(own);
-    for (Key<?> key : own) {
+    List<Key<?>> sectionKeys = keys.stream().filter(key -> key.section().equals(name)).toList();
+    reader.reportUnknownKeys(sectionKeys);
+    for (Key<?> key : sectionKeys) {
       values.put(key, reader.read(key));
       readers.put(key, reader);
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/preferences/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/preferences/package-info.java
@@ -1,4 +1,4 @@
-/** Reads and checks the settings of an entry VM. */
+/** Reads and checks the settings of entry VMs and of VMs that schedule batch jobs. */
 @NullMarked
 package org.fescuehook.logic.preferences;
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/rule/RuleCoverage.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/rule/RuleCoverage.java
@@ -7,16 +7,18 @@
 import org.fescuehook.model.rule.Rule;
 
 /**
- * All that a rule matches.
+ * The set of jobs and circumstances that a rule matches, with one component for each kind of
+ * condition.
  *
- * @param organisation the only organisation, if one is named
- * @param organisationsClash whether two organisations are named
- * @param accelerators numbers of accelerators
- * @param declaredSeconds declared run times
- * @param load shares of the fleet's accelerators in use
+ * @param organisation only organisation whose jobs match; empty if the rule does not restrict it
+ * @param organisationsClash whether the rule requires two different organisations and so matches no
+ *     job
+ * @param accelerators matching numbers of accelerators
+ * @param declaredSeconds matching declared run times, in seconds
+ * @param load matching shares of the fleet's accelerators that are in use
  * @param whenUrgent whether urgent jobs match
- * @param whenNotUrgent whether other jobs match
- * @param minutes whether each minute of the day matches
+ * @param whenNotUrgent whether jobs that are not urgent match
+ * @param minutes for each minute of the day in UTC, whether it matches
  */
 record RuleCoverage(
     Optional<OrganisationId> organisation,
@@ -31,16 +33,23 @@
   private static final int MINUTES_PER_DAY = 24 * 60;
 
   static RuleCoverage of(Rule rule) {
-    RuleCoverage extent =
+    RuleCoverage coverage =
         new RuleCoverage(
-            Optional.empty(), false, Range.ALL, Range.ALL, new Range(0, 1), true, true, day());
+            Optional.empty(),
+            false,
+            Range.ALL,
+            Range.ALL,
+            new Range(0, 1),
+            true,
+            true,
+            allMinutes());
     for (Condition condition : rule.when()) {
-      extent = extent.and(condition);
+      coverage = coverage.and(condition);
     }
-    return extent;
+    return coverage;
   }
 
-  private static boolean[] day() {
+  private static boolean[] allMinutes() {
     boolean[] minutes = new boolean[MINUTES_PER_DAY];
     Arrays.fill(minutes, true);
     return minutes;
--- a/fescuehook/src/main/java/org/fescuehook/logic/rule/RuleMatcher.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/rule/RuleMatcher.java
@@ -9,17 +9,20 @@
 /** Finds the first rule that matches a job. */
 public final class RuleMatcher {
 
-  /** What counts where no rule matches: rule number 0, admitted without priority, may borrow. */
+  /**
+   * Result if no rule matches: rule number 0, and the job is admitted with priority 0 and may
+   * borrow.
+   */
   public static final Match NO_RULE = new Match(0, new Verdict.Admit(0, true));
 
   private static final long MINUTE_MILLIS = 60_000;
   private static final int MINUTES_PER_DAY = 24 * 60;
 
   /**
-   * The rule that counted.
+   * The rule that applies to a job.
    *
    * @param rule its number; 0 if no rule matched
-   * @param verdict what it decides
+   * @param verdict its decision
    */
   public record Match(int rule, Verdict verdict) {}
 
@@ -57,7 +60,8 @@
       case Condition.DeclaredSecondsBetween(long least, long most) ->
           isBetween(job.declaredSeconds(), least, most);
       case Condition.Urgent(boolean urgent) -> urgent == job.urgent();
-      case Condition.MinuteOfDayBetween(int from, int until) -> isInDay(minute, from, until);
+      case Condition.MinuteOfDayBetween(int from, int until) ->
+          isInMinuteRange(minute, from, until);
       case Condition.LoadBetween(double least, double most) -> load >= least && load <= most;
     };
   }
@@ -66,7 +70,7 @@
     return value >= least && value <= most;
   }
 
-  private static boolean isInDay(int minute, int from, int until) {
+  private static boolean isInMinuteRange(int minute, int from, int until) {
     if (from <= until) {
       return minute >= from && minute <= until;
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/rule/UnreachableRuleFinder.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/rule/UnreachableRuleFinder.java
@@ -9,9 +9,9 @@
 import org.fescuehook.model.rule.Rule;
 
 /**
- * Finds rules that can never match: their conditions contradict each other or what is declared, or
- * one earlier rule matches whatever they match. A rule that only several earlier rules cover
- * together is not found.
+ * Finds rules that can never match: their conditions contradict each other or the declarations, or
+ * a single earlier rule matches everything that they match. Rules that are covered only by several
+ * earlier rules together are not found.
  */
 public final class UnreachableRuleFinder {
 
@@ -19,7 +19,7 @@
    * A rule that can never match.
    *
    * @param rule its number
-   * @param reason why, in words
+   * @param reason why it can never match, as text for operators
    */
   public record Finding(int rule, String reason) {}
 
@@ -51,18 +51,18 @@
     return Optional.empty();
   }
 
-  private static Optional<String> contradiction(RuleCoverage extent, Declarations declarations) {
-    if (extent.isEmpty()) {
+  private static Optional<String> contradiction(RuleCoverage coverage, Declarations declarations) {
+    if (coverage.isEmpty()) {
       return Optional.of("its conditions contradict each other");
     }
     List<OrganisationId> declared =
         declarations.organisations().stream().map(Organisation::id).toList();
-    if (extent.organisation().isPresent() && !declared.contains(extent.organisation().get())) {
-      return Optional.of("organisation " + extent.organisation().get() + " is not declared");
+    if (coverage.organisation().isPresent() && !declared.contains(coverage.organisation().get())) {
+      return Optional.of("organisation " + coverage.organisation().get() + " is not declared");
     }
     long accelerators =
         declarations.fleet().workers().stream().mapToLong(w -> w.capacity().accelerators()).sum();
-    if (extent.accelerators().least() > accelerators) {
+    if (coverage.accelerators().least() > accelerators) {
       return Optional.of("the declared fleet has " + accelerators + " accelerators");
     }
     return Optional.empty();
--- a/fescuehook/src/test/java/org/fescuehook/logic/configuration/RackCapacityTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/configuration/RackCapacityTest.java
@@ -21,7 +21,7 @@
   void smallMembersLeaveWholeWorkersFree() {
     RackCapacity racks = new RackCapacity(List.of(worker("w-1", "r1"), worker("w-2", "r1")));
 
-    assertTrue(racks.take(2, FOUR, 1));
+    assertTrue(racks.allocate(2, FOUR, 1));
 
     assertEquals(1, racks.largestFit(new Capacity(8, 1, 1), 0));
   }
@@ -30,8 +30,8 @@
   void smallShapesLeaveWholeRacksFree() {
     RackCapacity racks = new RackCapacity(List.of(worker("w-1", "r1"), worker("w-2", "r2")));
 
-    assertTrue(racks.take(1, FOUR, 1));
-    assertTrue(racks.take(1, FOUR, 1));
+    assertTrue(racks.allocate(1, FOUR, 1));
+    assertTrue(racks.allocate(1, FOUR, 1));
 
     assertEquals(2, racks.largestFit(FOUR, 1));
   }
