--- a/fescuehook/src/main/java/org/fescuehook/cli/command/ExplainLogCommand.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/ExplainLogCommand.java
@@ -125,7 +125,7 @@
     long last = ended ? story.events().getLast().millis() : Long.MAX_VALUE;
     List<String> quiet = new ArrayList<>();
     for (LogGap gap : gaps) {
-      if (!gap.touches(first, last)) {
+      if (!gap.overlaps(first, last)) {
         continue;
       }
       double from = (Math.max(gap.fromMillis(), first) - first) / MILLIS_PER_SECOND;
--- a/fescuehook/src/main/java/org/fescuehook/logic/event/EventLog.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/event/EventLog.java
@@ -5,8 +5,9 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * Logs a numbered event with its number as the key-value pair {@code event}. The arguments fill the
- * event's format in order; a {@link Throwable} after the last of them is logged with its trace.
+ * Logs numbered events. The number is logged as the key-value pair {@code event}. The arguments
+ * fill the placeholders of the event's format in order; a {@link Throwable} after the last of them
+ * is logged with its stack trace.
  */
 public final class EventLog {
 
@@ -15,7 +16,7 @@
 
   private EventLog() {}
 
-  /** Logs an event that only helps to follow the code. */
+  /** Logs an event that serves debugging only. */
   public static void debug(Logger logger, NumberedEvent event, Object... arguments) {
     write(logger.atDebug(), event, arguments);
   }
@@ -25,12 +26,12 @@
     write(logger.atInfo(), event, arguments);
   }
 
-  /** Logs an event that the process copes with but an operator should know of. */
+  /** Logs an event that the process handles but that operators should know about. */
   public static void warn(Logger logger, NumberedEvent event, Object... arguments) {
     write(logger.atWarn(), event, arguments);
   }
 
-  /** Logs an event that an operator has to act on. */
+  /** Logs an event that requires an operator to act. */
   public static void error(Logger logger, NumberedEvent event, Object... arguments) {
     write(logger.atError(), event, arguments);
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/membership/PeerReport.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/membership/PeerReport.java
@@ -3,11 +3,11 @@
 import org.fescuehook.model.fleet.VmId;
 
 /**
- * What an entry VM says of itself in a heartbeat.
+ * Status that an entry VM reports about itself in a heartbeat.
  *
  * @param vm its name
- * @param incarnation distinguishes starts of the same VM
- * @param controlNext offset after the last control record that it has folded
+ * @param incarnation identifies the process of the VM; a restart changes it
+ * @param controlNext offset after the last control record that it has applied
  * @param revision configuration revision that it has in force; -1 for none
  * @param logReachable whether its last read of the log succeeded within its limit
  * @param draining whether it is stopping
--- a/fescuehook/src/main/java/org/fescuehook/logic/membership/PeerTable.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/membership/PeerTable.java
@@ -9,10 +9,13 @@
 import java.util.stream.Collectors;
 import org.fescuehook.model.fleet.VmId;
 
-/** The last heartbeat of each other entry VM. Immutable; times are monotonic nanoseconds. */
+/**
+ * The last heartbeat of each peer, that is of each other entry VM. Immutable. Times are monotonic
+ * nanoseconds.
+ */
 public final class PeerTable {
 
-  /** No peer heard. */
+  /** The table without any heartbeat. */
   public static final PeerTable EMPTY = new PeerTable(Map.of());
 
   private final Map<VmId, LastHeartbeat> peers;
@@ -21,14 +24,14 @@
     this.peers = peers;
   }
 
-  /** Returns the table after a heartbeat. */
+  /** Returns this table updated with a heartbeat. */
   public PeerTable heard(PeerReport report, long nowNanos) {
     Map<VmId, LastHeartbeat> next = new HashMap<>(peers);
     next.put(report.vm(), new LastHeartbeat(report, nowNanos));
     return new PeerTable(Map.copyOf(next));
   }
 
-  /** Returns the table without the peers that were silent for longer than {@code limit}. */
+  /** Returns this table without the peers whose last heartbeat is older than {@code limit}. */
   public PeerTable withoutSilent(Duration limit, long nowNanos) {
     Map<VmId, LastHeartbeat> next =
         peers.entrySet().stream()
@@ -37,22 +40,25 @@
     return new PeerTable(next);
   }
 
-  /** Returns the peers heard within {@code timeout}. */
+  /** Returns the peers that sent a heartbeat within {@code timeout}. */
   public Set<VmId> alive(Duration timeout, long nowNanos) {
     return select(timeout, nowNanos, report -> true);
   }
 
-  /** Returns the peers heard within {@code timeout} that reach the log. */
+  /** Returns the peers that sent a heartbeat within {@code timeout} and reach the log. */
   public Set<VmId> reachingLog(Duration timeout, long nowNanos) {
     return select(timeout, nowNanos, PeerReport::logReachable);
   }
 
-  /** Returns the peers heard within {@code timeout} that are stopping. */
+  /** Returns the peers that sent a heartbeat within {@code timeout} and are stopping. */
   public Set<VmId> draining(Duration timeout, long nowNanos) {
     return select(timeout, nowNanos, PeerReport::draining);
   }
 
-  /** Returns how far the peers heard within {@code timeout} have folded the control stream. */
+  /**
+   * Returns, for each peer that sent a heartbeat within {@code timeout}, the offset up to which it
+   * has applied the control stream.
+   */
   public Map<VmId, Long> folded(Duration timeout, long nowNanos) {
     return peers.values().stream()
         .filter(heard -> nowNanos - heard.atNanos <= timeout.toNanos())
@@ -60,7 +66,10 @@
         .collect(Collectors.toUnmodifiableMap(PeerReport::vm, PeerReport::controlNext));
   }
 
-  /** Returns a peer heard within {@code timeout} with the highest revision above another. */
+  /**
+   * Returns the peer with the highest configuration revision above {@code revision} that sent a
+   * heartbeat within {@code timeout}; empty if there is none.
+   */
   public Optional<PeerReport> ahead(long revision, Duration timeout, long nowNanos) {
     Optional<PeerReport> best = Optional.empty();
     for (LastHeartbeat heard : peers.values()) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/membership/Readiness.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/membership/Readiness.java
@@ -5,23 +5,24 @@
 import java.util.OptionalLong;
 
 /**
- * Tells whether this VM may take work. A VM that can tell neither by the log nor by a peer whether
- * its configuration is current is not ready.
+ * Decides whether this VM may accept work. A VM that can confirm neither through the log nor
+ * through a peer that its configuration is current is not ready.
  */
 public final class Readiness {
 
   private final Duration staleAfter;
 
   /**
-   * Creates the rules.
+   * Creates the evaluation.
    *
-   * @param staleAfter longest time without contact
+   * @param staleAfter maximum time without contact to the log and to peers, and maximum time with
+   *     an outdated configuration
    */
   public Readiness(Duration staleAfter) {
     this.staleAfter = staleAfter;
   }
 
-  /** Returns why this VM cannot do work; empty if it can. */
+  /** Returns why this VM cannot accept work; empty if it can. */
   public Optional<NotReady> judge(Facts facts, long nowNanos) {
     if (!facts.configured) {
       return Optional.of(NotReady.NO_CONFIGURATION);
@@ -50,17 +51,17 @@
   public enum NotReady {
     /** It is stopping. */
     DRAINING("draining"),
-    /** Its decision core met a fault of the program. */
+    /** Its decision thread stopped because of an error in the program. */
     DECISIONS_HALTED("decisions-halted"),
-    /** All is there, but its service port does not take requests yet. */
+    /** It is otherwise ready, but its service port does not accept requests yet. */
     OPENING("opening"),
     /** It has no configuration. */
     NO_CONFIGURATION("no-configuration"),
     /** It has no share of the executors' slots, or does not know its share. */
     NO_SLOTS("no-slots"),
-    /** It reads the log and has not reached the end yet. */
+    /** It is reading the log and has not reached its end yet. */
     CATCHING_UP("catching-up"),
-    /** It hears neither the log nor a peer. */
+    /** It has contact to neither the log nor a peer. */
     ISOLATED("isolated"),
     /** A peer has a newer configuration that has not arrived here. */
     BEHIND("behind");
@@ -78,15 +79,15 @@
   }
 
   /**
-   * What the verdict depends on. Times are monotonic nanoseconds.
+   * State of this VM that readiness depends on. Times are monotonic nanoseconds.
    *
    * @param configured whether a configuration is in force
    * @param slots whether it has a share of executors' slots, or no executor is declared
    * @param caughtUp whether the reader of the control stream has reached its end since the start
-   * @param logContactNanos when the log last answered
-   * @param peerContactNanos when a peer was last heard: one that reaches the log keeps this VM
-   *     current, and peers that do not reach it either show an outage of the log
-   * @param behindSinceNanos since when a peer has had a newer configuration
+   * @param logContactNanos time of the last answer of the log
+   * @param peerContactNanos time of the last heartbeat of a peer: a peer that reaches the log keeps
+   *     this VM up to date, and if no peer reaches it, the log itself is unavailable
+   * @param behindSinceNanos time since which a peer has had a newer configuration
    */
   public record Facts(
       boolean configured,
--- a/fescuehook/src/main/java/org/fescuehook/logic/membership/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/membership/package-info.java
@@ -1,4 +1,4 @@
-/** Entry VMs and backend servers as seen from the list and from heartbeats. */
+/** Heartbeats of the other entry VMs, and the readiness of this VM. */
 @NullMarked
 package org.fescuehook.logic.membership;
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/platform/LogAppender.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/platform/LogAppender.java
@@ -2,27 +2,27 @@
 
 import java.util.function.Consumer;
 
-/** Hands records to the thread that appends them. */
+/** Passes records to the thread that appends them to the log. */
 public interface LogAppender {
 
   /**
-   * Offers a record without waiting.
+   * Offers a record for appending, without blocking.
    *
-   * @param sink called once, on the appending thread, with the result
-   * @return false if the ring is full; the record will not be appended then
+   * @param sink receives the result, once, on the appending thread
+   * @return false if the ring is full and the record will not be appended
    */
   boolean offer(String stream, byte[] data, Consumer<AppendResult> sink);
 
-  /** What became of a record. */
+  /** Result of appending a record. */
   sealed interface AppendResult {
 
-    /** It is in the log. */
+    /** The record is in the log. */
     record Appended(long offset) implements AppendResult {}
 
-    /** It is surely not in the log. */
+    /** The record is certainly not in the log. */
     record NotAppended(String reason) implements AppendResult {}
 
-    /** It may be in the log; reading tells. */
+    /** The record may be in the log; only reading the log can tell. */
     record Unknown(String reason) implements AppendResult {}
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/platform/LogService.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/platform/LogService.java
@@ -4,8 +4,8 @@
 import org.fescuehook.model.log.LogPage;
 
 /**
- * The platform's log. Implementations block the calling thread; they are called by duty threads
- * only.
+ * The platform's log service. Calls block the calling thread, so only threads that run a duty of
+ * their own may call it.
  */
 public interface LogService {
 
@@ -20,7 +20,8 @@
   long append(String stream, byte[] data) throws LogUnavailableException;
 
   /**
-   * Reads records from an offset on, waiting up to {@code wait} for a first one.
+   * Reads records starting at an offset. If there are none yet, waits up to {@code wait} for the
+   * first one.
    *
    * @throws LogUnavailableException if the log gave no answer
    */
--- a/fescuehook/src/main/java/org/fescuehook/logic/platform/LogUnavailableException.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/platform/LogUnavailableException.java
@@ -1,6 +1,6 @@
 package org.fescuehook.logic.platform;
 
-/** The log service did not answer a call, or refused it. */
+/** Thrown if the log service does not answer a call or rejects it. */
 public final class LogUnavailableException extends Exception {
   private static final long serialVersionUID = 1L;
 
@@ -11,9 +11,9 @@
   /**
    * Creates the exception.
    *
-   * @param step what was being done, as {@code append control}
+   * @param step operation that failed, for example {@code append control}
    * @param peer address of the log service
-   * @param mayHaveTakenEffect whether an append may be in the log all the same
+   * @param mayHaveTakenEffect whether the record of a failed append may nevertheless be in the log
    */
   public LogUnavailableException(
       String step, String peer, boolean mayHaveTakenEffect, Throwable cause) {
@@ -23,7 +23,7 @@
     this.mayHaveTakenEffect = mayHaveTakenEffect;
   }
 
-  /** Returns what was being done. */
+  /** Returns the operation that failed. */
   public String step() {
     return step;
   }
@@ -33,7 +33,7 @@
     return peer;
   }
 
-  /** Tells whether an append may be in the log all the same. */
+  /** Tells whether the record of a failed append may nevertheless be in the log. */
   public boolean mayHaveTakenEffect() {
     return mayHaveTakenEffect;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/platform/MemberList.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/platform/MemberList.java
@@ -2,7 +2,9 @@
 
 import java.util.List;
 
-/** The platform's lagging list of VMs. Blocks the calling thread. */
+/**
+ * The platform's list of VMs, which lags behind the actual state. Calls block the calling thread.
+ */
 public interface MemberList {
 
   /**
@@ -12,7 +14,7 @@
    */
   List<Member> fetch() throws ListUnavailableException;
 
-  /** What a VM is for. */
+  /** Role of a VM. */
   enum Role {
     ENTRY,
     EXECUTOR,
@@ -23,18 +25,18 @@
    * A VM on the list.
    *
    * @param name its name
-   * @param role what it is for
-   * @param leaving whether it is to receive no new work
+   * @param role its role
+   * @param leaving whether it is leaving and must not receive new work
    * @param host IP address
    * @param port peer port of an entry VM, service port of a backend server
    */
   record Member(String name, Role role, boolean leaving, String host, int port) {}
 
-  /** The list could not be fetched. */
+  /** Thrown if the list cannot be fetched. */
   final class ListUnavailableException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Creates the exception; the message names the step and the peer. */
+    /** Creates the exception; the message names the operation and the peer. */
     public ListUnavailableException(String step, String peer, Throwable cause) {
       super(step + " at " + peer + ": " + cause.getMessage(), cause);
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/platform/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/platform/package-info.java
@@ -1,4 +1,6 @@
-/** Ports to the platform: the log service and the lagging list of VMs. */
+/**
+ * Ports to the platform: its log service, and its list of VMs, which lags behind the actual state.
+ */
 @NullMarked
 package org.fescuehook.logic.platform;
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/story/DayStory.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/story/DayStory.java
@@ -12,15 +12,17 @@
 import org.fescuehook.logic.batch.BatchLogEvent;
 
 /**
- * Where the jobs of a log lost their time: each job that ended after its objective, or not at all,
- * with the stage that took longest beside its work. Objectives are by the estimates.
+ * Finds the jobs of a log that ended later than their objective, or did not end, and the main cause
+ * of each delay. Objectives are the times logged on acceptance, which rest on the estimated run
+ * times.
  */
 public final class DayStory {
 
-  private static final Pattern ACCEPTED =
+  private static final Pattern ACCEPTED_MESSAGE =
       Pattern.compile(
           "Job (\\S+) accepted: queue (\\S+) .* work (\\d+) core-s chain \\d+ ms objective (\\d+) ms");
-  private static final Pattern ENDED = Pattern.compile("Job (\\S+) ended (\\S+) after (\\d+) ms");
+  private static final Pattern ENDED_MESSAGE =
+      Pattern.compile("Job (\\S+) ended (\\S+) after (\\d+) ms");
 
   private static final String LONG_WORK = "its work took longer than estimated";
 
@@ -32,20 +34,21 @@
    *
    * @param id the job
    * @param queue its queue
-   * @param coreSeconds its work by its estimate
-   * @param lateMillis time beyond its objective, until its end or the end of the log
-   * @param ended whether it ended
-   * @param cause the stage beside work that took longest, if it took half of that time or more;
-   *     else its work took longer than its estimate
+   * @param coreSeconds its estimated work in core seconds
+   * @param lateMillis time by which its end, or the end of the log if it did not end, exceeds its
+   *     objective
+   * @param ended whether it ended within the log
+   * @param cause the longest stage other than work, if it lasted at least half of {@code
+   *     lateMillis}; otherwise that the work took longer than estimated
    */
   public record LateJob(
       String id, String queue, long coreSeconds, long lateMillis, boolean ended, String cause) {}
 
   /**
-   * What late jobs of a queue lost to one cause.
+   * Delay of the late jobs of a queue that have the same cause.
    *
-   * @param jobs how many jobs
-   * @param lateMillis time beyond their objectives together
+   * @param jobs number of jobs
+   * @param lateMillis sum of the times by which they exceeded their objectives
    */
   public record Loss(String queue, String cause, int jobs, long lateMillis) {}
 
@@ -54,7 +57,7 @@
     this.late = List.copyOf(late);
   }
 
-  /** Tells the story of all jobs that a log has accepted; events may come in any order. */
+  /** Evaluates all jobs whose acceptance is in the log. The events may be in any order. */
   public static DayStory of(List<LoggedEvent> log) {
     Map<String, List<LoggedEvent>> byJob = new HashMap<>();
     Map<String, LoggedEvent> accepted = new LinkedHashMap<>();
@@ -67,7 +70,7 @@
       if (event.number() == BatchLogEvent.JOB_ACCEPTED.number()) {
         job.ifPresent(id -> accepted.putIfAbsent(id, event));
       }
-      Matcher end = ENDED.matcher(event.message());
+      Matcher end = ENDED_MESSAGE.matcher(event.message());
       if (event.number() == BatchLogEvent.JOB_ENDED.number() && end.find()) {
         durations.put(end.group(1), Long.valueOf(end.group(3)));
       }
@@ -76,14 +79,14 @@
     for (Map.Entry<String, LoggedEvent> entry : accepted.entrySet()) {
       String id = entry.getKey();
       Optional<Long> ended = Optional.ofNullable(durations.get(id));
-      long took = ended.orElse(last - entry.getValue().millis());
-      late(entry.getValue(), took, ended.isPresent(), byJob.get(id)).ifPresent(late::add);
+      long durationMillis = ended.orElse(last - entry.getValue().millis());
+      late(entry.getValue(), durationMillis, ended.isPresent(), byJob.get(id)).ifPresent(late::add);
     }
     late.sort(Comparator.comparingLong(LateJob::coreSeconds).reversed());
     return new DayStory(accepted.size(), late);
   }
 
-  /** Returns the job that an event of a job or of one of its runs names first. */
+  /** Returns the id of the job that an event about a job or a run starts with. */
   private static Optional<String> job(String message) {
     String[] words = message.split(" ", 3);
     boolean named = words.length > 1 && (words[0].equals("Job") || words[0].equals("Run"));
@@ -91,38 +94,41 @@
   }
 
   private static Optional<LateJob> late(
-      LoggedEvent acceptance, long took, boolean ended, List<LoggedEvent> own) {
-    Matcher matcher = ACCEPTED.matcher(acceptance.message());
+      LoggedEvent acceptance, long durationMillis, boolean ended, List<LoggedEvent> jobEvents) {
+    Matcher matcher = ACCEPTED_MESSAGE.matcher(acceptance.message());
     if (!matcher.find()) {
       return Optional.empty();
     }
-    long over = took - Long.parseLong(matcher.group(4));
-    if (over <= 0) {
+    long lateMillis = durationMillis - Long.parseLong(matcher.group(4));
+    if (lateMillis <= 0) {
       return Optional.empty();
     }
     String id = matcher.group(1);
     String cause =
-        JobStory.of(id, own).stages().stream()
+        JobStory.of(id, jobEvents).stages().stream()
             .filter(stage -> !stage.name().equals(JobStory.WORK))
             .max(Comparator.comparingLong(JobStory.Stage::millis))
-            .filter(stage -> stage.millis() * 2 >= over)
+            .filter(stage -> stage.millis() * 2 >= lateMillis)
             .map(JobStory.Stage::name)
             .orElse(LONG_WORK);
     long work = Long.parseLong(matcher.group(3));
-    return Optional.of(new LateJob(id, matcher.group(2), work, over, ended, cause));
+    return Optional.of(new LateJob(id, matcher.group(2), work, lateMillis, ended, cause));
   }
 
-  /** Returns how many jobs the log has accepted. */
+  /** Returns the number of jobs whose acceptance is in the log. */
   public int jobs() {
     return jobs;
   }
 
-  /** Returns the late jobs, those with the most work first. */
+  /** Returns the late jobs in descending order of their work. */
   public List<LateJob> late() {
     return late;
   }
 
-  /** Returns what was lost by queue and cause, the most time first; together all that was lost. */
+  /**
+   * Returns the delays summed by queue and cause in descending order. Together they cover all late
+   * jobs.
+   */
   public List<Loss> losses() {
     Map<String, Loss> losses = new LinkedHashMap<>();
     for (LateJob job : late) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/story/JobStory.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/story/JobStory.java
@@ -11,24 +11,25 @@
 import org.fescuehook.logic.batch.BatchLogEvent;
 
 /**
- * What happened to one job: its own events, those of the executors that it ran on, and changes of
- * the owner meanwhile, in the order of their times; and where its time went.
+ * Timeline of one job: its own events, and those events of its executors and changes of the owner
+ * that were logged between its first and last event. Also lists the stages between the job's own
+ * events, which show what it spent its time on.
  */
 public final class JobStory {
 
-  /** Name of the stage in which nothing but work passed. */
+  /** Name of a stage in which the job was doing its work. */
   public static final String WORK = "work";
 
-  private static final Pattern EXECUTOR =
+  private static final Pattern EXECUTOR_OF_RUN =
       Pattern.compile("(?:placed )?on ([^\\s@]+?)(?:@\\d+)?(?: in rack|:| |$)");
 
   private final List<LoggedEvent> events;
   private final List<Stage> stages;
 
   /**
-   * Time between two events of the job.
+   * Time between two consecutive events of the job.
    *
-   * @param name what the job waited for
+   * @param name what the job waited for or did in this time
    */
   public record Stage(String name, long millis) {}
 
@@ -38,45 +39,48 @@
   }
 
   /**
-   * Tells the story of a job.
+   * Creates the timeline of a job.
    *
    * @param id the job
-   * @param log events of all VMs in any order
+   * @param log events of all VMs, in any order
    */
   public static JobStory of(String id, List<LoggedEvent> log) {
-    List<LoggedEvent> own =
+    List<LoggedEvent> jobEvents =
         log.stream()
             .filter(event -> event.message().contains(id))
             .sorted(Comparator.comparingLong(LoggedEvent::millis))
             .toList();
-    if (own.isEmpty()) {
+    if (jobEvents.isEmpty()) {
       return new JobStory(List.of(), List.of());
     }
     Set<String> executors = new HashSet<>();
-    own.forEach(event -> executor(event).ifPresent(executors::add));
-    long first = own.getFirst().millis();
-    long last = own.getLast().millis();
-    List<LoggedEvent> all = new ArrayList<>(own);
+    jobEvents.forEach(event -> executor(event).ifPresent(executors::add));
+    long first = jobEvents.getFirst().millis();
+    long last = jobEvents.getLast().millis();
+    List<LoggedEvent> all = new ArrayList<>(jobEvents);
     for (LoggedEvent event : log) {
       boolean during = event.millis() >= first && event.millis() <= last;
-      if (during && !event.message().contains(id) && surrounds(event, executors)) {
+      if (during && !event.message().contains(id) && mayExplainDelay(event, executors)) {
         all.add(event);
       }
     }
     all.sort(Comparator.comparingLong(LoggedEvent::millis));
-    return new JobStory(all, stages(own));
+    return new JobStory(all, stages(jobEvents));
   }
 
   private static Optional<String> executor(LoggedEvent event) {
     boolean ofRun =
         event.number() == BatchLogEvent.RUN_PLACED.number()
             || event.number() == BatchLogEvent.RUN_ENDED.number();
-    Matcher matcher = EXECUTOR.matcher(event.message());
+    Matcher matcher = EXECUTOR_OF_RUN.matcher(event.message());
     return ofRun && matcher.find() ? Optional.of(matcher.group(1)) : Optional.empty();
   }
 
-  /** Tells whether an event is not about the job and may explain what happened to it. */
-  private static boolean surrounds(LoggedEvent event, Set<String> executors) {
+  /**
+   * Tells whether an event is about the owner or one of the job's executors and may so explain a
+   * delay.
+   */
+  private static boolean mayExplainDelay(LoggedEvent event, Set<String> executors) {
     int number = event.number();
     boolean ofOwner =
         number == BatchLogEvent.OWNERSHIP_WON.number()
@@ -92,17 +96,17 @@
     return ofOwner || (ofExecutor && executors.stream().anyMatch(event.message()::contains));
   }
 
-  private static List<Stage> stages(List<LoggedEvent> own) {
+  private static List<Stage> stages(List<LoggedEvent> jobEvents) {
     List<Stage> stages = new ArrayList<>();
-    for (int i = 1; i < own.size(); i++) {
-      long millis = own.get(i).millis() - own.get(i - 1).millis();
-      stages.add(new Stage(waitedFor(own.get(i - 1), own.get(i)), millis));
+    for (int i = 1; i < jobEvents.size(); i++) {
+      long millis = jobEvents.get(i).millis() - jobEvents.get(i - 1).millis();
+      stages.add(new Stage(stageName(jobEvents.get(i - 1), jobEvents.get(i)), millis));
     }
     return stages;
   }
 
-  /** Names what passed between two events of a job by their kinds. */
-  private static String waitedFor(LoggedEvent before, LoggedEvent after) {
+  /** Returns the name of the stage between two events of a job, which depends on their kinds. */
+  private static String stageName(LoggedEvent before, LoggedEvent after) {
     if (after.number() == BatchLogEvent.RUN_PLACED.number()) {
       return "waited for room";
     }
@@ -119,17 +123,17 @@
     return stopping ? "runs were being stopped" : WORK;
   }
 
-  /** Returns the events in the order of their times; empty if no line names the job. */
+  /** Returns the events in the order of their times; empty if no event names the job. */
   public List<LoggedEvent> events() {
     return events;
   }
 
-  /** Returns the stretches between the job's events, in order. */
+  /** Returns the stages between the job's events, in order. */
   public List<Stage> stages() {
     return stages;
   }
 
-  /** Returns the longest stretch between two events of the job; absent with fewer than two. */
+  /** Returns the longest stage; absent if the job has fewer than two events. */
   public Optional<Stage> longestStage() {
     return stages.stream().max(Comparator.comparingLong(Stage::millis));
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/story/LogGapFinder.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/story/LogGapFinder.java
@@ -9,20 +9,23 @@
 import java.util.Set;
 
 /**
- * Finds what is missing from logs by the numbers of their lines, which begin with 1 in each process
- * of a VM. Lines without a number tell nothing.
+ * Finds gaps in logs from the sequence numbers of their lines, which start from 1 in each process
+ * of a VM. Lines without a number are ignored.
  */
 public final class LogGapFinder {
 
-  /** Threads that log at the same time may pass each other between number and line. */
-  private static final int REORDERED = 64;
+  /**
+   * Maximum distance in sequence numbers by which a line may precede one with a lower number.
+   * Threads that log at the same time take their numbers and write their lines in different orders.
+   */
+  private static final int MAX_REORDERING = 64;
 
   private final int stopEvent;
 
   /**
    * Creates a finder.
    *
-   * @param stopEvent number of the event that ends the log of a planned stop
+   * @param stopEvent number of the event that a process logs last when it stops as planned
    */
   public LogGapFinder(int stopEvent) {
     this.stopEvent = stopEvent;
@@ -31,8 +34,8 @@
   /**
    * Returns the gaps of a log.
    *
-   * @param name stands for the VM where lines name none
-   * @param log lines in the order of the log; those of several VMs may be mixed
+   * @param name name to use for the VM if the lines name none
+   * @param log lines in the order of the log; lines of several VMs may be interleaved
    */
   public List<LogGap> find(String name, List<LogLine> log) {
     Map<String, List<LogLine>> byVm = new LinkedHashMap<>();
@@ -52,8 +55,8 @@
     Set<Long> seen = new HashSet<>();
     long highest = Long.MAX_VALUE;
     for (LogLine line : lines) {
-      boolean began = !seen.add(line.number()) || line.number() + REORDERED < highest;
-      if (began) {
+      boolean newProcess = !seen.add(line.number()) || line.number() + MAX_REORDERING < highest;
+      if (newProcess) {
         processes.add(new ArrayList<>());
         seen = new HashSet<>(Set.of(line.number()));
         highest = line.number();
@@ -65,19 +68,19 @@
   }
 
   private void addGaps(String vm, List<List<LogLine>> processes, List<LogGap> gaps) {
-    long before = Long.MIN_VALUE;
+    long lastMillis = Long.MIN_VALUE;
     for (int i = 0; i < processes.size(); i++) {
       List<LogLine> process = processes.get(i);
-      addMissing(vm, process, before, gaps);
-      before = process.stream().mapToLong(LogLine::millis).max().orElseThrow();
-      if (process.stream().anyMatch(this::stops)) {
+      addMissing(vm, process, lastMillis, gaps);
+      lastMillis = process.stream().mapToLong(LogLine::millis).max().orElseThrow();
+      if (process.stream().anyMatch(this::isPlannedStop)) {
         continue;
       }
       boolean last = i + 1 == processes.size();
       gaps.add(
           last
-              ? new LogGap.Quiet(vm, before)
-              : new LogGap.CutOff(vm, before, processes.get(i + 1).getFirst().millis()));
+              ? new LogGap.Quiet(vm, lastMillis)
+              : new LogGap.CutOff(vm, lastMillis, processes.get(i + 1).getFirst().millis()));
     }
   }
 
@@ -97,7 +100,7 @@
     }
   }
 
-  private boolean stops(LogLine line) {
+  private boolean isPlannedStop(LogLine line) {
     return line.event().filter(event -> event.number() == stopEvent).isPresent();
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/story/LoggedEvent.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/story/LoggedEvent.java
@@ -1,11 +1,11 @@
 package org.fescuehook.logic.story;
 
 /**
- * An event in a log.
+ * A numbered event read from a log.
  *
  * @param millis when it was logged, milliseconds since 1970 by the VM's clock
- * @param vm name of the VM, or what stood before the event on its line; empty if nothing did
+ * @param vm name of the VM, taken from the prefix of the line; empty if there is no prefix
  * @param number number of the event
- * @param message what it says
+ * @param message formatted message
  */
 public record LoggedEvent(long millis, String vm, int number, String message) {}
--- a/fescuehook/src/main/java/org/fescuehook/logic/story/LoggedEventParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/story/LoggedEventParser.java
@@ -6,17 +6,22 @@
 import java.util.Optional;
 import org.fescuehook.logic.event.EventLog;
 
-/** Reads lines of the scheduler's log: a JSON object each, after any prefix of a log collector. */
+/**
+ * Parses lines of the scheduler's log. Each line is a JSON object, which may follow a prefix added
+ * by a log collector; the last word of the prefix is taken as the name of the VM.
+ */
 public final class LoggedEventParser {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
-  /** Reads the event of a line; absent if it holds no numbered event, as the lines of libraries. */
+  /**
+   * Parses the event of a line; absent if the line has no numbered event, as lines of libraries.
+   */
   public Optional<LoggedEvent> parse(String line) {
     return read(line).flatMap(LogLine::event);
   }
 
-  /** Reads a line; absent if it holds no object. */
+  /** Parses a line; absent if it contains no JSON object. */
   public Optional<LogLine> read(String line) {
     int begin = line.indexOf('{');
     if (begin < 0) {
@@ -26,7 +31,7 @@
     try {
       object = MAPPER.readTree(line.substring(begin));
     } catch (JsonProcessingException e) {
-      // A line that was cut, or of another program; the story is told from the others.
+      // A truncated line, or one of another program; it is skipped.
       return Optional.empty();
     }
     String vm = lastWord(line.substring(0, begin));
--- a/fescuehook/src/main/java/org/fescuehook/logic/story/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/story/package-info.java
@@ -1,4 +1,4 @@
-/** The story of one batch job, told from the logs of the VMs. */
+/** Reconstructs from the logs of the VMs what happened to batch jobs and where they lost time. */
 @NullMarked
 package org.fescuehook.logic.story;
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/JobCourse.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/JobCourse.java
@@ -3,11 +3,11 @@
 import java.util.OptionalLong;
 
 /**
- * What becomes of a job when it runs; the policy does not see it.
+ * How a job of a trace behaves when it runs. The scheduling policy does not see this.
  *
- * @param runSeconds true run time
- * @param failsAfterSeconds after how long each attempt fails, for a job that can never finish
- * @param checkpointMillis how long a checkpoint takes; empty if the job ignores the request
+ * @param runSeconds actual run time
+ * @param failsAfterSeconds run time after which each attempt fails, for a job that never finishes
+ * @param checkpointMillis duration of a checkpoint; empty if the job ignores checkpoint requests
  */
 public record JobCourse(
     long runSeconds, OptionalLong failsAfterSeconds, OptionalLong checkpointMillis) {}
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/JobOutcome.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/JobOutcome.java
@@ -4,16 +4,16 @@
 import org.fescuehook.model.job.Job;
 
 /**
- * What became of a job in a replay. Times are milliseconds since the beginning of the trace.
+ * Outcome of a job in a replay. Times are milliseconds since the beginning of the trace.
  *
  * @param job the job
- * @param course what was to become of it
+ * @param course how it behaves when it runs, according to the trace
  * @param end how it ended
  * @param firstStartMillis when it first ran
  * @param endMillis when it ended
- * @param attempts attempts that were planned
- * @param preemptions attempts that were stopped for another job
- * @param lostAcceleratorSeconds work of stopped attempts that was not kept
+ * @param attempts number of planned attempts
+ * @param preemptions number of attempts that were stopped for another job
+ * @param lostAcceleratorSeconds work of stopped attempts that was lost
  */
 public record JobOutcome(
     Job job,
@@ -27,15 +27,15 @@
 
   /** How a job ended. */
   public enum End {
-    /** It ran to its end. */
+    /** It ran to completion. */
     FINISHED,
-    /** It failed on as many workers as declared. */
+    /** It failed as many times as the declared maximum of attempts. */
     GIVEN_UP,
     /** It was cancelled. */
     CANCELLED,
     /** It was refused at submission. */
     REFUSED,
-    /** The replay ended before it. */
+    /** It had not ended when the replay ended. */
     UNFINISHED
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/ReplayListener.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/ReplayListener.java
@@ -3,9 +3,9 @@
 import org.fescuehook.logic.scheduling.Scheduler.Plan;
 import org.fescuehook.logic.scheduling.Scheduler.View;
 
-/** Watches the decisions of a replay. */
+/** Receives the decisions of a replay. */
 public interface ReplayListener {
 
-  /** A decision was taken; it is carried out after this call. */
+  /** Called for each decision of the scheduler, before it is carried out. */
   void decided(View view, Plan plan);
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/ReplayedJob.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/ReplayedJob.java
@@ -24,9 +24,9 @@
   int failures;
   int attempts;
   int preemptions;
-  double lost;
+  double lostAcceleratorSeconds;
 
-  /** Placement of the live attempt, as decided. */
+  /** The decision that started the current attempt. */
   Start start;
 
   long plannedMillis;
@@ -64,13 +64,20 @@
     return end != JobOutcome.End.UNFINISHED;
   }
 
-  /** Returns how long the live attempt has run. */
+  /** Returns how long the current attempt has run. */
   long ranSeconds(long nowMillis) {
     return Math.max(0, nowMillis - beganMillis) / 1000;
   }
 
   JobOutcome outcome() {
     return new JobOutcome(
-        job, course, end, firstStartMillis, endMillis, attempts, preemptions, lost);
+        job,
+        course,
+        end,
+        firstStartMillis,
+        endMillis,
+        attempts,
+        preemptions,
+        lostAcceleratorSeconds);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/Replayer.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/Replayer.java
@@ -26,15 +26,15 @@
 import org.fescuehook.model.rule.Verdict;
 
 /**
- * Replays a trace against a policy on a virtual clock, with workers that act as the trace says. Not
- * for use again after one replay.
+ * Replays a trace against a scheduling policy on a virtual clock. Workers behave as the trace
+ * describes. An instance is used for one replay only.
  */
 public final class Replayer {
 
   private static final long TICK_MILLIS = 60_000;
-  private static final long MOST_MILLIS_AFTER_TRACE = 30L * 24 * 3600 * 1000;
-  private static final int MOST_ATTEMPTS = 1_000;
-  private static final Start NONE =
+  private static final long MAX_MILLIS_AFTER_TRACE = 30L * 24 * 3600 * 1000;
+  private static final int MAX_ATTEMPTS = 1_000;
+  private static final Start NO_START =
       new Start(new JobId("none"), new Placement(List.of()), 0, false);
 
   private final Trace trace;
@@ -50,22 +50,22 @@
   private final TreeMap<Long, ReplayedJob> waiting = new TreeMap<>();
   private final TreeMap<Long, ReplayedJob> running = new TreeMap<>();
   private final Map<JobId, Long> runningKeys = new HashMap<>();
-  private final Set<WorkerId> away = new HashSet<>();
-  private final Map<WorkerId, Long> failing = new HashMap<>();
+  private final Set<WorkerId> unavailable = new HashSet<>();
+  private final Map<WorkerId, Long> failingAfterSeconds = new HashMap<>();
   private final Map<WorkerId, Long> quarantinedUntil = new HashMap<>();
   private History history = History.EMPTY;
   private long nowMillis;
   private long nextOrder;
   private boolean tickPending;
 
-  /** Whether a job was started so often that the policy cannot be getting anywhere. */
+  /** Whether a job was started so often that the policy is making no progress. */
   private boolean stuck;
 
   /**
    * Creates a replay.
    *
-   * @param judge finds workers to be quarantined, if any are to be
-   * @param listener told of each decision
+   * @param judge finds workers to quarantine; empty if no worker is to be quarantined
+   * @param listener notified of each decision
    */
   public Replayer(
       Trace trace, Scheduler scheduler, Optional<WorkerJudge> judge, ReplayListener listener) {
@@ -85,11 +85,11 @@
     }
   }
 
-  /** Replays the trace and returns what became of its jobs, in the order of submission. */
+  /** Replays the trace and returns the outcomes of its jobs in the order of submission. */
   public List<JobOutcome> replay() {
-    trace.events().forEach(e -> at(e.atMillis(), () -> happen(e)));
+    trace.events().forEach(e -> schedule(e.atMillis(), () -> apply(e)));
     long last = trace.events().isEmpty() ? 0 : trace.events().getLast().atMillis();
-    while (!queue.isEmpty() && !stuck && nowMillis <= last + MOST_MILLIS_AFTER_TRACE) {
+    while (!queue.isEmpty() && !stuck && nowMillis <= last + MAX_MILLIS_AFTER_TRACE) {
       nowMillis = queue.peek().atMillis();
       while (!queue.isEmpty() && queue.peek().atMillis() == nowMillis) {
         queue.poll().action().run();
@@ -99,31 +99,31 @@
     return submitted.stream().map(ReplayedJob::outcome).toList();
   }
 
-  private void at(long millis, Runnable action) {
+  private void schedule(long millis, Runnable action) {
     queue.add(new ScheduledAction(millis, nextOrder++, action));
   }
 
-  private void happen(TraceEvent event) {
+  private void apply(TraceEvent event) {
     switch (event) {
       case TraceEvent.Submitted e -> submit(e);
       case TraceEvent.Cancelled e -> cancel(jobs.get(e.job()));
       case TraceEvent.Lapsed e -> lapse(e.worker());
-      case TraceEvent.Returned e -> away.remove(e.worker());
-      case TraceEvent.Leaving e -> away.add(e.worker());
-      case TraceEvent.Failing e -> failing.put(e.worker(), e.afterSeconds());
-      case TraceEvent.Mended e -> failing.remove(e.worker());
+      case TraceEvent.Returned e -> unavailable.remove(e.worker());
+      case TraceEvent.Leaving e -> unavailable.add(e.worker());
+      case TraceEvent.Failing e -> failingAfterSeconds.put(e.worker(), e.afterSeconds());
+      case TraceEvent.Mended e -> failingAfterSeconds.remove(e.worker());
     }
   }
 
   private void submit(TraceEvent.Submitted event) {
-    ReplayedJob job = new ReplayedJob(event.job(), event.course(), nextOrder++, NONE);
+    ReplayedJob job = new ReplayedJob(event.job(), event.course(), nextOrder++, NO_START);
     jobs.put(event.job().id(), job);
     submitted.add(job);
     var declarations = trace.declarations();
     Verdict verdict = matcher.match(declarations.rules(), job.job, nowMillis, load()).verdict();
-    boolean never =
+    boolean neverRunnable =
         feasibility.whyNever(declarations, job.job.organisation(), job.job.shape()).isPresent();
-    if (never || verdict instanceof Verdict.Refuse) {
+    if (neverRunnable || verdict instanceof Verdict.Refuse) {
       finish(job, JobOutcome.End.REFUSED);
       return;
     }
@@ -131,12 +131,12 @@
   }
 
   private double load() {
-    int all =
+    int total =
         trace.declarations().fleet().workers().stream()
             .mapToInt(w -> w.capacity().accelerators())
             .sum();
     int used = running.values().stream().mapToInt(j -> j.job.shape().accelerators()).sum();
-    return all == 0 ? 0 : (double) used / all;
+    return total == 0 ? 0 : (double) used / total;
   }
 
   private void finish(ReplayedJob job, JobOutcome.End end) {
@@ -155,10 +155,10 @@
   }
 
   private void lapse(WorkerId worker) {
-    away.add(worker);
+    unavailable.add(worker);
     for (ReplayedJob job : running.values()) {
       if (!job.ending && job.start.placement().members().contains(worker)) {
-        job.lost += lostWork(job);
+        job.lostAcceleratorSeconds += lostWork(job);
         end(job, EndedAttempt.Result.STOPPED, Optional.empty(), trace.timing().leaseMillis());
       }
     }
@@ -174,12 +174,12 @@
     judge.ifPresent(j -> j.judge(view).forEach(this::quarantine));
     if (!waiting.isEmpty() && !tickPending) {
       tickPending = true;
-      at(nowMillis + TICK_MILLIS, () -> tickPending = false);
+      schedule(nowMillis + TICK_MILLIS, () -> tickPending = false);
     }
   }
 
   private View view() {
-    Set<WorkerId> unusable = new HashSet<>(away);
+    Set<WorkerId> unusable = new HashSet<>(unavailable);
     unusable.addAll(quarantinedUntil.keySet());
     return new View(
         nowMillis,
@@ -193,7 +193,7 @@
   private void quarantine(WorkerJudge.Judgement judgement) {
     quarantinedUntil.put(judgement.worker(), judgement.untilMillis());
     history = history.afterQuarantine(judgement.worker(), judgement.untilMillis());
-    at(judgement.untilMillis(), () -> {});
+    schedule(judgement.untilMillis(), () -> {});
   }
 
   private void start(Start start) {
@@ -201,7 +201,7 @@
     waiting.remove(job.order);
     job.start = start;
     job.attempts++;
-    stuck |= job.attempts > MOST_ATTEMPTS;
+    stuck |= job.attempts > MAX_ATTEMPTS;
     job.stopping = false;
     job.ending = false;
     job.plannedMillis = nowMillis;
@@ -223,16 +223,16 @@
       blamed = Optional.of(job.start.placement().members().getFirst());
     }
     for (WorkerId worker : job.start.placement().members()) {
-      Long after = failing.get(worker);
-      if (after != null && after < needed) {
-        needed = after;
+      Long failsAfter = failingAfterSeconds.get(worker);
+      if (failsAfter != null && failsAfter < needed) {
+        needed = failsAfter;
         blamed = Optional.of(worker);
       }
     }
     Optional<WorkerId> failedOn = blamed;
     var result = blamed.isPresent() ? EndedAttempt.Result.FAILED : EndedAttempt.Result.FINISHED;
     int attempt = job.attempts;
-    at(job.beganMillis + needed * 1000, () -> endIfLive(job, attempt, result, failedOn));
+    schedule(job.beganMillis + needed * 1000, () -> endIfLive(job, attempt, result, failedOn));
   }
 
   private void endIfLive(
@@ -260,7 +260,7 @@
             && checkpoint.getAsLong() <= stop.noticeMillis();
     long delay = kept ? checkpoint.getAsLong() : stop.noticeMillis();
     int attempt = job.attempts;
-    at(nowMillis + delay, () -> endStopped(job, attempt, kept));
+    schedule(nowMillis + delay, () -> endStopped(job, attempt, kept));
   }
 
   private void endStopped(ReplayedJob job, int attempt, boolean kept) {
@@ -268,7 +268,7 @@
       return;
     }
     if (!kept) {
-      job.lost += lostWork(job);
+      job.lostAcceleratorSeconds += lostWork(job);
     }
     long ran = job.ranSeconds(nowMillis);
     end(job, EndedAttempt.Result.STOPPED, Optional.empty(), 0);
@@ -279,7 +279,7 @@
     return (double) job.ranSeconds(nowMillis) * job.job.shape().accelerators();
   }
 
-  /** Ends the live attempt; its resources are known as free some time later. */
+  /** Ends the current attempt. Its resources become free after the delay and the release time. */
   private void end(
       ReplayedJob job, EndedAttempt.Result result, Optional<WorkerId> blamed, long delayMillis) {
     job.ending = true;
@@ -287,7 +287,7 @@
     EndedAttempt ended =
         new EndedAttempt(
             job.job, job.start.placement(), ran, job.keptSeconds, result, blamed, nowMillis);
-    at(nowMillis + delayMillis + trace.timing().releaseMillis(), () -> release(job, ended));
+    schedule(nowMillis + delayMillis + trace.timing().releaseMillis(), () -> release(job, ended));
   }
 
   private void release(ReplayedJob job, EndedAttempt ended) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/RuleLineParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/RuleLineParser.java
@@ -7,7 +7,7 @@
 import org.fescuehook.model.rule.Rule;
 import org.fescuehook.model.rule.Verdict;
 
-/** Parses the line of a rule. */
+/** Parses a line of a trace that declares a rule. */
 final class RuleLineParser {
 
   private static final int LAST_MINUTE = 24 * 60 - 1;
@@ -15,7 +15,7 @@
   Rule parse(TraceLine line) throws TraceFormatException {
     int number = (int) line.parse("rule", line.word(1, "rule"), 1, Integer.MAX_VALUE);
     Rule rule = new Rule(number, conditions(line), verdict(line));
-    line.end(3);
+    line.requireEnd(3);
     return rule;
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/Trace.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/Trace.java
@@ -4,11 +4,11 @@
 import org.fescuehook.model.configuration.Declarations;
 
 /**
- * A recorded or written trace.
+ * Declarations and the events of a fleet under them, either recorded or written by hand.
  *
- * @param declarations what was declared
- * @param timing how quickly workers act
- * @param events what happened, in the order of time
+ * @param declarations declarations that were in force
+ * @param timing delays of the workers
+ * @param events events in the order of their times
  */
 public record Trace(Declarations declarations, WorkerTiming timing, List<TraceEvent> events) {
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/TraceEvent.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/TraceEvent.java
@@ -4,13 +4,13 @@
 import org.fescuehook.model.job.Job;
 import org.fescuehook.model.job.JobId;
 
-/** Something that happened, with its time in milliseconds since the beginning of the trace. */
+/** An event of a trace, with its time in milliseconds since the beginning of the trace. */
 public sealed interface TraceEvent {
 
   /** Returns the time in milliseconds since the beginning of the trace. */
   long atMillis();
 
-  /** A job was submitted. Its time of submission counts from the beginning of the trace. */
+  /** A job was submitted. Its submission time is relative to the beginning of the trace. */
   record Submitted(Job job, JobCourse course) implements TraceEvent {
 
     @Override
@@ -22,18 +22,18 @@
   /** A job was cancelled. */
   record Cancelled(long atMillis, JobId job) implements TraceEvent {}
 
-  /** A worker went silent; its tasks end when their leases lapse. */
+  /** A worker stopped responding; its tasks end when their leases expire. */
   record Lapsed(long atMillis, WorkerId worker) implements TraceEvent {}
 
-  /** A silent or leaving worker takes work again. */
+  /** A worker that did not respond or was leaving accepts work again. */
   record Returned(long atMillis, WorkerId worker) implements TraceEvent {}
 
-  /** A worker takes nothing new; its tasks go on. */
+  /** A worker accepts no new work; its tasks keep running. */
   record Leaving(long atMillis, WorkerId worker) implements TraceEvent {}
 
-  /** A worker begins to fail each task after so many seconds. */
+  /** A worker starts to fail each of its tasks after the given run time. */
   record Failing(long atMillis, WorkerId worker, long afterSeconds) implements TraceEvent {}
 
-  /** A worker no longer fails its tasks. */
+  /** A failing worker stops failing its tasks. */
   record Mended(long atMillis, WorkerId worker) implements TraceEvent {}
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/TraceFormatException.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/TraceFormatException.java
@@ -1,6 +1,6 @@
 package org.fescuehook.logic.trace;
 
-/** A line of a trace is wrong. */
+/** Thrown if a line of a trace is malformed. */
 public final class TraceFormatException extends Exception {
 
   private static final long serialVersionUID = 1;
@@ -14,7 +14,7 @@
    *
    * @param file name of the trace
    * @param line number of the line, from 1
-   * @param field the field, or a position such as {@code word 2}
+   * @param field name of the malformed field or word
    * @param problem what is wrong
    */
   public TraceFormatException(String file, int line, String field, String problem) {
@@ -34,7 +34,7 @@
     return line;
   }
 
-  /** Returns the field that is wrong. */
+  /** Returns the name of the malformed field or word. */
   public String field() {
     return field;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/TraceLine.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/TraceLine.java
@@ -8,14 +8,16 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** A line of a trace: plain words, then fields of the form {@code name=value}. */
+/**
+ * A line of a trace. It consists of plain words, followed by fields of the form {@code name=value}.
+ */
 final class TraceLine {
 
   private final String file;
   private final int number;
   private final List<String> words = new ArrayList<>();
   private final Map<String, String> fields = new LinkedHashMap<>();
-  private final Set<String> read = new HashSet<>();
+  private final Set<String> readFields = new HashSet<>();
 
   TraceLine(String file, int number, String text) throws TraceFormatException {
     this.file = file;
@@ -41,7 +43,7 @@
     return new TraceFormatException(file, number, field, problem);
   }
 
-  /** Returns a word by its position from 0. */
+  /** Returns the word at a position, counted from 0. */
   String word(int position, String meaning) throws TraceFormatException {
     if (position >= words.size()) {
       throw error(meaning, "is missing");
@@ -49,13 +51,13 @@
     return words.get(position);
   }
 
-  /** Tells whether a plain word stands in the line. */
+  /** Tells whether the line contains a plain word. */
   boolean hasWord(String word) {
     return words.contains(word);
   }
 
   Optional<String> optional(String name) {
-    read.add(name);
+    readFields.add(name);
     return Optional.ofNullable(fields.get(name));
   }
 
@@ -120,13 +122,13 @@
     return ends;
   }
 
-  /** Checks that no more words stand in the line, and no field that was not read. */
-  void end(int wordCount) throws TraceFormatException {
+  /** Checks that the line has no further words and no fields that were not read. */
+  void requireEnd(int wordCount) throws TraceFormatException {
     if (words.size() > wordCount) {
       throw error(words.get(wordCount), "is one word too many");
     }
     for (String name : fields.keySet()) {
-      if (!read.contains(name)) {
+      if (!readFields.contains(name)) {
         throw error(name, "is not known here");
       }
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/TraceParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/TraceParser.java
@@ -25,13 +25,13 @@
 import org.fescuehook.model.organisation.OrganisationId;
 import org.fescuehook.model.rule.Rule;
 
-/** Parses the text of a trace. Not for use again after one trace. */
+/** Parses the text of a trace. An instance parses one trace only. */
 public final class TraceParser {
 
-  /** First line of a trace in the version that is read and written here. */
+  /** First line of a trace. It states the version of the format; no other version is supported. */
   public static final String HEADER = "fescuehook-trace 1";
 
-  /** Address that stands for a worker of a trace, which no replay contacts. */
+  /** Placeholder address of a worker in a trace; a replay never connects to it. */
   private static final InetSocketAddress NO_ADDRESS =
       InetSocketAddress.createUnresolved("trace", 1);
 
@@ -58,7 +58,7 @@
   /**
    * Parses a whole trace.
    *
-   * @throws TraceFormatException at the first wrong line
+   * @throws TraceFormatException at the first malformed line
    */
   public Trace parse(List<String> lines) throws TraceFormatException {
     if (lines.isEmpty() || !lines.getFirst().strip().equals(HEADER)) {
@@ -102,7 +102,7 @@
             Duration.ofMillis(line.number("urgent-ms", 1, Long.MAX_VALUE)),
             Duration.ofMillis(line.number("max-wait-ms", 1, Long.MAX_VALUE)),
             line.integer("max-attempts", 1));
-    line.end(1);
+    line.requireEnd(1);
     return parsed;
   }
 
@@ -112,7 +112,7 @@
             line.number("start-ms", 0, Integer.MAX_VALUE),
             line.number("release-ms", 0, Integer.MAX_VALUE),
             line.number("lease-ms", 0, Integer.MAX_VALUE));
-    line.end(1);
+    line.requireEnd(1);
     return parsed;
   }
 
@@ -123,7 +123,7 @@
             line.decimal("weight", Double.MIN_VALUE, Double.MAX_VALUE),
             line.integer("quota", 0),
             1);
-    line.end(2);
+    line.requireEnd(2);
     return parsed;
   }
 
@@ -134,7 +134,7 @@
             organisationOf(line),
             shape(line),
             line.integer("count", 1));
-    line.end(2);
+    line.requireEnd(2);
     return parsed;
   }
 
@@ -146,7 +146,7 @@
             new FailureDomain(line.text("domain")),
             new RackId(line.text("rack")),
             capacity(line));
-    line.end(2);
+    line.requireEnd(2);
     return parsed;
   }
 
@@ -158,28 +158,28 @@
     lastMillis = at;
     String kind = line.word(2, "kind of event");
     TraceEvent event = event(line, at, kind);
-    line.end(4);
+    line.requireEnd(4);
     return event;
   }
 
   private TraceEvent event(TraceLine line, long at, String kind) throws TraceFormatException {
     return switch (kind) {
-      case "submit" -> submitted(line, at);
-      case "cancel" -> new TraceEvent.Cancelled(at, new JobId(known(line, "job")));
-      case "lapse" -> new TraceEvent.Lapsed(at, new WorkerId(known(line, "worker")));
-      case "return" -> new TraceEvent.Returned(at, new WorkerId(known(line, "worker")));
-      case "leave" -> new TraceEvent.Leaving(at, new WorkerId(known(line, "worker")));
+      case "submit" -> submission(line, at);
+      case "cancel" -> new TraceEvent.Cancelled(at, new JobId(knownName(line, "job")));
+      case "lapse" -> new TraceEvent.Lapsed(at, new WorkerId(knownName(line, "worker")));
+      case "return" -> new TraceEvent.Returned(at, new WorkerId(knownName(line, "worker")));
+      case "leave" -> new TraceEvent.Leaving(at, new WorkerId(knownName(line, "worker")));
       case "fail" ->
           new TraceEvent.Failing(
               at,
-              new WorkerId(known(line, "worker")),
+              new WorkerId(knownName(line, "worker")),
               line.number("after-s", 0, Integer.MAX_VALUE));
-      case "mend" -> new TraceEvent.Mended(at, new WorkerId(known(line, "worker")));
+      case "mend" -> new TraceEvent.Mended(at, new WorkerId(knownName(line, "worker")));
       default -> throw line.error(kind, "is not a kind of event");
     };
   }
 
-  private TraceEvent submitted(TraceLine line, long at) throws TraceFormatException {
+  private TraceEvent submission(TraceLine line, long at) throws TraceFormatException {
     String name = line.word(3, "job");
     if (!names.add("job " + name)) {
       throw line.error("job", name + " stands twice");
@@ -239,7 +239,7 @@
     return name;
   }
 
-  private String known(TraceLine line, String kind) throws TraceFormatException {
+  private String knownName(TraceLine line, String kind) throws TraceFormatException {
     String name = line.word(3, kind);
     if (!names.contains(kind + " " + name)) {
       throw line.error(kind, name + " is not known above");
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/TraceWriter.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/TraceWriter.java
@@ -14,7 +14,7 @@
 import org.fescuehook.model.rule.Rule;
 import org.fescuehook.model.rule.Verdict;
 
-/** Writes the text of a trace; {@link TraceParser} reads it back as an equal trace. */
+/** Writes the text of a trace. Parsing the text with {@link TraceParser} gives an equal trace. */
 public final class TraceWriter {
 
   /** Returns the lines of a trace. */
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/WorkerTiming.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/WorkerTiming.java
@@ -1,14 +1,15 @@
 package org.fescuehook.logic.trace;
 
 /**
- * How quickly workers act, in milliseconds.
+ * Delays of the workers in a replay, in milliseconds.
  *
- * @param startMillis from the decision to the start of all members
- * @param releaseMillis from the end of an attempt to its resources being known as free
- * @param leaseMillis from a worker's silence to its resources being surely free
+ * @param startMillis time from the decision to start an attempt to the start of all its members
+ * @param releaseMillis time from the end of an attempt until its resources are known to be free
+ * @param leaseMillis time from a worker's last response until its leases have certainly expired and
+ *     its resources are free
  */
 public record WorkerTiming(long startMillis, long releaseMillis, long leaseMillis) {
 
-  /** Timing where a trace states none. */
+  /** Timing that applies if a trace states none. */
   public static final WorkerTiming DEFAULT = new WorkerTiming(300, 500, 30_000);
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Traces of what happened to a fleet and its jobs: their text, and their replay on a virtual clock.
+ * Traces of the events of a fleet and its jobs: their text format, and their replay on a virtual
+ * clock.
  */
 @NullMarked
 package org.fescuehook.logic.trace;
--- a/fescuehook/src/main/java/org/fescuehook/logic/worker/WorkerPort.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/worker/WorkerPort.java
@@ -4,8 +4,8 @@
 import org.fescuehook.model.fleet.WorkerId;
 
 /**
- * Sends commands to workers. Calls return at once; each answer, or the failure to get one, comes
- * back as a {@link WorkerReply} to the sink given at construction.
+ * Sends commands to workers. Calls return immediately. Each answer, or the failure to get one, is
+ * passed as a {@link WorkerReply} to the sink given to the constructor of the implementation.
  */
 public interface WorkerPort {
 
@@ -36,7 +36,7 @@
     record Release(String lease) implements WorkerCommand {}
   }
 
-  /** State of a lease by its worker's word. */
+  /** State of a lease as reported by its worker. */
   enum LeaseState {
     HELD,
     RUNNING,
@@ -55,13 +55,13 @@
     /** The lease was granted. */
     record Granted(WorkerId worker, String key, String lease) implements WorkerReply {}
 
-    /** The worker has not the resources. */
+    /** The worker refused the lease because it does not have the resources. */
     record GrantRefused(WorkerId worker, String key, String reason) implements WorkerReply {}
 
-    /** States of leases, as answer to a start, renewal, checkpoint, throttle or release. */
+    /** States of leases, in answer to a start, renewal, checkpoint, throttle or release. */
     record States(WorkerId worker, List<State> states) implements WorkerReply {}
 
-    /** No answer; the command may have taken effect. */
+    /** The worker did not answer; the command may nevertheless have taken effect. */
     record Silent(WorkerId worker, WorkerCommand command, String step) implements WorkerReply {}
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/worker/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/worker/package-info.java
@@ -1,4 +1,4 @@
-/** Port to workers: leases, start, renewals, stop. */
+/** Port to workers: granting, starting, renewing and releasing leases. */
 @NullMarked
 package org.fescuehook.logic.worker;
 
