--- a/fescuehook/src/test/java/org/fescuehook/logic/configuration/DeclarationsComparisonTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/configuration/DeclarationsComparisonTest.java
@@ -64,7 +64,7 @@
               """);
 
   @Test
-  void differencesAreToldInOperatorsWords() throws FaultyInputException {
+  void differencesAreDescribedForOperators() throws FaultyInputException {
     verify(new DeclarationsComparison(Optional.of(parse(BEFORE)), parse(AFTER)));
   }
 
@@ -74,15 +74,17 @@
   }
 
   @Test
-  void movedAddressIsADifference() throws FaultyInputException {
-    Declarations moved = parse(BEFORE.replace("10.0.0.1:{7201..}", "10.0.0.1:{7201..7208}"));
+  void changedAddressIsADifference() throws FaultyInputException {
+    Declarations sameAddresses =
+        parse(BEFORE.replace("10.0.0.1:{7201..}", "10.0.0.1:{7201..7208}"));
     assertEquals(
-        List.of(), new DeclarationsComparison(Optional.of(parse(BEFORE)), moved).differences());
+        List.of(),
+        new DeclarationsComparison(Optional.of(parse(BEFORE)), sameAddresses).differences());
 
-    Declarations other = parse(BEFORE.replace("{7201..}", "{7301..}"));
+    Declarations changedAddresses = parse(BEFORE.replace("{7201..}", "{7301..}"));
     assertEquals(
         "~ address of worker w-1: 10.0.0.1:7201 -> 10.0.0.1:7301",
-        new DeclarationsComparison(Optional.of(parse(BEFORE)), other)
+        new DeclarationsComparison(Optional.of(parse(BEFORE)), changedAddresses)
             .differences()
             .getFirst()
             .describe());
--- a/fescuehook/src/test/java/org/fescuehook/logic/configuration/DeclarationsParserTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/configuration/DeclarationsParserTest.java
@@ -34,7 +34,7 @@
   private static final String SURVEYS =
       "[organisation surveys]\nquota-accelerators = 32\nrequest-share = 8\n";
 
-  private static final String DISAGREEING =
+  private static final String INCONSISTENT =
       SURVEYS
           + """
             [organisation coaches]
@@ -107,7 +107,7 @@
             """;
 
   @Test
-  void faultsOfFormAreReportedAtOnce() {
+  void syntaxFaultsAreReportedAtOnce() {
     verifyFaults(
         """
         [policy]
@@ -160,12 +160,12 @@
   }
 
   @Test
-  void itemsThatDisagreeAreReportedAtOnce() {
-    verifyFaults(DISAGREEING);
+  void inconsistentItemsAreReportedAtOnce() {
+    verifyFaults(INCONSISTENT);
   }
 
   @Test
-  void guaranteesThatFitInSumButNotInTheRacksTogetherAreRefused() {
+  void guaranteesThatFitInTotalButNotIntoTheRacksAreRejected() {
     String twoRacksOfTwo = RACK_OF_FOUR.replace("rack = r1", "rack = r{1../2}");
     verifyFaults(
         SURVEYS
@@ -216,17 +216,17 @@
   }
 
   @Test
-  void emptyFleetIsRefused() {
-    FaultyInputException refused = assertThrows(FaultyInputException.class, () -> parse(SURVEYS));
+  void emptyFleetIsRejected() {
+    FaultyInputException rejected = assertThrows(FaultyInputException.class, () -> parse(SURVEYS));
 
     assertEquals(
         "declarations.ini: the fleet is empty; accepted: at least one [worker NAME], [workers"
             + " NAME-{1..9}], [executor NAME] or [executors NAME-{1..9}]",
-        refused.getMessage());
+        rejected.getMessage());
   }
 
   @Test
-  void manyAlikeWorkersAreDeclaredByOneSection() throws FaultyInputException {
+  void oneSectionDeclaresManySimilarWorkers() throws FaultyInputException {
     List<Worker> workers =
         parse(
                 """
@@ -252,7 +252,7 @@
   }
 
   @Test
-  void rulesThatNoJobReachesAreWarnedOf() throws FaultyInputException {
+  void unreachableRulesCauseWarnings() throws FaultyInputException {
     CheckedDeclarations checked =
         parse(
             """
@@ -282,7 +282,7 @@
   }
 
   @Test
-  void conditionsAndDecisionsAreWrittenAsTheyAreRead() throws Exception {
+  void conditionsAndVerdictsAreWrittenAsTheyAreParsed() throws Exception {
     String when =
         "organisation=surveys, accelerators=1-8, declared=1h-, urgent=true, time=22:00-06:00,"
             + " load=0.8-1";
@@ -294,7 +294,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"surveys", "coaches"})
-  void examplesForUsersAreCorrect(String example) throws Exception {
+  void examplesForUsersAreValid(String example) throws Exception {
     Path folder = Path.of(System.getProperty("basedir", "."), "../docs/users/examples", example);
 
     CheckedDeclarations checked =
@@ -315,7 +315,7 @@
   }
 
   private static void verifyFaults(String text) {
-    FaultyInputException refused = assertThrows(FaultyInputException.class, () -> parse(text));
-    Approvals.verify(refused.getMessage());
+    FaultyInputException rejected = assertThrows(FaultyInputException.class, () -> parse(text));
+    Approvals.verify(rejected.getMessage());
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/configuration/DeclarationsPropertyTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/configuration/DeclarationsPropertyTest.java
@@ -58,7 +58,7 @@
           "[1:7200");
 
   @Property(tries = 3000, seed = "20261202")
-  void anyDeclarationsAreReadOrRefusedWithFaults(@ForAll("declarations") String text) {
+  void anyDeclarationsAreParsedOrRejectedWithFaults(@ForAll("declarations") String text) {
     try {
       new DeclarationsParser().check(List.of(IniSource.of("d.ini", text)));
     } catch (FaultyInputException e) {
--- a/fescuehook/src/test/java/org/fescuehook/logic/ini/IniParserTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/ini/IniParserTest.java
@@ -19,7 +19,7 @@
 class IniParserTest {
 
   @Test
-  void valuesAreTakenAsTheyStand() {
+  void valuesAreTakenLiterally() {
     IniDocument document = parse("[a.b c]\nx.y = ${env:HOME}, 1:2 = 3 # comment\n");
 
     assertEquals(List.of(), document.faults());
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void linesAreCountedOverComments() {
+  void lineNumbersCountCommentsAndBlankLines() {
     IniDocument document = parse("# one \\\r\n[s]\r\na = 1\r\n\r\n; five\r\nb = 4\r\n");
 
     IniSection section = document.section("s").orElseThrow();
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void valueThatGoesOnInTheNextLineIsRefused() {
+  void valueThatContinuesOnTheNextLineIsRejected() {
     IniDocument document = parse("[s]\na = 1 \\\n# of 2\n");
 
     assertEquals(
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void textThatIsNotUtf8IsRefusedWithItsPlace() {
+  void textThatIsNotUtf8IsRejectedWithItsPlace() {
     byte[] latin = "[s]\na = Évora\n".getBytes(StandardCharsets.ISO_8859_1);
 
     IniDocument document = new IniParser().parse(List.of(new IniSource("f.ini", latin)));
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void sectionThatStandsInTwoFilesIsAFault() {
+  void sectionThatOccursInTwoFilesIsAFault() {
     IniDocument document =
         new IniParser()
             .parse(List.of(IniSource.of("a.ini", "[s]\n"), IniSource.of("b.ini", "\n[s]\n")));
@@ -68,7 +68,8 @@
   }
 
   @Property(tries = 5000, seed = "20261202")
-  void everyKeyOfAnyTextIsReadOrNamedAsAFault(@ForAll("iniLikeText") String text) throws Exception {
+  void everyKeyOfAnyTextIsParsedOrReportedAsAFault(@ForAll("iniLikeText") String text)
+      throws Exception {
     IniDocument document = parse(text);
 
     if (document.faults().isEmpty()) {
--- a/fescuehook/src/test/java/org/fescuehook/logic/membership/PeerTableTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/membership/PeerTableTest.java
@@ -15,7 +15,7 @@
   private static final VmId B = new VmId("b");
 
   @Test
-  void aPeerIsAliveUntilItsTimeout() {
+  void aPeerIsAliveUntilItsHeartbeatIsOlderThanTheTimeout() {
     PeerTable table = PeerTable.EMPTY.heard(report(A, 1, true), 0);
 
     assertEquals(Set.of(A), table.alive(TIMEOUT, seconds(2)));
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void onlyPeersThatSaySoReachTheLog() {
+  void onlyPeersThatReportAReachableLogAreListedAsReachingIt() {
     PeerTable table = PeerTable.EMPTY.heard(report(A, 1, true), 0).heard(report(B, 1, false), 0);
 
     assertEquals(Set.of(A, B), table.alive(TIMEOUT, 0));
@@ -31,14 +31,14 @@
   }
 
   @Test
-  void aNewerHeartbeatReplacesTheOlder() {
+  void aNewerHeartbeatReplacesAnOlderOne() {
     PeerTable table = PeerTable.EMPTY.heard(report(A, 1, true), 0).heard(report(A, 1, false), 1);
 
     assertEquals(Set.of(), table.reachingLog(TIMEOUT, 1));
   }
 
   @Test
-  void thePeerWithTheHighestRevisionAboveOursIsAhead() {
+  void thePeerWithTheHighestRevisionAboveTheGivenOneIsAhead() {
     PeerTable table = PeerTable.EMPTY.heard(report(A, 5, true), 0).heard(report(B, 7, true), 0);
 
     assertEquals(Optional.of(B), table.ahead(4, TIMEOUT, 0).map(PeerReport::vm));
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void aSilentPeerIsForgotten() {
+  void aPeerWithoutRecentHeartbeatIsRemoved() {
     PeerTable table =
         PeerTable.EMPTY.heard(report(A, 1, true), 0).heard(report(B, 1, true), seconds(20));
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/membership/ReadinessTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/membership/ReadinessTest.java
@@ -17,7 +17,7 @@
   private final Readiness readiness = new Readiness(Duration.ofSeconds(10));
 
   @Test
-  void aVmThatReadsTheLogToItsEndIsReady() {
+  void aVmThatHasReadTheLogToItsEndIsReady() {
     assertEquals(Optional.empty(), judge(facts(true, secondsAgo(1), NEVER, NEVER)));
   }
 
@@ -36,30 +36,30 @@
   }
 
   @Test
-  void aVmThatStillReadsOldRecordsIsNotReady() {
+  void aVmThatIsStillCatchingUpWithTheLogIsNotReady() {
     assertEquals(
         Optional.of(NotReady.CATCHING_UP), judge(facts(false, secondsAgo(1), NEVER, NEVER)));
   }
 
   @Test
-  void aVmThatHearsNeitherLogNorPeerIsReadyUntilItsKnowledgeIsStale() {
+  void aVmWithoutContactToLogAndPeersIsReadyUntilItsStateIsStale() {
     assertEquals(Optional.empty(), judge(facts(true, secondsAgo(10), secondsAgo(60), NEVER)));
     assertEquals(
         Optional.of(NotReady.ISOLATED), judge(facts(true, secondsAgo(11), secondsAgo(60), NEVER)));
   }
 
   @Test
-  void aVmCutFromTheLogStaysReadyAsLongAsItHearsAPeer() {
+  void aVmThatCannotReachTheLogStaysReadyWhileAPeerSendsHeartbeats() {
     assertEquals(Optional.empty(), judge(facts(true, secondsAgo(3600), secondsAgo(1), NEVER)));
   }
 
   @Test
-  void aVmStartedInAnOutageOfTheLogIsReadyWithAConfigurationOfAPeer() {
+  void aVmStartedDuringAnOutageOfTheLogIsReadyWithTheConfigurationOfAPeer() {
     assertEquals(Optional.empty(), judge(facts(false, NEVER, secondsAgo(1), NEVER)));
   }
 
   @Test
-  void aVmThatCannotGetANewerConfigurationOfAPeerIsNotReady() {
+  void aVmThatStaysBehindThePeersConfigurationIsNotReady() {
     assertEquals(
         Optional.empty(), judge(facts(true, secondsAgo(60), secondsAgo(1), secondsAgo(9))));
     assertEquals(
--- a/fescuehook/src/test/java/org/fescuehook/logic/preferences/SchedulerSettingsParserTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/preferences/SchedulerSettingsParserTest.java
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void completeSettingsAreRead() throws FaultyInputException {
+  void completeSettingsAreParsed() throws FaultyInputException {
     SchedulerPreferences preferences = parse(COMPLETE);
 
     assertEquals("vm-1", preferences.identity().vm().value());
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void allFaultsAreNamedAtOnce() {
+  void allFaultsAreReportedAtOnce() {
     String faulty =
         COMPLETE
             .replace("store = 10.200.1.7:8524\n", "")
--- a/fescuehook/src/test/java/org/fescuehook/logic/preferences/SettingsDocumentTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/preferences/SettingsDocumentTest.java
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void exampleIsCorrectAndGivesTheDefaults() throws FaultyInputException {
+  void exampleIsValidAndHasTheDefaults() throws FaultyInputException {
     IniSource example = IniSource.of("example.ini", new SettingsDocument().example());
 
     EntryPreferences preferences = new SettingsParser(PortProbe.NONE).parse(example);
--- a/fescuehook/src/test/java/org/fescuehook/logic/preferences/SettingsParserTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/preferences/SettingsParserTest.java
@@ -32,12 +32,12 @@
       """;
 
   @Test
-  void keysThatAreNotGivenHaveTheirDefaults() throws FaultyInputException {
+  void keysThatAreNotSetHaveTheirDefaults() throws FaultyInputException {
     assertEquals(ControlPreferences.DEFAULT, parse(REQUIRED).control());
   }
 
   @Test
-  void durationsAndSizesAreReadByTheirUnits() throws FaultyInputException {
+  void durationsAndSizesAreParsedWithTheirUnits() throws FaultyInputException {
     EntryPreferences preferences =
         parse(REQUIRED + "[control]\nlease-ttl = 1.5 m ; long\n[requests]\nmax-body = 2MiB\n");
 
@@ -84,7 +84,7 @@
   }
 
   @Test
-  void limitsThatContradictOneAnotherAreReported() {
+  void limitsThatContradictEachOtherAreReported() {
     verifyFaults(
         REQUIRED.replace("operator = 127.0.0.1:7002", "operator = 0.0.0.0:7000")
             + """
@@ -109,7 +109,7 @@
     PortProbe probe =
         address -> address.getPort() == 7001 ? Optional.of("in use") : Optional.empty();
 
-    FaultyInputException refused =
+    FaultyInputException rejected =
         assertThrows(
             FaultyInputException.class,
             () -> new SettingsParser(probe).parse(IniSource.of("settings.ini", REQUIRED)));
@@ -117,7 +117,7 @@
     assertEquals(
         "settings.ini:6: [addresses] peer = [::1]:7001: cannot listen on [0:0:0:0:0:0:0:1]:7001:"
             + " in use; accepted: an address of this VM with a free port",
-        refused.getMessage());
+        rejected.getMessage());
   }
 
   @Test
@@ -125,9 +125,9 @@
     String settings = REQUIRED + "[control]\n";
     String faulty = settings.replace("peer = ", "operator-token = hunter2\npeer = ");
 
-    FaultyInputException refused = assertThrows(FaultyInputException.class, () -> parse(faulty));
+    FaultyInputException rejected = assertThrows(FaultyInputException.class, () -> parse(faulty));
 
-    assertFalse(refused.getMessage().contains("hunter2"), refused.getMessage());
+    assertFalse(rejected.getMessage().contains("hunter2"), rejected.getMessage());
   }
 
   private static EntryPreferences parse(String text) throws FaultyInputException {
@@ -135,7 +135,7 @@
   }
 
   private static void verifyFaults(String text) {
-    FaultyInputException refused = assertThrows(FaultyInputException.class, () -> parse(text));
-    Approvals.verify(refused.getMessage());
+    FaultyInputException rejected = assertThrows(FaultyInputException.class, () -> parse(text));
+    Approvals.verify(rejected.getMessage());
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/rule/RuleMatcherTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/rule/RuleMatcherTest.java
@@ -16,14 +16,14 @@
 
 class RuleMatcherTest {
 
-  private static final long MINUTE = 60_000;
+  private static final long MINUTE_MILLIS = 60_000;
   private static final Verdict.Admit LOW = new Verdict.Admit(1, true);
   private static final Verdict.Admit HIGH = new Verdict.Admit(9, false);
 
   private final RuleMatcher matcher = new RuleMatcher();
 
   @Test
-  void theFirstMatchingRuleCounts() {
+  void theFirstMatchingRuleIsApplied() {
     List<Rule> rules =
         List.of(
             new Rule(3, List.of(new Condition.Urgent(true)), LOW),
@@ -34,24 +34,24 @@
   }
 
   @Test
-  void withoutAMatchTheJobIsAdmittedUnderNumberZero() {
+  void withoutAMatchTheJobIsAdmittedWithRuleNumberZero() {
     List<Rule> rules = List.of(new Rule(1, List.of(new Condition.Urgent(true)), LOW));
 
     assertEquals(RuleMatcher.NO_RULE, matcher.match(rules, job(), 0, 0));
   }
 
   @Test
-  void aTimeOfDayMayPassOverMidnight() {
+  void aRangeOfTheDayMayCrossMidnight() {
     List<Rule> night =
         List.of(new Rule(1, List.of(new Condition.MinuteOfDayBetween(22 * 60, 6 * 60)), LOW));
 
-    assertEquals(1, matcher.match(night, job(), 23 * 60 * MINUTE, 0).rule());
-    assertEquals(1, matcher.match(night, job(), 6 * 60 * MINUTE, 0).rule());
-    assertEquals(0, matcher.match(night, job(), 6 * 61 * MINUTE, 0).rule());
+    assertEquals(1, matcher.match(night, job(), 23 * 60 * MINUTE_MILLIS, 0).rule());
+    assertEquals(1, matcher.match(night, job(), 6 * 60 * MINUTE_MILLIS, 0).rule());
+    assertEquals(0, matcher.match(night, job(), 6 * 61 * MINUTE_MILLIS, 0).rule());
   }
 
   @Test
-  void bothEndsOfALoadRangeCount() {
+  void bothEndsOfALoadRangeAreIncluded() {
     List<Rule> busy = List.of(new Rule(1, List.of(new Condition.LoadBetween(0.8, 1)), LOW));
 
     assertEquals(1, matcher.match(busy, job(), 0, 0.8).rule());
--- a/fescuehook/src/test/java/org/fescuehook/logic/rule/UnreachableRuleFinderTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/rule/UnreachableRuleFinderTest.java
@@ -19,10 +19,10 @@
   private static final OrganisationId BIO = new OrganisationId("bio");
 
   @Test
-  void aRuleBelowOneThatMatchesMoreIsFound() {
+  void aRuleCoveredByAnEarlierRuleIsUnreachable() {
     assertEquals(
         List.of(2),
-        found(
+        unreachable(
             new Rule(1, List.of(new Condition.DeclaredSecondsBetween(0, 3600)), ADMIT),
             new Rule(
                 2,
@@ -33,19 +33,19 @@
   }
 
   @Test
-  void aRuleThatReachesBeyondTheEarlierOneIsNotFound() {
+  void aRuleThatMatchesMoreThanAnEarlierRuleIsReachable() {
     assertEquals(
         List.of(),
-        found(
+        unreachable(
             new Rule(1, List.of(new Condition.DeclaredSecondsBetween(0, 3600)), ADMIT),
             new Rule(2, List.of(new Condition.DeclaredSecondsBetween(60, 3601)), ADMIT)));
   }
 
   @Test
-  void conditionsThatContradictEachOtherAreFound() {
+  void aRuleWithContradictoryConditionsIsUnreachable() {
     assertEquals(
         List.of(1, 2),
-        found(
+        unreachable(
             new Rule(1, List.of(new Condition.Urgent(true), new Condition.Urgent(false)), ADMIT),
             new Rule(
                 2,
@@ -56,13 +56,13 @@
   }
 
   @Test
-  void anOrganisationThatIsNotDeclaredIsFound() {
+  void aRuleForAnUndeclaredOrganisationIsUnreachable() {
     Condition other = new Condition.OfOrganisation(new OrganisationId("nobody"));
 
-    assertEquals(List.of(1), found(new Rule(1, List.of(other), ADMIT)));
+    assertEquals(List.of(1), unreachable(new Rule(1, List.of(other), ADMIT)));
   }
 
-  private static List<Integer> found(Rule... rules) {
+  private static List<Integer> unreachable(Rule... rules) {
     Declarations declarations =
         new Declarations(
             List.of(new Organisation(BIO, 1, 8, 1)),
--- a/fescuehook/src/test/java/org/fescuehook/logic/story/DayStoryTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/story/DayStoryTest.java
@@ -33,7 +33,7 @@
           event(9000, 8013, "Job dd ended COMPLETED after 7000 ms"));
 
   @Test
-  void lateJobsAreThoseBeyondTheirObjectiveTheMostWorkFirst() {
+  void jobsThatExceedTheirObjectiveAreListedInDescendingOrderOfWork() {
     DayStory day = DayStory.of(LOG);
 
     assertEquals(4, day.jobs());
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void theCausesAddUpToAllTimeThatWasLost() {
+  void lostTimeByCauseAddsUpToTheDelayOfAllLateJobs() {
     DayStory day = DayStory.of(LOG);
 
     long all = day.late().stream().mapToLong(DayStory.LateJob::lateMillis).sum();
--- a/fescuehook/src/test/java/org/fescuehook/logic/story/JobStoryTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/story/JobStoryTest.java
@@ -28,26 +28,26 @@
           event(20_000, 8031, "Executor e2 silent: timeout, 0 runs there"));
 
   @Test
-  void itHoldsTheJobsEventsThoseOfItsExecutorsAndChangesOfTheOwnerMeanwhile() {
+  void timelineHoldsTheEventsOfTheJobItsExecutorsAndTheOwnerDuringTheJob() {
     List<Integer> numbers =
         JobStory.of(JOB, LOG).events().stream().map(LoggedEvent::number).toList();
     assertEquals(List.of(8010, 8020, 8021, 8031, 8001, 8024), numbers);
   }
 
   @Test
-  void itNamesTheLongestStage() {
+  void theLongestStageIsNamed() {
     JobStory.Stage longest = JobStory.of(JOB, LOG).longestStage().orElseThrow();
     assertEquals(6090, longest.millis());
     assertTrue(longest.name().contains("lease"), longest.name());
   }
 
   @Test
-  void aJobThatNoLineNamesHasNoStory() {
+  void aJobThatNoEventNamesHasAnEmptyTimeline() {
     assertTrue(JobStory.of("0000000000000000", LOG).events().isEmpty());
   }
 
   @Test
-  void aLineIsReadBehindThePrefixOfACollector() {
+  void aLineIsParsedAfterThePrefixOfALogCollector() {
     String line =
         "  18.2418 edge-3 {\"timestamp\":1796247072211,\"level\":\"INFO\","
             + "\"kvpList\": [{\"event\":\"8011\"}],\"formattedMessage\":\"Job a refused\"}";
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void linesWithoutANumberedEventAreLeftOut() {
+  void linesWithoutANumberedEventAreIgnored() {
     LoggedEventParser parser = new LoggedEventParser();
     assertEquals(Optional.empty(), parser.parse(""));
     assertEquals(Optional.empty(), parser.parse("{\"timestamp\":1"));
--- a/fescuehook/src/test/java/org/fescuehook/logic/trace/ReplayTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/trace/ReplayTest.java
@@ -12,7 +12,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Small traces whose outcomes can be checked by hand; each begins with what is expected. */
+/**
+ * Replays small traces whose outcomes can be checked by hand. Each trace file begins with a comment
+ * that states the expected outcome.
+ */
 class ReplayTest {
 
   @ParameterizedTest
--- a/fescuehook/src/test/java/org/fescuehook/logic/trace/TraceParserTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/trace/TraceParserTest.java
@@ -13,7 +13,7 @@
 
   private static final String SHAPE = "members=1 accelerators=2 cores=4 memory-mb=10 max-racks=0";
 
-  private static final List<String> GOOD =
+  private static final List<String> VALID =
       List.of(
           "fescuehook-trace 1",
           "policy fragmentation-weight=0.5 reclaim-ms=60000 notice-ms=30000 urgent-ms=3600"
@@ -36,10 +36,10 @@
           "at 10 cancel j1");
 
   @Test
-  void whatIsWrittenIsReadBackUnchanged() throws Exception {
-    Trace trace = new TraceParser("t").parse(GOOD);
+  void writtenTraceIsParsedBackUnchanged() throws Exception {
+    Trace trace = new TraceParser("t").parse(VALID);
 
-    assertEquals(GOOD, new TraceWriter().write(trace));
+    assertEquals(VALID, new TraceWriter().write(trace));
   }
 
   @ParameterizedTest
@@ -59,8 +59,8 @@
     "13, at 8 return w1 now, now",
     "14, bother w1, bother"
   })
-  void aWrongLineIsRefusedWithFileLineAndField(int line, String text, String field) {
-    List<String> lines = new ArrayList<>(GOOD);
+  void aMalformedLineIsRejectedWithFileLineAndField(int line, String text, String field) {
+    List<String> lines = new ArrayList<>(VALID);
     lines.set(line - 1, text);
 
     TraceFormatException e =
