--- a/fescuehook/src/main/java/org/fescuehook/entry/VmState.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/VmState.java
@@ -54,7 +54,7 @@
   /** Takes a heartbeat. */
   void heard(PeerReport report) {
     long now = System.nanoTime();
-    peers.updateAndGet(table -> table.heard(report, now));
+    peers.updateAndGet(table -> table.withHeartbeat(report, now));
     peerContactNanos = OptionalLong.of(now);
   }
 
@@ -126,7 +126,7 @@
 
   /** Returns how far the peers heard within their timeout have folded the control stream. */
   Map<VmId, Long> foldedByPeers() {
-    return peers.get().folded(preferences.peerTimeout(), System.nanoTime());
+    return peers.get().appliedOffsets(preferences.peerTimeout(), System.nanoTime());
   }
 
   /** Tells whether the last read of the control stream succeeded. */
@@ -169,7 +169,7 @@
             logContactNanos,
             peerContactNanos,
             behindSinceNanos);
-    return readiness.judge(facts, System.nanoTime()).map(NotReady::slug);
+    return readiness.evaluate(facts, System.nanoTime()).map(NotReady::slug);
   }
 
   private boolean executorsDeclared() {
--- a/fescuehook/src/main/java/org/fescuehook/logic/membership/PeerTable.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/membership/PeerTable.java
@@ -25,7 +25,7 @@
   }
 
   /** Returns this table updated with a heartbeat. */
-  public PeerTable heard(PeerReport report, long nowNanos) {
+  public PeerTable withHeartbeat(PeerReport report, long nowNanos) {
     Map<VmId, LastHeartbeat> next = new HashMap<>(peers);
     next.put(report.vm(), new LastHeartbeat(report, nowNanos));
     return new PeerTable(Map.copyOf(next));
@@ -59,9 +59,9 @@
    * Returns, for each peer that sent a heartbeat within {@code timeout}, the offset up to which it
    * has applied the control stream.
    */
-  public Map<VmId, Long> folded(Duration timeout, long nowNanos) {
+  public Map<VmId, Long> appliedOffsets(Duration timeout, long nowNanos) {
     return peers.values().stream()
-        .filter(heard -> nowNanos - heard.atNanos <= timeout.toNanos())
+        .filter(last -> nowNanos - last.atNanos <= timeout.toNanos())
         .map(LastHeartbeat::report)
         .collect(Collectors.toUnmodifiableMap(PeerReport::vm, PeerReport::controlNext));
   }
@@ -72,10 +72,10 @@
    */
   public Optional<PeerReport> ahead(long revision, Duration timeout, long nowNanos) {
     Optional<PeerReport> best = Optional.empty();
-    for (LastHeartbeat heard : peers.values()) {
+    for (LastHeartbeat last : peers.values()) {
       long known = best.map(PeerReport::revision).orElse(revision);
-      if (nowNanos - heard.atNanos <= timeout.toNanos() && heard.report.revision() > known) {
-        best = Optional.of(heard.report);
+      if (nowNanos - last.atNanos <= timeout.toNanos() && last.report.revision() > known) {
+        best = Optional.of(last.report);
       }
     }
     return best;
@@ -83,7 +83,7 @@
 
   private Set<VmId> select(Duration timeout, long nowNanos, Predicate<PeerReport> condition) {
     return peers.values().stream()
-        .filter(heard -> nowNanos - heard.atNanos <= timeout.toNanos())
+        .filter(last -> nowNanos - last.atNanos <= timeout.toNanos())
         .map(LastHeartbeat::report)
         .filter(condition)
         .map(PeerReport::vm)
--- a/fescuehook/src/main/java/org/fescuehook/logic/membership/Readiness.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/membership/Readiness.java
@@ -23,7 +23,7 @@
   }
 
   /** Returns why this VM cannot accept work; empty if it can. */
-  public Optional<NotReady> judge(Facts facts, long nowNanos) {
+  public Optional<NotReady> evaluate(Facts facts, long nowNanos) {
     if (!facts.configured) {
       return Optional.of(NotReady.NO_CONFIGURATION);
     }
--- a/fescuehook/src/test/java/org/fescuehook/logic/membership/PeerTableTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/membership/PeerTableTest.java
@@ -16,7 +16,7 @@
 
   @Test
   void aPeerIsAliveUntilItsHeartbeatIsOlderThanTheTimeout() {
-    PeerTable table = PeerTable.EMPTY.heard(report(A, 1, true), 0);
+    PeerTable table = PeerTable.EMPTY.withHeartbeat(report(A, 1, true), 0);
 
     assertEquals(Set.of(A), table.alive(TIMEOUT, seconds(2)));
     assertEquals(Set.of(), table.alive(TIMEOUT, seconds(2) + 1));
@@ -24,7 +24,8 @@
 
   @Test
   void onlyPeersThatReportAReachableLogAreListedAsReachingIt() {
-    PeerTable table = PeerTable.EMPTY.heard(report(A, 1, true), 0).heard(report(B, 1, false), 0);
+    PeerTable table =
+        PeerTable.EMPTY.withHeartbeat(report(A, 1, true), 0).withHeartbeat(report(B, 1, false), 0);
 
     assertEquals(Set.of(A, B), table.alive(TIMEOUT, 0));
     assertEquals(Set.of(A), table.reachingLog(TIMEOUT, 0));
@@ -32,14 +33,16 @@
 
   @Test
   void aNewerHeartbeatReplacesAnOlderOne() {
-    PeerTable table = PeerTable.EMPTY.heard(report(A, 1, true), 0).heard(report(A, 1, false), 1);
+    PeerTable table =
+        PeerTable.EMPTY.withHeartbeat(report(A, 1, true), 0).withHeartbeat(report(A, 1, false), 1);
 
     assertEquals(Set.of(), table.reachingLog(TIMEOUT, 1));
   }
 
   @Test
   void thePeerWithTheHighestRevisionAboveTheGivenOneIsAhead() {
-    PeerTable table = PeerTable.EMPTY.heard(report(A, 5, true), 0).heard(report(B, 7, true), 0);
+    PeerTable table =
+        PeerTable.EMPTY.withHeartbeat(report(A, 5, true), 0).withHeartbeat(report(B, 7, true), 0);
 
     assertEquals(Optional.of(B), table.ahead(4, TIMEOUT, 0).map(PeerReport::vm));
     assertEquals(Optional.empty(), table.ahead(7, TIMEOUT, 0));
@@ -48,7 +51,9 @@
   @Test
   void aPeerWithoutRecentHeartbeatIsRemoved() {
     PeerTable table =
-        PeerTable.EMPTY.heard(report(A, 1, true), 0).heard(report(B, 1, true), seconds(20));
+        PeerTable.EMPTY
+            .withHeartbeat(report(A, 1, true), 0)
+            .withHeartbeat(report(B, 1, true), seconds(20));
 
     PeerTable later = table.withoutSilent(Duration.ofSeconds(10), seconds(20));
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/membership/ReadinessTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/membership/ReadinessTest.java
@@ -18,57 +18,58 @@
 
   @Test
   void aVmThatHasReadTheLogToItsEndIsReady() {
-    assertEquals(Optional.empty(), judge(facts(true, secondsAgo(1), NEVER, NEVER)));
+    assertEquals(Optional.empty(), evaluate(facts(true, secondsAgo(1), NEVER, NEVER)));
   }
 
   @Test
   void aVmWithoutConfigurationIsNotReady() {
     Facts facts = new Facts(false, true, true, secondsAgo(0), secondsAgo(0), NEVER);
 
-    assertEquals(Optional.of(NotReady.NO_CONFIGURATION), judge(facts));
+    assertEquals(Optional.of(NotReady.NO_CONFIGURATION), evaluate(facts));
   }
 
   @Test
   void aVmWithoutAShareOfTheExecutorsSlotsIsNotReady() {
     Facts facts = new Facts(true, false, true, secondsAgo(0), secondsAgo(0), NEVER);
 
-    assertEquals(Optional.of(NotReady.NO_SLOTS), judge(facts));
+    assertEquals(Optional.of(NotReady.NO_SLOTS), evaluate(facts));
   }
 
   @Test
   void aVmThatIsStillCatchingUpWithTheLogIsNotReady() {
     assertEquals(
-        Optional.of(NotReady.CATCHING_UP), judge(facts(false, secondsAgo(1), NEVER, NEVER)));
+        Optional.of(NotReady.CATCHING_UP), evaluate(facts(false, secondsAgo(1), NEVER, NEVER)));
   }
 
   @Test
   void aVmWithoutContactToLogAndPeersIsReadyUntilItsStateIsStale() {
-    assertEquals(Optional.empty(), judge(facts(true, secondsAgo(10), secondsAgo(60), NEVER)));
+    assertEquals(Optional.empty(), evaluate(facts(true, secondsAgo(10), secondsAgo(60), NEVER)));
     assertEquals(
-        Optional.of(NotReady.ISOLATED), judge(facts(true, secondsAgo(11), secondsAgo(60), NEVER)));
+        Optional.of(NotReady.ISOLATED),
+        evaluate(facts(true, secondsAgo(11), secondsAgo(60), NEVER)));
   }
 
   @Test
   void aVmThatCannotReachTheLogStaysReadyWhileAPeerSendsHeartbeats() {
-    assertEquals(Optional.empty(), judge(facts(true, secondsAgo(3600), secondsAgo(1), NEVER)));
+    assertEquals(Optional.empty(), evaluate(facts(true, secondsAgo(3600), secondsAgo(1), NEVER)));
   }
 
   @Test
   void aVmStartedDuringAnOutageOfTheLogIsReadyWithTheConfigurationOfAPeer() {
-    assertEquals(Optional.empty(), judge(facts(false, NEVER, secondsAgo(1), NEVER)));
+    assertEquals(Optional.empty(), evaluate(facts(false, NEVER, secondsAgo(1), NEVER)));
   }
 
   @Test
   void aVmThatStaysBehindThePeersConfigurationIsNotReady() {
     assertEquals(
-        Optional.empty(), judge(facts(true, secondsAgo(60), secondsAgo(1), secondsAgo(9))));
+        Optional.empty(), evaluate(facts(true, secondsAgo(60), secondsAgo(1), secondsAgo(9))));
     assertEquals(
         Optional.of(NotReady.BEHIND),
-        judge(facts(true, secondsAgo(60), secondsAgo(1), secondsAgo(11))));
+        evaluate(facts(true, secondsAgo(60), secondsAgo(1), secondsAgo(11))));
   }
 
-  private Optional<NotReady> judge(Facts facts) {
-    return readiness.judge(facts, NOW);
+  private Optional<NotReady> evaluate(Facts facts) {
+    return readiness.evaluate(facts, NOW);
   }
 
   private static Facts facts(
