--- a/bench/src/main/java/org/fescuehook/bench/batch/LoadedOwner.java
+++ b/bench/src/main/java/org/fescuehook/bench/batch/LoadedOwner.java
@@ -93,7 +93,7 @@
   private static ExecutorProfile executor(int number) {
     RackId rack = new RackId("r" + number / RACK);
     return new ExecutorProfile(
-        Incarnation.undated(new ExecutorId("e" + number)),
+        Incarnation.ofUnknownStart(new ExecutorId("e" + number)),
         new InetSocketAddress(InetAddress.getLoopbackAddress(), 1),
         "pool",
         new FailureDomain("a"),
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchCore.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchCore.java
@@ -176,7 +176,7 @@
 
   private void seen(ExecutorProfile profile, BatchTurn turn) {
     ExecutorProfile known = listed.get(profile.id());
-    if (known != null && profile.incarnation().before(known.incarnation())) {
+    if (known != null && profile.incarnation().startedBefore(known.incarnation())) {
       return;
     }
     listed.put(profile.id(), profile);
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorDuty.java
@@ -125,7 +125,7 @@
       orphans.take(profile.id()).forEach(run -> adopt(executor, run, turn));
       return true;
     }
-    if (profile.incarnation().before(found.get().incarnation())) {
+    if (profile.incarnation().startedBefore(found.get().incarnation())) {
       return false;
     }
     ExecutorState executor = restarts.described(found.get(), profile.incarnation(), turn);
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorState.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorState.java
@@ -94,7 +94,7 @@
 
   /** Takes in when this life began, if that was not known. */
   void datedBy(OptionalLong bornMillis) {
-    incarnation = incarnation.datedBy(bornMillis);
+    incarnation = incarnation.withStart(bornMillis);
   }
 
   /** Returns the life before this one; absent if none is known that had the same id. */
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/Restarts.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/Restarts.java
@@ -52,7 +52,7 @@
    * @return the state of the newest life; what it knows is older than the entry or the same
    */
   ExecutorState described(ExecutorState executor, Incarnation described, BatchTurn turn) {
-    if (executor.incarnation().before(described)) {
+    if (executor.incarnation().startedBefore(described)) {
       return succeed(executor, described, "entry", turn);
     }
     executor.datedBy(described.bornMillis());
--- a/fescuehook/src/main/java/org/fescuehook/model/fleet/Incarnation.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/fleet/Incarnation.java
@@ -13,29 +13,29 @@
 public record Incarnation(ExecutorId id, OptionalLong bornMillis) {
 
   /** Returns the incarnation of an executor that does not report its start time. */
-  public static Incarnation undated(ExecutorId id) {
+  public static Incarnation ofUnknownStart(ExecutorId id) {
     return new Incarnation(id, OptionalLong.empty());
   }
 
   /** Tells whether the other incarnation is known to have started later under the same id. */
-  public boolean before(Incarnation other) {
+  public boolean startedBefore(Incarnation other) {
     return id.equals(other.id)
-        && dated(other)
+        && bothStartsKnown(other)
         && bornMillis.getAsLong() < other.bornMillis.getAsLong();
   }
 
   /** Tells whether the other is known to be a different incarnation. */
   public boolean differsFrom(Incarnation other) {
-    return !id.equals(other.id) || (dated(other) && !bornMillis.equals(other.bornMillis));
+    return !id.equals(other.id) || (bothStartsKnown(other) && !bornMillis.equals(other.bornMillis));
   }
 
-  private boolean dated(Incarnation other) {
+  private boolean bothStartsKnown(Incarnation other) {
     return bornMillis.isPresent() && other.bornMillis.isPresent();
   }
 
   /** Returns this incarnation with the reported start time, if its own start time is unknown. */
-  public Incarnation datedBy(OptionalLong told) {
-    return bornMillis.isPresent() ? this : new Incarnation(id, told);
+  public Incarnation withStart(OptionalLong reportedMillis) {
+    return bornMillis.isPresent() ? this : new Incarnation(id, reportedMillis);
   }
 
   @Override
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/Declared.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/Declared.java
@@ -90,7 +90,7 @@
 
   static ExecutorProfile ofPool(String name, String rack, String pool) {
     return new ExecutorProfile(
-        Incarnation.undated(new ExecutorId(name)),
+        Incarnation.ofUnknownStart(new ExecutorId(name)),
         new InetSocketAddress(InetAddress.getLoopbackAddress(), port(name)),
         pool,
         new FailureDomain("a"),
@@ -112,7 +112,7 @@
 
   /** The same executor in another life. */
   static ExecutorProfile renamed(ExecutorProfile profile, String name) {
-    return inLife(profile, Incarnation.undated(new ExecutorId(name)));
+    return inLife(profile, Incarnation.ofUnknownStart(new ExecutorId(name)));
   }
 
   private static ExecutorProfile inLife(ExecutorProfile profile, Incarnation life) {
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/executor/ExecutorStateTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/executor/ExecutorStateTest.java
@@ -20,7 +20,7 @@
   private static ExecutorState executor() {
     return new ExecutorState(
         new ExecutorProfile(
-            Incarnation.undated(new ExecutorId("e")),
+            Incarnation.ofUnknownStart(new ExecutorId("e")),
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 1),
             "pool",
             new FailureDomain("a"),
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/FilledFleetTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/FilledFleetTest.java
@@ -68,7 +68,7 @@
   private static ExecutorState executor(String name, RackId rack) {
     return new ExecutorState(
         new ExecutorProfile(
-            Incarnation.undated(new ExecutorId(name)),
+            Incarnation.ofUnknownStart(new ExecutorId(name)),
             InetSocketAddress.createUnresolved(name, 1),
             "pool",
             new FailureDomain("domain"),
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/PlannerEquivalenceProperties.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/PlannerEquivalenceProperties.java
@@ -78,7 +78,7 @@
       ExecutorState executor =
           new ExecutorState(
               new ExecutorProfile(
-                  Incarnation.undated(new ExecutorId("e" + number)),
+                  Incarnation.ofUnknownStart(new ExecutorId("e" + number)),
                   InetSocketAddress.createUnresolved("e", 1),
                   random.nextInt(6) == 0 ? "other" : "pool",
                   new FailureDomain("a"),
@@ -151,7 +151,7 @@
     }
 
     private static Incarnation life(String executor) {
-      return Incarnation.undated(new ExecutorId(executor));
+      return Incarnation.ofUnknownStart(new ExecutorId(executor));
     }
 
     private WaitingStep waitingStep() {
--- a/fescuehook/src/test/java/org/fescuehook/platform/ExecutorParserTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/ExecutorParserTest.java
@@ -45,11 +45,11 @@
 
   @Test
   void anEntryTellsWhenItsExecutorStarted() throws MalformedMessageException {
-    Incarnation undated = Incarnation.undated(new ExecutorId("i-1"));
+    Incarnation undated = Incarnation.ofUnknownStart(new ExecutorId("i-1"));
     assertEquals(undated, parse(ENTRY).incarnation());
 
     ExecutorProfile dated = parse(ENTRY.replace("\"slots\"", "\"born\":1786115069591,\"slots\""));
-    assertEquals(undated.datedBy(OptionalLong.of(1_786_115_069_591L)), dated.incarnation());
+    assertEquals(undated.withStart(OptionalLong.of(1_786_115_069_591L)), dated.incarnation());
   }
 
   @Test
--- a/fescuehook/src/test/java/org/fescuehook/platform/ForgottenOrderTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/ForgottenOrderTest.java
@@ -59,7 +59,7 @@
   private BatchCommand.Order stop(int number) {
     ExecutorProfile executor =
         new ExecutorProfile(
-            Incarnation.undated(new ExecutorId("e")),
+            Incarnation.ofUnknownStart(new ExecutorId("e")),
             server.address(),
             "pool",
             new FailureDomain("a"),
--- a/fescuehook/src/test/java/org/fescuehook/platform/UnsentOrderTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/UnsentOrderTest.java
@@ -52,7 +52,7 @@
   private OrderOutcome ended(int number) throws InterruptedException {
     ExecutorProfile executor =
         new ExecutorProfile(
-            Incarnation.undated(new ExecutorId("e")),
+            Incarnation.ofUnknownStart(new ExecutorId("e")),
             server.address(),
             "pool",
             new FailureDomain("a"),
