--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/Fault.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/Fault.java
@@ -10,7 +10,7 @@
  * @param problem what is wrong
  * @param accepted what would be accepted
  */
-public record Fault(Place place, String value, String problem, String accepted) {
+public record Fault(SourceLocation place, String value, String problem, String accepted) {
 
   /** Orders faults by file, then line, then message. */
   public static final Comparator<Fault> BY_PLACE =
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/IniEntry.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/IniEntry.java
@@ -6,7 +6,7 @@
  * @param place place of the key
  * @param value its value, without quotes and comments
  */
-public record IniEntry(Place place, String value) {
+public record IniEntry(SourceLocation place, String value) {
 
   /** Returns the key. */
   public String key() {
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/IniSection.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/IniSection.java
@@ -9,7 +9,7 @@
  * @param place place of its header
  * @param entries its entries in the order of their lines; keys are unique
  */
-public record IniSection(Place place, List<IniEntry> entries) {
+public record IniSection(SourceLocation place, List<IniEntry> entries) {
 
   /** Copies the list. */
   public IniSection {
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/LineScanner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/LineScanner.java
@@ -16,7 +16,7 @@
    * @param place place of the header
    * @param keys places of the keys up to the next header
    */
-  record Header(Place place, List<Place> keys) {}
+  record Header(SourceLocation place, List<SourceLocation> keys) {}
 
   /** Scans the text. */
   LineScanner(String file, String text) {
@@ -45,7 +45,7 @@
       }
       if (line.startsWith("[") && line.endsWith("]")) {
         String name = line.substring(1, line.length() - 1);
-        headers.add(new Header(new Place(file, number, name, ""), new ArrayList<>()));
+        headers.add(new Header(new SourceLocation(file, number, name, ""), new ArrayList<>()));
         continue;
       }
       scanKey(number, line);
@@ -54,13 +54,13 @@
 
   private void scanKey(int number, String line) {
     String section = headers.isEmpty() ? "" : headers.getLast().place().section();
-    Place place = new Place(file, number, section, "");
+    SourceLocation place = new SourceLocation(file, number, section, "");
     int separator = line.indexOf('=');
     if (separator <= 0) {
       faults.add(new Fault(place, "", "\"" + line + "\" is no key with a value", "key = value"));
       return;
     }
-    Place key = place.withKey(line.substring(0, separator).trim());
+    SourceLocation key = place.withKey(line.substring(0, separator).trim());
     if (headers.isEmpty()) {
       faults.add(new Fault(key, "", "stands before any section", "a [section] line above it"));
       return;
@@ -73,7 +73,7 @@
    * Adds a fault for values that the INI library would not take literally: those that continue on
    * the next line, and quoted ones.
    */
-  private void scanValue(Place key, String value) {
+  private void scanValue(SourceLocation key, String value) {
     if (value.endsWith("\\")) {
       faults.add(new Fault(key, value, "goes on in the next line", "each value on one line"));
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/SectionReader.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/SectionReader.java
@@ -66,7 +66,7 @@
   }
 
   /** Returns the place of a key, or of its section if the key is not set. */
-  public Place place(Key<?> key) {
+  public SourceLocation place(Key<?> key) {
     return section
         .entry(key.name())
         .map(IniEntry::place)
--- a/fescuehook/src/main/java/org/fescuehook/logic/membership/Readiness.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/membership/Readiness.java
@@ -23,7 +23,7 @@
   }
 
   /** Returns why this VM cannot accept work; empty if it can. */
-  public Optional<NotReady> evaluate(Facts facts, long nowNanos) {
+  public Optional<NotReady> evaluate(Inputs facts, long nowNanos) {
     if (!facts.configured) {
       return Optional.of(NotReady.NO_CONFIGURATION);
     }
@@ -89,7 +89,7 @@
    *     this VM up to date, and if no peer reaches it, the log itself is unavailable
    * @param behindSinceNanos time since which a peer has had a newer configuration
    */
-  public record Facts(
+  public record Inputs(
       boolean configured,
       boolean slots,
       boolean caughtUp,
--- a/fescuehook/src/main/java/org/fescuehook/logic/story/JobStory.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/story/JobTimeline.java
@@ -15,7 +15,7 @@
  * that were logged between its first and last event. Also lists the stages between the job's own
  * events, which show what it spent its time on.
  */
-public final class JobStory {
+public final class JobTimeline {
 
   /** Name of a stage in which the job was doing its work. */
   public static final String WORK = "work";
@@ -33,7 +33,7 @@
    */
   public record Stage(String name, long millis) {}
 
-  private JobStory(List<LoggedEvent> events, List<Stage> stages) {
+  private JobTimeline(List<LoggedEvent> events, List<Stage> stages) {
     this.events = List.copyOf(events);
     this.stages = List.copyOf(stages);
   }
@@ -44,14 +44,14 @@
    * @param id the job
    * @param log events of all VMs, in any order
    */
-  public static JobStory of(String id, List<LoggedEvent> log) {
+  public static JobTimeline of(String id, List<LoggedEvent> log) {
     List<LoggedEvent> jobEvents =
         log.stream()
             .filter(event -> event.message().contains(id))
             .sorted(Comparator.comparingLong(LoggedEvent::millis))
             .toList();
     if (jobEvents.isEmpty()) {
-      return new JobStory(List.of(), List.of());
+      return new JobTimeline(List.of(), List.of());
     }
     Set<String> executors = new HashSet<>();
     jobEvents.forEach(event -> executor(event).ifPresent(executors::add));
@@ -65,7 +65,7 @@
       }
     }
     all.sort(Comparator.comparingLong(LoggedEvent::millis));
-    return new JobStory(all, stages(jobEvents));
+    return new JobTimeline(all, stages(jobEvents));
   }
 
   private static Optional<String> executor(LoggedEvent event) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/story/DayStory.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/story/LateJobReport.java
@@ -16,7 +16,7 @@
  * of each delay. Objectives are the times logged on acceptance, which rest on the estimated run
  * times.
  */
-public final class DayStory {
+public final class LateJobReport {
 
   private static final Pattern ACCEPTED_MESSAGE =
       Pattern.compile(
@@ -50,15 +50,15 @@
    * @param jobs number of jobs
    * @param lateMillis sum of the times by which they exceeded their objectives
    */
-  public record Loss(String queue, String cause, int jobs, long lateMillis) {}
+  public record LostTime(String queue, String cause, int jobs, long lateMillis) {}
 
-  private DayStory(int jobs, List<LateJob> late) {
+  private LateJobReport(int jobs, List<LateJob> late) {
     this.jobs = jobs;
     this.late = List.copyOf(late);
   }
 
   /** Evaluates all jobs whose acceptance is in the log. The events may be in any order. */
-  public static DayStory of(List<LoggedEvent> log) {
+  public static LateJobReport of(List<LoggedEvent> log) {
     Map<String, List<LoggedEvent>> byJob = new HashMap<>();
     Map<String, LoggedEvent> accepted = new LinkedHashMap<>();
     Map<String, Long> durations = new HashMap<>();
@@ -83,7 +83,7 @@
       late(entry.getValue(), durationMillis, ended.isPresent(), byJob.get(id)).ifPresent(late::add);
     }
     late.sort(Comparator.comparingLong(LateJob::coreSeconds).reversed());
-    return new DayStory(accepted.size(), late);
+    return new LateJobReport(accepted.size(), late);
   }
 
   /** Returns the id of the job that an event about a job or a run starts with. */
@@ -105,11 +105,11 @@
     }
     String id = matcher.group(1);
     String cause =
-        JobStory.of(id, jobEvents).stages().stream()
-            .filter(stage -> !stage.name().equals(JobStory.WORK))
-            .max(Comparator.comparingLong(JobStory.Stage::millis))
+        JobTimeline.of(id, jobEvents).stages().stream()
+            .filter(stage -> !stage.name().equals(JobTimeline.WORK))
+            .max(Comparator.comparingLong(JobTimeline.Stage::millis))
             .filter(stage -> stage.millis() * 2 >= lateMillis)
-            .map(JobStory.Stage::name)
+            .map(JobTimeline.Stage::name)
             .orElse(LONG_WORK);
     long work = Long.parseLong(matcher.group(3));
     return Optional.of(new LateJob(id, matcher.group(2), work, lateMillis, ended, cause));
@@ -129,21 +129,21 @@
    * Returns the delays summed by queue and cause in descending order. Together they cover all late
    * jobs.
    */
-  public List<Loss> losses() {
-    Map<String, Loss> losses = new LinkedHashMap<>();
+  public List<LostTime> losses() {
+    Map<String, LostTime> losses = new LinkedHashMap<>();
     for (LateJob job : late) {
       losses.merge(
           job.queue() + " " + job.cause(),
-          new Loss(job.queue(), job.cause(), 1, job.lateMillis()),
+          new LostTime(job.queue(), job.cause(), 1, job.lateMillis()),
           (one, other) ->
-              new Loss(
+              new LostTime(
                   one.queue(),
                   one.cause(),
                   one.jobs() + other.jobs(),
                   one.lateMillis() + other.lateMillis()));
     }
     return losses.values().stream()
-        .sorted(Comparator.comparingLong(Loss::lateMillis).reversed())
+        .sorted(Comparator.comparingLong(LostTime::lateMillis).reversed())
         .toList();
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/story/LogGap.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/story/LogGap.java
@@ -37,7 +37,7 @@
    * The end of the log of a VM's last process without a planned stop: the process was lost, or is
    * running and had nothing more to log.
    */
-  record Quiet(String vm, long fromMillis) implements LogGap {
+  record OpenEnd(String vm, long fromMillis) implements LogGap {
 
     @Override
     public long toMillis() {
--- a/fescuehook/src/main/java/org/fescuehook/logic/story/LogGapFinder.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/story/LogGapFinder.java
@@ -79,7 +79,7 @@
       boolean last = i + 1 == processes.size();
       gaps.add(
           last
-              ? new LogGap.Quiet(vm, lastMillis)
+              ? new LogGap.OpenEnd(vm, lastMillis)
               : new LogGap.CutOff(vm, lastMillis, processes.get(i + 1).getFirst().millis()));
     }
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/JobCourse.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/JobBehaviour.java
@@ -9,5 +9,5 @@
  * @param failsAfterSeconds run time after which each attempt fails, for a job that never finishes
  * @param checkpointMillis duration of a checkpoint; empty if the job ignores checkpoint requests
  */
-public record JobCourse(
+public record JobBehaviour(
     long runSeconds, OptionalLong failsAfterSeconds, OptionalLong checkpointMillis) {}
--- a/fescuehook/src/main/java/org/fescuehook/model/request/Ran.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/request/ExecutionStatus.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** Whether a request was run, as far as is known. */
-public enum Ran {
+public enum ExecutionStatus {
   /** The request was not run and will not be run. */
   NO,
   /** The request may have been run, completely or in part. */
