--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/OpenRequests.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/OpenRequests.java
@@ -84,7 +84,7 @@
   }
 
   private static RefusalReason truthful(OpenRequest request, RefusalReason reason) {
-    if (!request.mayHaveRun || reason.ran() != ExecutionStatus.NO) {
+    if (!request.mayHaveRun || reason.executionStatus() != ExecutionStatus.NO) {
       return reason;
     }
     return reason == RefusalReason.DEADLINE_BEFORE_DISPATCH
--- a/fescuehook/src/main/java/org/fescuehook/model/request/RefusalReason.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/request/RefusalReason.java
@@ -51,12 +51,12 @@
   EXECUTORS_REFUSED(503, ExecutionStatus.NO, true);
 
   private final int status;
-  private final ExecutionStatus ran;
+  private final ExecutionStatus executionStatus;
   private final boolean retryable;
 
-  RefusalReason(int status, ExecutionStatus ran, boolean retryable) {
+  RefusalReason(int status, ExecutionStatus executionStatus, boolean retryable) {
     this.status = status;
-    this.ran = ran;
+    this.executionStatus = executionStatus;
     this.retryable = retryable;
   }
 
@@ -66,8 +66,8 @@
   }
 
   /** Returns what is known about whether the request was run. */
-  public ExecutionStatus ran() {
-    return ran;
+  public ExecutionStatus executionStatus() {
+    return executionStatus;
   }
 
   /** Tells whether the refusal carries a Retry-After header. */
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/ProblemWriter.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/ProblemWriter.java
@@ -33,7 +33,7 @@
             reason.status(),
             refusal.detail(),
             reason.slug(),
-            reason.ran().slug());
+            reason.executionStatus().slug());
     try {
       return mapper.writeValueAsBytes(problem);
     } catch (JsonProcessingException e) {
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/OutageTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/OutageTest.java
@@ -27,7 +27,7 @@
     Answer refused = s.cluster.answer(s.standBy(), TestDeclarations.gang(1, "finish 1"));
     Answer.Refused refusal = assertInstanceOf(Answer.Refused.class, refused);
     assertEquals(RefusalReason.LOG_UNAVAILABLE, refusal.reason());
-    assertEquals(ExecutionStatus.NO, refusal.reason().ran());
+    assertEquals(ExecutionStatus.NO, refusal.reason().executionStatus());
     assertTrue(refusal.retryAfterSeconds() > 0);
     s.run(595);
     assertEquals(2, s.running(running));
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/RandomHistoriesTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/RandomHistoriesTest.java
@@ -96,7 +96,8 @@
             state
                 .jobs()
                 .findByRequest(TestDeclarations.ORGANISATION.value(), submissions.get(ticket));
-        boolean truthful = refused.reason().ran() != ExecutionStatus.NO || job.isEmpty();
+        boolean truthful =
+            refused.reason().executionStatus() != ExecutionStatus.NO || job.isEmpty();
         assertTrue(truthful, () -> "said not run but accepted: " + refused);
       }
       default -> {}
--- a/fescuehook/src/test/java/org/fescuehook/logic/dispatch/AtMostOnceProperties.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/dispatch/AtMostOnceProperties.java
@@ -211,7 +211,7 @@
           }
           case DispatchCommand.Refuse refuse -> {
             boolean ran = runsOfTicket.getOrDefault(refuse.ticket(), 0) > 0;
-            if (refuse.reason().ran() == ExecutionStatus.NO) {
+            if (refuse.reason().executionStatus() == ExecutionStatus.NO) {
               assertEquals(false, ran, () -> "said not run, but was: " + refuse);
             }
           }
--- a/fescuehook/src/test/java/org/fescuehook/logic/dispatch/SlotDispatcherTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/dispatch/SlotDispatcherTest.java
@@ -55,7 +55,7 @@
     core.end(1, NOT_RUN);
 
     assertEquals(3, core.executorsOf(1).size());
-    assertEquals(ExecutionStatus.UNKNOWN, core.refusalOf(1).orElseThrow().ran());
+    assertEquals(ExecutionStatus.UNKNOWN, core.refusalOf(1).orElseThrow().executionStatus());
   }
 
   @Test
