--- a/bench/src/main/java/org/fescuehook/bench/policy/DecisionCost.java
+++ b/bench/src/main/java/org/fescuehook/bench/policy/DecisionCost.java
@@ -88,7 +88,8 @@
     view.running().forEach(r -> known.add(r.job().id()));
     view.waiting().forEach(w -> known.add(w.job().id()));
     for (TraceEvent e : trace.events()) {
-      if (e instanceof TraceEvent.Submitted(Job job, JobBehaviour course) && known.add(job.id())) {
+      if (e instanceof TraceEvent.Submitted(Job job, JobBehaviour behaviour)
+          && known.add(job.id())) {
         waiting.add(new WaitingJob(job, 0, 0, Set.of()));
       }
       if (waiting.size() >= WAITING) {
--- a/bench/src/main/java/org/fescuehook/bench/policy/PolicyRun.java
+++ b/bench/src/main/java/org/fescuehook/bench/policy/PolicyRun.java
@@ -78,7 +78,7 @@
 
   private static double slowdown(JobOutcome o) {
     double total = o.endMillis().orElseThrow() - o.job().submittedMillis();
-    return total / 1000 / o.course().runSeconds();
+    return total / 1000 / o.behaviour().runSeconds();
   }
 
   /** Returns the waits for the first start, in seconds, of urgent or of all jobs, sorted. */
--- a/bench/src/main/java/org/fescuehook/bench/policy/PolicyTable.java
+++ b/bench/src/main/java/org/fescuehook/bench/policy/PolicyTable.java
@@ -72,7 +72,7 @@
           works.add(
               new Work(
                   o.job().submittedMillis() / 1000.0,
-                  o.course().runSeconds(),
+                  o.behaviour().runSeconds(),
                   o.job().shape().accelerators()));
         }
       }
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/JobOutcome.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/JobOutcome.java
@@ -7,7 +7,7 @@
  * Outcome of a job in a replay. Times are milliseconds since the beginning of the trace.
  *
  * @param job the job
- * @param course how it behaves when it runs, according to the trace
+ * @param behaviour how it behaves when it runs, according to the trace
  * @param end how it ended
  * @param firstStartMillis when it first ran
  * @param endMillis when it ended
@@ -17,7 +17,7 @@
  */
 public record JobOutcome(
     Job job,
-    JobBehaviour course,
+    JobBehaviour behaviour,
     End end,
     OptionalLong firstStartMillis,
     OptionalLong endMillis,
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/ReplayedJob.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/ReplayedJob.java
@@ -14,7 +14,7 @@
 final class ReplayedJob {
 
   final Job job;
-  final JobBehaviour course;
+  final JobBehaviour behaviour;
   final long order;
   final Set<WorkerId> failedOn = new HashSet<>();
   JobOutcome.End end = JobOutcome.End.UNFINISHED;
@@ -34,9 +34,9 @@
   boolean stopping;
   boolean ending;
 
-  ReplayedJob(Job job, JobBehaviour course, long order, Start none) {
+  ReplayedJob(Job job, JobBehaviour behaviour, long order, Start none) {
     this.job = job;
-    this.course = course;
+    this.behaviour = behaviour;
     this.order = order;
     this.start = none;
   }
@@ -72,7 +72,7 @@
   JobOutcome outcome() {
     return new JobOutcome(
         job,
-        course,
+        behaviour,
         end,
         firstStartMillis,
         endMillis,
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/Replayer.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/Replayer.java
@@ -39,7 +39,7 @@
 
   private final Trace trace;
   private final Scheduler scheduler;
-  private final Optional<FaultyWorkerDetector> judge;
+  private final Optional<FaultyWorkerDetector> detector;
   private final ReplayListener listener;
   private final FeasibilityChecker feasibility = new FeasibilityChecker();
   private final RuleMatcher matcher = new RuleMatcher();
@@ -64,17 +64,17 @@
   /**
    * Creates a replay.
    *
-   * @param judge finds workers to quarantine; empty if no worker is to be quarantined
+   * @param detector finds workers to quarantine; empty if no worker is to be quarantined
    * @param listener notified of each decision
    */
   public Replayer(
       Trace trace,
       Scheduler scheduler,
-      Optional<FaultyWorkerDetector> judge,
+      Optional<FaultyWorkerDetector> detector,
       ReplayListener listener) {
     this.trace = trace;
     this.scheduler = scheduler;
-    this.judge = judge;
+    this.detector = detector;
     this.listener = listener;
   }
 
@@ -119,7 +119,7 @@
   }
 
   private void submit(TraceEvent.Submitted event) {
-    ReplayedJob job = new ReplayedJob(event.job(), event.course(), nextOrder++, NO_START);
+    ReplayedJob job = new ReplayedJob(event.job(), event.behaviour(), nextOrder++, NO_START);
     jobs.put(event.job().id(), job);
     submitted.add(job);
     var declarations = trace.declarations();
@@ -174,7 +174,7 @@
     listener.decided(view, plan);
     plan.stops().forEach(this::stop);
     plan.starts().forEach(this::start);
-    judge.ifPresent(j -> j.judge(view).forEach(this::quarantine));
+    detector.ifPresent(d -> d.judge(view).forEach(this::quarantine));
     if (!waiting.isEmpty() && !tickPending) {
       tickPending = true;
       schedule(nowMillis + TICK_MILLIS, () -> tickPending = false);
@@ -193,10 +193,10 @@
         history);
   }
 
-  private void quarantine(FaultyWorkerDetector.Quarantine judgement) {
-    quarantinedUntil.put(judgement.worker(), judgement.untilMillis());
-    history = history.afterQuarantine(judgement.worker(), judgement.untilMillis());
-    schedule(judgement.untilMillis(), () -> {});
+  private void quarantine(FaultyWorkerDetector.Quarantine quarantine) {
+    quarantinedUntil.put(quarantine.worker(), quarantine.untilMillis());
+    history = history.afterQuarantine(quarantine.worker(), quarantine.untilMillis());
+    schedule(quarantine.untilMillis(), () -> {});
   }
 
   private void start(Start start) {
@@ -219,10 +219,10 @@
   }
 
   private void scheduleEnd(ReplayedJob job) {
-    long needed = job.course.runSeconds() - job.keptSeconds;
+    long needed = job.behaviour.runSeconds() - job.keptSeconds;
     Optional<WorkerId> blamed = Optional.empty();
-    if (job.course.failsAfterSeconds().isPresent()) {
-      needed = job.course.failsAfterSeconds().getAsLong();
+    if (job.behaviour.failsAfterSeconds().isPresent()) {
+      needed = job.behaviour.failsAfterSeconds().getAsLong();
       blamed = Optional.of(job.start.placement().members().getFirst());
     }
     for (WorkerId worker : job.start.placement().members()) {
@@ -255,7 +255,7 @@
     }
     job.stopping = true;
     job.preemptions++;
-    OptionalLong checkpoint = job.course.checkpointMillis();
+    OptionalLong checkpoint = job.behaviour.checkpointMillis();
     boolean kept =
         stop.checkpointFirst()
             && job.job.checkpointable()
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/TraceEvent.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/TraceEvent.java
@@ -11,7 +11,7 @@
   long atMillis();
 
   /** A job was submitted. Its submission time is relative to the beginning of the trace. */
-  record Submitted(Job job, JobBehaviour course) implements TraceEvent {
+  record Submitted(Job job, JobBehaviour behaviour) implements TraceEvent {
 
     @Override
     public long atMillis() {
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/TraceParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/TraceParser.java
@@ -195,12 +195,12 @@
             line.number("declared-s", 1, Integer.MAX_VALUE),
             at,
             "trace");
-    JobBehaviour course =
+    JobBehaviour behaviour =
         new JobBehaviour(
             line.number("runs-s", 1, Integer.MAX_VALUE),
             optionalNumber(line, "fails-after-s"),
             optionalNumber(line, "checkpoint-ms"));
-    return new TraceEvent.Submitted(job, course);
+    return new TraceEvent.Submitted(job, behaviour);
   }
 
   private static OptionalLong optionalNumber(TraceLine line, String name)
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/TraceWriter.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/TraceWriter.java
@@ -36,7 +36,7 @@
   public String event(TraceEvent event) {
     String at = "at " + event.atMillis() + " ";
     return switch (event) {
-      case TraceEvent.Submitted(Job job, JobBehaviour course) -> at + submitted(job, course);
+      case TraceEvent.Submitted(Job job, JobBehaviour behaviour) -> at + submitted(job, behaviour);
       case TraceEvent.Cancelled e -> at + "cancel " + e.job();
       case TraceEvent.Lapsed e -> at + "lapse " + e.worker();
       case TraceEvent.Returned e -> at + "return " + e.worker();
@@ -122,16 +122,16 @@
     };
   }
 
-  private static String submitted(Job job, JobBehaviour course) {
+  private static String submitted(Job job, JobBehaviour behaviour) {
     StringBuilder line = new StringBuilder("submit ").append(job.id());
     line.append(" organisation=").append(job.organisation());
     line.append(shape(job.shape()));
     line.append(" urgent=").append(job.urgent());
     line.append(" checkpointable=").append(job.checkpointable());
     line.append(" declared-s=").append(job.declaredSeconds());
-    line.append(" runs-s=").append(course.runSeconds());
-    course.failsAfterSeconds().ifPresent(s -> line.append(" fails-after-s=").append(s));
-    course.checkpointMillis().ifPresent(m -> line.append(" checkpoint-ms=").append(m));
+    line.append(" runs-s=").append(behaviour.runSeconds());
+    behaviour.failsAfterSeconds().ifPresent(s -> line.append(" fails-after-s=").append(s));
+    behaviour.checkpointMillis().ifPresent(m -> line.append(" checkpoint-ms=").append(m));
     return line.toString();
   }
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/scheduling/RandomHistory.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/scheduling/RandomHistory.java
@@ -127,8 +127,8 @@
         checkpointable && random.nextInt(4) > 0
             ? OptionalLong.of(between(100, 40_000))
             : OptionalLong.empty();
-    JobBehaviour course = new JobBehaviour(between(5, 3000), failsAfter, checkpoint);
-    events.add(new TraceEvent.Submitted(job, course));
+    JobBehaviour behaviour = new JobBehaviour(between(5, 3000), failsAfter, checkpoint);
+    events.add(new TraceEvent.Submitted(job, behaviour));
   }
 
   private void addFault() {
