--- a/fescuehook/src/main/java/org/fescuehook/entry/VmState.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/VmState.java
@@ -161,7 +161,7 @@
     if (halted) {
       return Optional.of(NotReady.DECISIONS_HALTED.slug());
     }
-    Readiness.Inputs facts =
+    Readiness.Inputs inputs =
         new Readiness.Inputs(
             configuration.current().isPresent(),
             hasSlots || !executorsDeclared(),
@@ -169,7 +169,7 @@
             logContactNanos,
             peerContactNanos,
             behindSinceNanos);
-    return readiness.evaluate(facts, System.nanoTime()).map(NotReady::slug);
+    return readiness.evaluate(inputs, System.nanoTime()).map(NotReady::slug);
   }
 
   private boolean executorsDeclared() {
--- a/fescuehook/src/main/java/org/fescuehook/logic/membership/Readiness.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/membership/Readiness.java
@@ -23,21 +23,21 @@
   }
 
   /** Returns why this VM cannot accept work; empty if it can. */
-  public Optional<NotReady> evaluate(Inputs facts, long nowNanos) {
-    if (!facts.configured) {
+  public Optional<NotReady> evaluate(Inputs inputs, long nowNanos) {
+    if (!inputs.configured) {
       return Optional.of(NotReady.NO_CONFIGURATION);
     }
-    if (!facts.slots) {
+    if (!inputs.slots) {
       return Optional.of(NotReady.NO_SLOTS);
     }
-    boolean logContact = recent(facts.logContactNanos, nowNanos);
-    if (!facts.caughtUp && logContact) {
+    boolean logContact = recent(inputs.logContactNanos, nowNanos);
+    if (!inputs.caughtUp && logContact) {
       return Optional.of(NotReady.CATCHING_UP);
     }
-    if (!logContact && !recent(facts.peerContactNanos, nowNanos)) {
+    if (!logContact && !recent(inputs.peerContactNanos, nowNanos)) {
       return Optional.of(NotReady.ISOLATED);
     }
-    if (facts.behindSinceNanos.isPresent() && !recent(facts.behindSinceNanos, nowNanos)) {
+    if (inputs.behindSinceNanos.isPresent() && !recent(inputs.behindSinceNanos, nowNanos)) {
       return Optional.of(NotReady.BEHIND);
     }
     return Optional.empty();
--- a/fescuehook/src/test/java/org/fescuehook/logic/membership/ReadinessTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/membership/ReadinessTest.java
@@ -18,61 +18,61 @@
 
   @Test
   void aVmThatHasReadTheLogToItsEndIsReady() {
-    assertEquals(Optional.empty(), evaluate(facts(true, secondsAgo(1), NEVER, NEVER)));
+    assertEquals(Optional.empty(), evaluate(inputs(true, secondsAgo(1), NEVER, NEVER)));
   }
 
   @Test
   void aVmWithoutConfigurationIsNotReady() {
-    Inputs facts = new Inputs(false, true, true, secondsAgo(0), secondsAgo(0), NEVER);
+    Inputs inputs = new Inputs(false, true, true, secondsAgo(0), secondsAgo(0), NEVER);
 
-    assertEquals(Optional.of(NotReady.NO_CONFIGURATION), evaluate(facts));
+    assertEquals(Optional.of(NotReady.NO_CONFIGURATION), evaluate(inputs));
   }
 
   @Test
   void aVmWithoutAShareOfTheExecutorsSlotsIsNotReady() {
-    Inputs facts = new Inputs(true, false, true, secondsAgo(0), secondsAgo(0), NEVER);
+    Inputs inputs = new Inputs(true, false, true, secondsAgo(0), secondsAgo(0), NEVER);
 
-    assertEquals(Optional.of(NotReady.NO_SLOTS), evaluate(facts));
+    assertEquals(Optional.of(NotReady.NO_SLOTS), evaluate(inputs));
   }
 
   @Test
   void aVmThatIsStillCatchingUpWithTheLogIsNotReady() {
     assertEquals(
-        Optional.of(NotReady.CATCHING_UP), evaluate(facts(false, secondsAgo(1), NEVER, NEVER)));
+        Optional.of(NotReady.CATCHING_UP), evaluate(inputs(false, secondsAgo(1), NEVER, NEVER)));
   }
 
   @Test
   void aVmWithoutContactToLogAndPeersIsReadyUntilItsStateIsStale() {
-    assertEquals(Optional.empty(), evaluate(facts(true, secondsAgo(10), secondsAgo(60), NEVER)));
+    assertEquals(Optional.empty(), evaluate(inputs(true, secondsAgo(10), secondsAgo(60), NEVER)));
     assertEquals(
         Optional.of(NotReady.ISOLATED),
-        evaluate(facts(true, secondsAgo(11), secondsAgo(60), NEVER)));
+        evaluate(inputs(true, secondsAgo(11), secondsAgo(60), NEVER)));
   }
 
   @Test
   void aVmThatCannotReachTheLogStaysReadyWhileAPeerSendsHeartbeats() {
-    assertEquals(Optional.empty(), evaluate(facts(true, secondsAgo(3600), secondsAgo(1), NEVER)));
+    assertEquals(Optional.empty(), evaluate(inputs(true, secondsAgo(3600), secondsAgo(1), NEVER)));
   }
 
   @Test
   void aVmStartedDuringAnOutageOfTheLogIsReadyWithTheConfigurationOfAPeer() {
-    assertEquals(Optional.empty(), evaluate(facts(false, NEVER, secondsAgo(1), NEVER)));
+    assertEquals(Optional.empty(), evaluate(inputs(false, NEVER, secondsAgo(1), NEVER)));
   }
 
   @Test
   void aVmThatStaysBehindThePeersConfigurationIsNotReady() {
     assertEquals(
-        Optional.empty(), evaluate(facts(true, secondsAgo(60), secondsAgo(1), secondsAgo(9))));
+        Optional.empty(), evaluate(inputs(true, secondsAgo(60), secondsAgo(1), secondsAgo(9))));
     assertEquals(
         Optional.of(NotReady.BEHIND),
-        evaluate(facts(true, secondsAgo(60), secondsAgo(1), secondsAgo(11))));
+        evaluate(inputs(true, secondsAgo(60), secondsAgo(1), secondsAgo(11))));
   }
 
-  private Optional<NotReady> evaluate(Inputs facts) {
-    return readiness.evaluate(facts, NOW);
+  private Optional<NotReady> evaluate(Inputs inputs) {
+    return readiness.evaluate(inputs, NOW);
   }
 
-  private static Inputs facts(
+  private static Inputs inputs(
       boolean caughtUp, OptionalLong logContact, OptionalLong peerContact, OptionalLong behind) {
     return new Inputs(true, true, caughtUp, logContact, peerContact, behind);
   }
