--- a/fescuehook/src/main/java/org/fescuehook/cli/command/FaultWriter.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/FaultWriter.java
@@ -56,10 +56,10 @@
 
     static Line of(Fault fault) {
       return new Line(
-          fault.place().file(),
-          fault.place().line(),
-          fault.place().section(),
-          fault.place().key(),
+          fault.location().file(),
+          fault.location().line(),
+          fault.location().section(),
+          fault.location().key(),
           fault.value(),
           fault.problem(),
           fault.accepted());
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/DeclarationsParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/DeclarationsParser.java
@@ -86,7 +86,7 @@
           DeclarationKeys.EXECUTOR ->
           parseNamed(section, sections, fleet, items);
       default -> {
-        Fault fault = new Fault(section.place(), "", "unknown section", "one of " + SECTIONS);
+        Fault fault = new Fault(section.location(), "", "unknown section", "one of " + SECTIONS);
         items.faults().add(fault);
       }
     }
@@ -97,7 +97,7 @@
     if (!NAME.matcher(section.title()).matches()) {
       String accepted =
           "[" + section.kind() + " NAME] with a name of letters, digits, '.', '_' or '-'";
-      items.faults().add(new Fault(section.place(), "", "has no proper name", accepted));
+      items.faults().add(new Fault(section.location(), "", "has no proper name", accepted));
       return;
     }
     switch (section.kind()) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/DeclaredItem.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/DeclaredItem.java
@@ -16,19 +16,22 @@
 
   /** Returns a fault that concerns the item as a whole. */
   Fault fault(String problem, String accepted) {
-    return new Fault(section.place(), "", problem, accepted);
+    return new Fault(section.location(), "", problem, accepted);
   }
 
   /** Returns a fault that concerns one key of the item. */
   Fault fault(Key<?> key, String problem, String accepted) {
-    SourceLocation place =
-        section.entry(key.name()).map(IniEntry::place).orElse(section.place().withKey(key.name()));
+    SourceLocation location =
+        section
+            .entry(key.name())
+            .map(IniEntry::location)
+            .orElse(section.location().withKey(key.name()));
     String value = section.entry(key.name()).map(IniEntry::value).orElse("");
-    return new Fault(place, value, problem, accepted);
+    return new Fault(location, value, problem, accepted);
   }
 
   /** Returns the file and line where the item is declared. */
-  String location() {
-    return section.place().file() + ":" + section.place().line();
+  String fileAndLine() {
+    return section.location().file() + ":" + section.location().line();
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/DeclaredItems.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/DeclaredItems.java
@@ -77,7 +77,8 @@
     return document.sections().stream()
         .filter(section -> kinds.contains(section.kind()))
         .map(IniSection::name)
-        .anyMatch(name -> faults.stream().anyMatch(fault -> fault.place().section().equals(name)));
+        .anyMatch(
+            name -> faults.stream().anyMatch(fault -> fault.location().section().equals(name)));
   }
 
   /** Returns the items as declarations, each kind of item in its documented order. */
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/FleetChecks.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/FleetChecks.java
@@ -69,7 +69,7 @@
       Map<String, DeclaredItem<?>> seen, String name, DeclaredItem<?> item) {
     DeclaredItem<?> first = seen.putIfAbsent(name, item);
     if (first != null && reportedSections.add(item.section())) {
-      String problem = "declares " + name + ", which " + first.location() + " declares too";
+      String problem = "declares " + name + ", which " + first.fileAndLine() + " declares too";
       faults.add(item.fault(problem, "a name of its own"));
     }
   }
@@ -93,7 +93,7 @@
     DeclaredItem<?> first = seen.putIfAbsent(address, item);
     if (first != null && reportedSections.add(item.section())) {
       String problem =
-          "gives " + Addresses.format(address) + ", which " + first.location() + " gives too";
+          "gives " + Addresses.format(address) + ", which " + first.fileAndLine() + " gives too";
       faults.add(item.fault(key, problem, "an address of its own for each backend server"));
     }
   }
@@ -109,7 +109,8 @@
       if (reportedSections.add(worker.section())) {
         String problem =
             "puts rack %s in failure domain %s; %s puts it in %s"
-                .formatted(rack, worker.value().domain(), first.location(), first.value().domain());
+                .formatted(
+                    rack, worker.value().domain(), first.fileAndLine(), first.value().domain());
         faults.add(worker.fault(DeclarationKeys.RACK, problem, "each rack in one failure domain"));
       }
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/FleetParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/FleetParser.java
@@ -55,7 +55,7 @@
     if (names.isEmpty()) {
       String accepted =
           "[%ss NAME-{001..030}] with at most %d names".formatted(kind, NameRange.MAX_NAMES);
-      items.faults().add(new Fault(section.place(), "", "has no range of names", accepted));
+      items.faults().add(new Fault(section.location(), "", "has no range of names", accepted));
       return;
     }
     for (int i = 0; i < names.get().size(); i++) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/RuleChecks.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/RuleChecks.java
@@ -26,7 +26,7 @@
     for (DeclaredItem<Rule> rule : rules) {
       DeclaredItem<Rule> first = seen.putIfAbsent(rule.value().number(), rule);
       if (first != null) {
-        String problem = "two rules have this number; the first is at " + first.location();
+        String problem = "two rules have this number; the first is at " + first.fileAndLine();
         faults.add(rule.fault(problem, "a number of its own for each rule"));
       }
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/SectionsParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/SectionsParser.java
@@ -99,7 +99,8 @@
     if (!NUMBER.matcher(section.title()).matches() || Integer.parseInt(section.title()) == 0) {
       items
           .faults()
-          .add(new Fault(section.place(), "", "has no number", "[rule N] with N of 1 to 999999"));
+          .add(
+              new Fault(section.location(), "", "has no number", "[rule N] with N of 1 to 999999"));
       return;
     }
     if (allPresent(when, then)) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/Fault.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/Fault.java
@@ -3,25 +3,25 @@
 import java.util.Comparator;
 
 /**
- * An error in an INI file, with its place and a description of the accepted input.
+ * An error in an INI file, with its location and a description of the accepted input.
  *
- * @param place where it is
- * @param value text found at that place; empty if there is none
+ * @param location location of the error
+ * @param value text found there; empty if there is none
  * @param problem what is wrong
  * @param accepted what would be accepted
  */
-public record Fault(SourceLocation place, String value, String problem, String accepted) {
+public record Fault(SourceLocation location, String value, String problem, String accepted) {
 
   /** Orders faults by file, then line, then message. */
   public static final Comparator<Fault> BY_PLACE =
-      Comparator.comparing((Fault fault) -> fault.place().file())
-          .thenComparing(fault -> fault.place().line())
+      Comparator.comparing((Fault fault) -> fault.location().file())
+          .thenComparing(fault -> fault.location().line())
           .thenComparing(Fault::message);
 
   /** Returns the fault as a message of one line. */
   public String message() {
     String shown = value.isEmpty() ? "" : " = " + value;
-    return place + shown + ": " + problem + "; accepted: " + accepted;
+    return location + shown + ": " + problem + "; accepted: " + accepted;
   }
 
   @Override
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/FaultyInputException.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/FaultyInputException.java
@@ -9,7 +9,7 @@
 
   private final transient List<Fault> faults;
 
-  /** Creates the exception from at least one fault, which it sorts by place. */
+  /** Creates the exception from at least one fault, which it sorts by location. */
   public FaultyInputException(List<Fault> faults) {
     super(
         faults.stream()
@@ -19,7 +19,7 @@
     this.faults = faults.stream().sorted(Fault.BY_PLACE).toList();
   }
 
-  /** Returns the faults in the order of their places. */
+  /** Returns the faults in the order of their locations. */
   public List<Fault> faults() {
     return faults;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/IniEntry.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/IniEntry.java
@@ -3,13 +3,13 @@
 /**
  * A key with its value.
  *
- * @param place place of the key
+ * @param location location of the key
  * @param value its value, without quotes and comments
  */
-public record IniEntry(SourceLocation place, String value) {
+public record IniEntry(SourceLocation location, String value) {
 
   /** Returns the key. */
   public String key() {
-    return place.key();
+    return location.key();
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/IniParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/IniParser.java
@@ -52,14 +52,14 @@
     }
     List<IniSection> sections = new ArrayList<>();
     for (LineScanner.Header header : scan.headers()) {
-      String name = header.place().section();
-      SourceLocation first = seen.putIfAbsent(name, header.place());
+      String name = header.location().section();
+      SourceLocation first = seen.putIfAbsent(name, header.location());
       if (first != null) {
-        faults.add(repeatedSection(header.place(), first));
+        faults.add(repeatedSection(header.location(), first));
         continue;
       }
       List<IniEntry> entries = entries(Optional.ofNullable(nodes.get(name)), header.keys(), faults);
-      sections.add(new IniSection(header.place(), entries));
+      sections.add(new IniSection(header.location(), entries));
     }
     return sections;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/IniSection.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/IniSection.java
@@ -6,10 +6,10 @@
 /**
  * * A section of an INI file.
  *
- * @param place place of its header
+ * @param location location of its header
  * @param entries its entries in the order of their lines; keys are unique
  */
-public record IniSection(SourceLocation place, List<IniEntry> entries) {
+public record IniSection(SourceLocation location, List<IniEntry> entries) {
 
   /** Copies the list. */
   public IniSection {
@@ -18,7 +18,7 @@
 
   /** Returns the name between the brackets. */
   public String name() {
-    return place.section();
+    return location.section();
   }
 
   /** Returns the first word of the name, which says what the section declares. */
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/LineScanner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/LineScanner.java
@@ -13,10 +13,10 @@
   /**
    * A section header.
    *
-   * @param place place of the header
-   * @param keys places of the keys up to the next header
+   * @param location location of the header
+   * @param keys locations of the keys up to the next header
    */
-  record Header(SourceLocation place, List<SourceLocation> keys) {}
+  record Header(SourceLocation location, List<SourceLocation> keys) {}
 
   /** Scans the text. */
   LineScanner(String file, String text) {
@@ -53,14 +53,14 @@
   }
 
   private void scanKey(int number, String line) {
-    String section = headers.isEmpty() ? "" : headers.getLast().place().section();
-    SourceLocation place = new SourceLocation(file, number, section, "");
+    String section = headers.isEmpty() ? "" : headers.getLast().location().section();
+    SourceLocation location = new SourceLocation(file, number, section, "");
     int separator = line.indexOf('=');
     if (separator <= 0) {
-      faults.add(new Fault(place, "", "\"" + line + "\" is no key with a value", "key = value"));
+      faults.add(new Fault(location, "", "\"" + line + "\" is no key with a value", "key = value"));
       return;
     }
-    SourceLocation key = place.withKey(line.substring(0, separator).trim());
+    SourceLocation key = location.withKey(line.substring(0, separator).trim());
     if (headers.isEmpty()) {
       faults.add(new Fault(key, "", "stands before any section", "a [section] line above it"));
       return;
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/SectionReader.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/SectionReader.java
@@ -40,7 +40,7 @@
     if (entry.isEmpty()) {
       if (key.fallback().isEmpty()) {
         faults.add(
-            new Fault(place(key), "", "is missing", key.name() + " = " + key.type().accepted()));
+            new Fault(location(key), "", "is missing", key.name() + " = " + key.type().accepted()));
       }
       return key.fallback();
     }
@@ -49,7 +49,7 @@
       return Optional.of(key.type().reader().read(text));
     } catch (MalformedValueException e) {
       faults.add(
-          new Fault(place(key), key.type().shown(text), e.getMessage(), key.type().accepted()));
+          new Fault(location(key), key.type().shown(text), e.getMessage(), key.type().accepted()));
       return Optional.empty();
     }
   }
@@ -60,17 +60,17 @@
     for (IniEntry entry : section.entries()) {
       if (!names.contains(entry.key())) {
         faults.add(
-            new Fault(entry.place(), "", "unknown key", "one of " + String.join(", ", names)));
+            new Fault(entry.location(), "", "unknown key", "one of " + String.join(", ", names)));
       }
     }
   }
 
-  /** Returns the place of a key, or of its section if the key is not set. */
-  public SourceLocation place(Key<?> key) {
+  /** Returns the location of a key, or of its section if the key is not set. */
+  public SourceLocation location(Key<?> key) {
     return section
         .entry(key.name())
-        .map(IniEntry::place)
-        .orElse(section.place().withKey(key.name()));
+        .map(IniEntry::location)
+        .orElse(section.location().withKey(key.name()));
   }
 
   /** Tells whether the section sets the key. */
@@ -81,6 +81,6 @@
   /** Adds a fault at a key. */
   public void fault(Key<?> key, String problem, String accepted) {
     String value = section.entry(key.name()).map(IniEntry::value).orElse("");
-    faults.add(new Fault(place(key), key.type().shown(value), problem, accepted));
+    faults.add(new Fault(location(key), key.type().shown(value), problem, accepted));
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/SourceLocation.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/SourceLocation.java
@@ -1,7 +1,7 @@
 package org.fescuehook.logic.ini;
 
 /**
- * A place in an INI file.
+ * A location in an INI file.
  *
  * @param file name of the file
  * @param line line number from 1; 0 if the file as a whole is meant
@@ -10,12 +10,12 @@
  */
 public record SourceLocation(String file, int line, String section, String key) {
 
-  /** Returns the place that stands for a whole file. */
+  /** Returns the location that stands for a whole file. */
   public static SourceLocation ofFile(String file) {
     return new SourceLocation(file, 0, "", "");
   }
 
-  /** Returns the place of another key in the same section and on the same line. */
+  /** Returns the location of another key in the same section and on the same line. */
   public SourceLocation withKey(String other) {
     return new SourceLocation(file, line, section, other);
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/Utf8Decoder.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/Utf8Decoder.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Decodes UTF-8 and reports the place of the first malformed byte. */
+/** Decodes UTF-8 and reports the location of the first malformed byte. */
 final class Utf8Decoder {
 
   private static final String BYTE_ORDER_MARK = "\uFEFF";
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/package-info.java
@@ -1,4 +1,6 @@
-/** Parses INI text into sections and typed values; every section, key and fault knows its place. */
+/**
+ * Parses INI text into sections and typed values; every section, key and fault has its location.
+ */
 @NullMarked
 package org.fescuehook.logic.ini;
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/preferences/SettingsValues.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/preferences/SettingsValues.java
@@ -66,7 +66,7 @@
     for (IniSection section : document.sections()) {
       if (!sections().contains(section.name())) {
         String accepted = "one of [" + String.join("], [", sections()) + "]";
-        faults.add(new Fault(section.place(), "", "unknown section", accepted));
+        faults.add(new Fault(section.location(), "", "unknown section", accepted));
       }
     }
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/configuration/DeclarationsParserTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/configuration/DeclarationsParserTest.java
@@ -278,7 +278,7 @@
 
     assertEquals(
         List.of("rule 1", "rule 3", "rule 6"),
-        checked.warnings().stream().map(warning -> warning.place().section()).toList());
+        checked.warnings().stream().map(warning -> warning.location().section()).toList());
   }
 
   @Test
--- a/fescuehook/src/test/java/org/fescuehook/logic/ini/IniParserTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/ini/IniParserTest.java
@@ -32,7 +32,7 @@
     IniDocument document = parse("# one \\\r\n[s]\r\na = 1\r\n\r\n; five\r\nb = 4\r\n");
 
     IniSection section = document.section("s").orElseThrow();
-    assertEquals(List.of(3, 6), section.entries().stream().map(e -> e.place().line()).toList());
+    assertEquals(List.of(3, 6), section.entries().stream().map(e -> e.location().line()).toList());
   }
 
   @Test
@@ -77,7 +77,7 @@
     }
     for (IniSection section : document.sections()) {
       for (IniEntry entry : section.entries()) {
-        String line = text.lines().toList().get(entry.place().line() - 1);
+        String line = text.lines().toList().get(entry.location().line() - 1);
         assertTrue(line.trim().startsWith(entry.key()), line);
       }
     }
--- a/fescuehook/src/test/java/org/fescuehook/logic/story/LateJobReportTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/story/LateJobReportTest.java
@@ -34,12 +34,12 @@
 
   @Test
   void jobsThatExceedTheirObjectiveAreListedInDescendingOrderOfWork() {
-    LateJobReport day = LateJobReport.of(LOG);
+    LateJobReport report = LateJobReport.of(LOG);
 
-    assertEquals(4, day.jobs());
+    assertEquals(4, report.jobs());
     assertEquals(
-        List.of("bb", "cc", "dd"), day.late().stream().map(LateJobReport.LateJob::id).toList());
-    assertEquals(2000, day.late().getFirst().lateMillis());
+        List.of("bb", "cc", "dd"), report.late().stream().map(LateJobReport.LateJob::id).toList());
+    assertEquals(2000, report.late().getFirst().lateMillis());
   }
 
   @Test
@@ -52,11 +52,11 @@
 
   @Test
   void lostTimeByCauseAddsUpToTheDelayOfAllLateJobs() {
-    LateJobReport day = LateJobReport.of(LOG);
+    LateJobReport report = LateJobReport.of(LOG);
 
-    long all = day.late().stream().mapToLong(LateJobReport.LateJob::lateMillis).sum();
-    assertEquals(all, day.losses().stream().mapToLong(LateJobReport.LostTime::lateMillis).sum());
+    long all = report.late().stream().mapToLong(LateJobReport.LateJob::lateMillis).sum();
+    assertEquals(all, report.losses().stream().mapToLong(LateJobReport.LostTime::lateMillis).sum());
     assertEquals(
-        new LateJobReport.LostTime("q", "waited for room", 2, 8000), day.losses().getFirst());
+        new LateJobReport.LostTime("q", "waited for room", 2, 8000), report.losses().getFirst());
   }
 }
