--- a/fescuehook/src/test/java/org/fescuehook/logic/trace/ReplayTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/trace/ReplayTest.java
@@ -22,11 +22,11 @@
   @ValueSource(
       strings = {
         "reclaim-frees-the-shape",
-        "several-holders-return-at-once",
+        "several-holders-reclaim-at-once",
         "urgent-starts-in-a-full-fleet",
-        "backfill-keeps-off-a-reservation",
+        "backfill-respects-a-reservation",
         "failing-worker-is-quarantined",
-        "hopeless-job-harms-no-worker"
+        "always-failing-job-quarantines-no-worker"
       })
   void everySmallTraceEndsAsApproved(String name) throws Exception {
     Trace trace = new TraceParser(name + ".trace").parse(lines(name));
