--- a/fescuehook/src/main/java/org/fescuehook/logic/platform/LogService.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/platform/LogService.java
@@ -4,8 +4,8 @@
 import org.fescuehook.model.log.LogPage;
 
 /**
- * The platform's log service. Calls block the calling thread, so only threads that run a duty of
- * their own may call it.
+ * The platform's log service. Calls block the calling thread, so they are made on duty threads
+ * only.
  */
 public interface LogService {
 
