--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchCore.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchCore.java
@@ -182,7 +182,7 @@
 
   private void seen(ExecutorProfile profile, BatchContext context) {
     ExecutorProfile known = listed.get(profile.id());
-    if (known != null && profile.incarnation().before(known.incarnation())) {
+    if (known != null && profile.incarnation().startedBefore(known.incarnation())) {
       return;
     }
     listed.put(profile.id(), profile);
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/DeclaredItems.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/DeclaredItems.java
@@ -16,16 +16,16 @@
 import org.fescuehook.model.rule.Condition;
 import org.fescuehook.model.rule.Rule;
 
-/** Items of the declarations with their sections, and the faults of form, while they are read. */
+/** Collects the declared items with their sections, and the syntax faults, during parsing. */
 final class DeclaredItems {
 
   private final IniDocument document;
-  private final List<Placed<Organisation>> organisations = new ArrayList<>();
-  private final List<Placed<GuaranteedShape>> guarantees = new ArrayList<>();
-  private final List<Placed<Rule>> rules = new ArrayList<>();
-  private final List<Placed<List<Condition>>> conditions = new ArrayList<>();
-  private final List<Placed<Worker>> workers = new ArrayList<>();
-  private final List<Placed<Executor>> executors = new ArrayList<>();
+  private final List<DeclaredItem<Organisation>> organisations = new ArrayList<>();
+  private final List<DeclaredItem<GuaranteedShape>> guarantees = new ArrayList<>();
+  private final List<DeclaredItem<Rule>> rules = new ArrayList<>();
+  private final List<DeclaredItem<List<Condition>>> conditions = new ArrayList<>();
+  private final List<DeclaredItem<Worker>> workers = new ArrayList<>();
+  private final List<DeclaredItem<Executor>> executors = new ArrayList<>();
   private final List<Fault> faults;
   private PolicyPreferences policy = PolicyPreferences.DEFAULT;
 
@@ -38,32 +38,32 @@
     return document;
   }
 
-  List<Placed<Organisation>> organisations() {
+  List<DeclaredItem<Organisation>> organisations() {
     return organisations;
   }
 
-  List<Placed<GuaranteedShape>> guarantees() {
+  List<DeclaredItem<GuaranteedShape>> guarantees() {
     return guarantees;
   }
 
-  List<Placed<Rule>> rules() {
+  List<DeclaredItem<Rule>> rules() {
     return rules;
   }
 
-  /** Returns the conditions of all rules, also of those whose decision has a fault. */
-  List<Placed<List<Condition>>> conditions() {
+  /** Returns the conditions of all rules, including rules whose verdict has a fault. */
+  List<DeclaredItem<List<Condition>>> conditions() {
     return conditions;
   }
 
-  List<Placed<Worker>> workers() {
+  List<DeclaredItem<Worker>> workers() {
     return workers;
   }
 
-  List<Placed<Executor>> executors() {
+  List<DeclaredItem<Executor>> executors() {
     return executors;
   }
 
-  /** Returns the faults of form; readers add to it. */
+  /** Returns the modifiable list of syntax faults, to which parsers add. */
   List<Fault> faults() {
     return faults;
   }
@@ -73,14 +73,15 @@
   }
 
   /** Tells whether a section of one of these kinds has a fault. */
-  boolean faulty(List<String> kinds) {
+  boolean hasFault(List<String> kinds) {
     return document.sections().stream()
         .filter(section -> kinds.contains(section.kind()))
         .map(IniSection::name)
-        .anyMatch(name -> faults.stream().anyMatch(fault -> fault.place().section().equals(name)));
+        .anyMatch(
+            name -> faults.stream().anyMatch(fault -> fault.location().section().equals(name)));
   }
 
-  /** Returns the items in their documented order. */
+  /** Returns the items as declarations, each kind of item in its documented order. */
   Declarations toDeclarations() {
     return new Declarations(
         values(organisations, Comparator.comparing(Organisation::id)),
@@ -92,7 +93,7 @@
         policy);
   }
 
-  private static <T> List<T> values(List<Placed<T>> items, Comparator<T> order) {
-    return items.stream().map(Placed::value).sorted(order).toList();
+  private static <T> List<T> values(List<DeclaredItem<T>> items, Comparator<T> order) {
+    return items.stream().map(DeclaredItem::value).sorted(order).toList();
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/SectionsParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/SectionsParser.java
@@ -21,7 +21,7 @@
 final class SectionsParser {
 
   private static final Pattern NUMBER = Pattern.compile("\\d{1,6}");
-  private static final long MEBIBYTE = 1L << 20;
+  private static final long BYTES_PER_MEBIBYTE = 1L << 20;
 
   private final DeclaredItems items;
 
@@ -66,7 +66,7 @@
     if (allPresent(weight, quota, share)) {
       OrganisationId id = new OrganisationId(section.title());
       Organisation organisation = new Organisation(id, weight.get(), quota.get(), share.get());
-      items.organisations().add(new Placed<>(organisation, section));
+      items.organisations().add(new DeclaredItem<>(organisation, section));
     }
   }
 
@@ -81,11 +81,12 @@
     Optional<Integer> racks = reader.read(DeclarationKeys.MAX_RACKS);
     Optional<Integer> count = reader.read(DeclarationKeys.COUNT);
     if (allPresent(holder, members, accelerators, cores, memory, racks, count)) {
-      Capacity member = new Capacity(accelerators.get(), cores.get(), memory.get() / MEBIBYTE);
+      Capacity member =
+          new Capacity(accelerators.get(), cores.get(), memory.get() / BYTES_PER_MEBIBYTE);
       Shape shape = new Shape(members.get(), member, racks.get());
       GuaranteedShape guarantee =
           new GuaranteedShape(section.title(), holder.get(), shape, count.get());
-      items.guarantees().add(new Placed<>(guarantee, section));
+      items.guarantees().add(new DeclaredItem<>(guarantee, section));
     }
   }
 
@@ -94,22 +95,23 @@
     SectionReader reader = reader(section, DeclarationKeys.RULE);
     Optional<List<Condition>> when = reader.read(DeclarationKeys.WHEN);
     Optional<Verdict> then = reader.read(DeclarationKeys.THEN);
-    when.ifPresent(conditions -> items.conditions().add(new Placed<>(conditions, section)));
+    when.ifPresent(conditions -> items.conditions().add(new DeclaredItem<>(conditions, section)));
     if (!NUMBER.matcher(section.title()).matches() || Integer.parseInt(section.title()) == 0) {
       items
           .faults()
-          .add(new Fault(section.place(), "", "has no number", "[rule N] with N of 1 to 999999"));
+          .add(
+              new Fault(section.location(), "", "has no number", "[rule N] with N of 1 to 999999"));
       return;
     }
     if (allPresent(when, then)) {
       Rule rule = new Rule(Integer.parseInt(section.title()), when.get(), then.get());
-      items.rules().add(new Placed<>(rule, section));
+      items.rules().add(new DeclaredItem<>(rule, section));
     }
   }
 
   private SectionReader reader(IniSection section, String kind) {
     SectionReader reader = new SectionReader(section, items.faults());
-    reader.refuseUnknown(DeclarationKeys.of(kind));
+    reader.reportUnknownKeys(DeclarationKeys.of(kind));
     return reader;
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/IniParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/IniParser.java
@@ -14,16 +14,15 @@
 import org.apache.commons.configuration2.tree.ImmutableNode;
 
 /**
- * Parses INI files in UTF-8 by the INI library. Keys and values are separated by {@code =},
- * comments begin with {@code #} or {@code ;}. Values are taken as they stand, without
- * interpolation.
+ * Parses INI files in UTF-8 with the INI library. Keys and values are separated by {@code =}, and
+ * comments begin with {@code #} or {@code ;}. Values are taken literally, without interpolation.
  */
 public final class IniParser {
 
   private static final String SEPARATOR = "=";
   private static final String COMMENT_MARKS = "#;";
 
-  /** Parses files that make up one document; a section may stand in one of them only. */
+  /** Parses files that together form one document; a section may occur in only one of them. */
   public IniDocument parse(List<IniSource> sources) {
     List<IniSection> sections = new ArrayList<>();
     List<Fault> faults = new ArrayList<>();
@@ -45,22 +44,22 @@
       IniSource source, Map<String, SourceLocation> seen, List<Fault> faults)
       throws FaultyInputException {
     String text = new Utf8Decoder().decode(source);
-    LineScan scan = new LineScan(source.file(), text);
+    LineScanner scan = new LineScanner(source.file(), text);
     faults.addAll(scan.faults());
     Map<String, ImmutableNode> nodes = new HashMap<>();
     for (ImmutableNode node : load(source.file(), text).getChildren()) {
       nodes.put(node.getNodeName(), node);
     }
     List<IniSection> sections = new ArrayList<>();
-    for (LineScan.Header header : scan.headers()) {
-      String name = header.place().section();
-      SourceLocation first = seen.putIfAbsent(name, header.place());
+    for (LineScanner.Header header : scan.headers()) {
+      String name = header.location().section();
+      SourceLocation first = seen.putIfAbsent(name, header.location());
       if (first != null) {
-        faults.add(repeatedSection(header.place(), first));
+        faults.add(repeatedSection(header.location(), first));
         continue;
       }
       List<IniEntry> entries = entries(Optional.ofNullable(nodes.get(name)), header.keys(), faults);
-      sections.add(new IniSection(header.place(), entries));
+      sections.add(new IniSection(header.location(), entries));
     }
     return sections;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/rule/Extent.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/rule/RuleCoverage.java
@@ -7,18 +7,20 @@
 import org.fescuehook.model.rule.Rule;
 
 /**
- * All that a rule matches.
+ * The set of jobs and circumstances that a rule matches, with one component for each kind of
+ * condition.
  *
- * @param organisation the only organisation, if one is named
- * @param organisationsClash whether two organisations are named
- * @param accelerators numbers of accelerators
- * @param declaredSeconds declared run times
- * @param load shares of the fleet's accelerators in use
+ * @param organisation only organisation whose jobs match; empty if the rule does not restrict it
+ * @param organisationsClash whether the rule requires two different organisations and so matches no
+ *     job
+ * @param accelerators matching numbers of accelerators
+ * @param declaredSeconds matching declared run times, in seconds
+ * @param load matching shares of the fleet's accelerators that are in use
  * @param whenUrgent whether urgent jobs match
- * @param whenNotUrgent whether other jobs match
- * @param minutes whether each minute of the day matches
+ * @param whenNotUrgent whether jobs that are not urgent match
+ * @param minutes for each minute of the day in UTC, whether it matches
  */
-record Extent(
+record RuleCoverage(
     Optional<OrganisationId> organisation,
     boolean organisationsClash,
     Range accelerators,
@@ -30,26 +32,33 @@
 
   private static final int MINUTES_PER_DAY = 24 * 60;
 
-  static Extent of(Rule rule) {
-    Extent extent =
-        new Extent(
-            Optional.empty(), false, Range.ALL, Range.ALL, new Range(0, 1), true, true, day());
+  static RuleCoverage of(Rule rule) {
+    RuleCoverage coverage =
+        new RuleCoverage(
+            Optional.empty(),
+            false,
+            Range.ALL,
+            Range.ALL,
+            new Range(0, 1),
+            true,
+            true,
+            allMinutes());
     for (Condition condition : rule.when()) {
-      extent = extent.and(condition);
+      coverage = coverage.and(condition);
     }
-    return extent;
+    return coverage;
   }
 
-  private static boolean[] day() {
+  private static boolean[] allMinutes() {
     boolean[] minutes = new boolean[MINUTES_PER_DAY];
     Arrays.fill(minutes, true);
     return minutes;
   }
 
-  private Extent and(Condition condition) {
+  private RuleCoverage and(Condition condition) {
     return switch (condition) {
       case Condition.OfOrganisation(var id) ->
-          new Extent(
+          new RuleCoverage(
               Optional.of(id),
               organisationsClash || (organisation.isPresent() && !organisation.get().equals(id)),
               accelerators,
@@ -69,8 +78,8 @@
     };
   }
 
-  private Extent withRanges(Range accelerators, Range declaredSeconds, Range load) {
-    return new Extent(
+  private RuleCoverage withRanges(Range accelerators, Range declaredSeconds, Range load) {
+    return new RuleCoverage(
         organisation,
         organisationsClash,
         accelerators,
@@ -81,8 +90,8 @@
         minutes);
   }
 
-  private Extent withUrgency(boolean urgent) {
-    return new Extent(
+  private RuleCoverage withUrgency(boolean urgent) {
+    return new RuleCoverage(
         organisation,
         organisationsClash,
         accelerators,
@@ -93,13 +102,13 @@
         minutes);
   }
 
-  private Extent withMinutes(int from, int until) {
+  private RuleCoverage withMinutes(int from, int until) {
     boolean[] kept = minutes.clone();
     for (int m = 0; m < kept.length; m++) {
       boolean inside = from <= until ? m >= from && m <= until : m >= from || m <= until;
       kept[m] &= inside;
     }
-    return new Extent(
+    return new RuleCoverage(
         organisation,
         organisationsClash,
         accelerators,
@@ -123,7 +132,7 @@
         || (!whenUrgent && !whenNotUrgent);
   }
 
-  boolean contains(Extent other) {
+  boolean contains(RuleCoverage other) {
     for (int m = 0; m < minutes.length; m++) {
       if (other.minutes[m] && !minutes[m]) {
         return false;
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/ReplayedJob.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/ReplayedJob.java
@@ -14,7 +14,7 @@
 final class ReplayedJob {
 
   final Job job;
-  final JobBehaviour course;
+  final JobBehaviour behaviour;
   final long order;
   final Set<WorkerId> failedOn = new HashSet<>();
   JobOutcome.End end = JobOutcome.End.UNFINISHED;
@@ -24,9 +24,9 @@
   int failures;
   int attempts;
   int preemptions;
-  double lost;
+  double lostAcceleratorSeconds;
 
-  /** Placement of the live attempt, as decided. */
+  /** The decision that started the current attempt. */
   Start start;
 
   long plannedMillis;
@@ -34,9 +34,9 @@
   boolean stopping;
   boolean ending;
 
-  ReplayedJob(Job job, JobBehaviour course, long order, Start none) {
+  ReplayedJob(Job job, JobBehaviour behaviour, long order, Start none) {
     this.job = job;
-    this.course = course;
+    this.behaviour = behaviour;
     this.order = order;
     this.start = none;
   }
@@ -64,13 +64,20 @@
     return end != JobOutcome.End.UNFINISHED;
   }
 
-  /** Returns how long the live attempt has run. */
+  /** Returns how long the current attempt has run. */
   long ranSeconds(long nowMillis) {
     return Math.max(0, nowMillis - beganMillis) / 1000;
   }
 
   JobOutcome outcome() {
     return new JobOutcome(
-        job, course, end, firstStartMillis, endMillis, attempts, preemptions, lost);
+        job,
+        behaviour,
+        end,
+        firstStartMillis,
+        endMillis,
+        attempts,
+        preemptions,
+        lostAcceleratorSeconds);
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/membership/ReadinessTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/membership/ReadinessTest.java
@@ -17,61 +17,62 @@
   private final Readiness readiness = new Readiness(Duration.ofSeconds(10));
 
   @Test
-  void aVmThatReadsTheLogToItsEndIsReady() {
-    assertEquals(Optional.empty(), judge(facts(true, secondsAgo(1), NEVER, NEVER)));
+  void aVmThatHasReadTheLogToItsEndIsReady() {
+    assertEquals(Optional.empty(), evaluate(inputs(true, secondsAgo(1), NEVER, NEVER)));
   }
 
   @Test
   void aVmWithoutConfigurationIsNotReady() {
-    Inputs facts = new Inputs(false, true, true, secondsAgo(0), secondsAgo(0), NEVER);
+    Inputs inputs = new Inputs(false, true, true, secondsAgo(0), secondsAgo(0), NEVER);
 
-    assertEquals(Optional.of(NotReady.NO_CONFIGURATION), judge(facts));
+    assertEquals(Optional.of(NotReady.NO_CONFIGURATION), evaluate(inputs));
   }
 
   @Test
   void aVmWithoutAShareOfTheExecutorsSlotsIsNotReady() {
-    Inputs facts = new Inputs(true, false, true, secondsAgo(0), secondsAgo(0), NEVER);
+    Inputs inputs = new Inputs(true, false, true, secondsAgo(0), secondsAgo(0), NEVER);
 
-    assertEquals(Optional.of(NotReady.NO_SLOTS), judge(facts));
+    assertEquals(Optional.of(NotReady.NO_SLOTS), evaluate(inputs));
   }
 
   @Test
-  void aVmThatStillReadsOldRecordsIsNotReady() {
+  void aVmThatIsStillCatchingUpWithTheLogIsNotReady() {
     assertEquals(
-        Optional.of(NotReady.CATCHING_UP), judge(facts(false, secondsAgo(1), NEVER, NEVER)));
+        Optional.of(NotReady.CATCHING_UP), evaluate(inputs(false, secondsAgo(1), NEVER, NEVER)));
   }
 
   @Test
-  void aVmThatHearsNeitherLogNorPeerIsReadyUntilItsKnowledgeIsStale() {
-    assertEquals(Optional.empty(), judge(facts(true, secondsAgo(10), secondsAgo(60), NEVER)));
+  void aVmWithoutContactToLogAndPeersIsReadyUntilItsStateIsStale() {
+    assertEquals(Optional.empty(), evaluate(inputs(true, secondsAgo(10), secondsAgo(60), NEVER)));
     assertEquals(
-        Optional.of(NotReady.ISOLATED), judge(facts(true, secondsAgo(11), secondsAgo(60), NEVER)));
+        Optional.of(NotReady.ISOLATED),
+        evaluate(inputs(true, secondsAgo(11), secondsAgo(60), NEVER)));
   }
 
   @Test
-  void aVmCutFromTheLogStaysReadyAsLongAsItHearsAPeer() {
-    assertEquals(Optional.empty(), judge(facts(true, secondsAgo(3600), secondsAgo(1), NEVER)));
+  void aVmThatCannotReachTheLogStaysReadyWhileAPeerSendsHeartbeats() {
+    assertEquals(Optional.empty(), evaluate(inputs(true, secondsAgo(3600), secondsAgo(1), NEVER)));
   }
 
   @Test
-  void aVmStartedInAnOutageOfTheLogIsReadyWithAConfigurationOfAPeer() {
-    assertEquals(Optional.empty(), judge(facts(false, NEVER, secondsAgo(1), NEVER)));
+  void aVmStartedDuringAnOutageOfTheLogIsReadyWithTheConfigurationOfAPeer() {
+    assertEquals(Optional.empty(), evaluate(inputs(false, NEVER, secondsAgo(1), NEVER)));
   }
 
   @Test
-  void aVmThatCannotGetANewerConfigurationOfAPeerIsNotReady() {
+  void aVmThatStaysBehindThePeersConfigurationIsNotReady() {
     assertEquals(
-        Optional.empty(), judge(facts(true, secondsAgo(60), secondsAgo(1), secondsAgo(9))));
+        Optional.empty(), evaluate(inputs(true, secondsAgo(60), secondsAgo(1), secondsAgo(9))));
     assertEquals(
         Optional.of(NotReady.BEHIND),
-        judge(facts(true, secondsAgo(60), secondsAgo(1), secondsAgo(11))));
+        evaluate(inputs(true, secondsAgo(60), secondsAgo(1), secondsAgo(11))));
   }
 
-  private Optional<NotReady> judge(Inputs facts) {
-    return readiness.judge(facts, NOW);
+  private Optional<NotReady> evaluate(Inputs inputs) {
+    return readiness.evaluate(inputs, NOW);
   }
 
-  private static Inputs facts(
+  private static Inputs inputs(
       boolean caughtUp, OptionalLong logContact, OptionalLong peerContact, OptionalLong behind) {
     return new Inputs(true, true, caughtUp, logContact, peerContact, behind);
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/story/LateJobReportTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/story/LateJobReportTest.java
@@ -33,13 +33,13 @@
           event(9000, 8013, "Job dd ended COMPLETED after 7000 ms"));
 
   @Test
-  void lateJobsAreThoseBeyondTheirObjectiveTheMostWorkFirst() {
-    LateJobReport day = LateJobReport.of(LOG);
+  void jobsThatExceedTheirObjectiveAreListedInDescendingOrderOfWork() {
+    LateJobReport report = LateJobReport.of(LOG);
 
-    assertEquals(4, day.jobs());
+    assertEquals(4, report.jobs());
     assertEquals(
-        List.of("bb", "cc", "dd"), day.late().stream().map(LateJobReport.LateJob::id).toList());
-    assertEquals(2000, day.late().getFirst().lateMillis());
+        List.of("bb", "cc", "dd"), report.late().stream().map(LateJobReport.LateJob::id).toList());
+    assertEquals(2000, report.late().getFirst().lateMillis());
   }
 
   @Test
@@ -51,12 +51,12 @@
   }
 
   @Test
-  void theCausesAddUpToAllTimeThatWasLost() {
-    LateJobReport day = LateJobReport.of(LOG);
+  void lostTimeByCauseAddsUpToTheDelayOfAllLateJobs() {
+    LateJobReport report = LateJobReport.of(LOG);
 
-    long all = day.late().stream().mapToLong(LateJobReport.LateJob::lateMillis).sum();
-    assertEquals(all, day.losses().stream().mapToLong(LateJobReport.LostTime::lateMillis).sum());
+    long all = report.late().stream().mapToLong(LateJobReport.LateJob::lateMillis).sum();
+    assertEquals(all, report.losses().stream().mapToLong(LateJobReport.LostTime::lateMillis).sum());
     assertEquals(
-        new LateJobReport.LostTime("q", "waited for room", 2, 8000), day.losses().getFirst());
+        new LateJobReport.LostTime("q", "waited for room", 2, 8000), report.losses().getFirst());
   }
 }
