--- a/fescuehook/src/main/java/org/fescuehook/logic/control/trace/PercentCodec.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/trace/PercentCodec.java
@@ -54,7 +54,7 @@
         continue;
       }
       if (i + HEX_DIGITS > encoded.length()) {
-        throw new IllegalArgumentException("cut escape");
+        throw new IllegalArgumentException("incomplete escape sequence");
       }
       octets.write(HexFormat.fromHexDigits(encoded, i, i + HEX_DIGITS));
       i += HEX_DIGITS;
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/ControlCoreTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/ControlCoreTest.java
@@ -43,9 +43,9 @@
                 Answer.Accepted.class,
                 s.cluster.answer(s.owner(), TestDeclarations.gang(1, "finish 5")))
             .job();
-    Answer cut = s.cluster.answer(lateReader, new Request.Show(job, 0));
+    Answer withoutLog = s.cluster.answer(lateReader, new Request.Show(job, 0));
     assertEquals(
-        RefusalReason.LOG_UNAVAILABLE, assertInstanceOf(Answer.Refused.class, cut).reason());
+        RefusalReason.LOG_UNAVAILABLE, assertInstanceOf(Answer.Refused.class, withoutLog).reason());
     long ticket = s.cluster.ask(lateReader, new Request.Show(job, 0));
     lateReader.logUnreachable = false;
     s.run(1);
