--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ClaimDesk.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ClaimHandler.java
@@ -22,7 +22,7 @@
  * Requests with an id: claims the id in the log, lets only the winner be dispatched, records what
  * came of it, and answers later requests with the same id.
  */
-final class ClaimDesk implements ClaimBook.Reader {
+final class ClaimHandler implements ClaimRegistry.Listener {
   /** Times that a claimant without an answer is asked before its outcome counts as unknown. */
   static final int MOST_FETCHES = 3;
 
@@ -33,7 +33,7 @@
   private final String vm;
   private final String incarnation;
   private final OpenRequests requests;
-  private final ClaimBook book;
+  private final ClaimRegistry book;
   private final ClaimBatcher batcher;
   private final OwnOutcomes own;
   private final Consumer<OpenRequest> winner;
@@ -48,11 +48,11 @@
    *
    * @param winner takes each request whose claim won; it may be dispatched
    */
-  ClaimDesk(
+  ClaimHandler(
       VmId vm,
       String incarnation,
       OpenRequests requests,
-      ClaimBook book,
+      ClaimRegistry book,
       ClaimBatcher batcher,
       OwnOutcomes own,
       Consumer<OpenRequest> winner,
@@ -89,7 +89,7 @@
    * @param closed why no claim can be made now; empty if one can
    */
   void arrived(OpenRequest request, Optional<RefusalReason> closed) {
-    Optional<ClaimBook.Claim> claim = book.find(key(request));
+    Optional<ClaimRegistry.Claim> claim = book.find(key(request));
     if (claim.isPresent()) {
       follow(request, claim.get());
       return;
@@ -121,7 +121,7 @@
   }
 
   @Override
-  public void claimRead(RequestKey key, String token, ClaimBook.Claim inForce) {
+  public void claimRead(RequestKey key, String token, ClaimRegistry.Claim inForce) {
     boolean won = inForce.token().equals(token);
     Optional<OpenRequest> request = Optional.ofNullable(awaiting.remove(token));
     if (request.isEmpty()) {
@@ -149,7 +149,7 @@
     own.forget(key, token);
   }
 
-  private void follow(OpenRequest request, ClaimBook.Claim claim) {
+  private void follow(OpenRequest request, ClaimRegistry.Claim claim) {
     if (!claim.digest().equals(request.facts.digest())) {
       requests.refuse(
           request, RefusalReason.REQUEST_ID_REUSED, "the id belongs to another request");
@@ -168,18 +168,18 @@
     }
   }
 
-  private boolean isOwn(ClaimBook.Claim claim) {
+  private boolean isOwn(ClaimRegistry.Claim claim) {
     return claim.writer().equals(vm) && claim.incarnation().equals(incarnation);
   }
 
-  private void fetch(OpenRequest request, ClaimBook.Claim claim) {
+  private void fetch(OpenRequest request, ClaimRegistry.Claim claim) {
     out.accept(
         new DispatchCommand.FetchOutcome(request.ticket, new VmId(claim.writer()), key(request)));
   }
 
   /** Takes a claimant's reply; returns whether it is to be asked again later. */
   boolean fetched(OpenRequest request, Optional<OutcomeReply> reply) {
-    Optional<ClaimBook.Claim> claim = book.find(key(request));
+    Optional<ClaimRegistry.Claim> claim = book.find(key(request));
     if (request.state != OpenRequest.State.FOLLOWING || claim.isEmpty()) {
       return false;
     }
@@ -304,7 +304,7 @@
   }
 
   @Override
-  public void settled(RequestKey key, ClaimBook.Claim claim) {
+  public void settled(RequestKey key, ClaimRegistry.Claim claim) {
     answerFollowers(claim.outcome().orElseThrow());
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ClaimBook.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ClaimRegistry.java
@@ -17,7 +17,7 @@
  * Fold of the stream {@code requests}: who claimed each request id first, and what came of it.
  * Every entry VM folds the same records to the same book. Claims expire by the log's own time.
  */
-final class ClaimBook {
+final class ClaimRegistry {
   /** Most claims in the book before this VM makes no more. */
   static final int MOST_CLAIMS = 100_000;
 
@@ -43,7 +43,7 @@
   }
 
   /** Hears what the records change. */
-  interface Reader {
+  interface Listener {
     /** A claim was read; {@code inForce} is the one that won, itself or an earlier one. */
     void claimRead(RequestKey key, String token, Claim inForce);
 
@@ -61,12 +61,12 @@
   private long bodyBytes;
   private long logMillis;
 
-  ClaimBook(long windowMillis) {
+  ClaimRegistry(long windowMillis) {
     this.windowMillis = windowMillis;
   }
 
   /** Folds a record. */
-  void fold(RequestRecord record, long appendedMillis, Reader reader) {
+  void fold(RequestRecord record, long appendedMillis, Listener reader) {
     logMillis = Math.max(logMillis, appendedMillis);
     expire();
     for (RequestClaim claim : record.getClaimsList()) {
@@ -92,7 +92,7 @@
     }
   }
 
-  private void fold(RequestRecord record, RequestClaim claim, Reader reader) {
+  private void fold(RequestRecord record, RequestClaim claim, Listener reader) {
     Claim fresh =
         new Claim(
             record.getWriter(),
@@ -109,7 +109,7 @@
     reader.claimRead(claim.getKey(), claim.getToken(), inForce);
   }
 
-  private void fold(RequestOutcome outcome, Reader reader) {
+  private void fold(RequestOutcome outcome, Listener reader) {
     Optional<Claim> claim = find(outcome.getKey());
     boolean counts =
         claim.isPresent()
@@ -147,7 +147,7 @@
     claims.put(key, claim.get().with(bare));
   }
 
-  private void fold(RequestRelease release, Reader reader) {
+  private void fold(RequestRelease release, Listener reader) {
     Optional<Claim> claim = find(release.getKey());
     boolean counts =
         claim.isPresent()
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/DispatchCore.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/DispatchCore.java
@@ -24,9 +24,9 @@
   private final OpenRequests requests;
   private final ExecutorTable executors;
   private final SlotDispatcher slots;
-  private final ClaimDesk claims;
+  private final ClaimHandler claims;
   private final ClaimBatcher batcher;
-  private final RequestStream stream;
+  private final RequestStreamReader stream;
   private final DelayedTasks delayed = new DelayedTasks();
   private Map<OrganisationId, Organisation> organisations = Map.of();
   private boolean ready;
@@ -48,16 +48,16 @@
       OwnOutcomes own,
       RandomGenerator random,
       Consumer<DispatchCommand> out) {
-    ClaimBook book = new ClaimBook(preferences.claimWindow().toMillis());
+    ClaimRegistry book = new ClaimRegistry(preferences.claimWindow().toMillis());
     this.requests = new OpenRequests(out, random, this::closed);
     this.executors = new ExecutorTable(identity.vm(), identity.domain());
     this.batcher = new ClaimBatcher(identity.vm().value(), incarnation);
     this.claims =
-        new ClaimDesk(identity.vm(), incarnation, requests, book, batcher, own, this::won, out);
+        new ClaimHandler(identity.vm(), incarnation, requests, book, batcher, own, this::won, out);
     this.slots =
         new SlotDispatcher(
             preferences, incarnation, requests, executors, claims, delayed, random, out);
-    this.stream = new RequestStream(book, claims, preferences.claimWindow().toMillis(), out);
+    this.stream = new RequestStreamReader(book, claims, preferences.claimWindow().toMillis(), out);
   }
 
   /**
@@ -201,7 +201,7 @@
     if (request.isEmpty() || !claims.fetched(request.get(), fetched.reply())) {
       return;
     }
-    delayed.after(now, ClaimDesk.FETCH_AGAIN_MILLIS, () -> claims.fetchAgain(request.get()));
+    delayed.after(now, ClaimHandler.FETCH_AGAIN_MILLIS, () -> claims.fetchAgain(request.get()));
   }
 
   private void tick() {
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/SettlingShare.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/EffectiveShare.java
@@ -4,7 +4,7 @@
  * This VM's share of an executor's slots or connections: lowered at once, raised only after a
  * settling time.
  */
-final class SettlingShare {
+final class EffectiveShare {
   private int inForce;
   private int announced;
   private long raiseAtMillis;
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ExecutorTable.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ExecutorTable.java
@@ -200,8 +200,8 @@
 
   private static final class Entry {
     private Optional<Executor> declared = Optional.empty();
-    private final SettlingShare share = new SettlingShare();
-    private final SettlingShare connections = new SettlingShare();
+    private final EffectiveShare share = new EffectiveShare();
+    private final EffectiveShare connections = new EffectiveShare();
     private final ExecutorHealth health = new ExecutorHealth();
     private int inUse;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/FairQueue.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/FairQueue.java
@@ -15,8 +15,8 @@
  */
 final class FairQueue {
   private final int limit;
-  private final Map<OrganisationId, Lane> lanes = new HashMap<>();
-  private final Deque<Lane> active = new ArrayDeque<>();
+  private final Map<OrganisationId, OrganisationQueue> lanes = new HashMap<>();
+  private final Deque<OrganisationQueue> active = new ArrayDeque<>();
   private Map<OrganisationId, Double> weights = Map.of();
   private double smallestWeight = 1;
   private int size;
@@ -41,7 +41,8 @@
     if (size >= limit) {
       return false;
     }
-    Lane lane = lanes.computeIfAbsent(organisation, id -> new Lane(id, quantum(id)));
+    OrganisationQueue lane =
+        lanes.computeIfAbsent(organisation, id -> new OrganisationQueue(id, quantum(id)));
     if (lane.tickets.isEmpty()) {
       active.addLast(lane);
     }
@@ -53,7 +54,7 @@
   /** Takes the next request that is still wanted; drops the others on the way. */
   OptionalLong take(LongPredicate wanted) {
     while (!active.isEmpty()) {
-      Lane lane = active.peekFirst();
+      OrganisationQueue lane = active.peekFirst();
       if (lane.deficit < 1) {
         lane.deficit += lane.quantum;
       }
@@ -71,7 +72,7 @@
     return OptionalLong.empty();
   }
 
-  private void turn(Lane lane) {
+  private void turn(OrganisationQueue lane) {
     if (lane.tickets.isEmpty()) {
       lane.deficit = 0;
       active.removeFirst();
@@ -85,7 +86,7 @@
 
   /** Removes a request that waits. */
   void remove(OrganisationId organisation, long ticket) {
-    Optional<Lane> lane = Optional.ofNullable(lanes.get(organisation));
+    Optional<OrganisationQueue> lane = Optional.ofNullable(lanes.get(organisation));
     if (lane.isEmpty() || !lane.get().tickets.remove(ticket)) {
       return;
     }
@@ -116,13 +117,13 @@
     return own + others;
   }
 
-  private static final class Lane {
+  private static final class OrganisationQueue {
     private final OrganisationId organisation;
     private final Deque<Long> tickets = new ArrayDeque<>();
     private double quantum;
     private double deficit;
 
-    Lane(OrganisationId organisation, double quantum) {
+    OrganisationQueue(OrganisationId organisation, double quantum) {
       this.organisation = organisation;
       this.quantum = quantum;
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/HealthWatch.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/HealthMonitor.java
@@ -7,11 +7,11 @@
 import org.fescuehook.model.fleet.ExecutorId;
 
 /** Ejects executors that fail, telling a dead path from a dead executor, under a cap. */
-final class HealthWatch {
+final class HealthMonitor {
   private final ExecutorTable executors;
   private final Consumer<DispatchCommand> out;
 
-  HealthWatch(ExecutorTable executors, Consumer<DispatchCommand> out) {
+  HealthMonitor(ExecutorTable executors, Consumer<DispatchCommand> out) {
     this.executors = executors;
     this.out = out;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/OwnOutcomes.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/OwnOutcomes.java
@@ -12,19 +12,19 @@
 public final class OwnOutcomes {
   private static final int MOST_SETTLED = 2048;
 
-  private record Known(String token, Optional<RequestOutcome> outcome) {}
+  private record LocalClaim(String token, Optional<RequestOutcome> outcome) {}
 
-  private final Map<RequestKey, Known> running = new LinkedHashMap<>();
-  private final Map<RequestKey, Known> settled = new LinkedHashMap<>();
+  private final Map<RequestKey, LocalClaim> running = new LinkedHashMap<>();
+  private final Map<RequestKey, LocalClaim> settled = new LinkedHashMap<>();
 
   /** Notes a claim that waits for the log. */
   synchronized void begin(RequestKey key, String token) {
-    running.putIfAbsent(key, new Known(token, Optional.empty()));
+    running.putIfAbsent(key, new LocalClaim(token, Optional.empty()));
   }
 
   /** Notes a claim that won. */
   synchronized void won(RequestKey key, String token) {
-    running.put(key, new Known(token, Optional.empty()));
+    running.put(key, new LocalClaim(token, Optional.empty()));
   }
 
   /** Forgets a claim that was lost or released. */
@@ -37,7 +37,7 @@
   /** Notes an outcome; the oldest are forgotten, the log has them. */
   synchronized void settle(RequestOutcome outcome) {
     running.remove(outcome.getKey());
-    settled.put(outcome.getKey(), new Known(outcome.getToken(), Optional.of(outcome)));
+    settled.put(outcome.getKey(), new LocalClaim(outcome.getToken(), Optional.of(outcome)));
     Iterator<RequestKey> oldest = settled.keySet().iterator();
     while (settled.size() > MOST_SETTLED) {
       oldest.next();
@@ -49,7 +49,7 @@
   synchronized Optional<RequestOutcome> settledOutcome(RequestKey key, String token) {
     return Optional.ofNullable(settled.get(key))
         .filter(known -> known.token().equals(token))
-        .flatMap(Known::outcome);
+        .flatMap(LocalClaim::outcome);
   }
 
   /** Answers a peer; empty if this VM knows nothing of the key. */
@@ -58,7 +58,7 @@
       return Optional.of(OutcomeReply.newBuilder().setInProgress(true).build());
     }
     return Optional.ofNullable(settled.get(key))
-        .flatMap(Known::outcome)
+        .flatMap(LocalClaim::outcome)
         .map(outcome -> OutcomeReply.newBuilder().setOutcome(outcome).build());
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/RequestStream.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/RequestStreamReader.java
@@ -6,11 +6,11 @@
 import org.fescuehook.model.request.RefusalReason;
 
 /** Reads the stream {@code requests} into the book, and tells whether the book can be relied on. */
-final class RequestStream {
+final class RequestStreamReader {
   private static final long NO_OFFSET = -1;
 
-  private final ClaimBook book;
-  private final ClaimBook.Reader reader;
+  private final ClaimRegistry book;
+  private final ClaimRegistry.Listener reader;
   private final long windowMillis;
   private final Consumer<DispatchCommand> out;
   private long lastOffset = NO_OFFSET;
@@ -19,8 +19,11 @@
   private boolean newerVersion;
   private Optional<Long> missedAtMillis = Optional.empty();
 
-  RequestStream(
-      ClaimBook book, ClaimBook.Reader reader, long windowMillis, Consumer<DispatchCommand> out) {
+  RequestStreamReader(
+      ClaimRegistry book,
+      ClaimRegistry.Listener reader,
+      long windowMillis,
+      Consumer<DispatchCommand> out) {
     this.book = book;
     this.reader = reader;
     this.windowMillis = windowMillis;
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/SlotDispatcher.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/SlotDispatcher.java
@@ -18,8 +18,8 @@
   private final String incarnation;
   private final OpenRequests requests;
   private final ExecutorTable executors;
-  private final HealthWatch health;
-  private final ClaimDesk claims;
+  private final HealthMonitor health;
+  private final ClaimHandler claims;
   private final DelayedTasks delayed;
   private final Consumer<DispatchCommand> out;
   private final RetryBudget budget;
@@ -33,7 +33,7 @@
       String incarnation,
       OpenRequests requests,
       ExecutorTable executors,
-      ClaimDesk claims,
+      ClaimHandler claims,
       DelayedTasks delayed,
       RandomGenerator random,
       Consumer<DispatchCommand> out) {
@@ -44,7 +44,7 @@
     this.claims = claims;
     this.delayed = delayed;
     this.out = out;
-    this.health = new HealthWatch(executors, out);
+    this.health = new HealthMonitor(executors, out);
     this.budget = new RetryBudget(preferences.retryBudget());
     this.backoff = new Backoff(random);
     this.urgent = new FairQueue(preferences.queueLength());
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/BorrowStep.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/BorrowingJobPlanner.java
@@ -12,7 +12,7 @@
 import org.fescuehook.model.job.Shape;
 
 /** Starts jobs on capacity beyond their organisations' guarantees. */
-final class BorrowStep {
+final class BorrowingJobPlanner {
 
   private static final int MOST_RESERVATIONS = 3;
   private static final int MOST_MOVE_TRIALS = 8;
@@ -20,28 +20,28 @@
   private final PlanState state;
   private final GangPlacer placer;
   private final PolicyParts parts;
-  private final StopTerms terms;
+  private final StopFactory terms;
   private final VictimRules victims;
-  private final GuaranteeStep guarantees;
-  private final QuotaStep quotas;
+  private final GuaranteedJobPlanner guarantees;
+  private final QuotaEnforcer quotas;
   private final ReservationPlanner planner;
   private final List<Reservation> reservations = new ArrayList<>();
   private final Set<Blocked> blocked = new HashSet<>();
   private int moveTrials;
 
-  BorrowStep(
+  BorrowingJobPlanner(
       PlanState state,
       GangPlacer placer,
       PolicyParts parts,
       JobOrder order,
-      GuaranteeStep guarantees,
-      QuotaStep quotas) {
+      GuaranteedJobPlanner guarantees,
+      QuotaEnforcer quotas) {
     this.quotas = quotas;
     this.guarantees = guarantees;
     this.state = state;
     this.placer = placer;
     this.parts = parts;
-    this.terms = new StopTerms(state.view().declarations().policy());
+    this.terms = new StopFactory(state.view().declarations().policy());
     this.victims = new VictimRules(state, order);
     this.planner = new ReservationPlanner(state, placer, parts.packing());
   }
@@ -94,12 +94,12 @@
   }
 
   /** Returns what a job of so many seconds may use without delaying a reservation. */
-  private Room room(double leftSeconds) {
-    Room free = state.borrowable(state.free());
+  private WorkerCapacities room(double leftSeconds) {
+    WorkerCapacities free = state.borrowable(state.free());
     if (binding(leftSeconds) == 0) {
       return free;
     }
-    Room room = free.copy();
+    WorkerCapacities room = free.copy();
     for (Reservation r : reservations) {
       if (r.binds(leftSeconds)) {
         room.lowerTo(r.late());
@@ -108,7 +108,7 @@
     return room;
   }
 
-  private Optional<int[]> place(Candidate candidate, Room room, boolean[] avoid) {
+  private Optional<int[]> place(Candidate candidate, WorkerCapacities room, boolean[] avoid) {
     Shape shape = candidate.job().shape();
     var preference = new WorkerPreference(state, shape, parts.homes(), parts.packing());
     return placer.place(shape, room, avoid, preference);
@@ -126,8 +126,8 @@
     }
     List<Victim> eligible =
         must ? victims.forUrgentOrOverdue(candidate) : victims.forMove(candidate);
-    Room all = state.index().capacity();
-    Room soon = state.borrowable(state.soon(candidate.job()));
+    WorkerCapacities all = state.index().capacity();
+    WorkerCapacities soon = state.borrowable(state.soon(candidate.job()));
     Optional<Selection> selection =
         new VictimSelector(state.index())
             .select(candidate.job().shape(), soon, all, avoid, eligible);
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/FeasibilityChecker.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/FeasibilityChecker.java
@@ -25,7 +25,7 @@
     }
     FleetIndex index = new FleetIndex(declarations.fleet());
     GangPlacer placer = new GangPlacer(index);
-    Room all = index.capacity();
+    WorkerCapacities all = index.capacity();
     boolean[] avoid = new boolean[index.workerCount()];
     if (placer.fits(shape, all, avoid)) {
       return Optional.empty();
@@ -48,7 +48,7 @@
    */
   public List<String> unkeepableGuarantees(Declarations declarations) {
     FleetIndex index = new FleetIndex(declarations.fleet());
-    GuaranteedHomes homes = GuaranteedHomes.find(index, declarations.guarantees());
+    ReservedPlacements homes = ReservedPlacements.find(index, declarations.guarantees());
     List<String> names = new ArrayList<>();
     int copy = 0;
     for (var g : declarations.guarantees()) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/FleetIndex.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/FleetIndex.java
@@ -55,8 +55,8 @@
   }
 
   /** Returns the declared capacity of all workers. */
-  Room capacity() {
-    Room room = Room.empty(workers.size());
+  WorkerCapacities capacity() {
+    WorkerCapacities room = WorkerCapacities.empty(workers.size());
     for (int w = 0; w < workers.size(); w++) {
       room.give(w, workers.get(w).capacity());
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GangPlacer.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GangPlacer.java
@@ -57,7 +57,7 @@
    * @param room where members may stand
    * @param avoid workers that are left out, by number
    */
-  Optional<int[]> place(Shape shape, Room room, boolean[] avoid, Preference preference) {
+  Optional<int[]> place(Shape shape, WorkerCapacities room, boolean[] avoid, Preference preference) {
     if (!count(shape, room, avoid)) {
       return Optional.empty();
     }
@@ -76,14 +76,14 @@
   }
 
   /** Tells whether the shape fits in the room. */
-  boolean fits(Shape shape, Room room, boolean[] avoid) {
+  boolean fits(Shape shape, WorkerCapacities room, boolean[] avoid) {
     if (!count(shape, room, avoid)) {
       return false;
     }
     return isAnywhere(shape) || mostInRacks(shape.maxRacks()) >= shape.members();
   }
 
-  private boolean count(Shape shape, Room room, boolean[] avoid) {
+  private boolean count(Shape shape, WorkerCapacities room, boolean[] avoid) {
     Capacity unit = shape.perMember();
     int most = shape.members();
     Arrays.fill(rackFit, 0);
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GuaranteeScheduler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GuaranteeScheduler.java
@@ -19,7 +19,7 @@
 
   private final PolicyParts parts;
   private final Set<AttemptId> stoppedAtOnce = new HashSet<>();
-  private Optional<Known> known = Optional.empty();
+  private Optional<DeclarationCache> known = Optional.empty();
 
   /** Creates the policy with all its parts. */
   public GuaranteeScheduler() {
@@ -32,29 +32,31 @@
   }
 
   /** What follows from declarations and unusable workers alone. */
-  private record Known(
+  private record DeclarationCache(
       Declarations declarations,
       Set<WorkerId> unusable,
       FleetIndex index,
       GangPlacer placer,
-      GuaranteedHomes declaredHomes,
-      GuaranteedHomes homes,
+      ReservedPlacements declaredHomes,
+      ReservedPlacements homes,
       boolean[] isUnusable) {}
 
   @Override
   public Plan plan(View view) {
-    Known known = known(view);
+    DeclarationCache known = known(view);
     RunTimeEstimator estimator = new RunTimeEstimator(view.history(), parts.correction());
     forgetEnded(view);
     PlanState state =
         new PlanState(
             view, known.index(), estimator, known.homes(), known.isUnusable(), stoppedAtOnce);
-    QuotaStep quotas = new QuotaStep(state);
-    GuaranteeStep guarantees = new GuaranteeStep(state, known.placer(), parts, quotas);
+    QuotaEnforcer quotas = new QuotaEnforcer(state);
+    GuaranteedJobPlanner guarantees =
+        new GuaranteedJobPlanner(state, known.placer(), parts, quotas);
     JobOrder order = new JobOrder(parts, new RuleMatcher());
     List<Candidate> admitted =
         order.order(state).stream().filter(c -> isAdmitted(c, state)).toList();
-    BorrowStep borrowing = new BorrowStep(state, known.placer(), parts, order, guarantees, quotas);
+    BorrowingJobPlanner borrowing =
+        new BorrowingJobPlanner(state, known.placer(), parts, order, guarantees, quotas);
     guarantees.accept(admitted).forEach(borrowing::accept);
     Plan plan = state.plan();
     remember(plan);
@@ -88,14 +90,16 @@
 
   // The cache is by identity: comparing declarations of 810 workers would cost more than a plan.
   @SuppressWarnings("ReferenceEquality")
-  private Known known(View view) {
+  private DeclarationCache known(View view) {
     if (known.isEmpty() || known.get().declarations() != view.declarations()) {
       FleetIndex index = new FleetIndex(view.declarations().fleet());
-      GuaranteedHomes homes = GuaranteedHomes.find(index, view.declarations().guarantees());
+      ReservedPlacements homes = ReservedPlacements.find(index, view.declarations().guarantees());
       boolean[] none = new boolean[index.workerCount()];
       Declarations declarations = view.declarations();
       GangPlacer placer = new GangPlacer(index);
-      known = Optional.of(new Known(declarations, Set.of(), index, placer, homes, homes, none));
+      known =
+          Optional.of(
+              new DeclarationCache(declarations, Set.of(), index, placer, homes, homes, none));
     }
     if (!known.get().unusable().equals(view.unusable())) {
       known = Optional.of(withUnusable(known.get(), Set.copyOf(view.unusable())));
@@ -103,7 +107,7 @@
     return known.get();
   }
 
-  private static Known withUnusable(Known before, Set<WorkerId> unusable) {
+  private static DeclarationCache withUnusable(DeclarationCache before, Set<WorkerId> unusable) {
     FleetIndex index = before.index();
     boolean[] isUnusable = new boolean[index.workerCount()];
     for (WorkerId id : unusable) {
@@ -112,8 +116,8 @@
         isUnusable[worker] = true;
       }
     }
-    GuaranteedHomes homes = before.declaredHomes().without(index, isUnusable);
-    return new Known(
+    ReservedPlacements homes = before.declaredHomes().without(index, isUnusable);
+    return new DeclarationCache(
         before.declarations(),
         unusable,
         index,
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GuaranteeBook.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GuaranteeUsage.java
@@ -14,22 +14,22 @@
  * What holders use of their guaranteed shapes. A job is within its guarantee if each member stands
  * in a slot of its organisation that has room for it, at that slot's home.
  */
-final class GuaranteeBook {
+final class GuaranteeUsage {
 
   private static final int NONE = -1;
 
-  private final GuaranteedHomes homes;
+  private final ReservedPlacements homes;
   private final Capacity[][] left;
-  private final Map<OrganisationId, List<GuaranteeCopy>> copiesOf = new HashMap<>();
-  private final Room unused;
+  private final Map<OrganisationId, List<GuaranteedInstance>> copiesOf = new HashMap<>();
+  private final WorkerCapacities unused;
   private final int workerCount;
 
-  GuaranteeBook(GuaranteedHomes homes, int workerCount) {
+  GuaranteeUsage(ReservedPlacements homes, int workerCount) {
     this.homes = homes;
     this.workerCount = workerCount;
     this.left = new Capacity[homes.copies().size()][];
-    this.unused = Room.empty(workerCount);
-    for (GuaranteeCopy copy : homes.copies()) {
+    this.unused = WorkerCapacities.empty(workerCount);
+    for (GuaranteedInstance copy : homes.copies()) {
       left[copy.number()] = new Capacity[copy.shape().members()];
       Arrays.fill(left[copy.number()], copy.shape().perMember());
       if (homes.hasHome(copy)) {
@@ -40,13 +40,13 @@
   }
 
   /** Returns what is not used of all guaranteed shapes, at their homes; not to be changed. */
-  Room unused() {
+  WorkerCapacities unused() {
     return unused;
   }
 
   /** Adds what an organisation does not use of its guaranteed shapes, at their homes. */
-  void addUnused(OrganisationId organisation, Room room) {
-    for (GuaranteeCopy copy : copiesOf.getOrDefault(organisation, List.of())) {
+  void addUnused(OrganisationId organisation, WorkerCapacities room) {
+    for (GuaranteedInstance copy : copiesOf.getOrDefault(organisation, List.of())) {
       int[] own = homes.of(copy);
       for (int slot = 0; slot < own.length; slot++) {
         room.give(own[slot], left[copy.number()][slot]);
@@ -55,16 +55,16 @@
   }
 
   /** Returns the rooms in one of which a job has to stand to be within its guarantee. */
-  List<Room> roomsFor(Job job) {
-    List<GuaranteeCopy> own = copiesFor(job);
+  List<WorkerCapacities> roomsFor(Job job) {
+    List<GuaranteedInstance> own = copiesFor(job);
     if (!hasSlots(own, job.shape())) {
       return new ArrayList<>();
     }
-    if (GuaranteeCopy.isAnywhere(job.shape())) {
+    if (GuaranteedInstance.isAnywhere(job.shape())) {
       return new ArrayList<>(List.of(room(own, job.shape())));
     }
-    List<Room> rooms = new ArrayList<>();
-    for (GuaranteeCopy copy : own) {
+    List<WorkerCapacities> rooms = new ArrayList<>();
+    for (GuaranteedInstance copy : own) {
       if (copy.isAdjacentEnough(job.shape())) {
         rooms.add(room(List.of(copy), job.shape()));
       }
@@ -73,21 +73,21 @@
   }
 
   /** Returns the shapes that a job may use: work without accelerators uses none that have any. */
-  private List<GuaranteeCopy> copiesFor(Job job) {
-    List<GuaranteeCopy> own = copiesOf.getOrDefault(job.organisation(), List.of());
+  private List<GuaranteedInstance> copiesFor(Job job) {
+    List<GuaranteedInstance> own = copiesOf.getOrDefault(job.organisation(), List.of());
     if (own.isEmpty()) {
       return own;
     }
     boolean needsAny = job.shape().accelerators() > 0;
-    List<GuaranteeCopy> matching = new ArrayList<>(own);
+    List<GuaranteedInstance> matching = new ArrayList<>(own);
     matching.removeIf(c -> c.shape().accelerators() > 0 != needsAny);
     return matching;
   }
 
   /** Tells whether there are slots for all members, on whichever workers. */
-  private boolean hasSlots(List<GuaranteeCopy> copies, Shape shape) {
+  private boolean hasSlots(List<GuaranteedInstance> copies, Shape shape) {
     long members = 0;
-    for (GuaranteeCopy copy : copies) {
+    for (GuaranteedInstance copy : copies) {
       for (Capacity slot : left[copy.number()]) {
         members += slot.fits(shape.perMember());
       }
@@ -96,10 +96,10 @@
   }
 
   /** Returns room for as many members on each worker as its slots hold, each in one slot. */
-  private Room room(List<GuaranteeCopy> copies, Shape shape) {
-    Room room = Room.empty(workerCount);
+  private WorkerCapacities room(List<GuaranteedInstance> copies, Shape shape) {
+    WorkerCapacities room = WorkerCapacities.empty(workerCount);
     Capacity unit = shape.perMember();
-    for (GuaranteeCopy copy : copies) {
+    for (GuaranteedInstance copy : copies) {
       int[] own = homes.of(copy);
       for (int slot = 0; slot < own.length; slot++) {
         int members = Math.min(shape.members(), left[copy.number()][slot].fits(unit));
@@ -116,8 +116,8 @@
    * @return false if it is not, and nothing was counted
    */
   boolean use(Job job, int[] workers) {
-    List<GuaranteeCopy> own = copiesFor(job);
-    for (GuaranteeCopy copy : own) {
+    List<GuaranteedInstance> own = copiesFor(job);
+    for (GuaranteedInstance copy : own) {
       if (use(List.of(copy), job.shape(), workers)) {
         return true;
       }
@@ -125,7 +125,7 @@
     return own.size() > 1 && use(own, job.shape(), workers);
   }
 
-  private boolean use(List<GuaranteeCopy> copies, Shape shape, int[] workers) {
+  private boolean use(List<GuaranteedInstance> copies, Shape shape, int[] workers) {
     List<int[]> taken = new ArrayList<>(workers.length);
     for (int worker : workers) {
       int[] slot = worker < 0 ? new int[0] : tightestSlot(copies, worker, shape.perMember());
@@ -145,10 +145,10 @@
   }
 
   /** Returns the numbers of a guaranteed shape and of its slot; empty if none has room. */
-  private int[] tightestSlot(List<GuaranteeCopy> own, int worker, Capacity amount) {
+  private int[] tightestSlot(List<GuaranteedInstance> own, int worker, Capacity amount) {
     int bestCopy = NONE;
     int bestSlot = NONE;
-    for (GuaranteeCopy copy : own) {
+    for (GuaranteedInstance copy : own) {
       int[] workers = homes.of(copy);
       for (int slot = 0; slot < workers.length; slot++) {
         Capacity free = left[copy.number()][slot];
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GuaranteeCopy.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GuaranteedInstance.java
@@ -10,7 +10,7 @@
  * @param organisation holder
  * @param shape the shape
  */
-record GuaranteeCopy(int number, OrganisationId organisation, Shape shape) {
+record GuaranteedInstance(int number, OrganisationId organisation, Shape shape) {
 
   /** Tells whether racks do not matter to a shape. */
   static boolean isAnywhere(Shape shape) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GuaranteeStep.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GuaranteedJobPlanner.java
@@ -14,25 +14,26 @@
 import org.fescuehook.model.organisation.OrganisationId;
 
 /** Starts the jobs that guarantees cover, and has borrowers give way to them. */
-final class GuaranteeStep {
+final class GuaranteedJobPlanner {
 
   private static final double URGENT_FACTOR = 100;
 
   private final PlanState state;
   private final GangPlacer placer;
   private final PolicyParts parts;
-  private final StopTerms terms;
-  private final QuotaStep quotas;
+  private final StopFactory terms;
+  private final QuotaEnforcer quotas;
   private final Set<Demand> withoutStart = new HashSet<>();
   private final Set<Demand> withoutReclaim = new HashSet<>();
   private final Set<Shape> withoutRoom = new HashSet<>();
 
-  GuaranteeStep(PlanState state, GangPlacer placer, PolicyParts parts, QuotaStep quotas) {
+  GuaranteedJobPlanner(
+      PlanState state, GangPlacer placer, PolicyParts parts, QuotaEnforcer quotas) {
     this.quotas = quotas;
     this.state = state;
     this.placer = placer;
     this.parts = parts;
-    this.terms = new StopTerms(state.view().declarations().policy());
+    this.terms = new StopFactory(state.view().declarations().policy());
   }
 
   /**
@@ -49,7 +50,7 @@
     Set<Candidate> open = new HashSet<>();
     Set<Candidate> done = new HashSet<>();
     for (Candidate c : covered) {
-      List<Room> homes = homes(c);
+      List<WorkerCapacities> homes = homes(c);
       if (!quotas.allows(c) || (!homes.isEmpty() && startOrAwait(c, homes))) {
         done.add(c);
       } else if (!homes.isEmpty()) {
@@ -96,7 +97,7 @@
     }
   }
 
-  private boolean startOrAwait(Candidate candidate, List<Room> homes) {
+  private boolean startOrAwait(Candidate candidate, List<WorkerCapacities> homes) {
     Demand demand = Demand.of(candidate);
     if (withoutStart.contains(demand)) {
       return false;
@@ -132,7 +133,7 @@
     if (!parts.reclaim() || withoutReclaim.contains(demand)) {
       return false;
     }
-    List<Room> homes = homes(candidate);
+    List<WorkerCapacities> homes = homes(candidate);
     boolean[] avoid = state.avoid(candidate.waiting());
     if (!homes.isEmpty()
         && (awaitStops(candidate, homes, avoid) || reclaim(candidate, homes, avoid))) {
@@ -145,8 +146,8 @@
   }
 
   /** Returns the homes in which the job would be within its guarantee. */
-  private List<Room> homes(Candidate candidate) {
-    List<Room> homes = state.guarantees().roomsFor(candidate.job());
+  private List<WorkerCapacities> homes(Candidate candidate) {
+    List<WorkerCapacities> homes = state.guarantees().roomsFor(candidate.job());
     if (homes.isEmpty()) {
       return homes;
     }
@@ -155,9 +156,9 @@
     return homes;
   }
 
-  private boolean startAtHome(Candidate candidate, List<Room> homes, boolean[] avoid) {
+  private boolean startAtHome(Candidate candidate, List<WorkerCapacities> homes, boolean[] avoid) {
     Job job = candidate.job();
-    for (Room home : homes) {
+    for (WorkerCapacities home : homes) {
       Optional<int[]> workers = place(job, state.free(), home, avoid);
       if (workers.isPresent() && state.useGuarantee(job, workers.get())) {
         state.start(candidate, workers.get(), false);
@@ -167,9 +168,9 @@
     return false;
   }
 
-  private boolean awaitStops(Candidate candidate, List<Room> homes, boolean[] avoid) {
+  private boolean awaitStops(Candidate candidate, List<WorkerCapacities> homes, boolean[] avoid) {
     Job job = candidate.job();
-    for (Room home : homes) {
+    for (WorkerCapacities home : homes) {
       Optional<int[]> workers = place(job, state.soon(job), home, avoid);
       if (workers.isPresent() && state.useGuarantee(job, workers.get())) {
         state.hold(job, workers.get());
@@ -180,13 +181,13 @@
     return false;
   }
 
-  private boolean reclaim(Candidate candidate, List<Room> homes, boolean[] avoid) {
+  private boolean reclaim(Candidate candidate, List<WorkerCapacities> homes, boolean[] avoid) {
     Job job = candidate.job();
     List<Victim> eligible = victims(job);
-    Room soon = state.beside(job.organisation(), state.soon(job));
+    WorkerCapacities soon = state.beside(job.organisation(), state.soon(job));
     VictimSelector selector = new VictimSelector(state.index());
     Optional<Selection> best = Optional.empty();
-    for (Room home : homes) {
+    for (WorkerCapacities home : homes) {
       Optional<Selection> found =
           selector.select(job.shape(), soon, home, avoid, at(home, eligible));
       if (found.isPresent() && (best.isEmpty() || found.get().cost() < best.get().cost())) {
@@ -204,7 +205,7 @@
   }
 
   /** Returns the victims that have a member on a worker of a home. */
-  private static List<Victim> at(Room home, List<Victim> victims) {
+  private static List<Victim> at(WorkerCapacities home, List<Victim> victims) {
     List<Victim> there = new ArrayList<>();
     for (Victim v : victims) {
       for (int w : v.occupant().workers()) {
@@ -220,7 +221,7 @@
   /** Returns borrowers; urgent ones only as a last resort, those of the same organisation never. */
   private List<Victim> victims(Job job) {
     List<Victim> victims = new ArrayList<>();
-    for (Occupant o : state.occupants()) {
+    for (PlacedAttempt o : state.occupants()) {
       if (o.guaranteed() || state.isStopped(o) || isOwnUrgent(o, job)) {
         continue;
       }
@@ -230,19 +231,20 @@
     return victims;
   }
 
-  private static boolean isOwnUrgent(Occupant occupant, Job job) {
+  private static boolean isOwnUrgent(PlacedAttempt occupant, Job job) {
     Job other = occupant.running().job();
     return other.urgent() && other.organisation().equals(job.organisation());
   }
 
   /** Places a job at home, first in the slots that have least left, so that others stay whole. */
-  private Optional<int[]> place(Job job, Room available, Room home, boolean[] avoid) {
-    Room room = state.beside(job.organisation(), available);
+  private Optional<int[]> place(
+      Job job, WorkerCapacities available, WorkerCapacities home, boolean[] avoid) {
+    WorkerCapacities room = state.beside(job.organisation(), available);
     room.lowerTo(home);
     return placer.place(job.shape(), room, avoid, new HomePreference(home));
   }
 
-  private record HomePreference(Room home) implements GangPlacer.Preference {
+  private record HomePreference(WorkerCapacities home) implements GangPlacer.Preference {
 
     @Override
     public int ofWorker(int worker) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/JobOrder.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/JobOrder.java
@@ -61,7 +61,7 @@
   }
 
   /** Returns the score that a running attempt's job would have if it waited. */
-  double score(Occupant occupant, PlanState state) {
+  double score(PlacedAttempt occupant, PlanState state) {
     Job job = occupant.running().job();
     long waitedMillis = Math.max(0, state.view().nowMillis() - job.submittedMillis());
     return score(job, waitedMillis, occupant.leftSeconds());
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/PlanState.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/PlanState.java
@@ -35,12 +35,12 @@
   private final boolean[] unusable;
   private final boolean[] suspect;
   private final int[] freeInRack;
-  private final Room free;
-  private final Room soon;
-  private final Room verySoon;
+  private final WorkerCapacities free;
+  private final WorkerCapacities soon;
+  private final WorkerCapacities verySoon;
   private final Set<AttemptId> stoppedAtOnce;
-  private final GuaranteeBook guarantees;
-  private final List<Occupant> occupants = new ArrayList<>();
+  private final GuaranteeUsage guarantees;
+  private final List<PlacedAttempt> occupants = new ArrayList<>();
   private final Map<OrganisationId, int[]> inUse = new HashMap<>();
   private final Map<OrganisationId, Organisation> organisations = new HashMap<>();
   private int used;
@@ -48,7 +48,7 @@
   private final List<Start> starts = new ArrayList<>();
   private final List<Stop> stops = new ArrayList<>();
   private Set<OrganisationId> protectedHolders = Set.of();
-  private Room protectedHomes;
+  private WorkerCapacities protectedHomes;
   private final Set<AttemptId> stopped = new HashSet<>();
   private final Map<JobId, Explanation> reasons = new LinkedHashMap<>();
 
@@ -62,7 +62,7 @@
       View view,
       FleetIndex index,
       RunTimeEstimator estimator,
-      GuaranteedHomes homes,
+      ReservedPlacements homes,
       boolean[] unusable,
       Set<AttemptId> stoppedAtOnce) {
     this.view = view;
@@ -80,8 +80,8 @@
     }
     this.soon = free.copy();
     this.verySoon = free.copy();
-    this.protectedHomes = Room.empty(index.workerCount());
-    this.guarantees = new GuaranteeBook(homes, index.workerCount());
+    this.protectedHomes = WorkerCapacities.empty(index.workerCount());
+    this.guarantees = new GuaranteeUsage(homes, index.workerCount());
     markSuspects();
     view.declarations().organisations().forEach(o -> organisations.put(o.id(), o));
     view.running().forEach(this::addRunning);
@@ -107,7 +107,7 @@
     int[] workers = index.numbers(running.placement().members());
     boolean guaranteed = !running.borrowed() && guarantees.use(job, workers);
     double ran = (view.nowMillis() - running.startedMillis()) / 1000.0 + running.keptSeconds();
-    occupants.add(new Occupant(running, workers, guaranteed, estimator.left(job, ran)));
+    occupants.add(new PlacedAttempt(running, workers, guaranteed, estimator.left(job, ran)));
     Capacity unit = job.shape().perMember();
     takeUsable(free, workers, unit);
     if (!running.stopping()) {
@@ -119,7 +119,7 @@
     countUse(job);
   }
 
-  private void takeUsable(Room room, int[] workers, Capacity unit) {
+  private void takeUsable(WorkerCapacities room, int[] workers, Capacity unit) {
     for (int w : workers) {
       if (w >= 0 && !unusable[w]) {
         room.take(w, unit);
@@ -145,14 +145,14 @@
   }
 
   /** Returns what is free now and not held for a job. */
-  Room free() {
+  WorkerCapacities free() {
     return free;
   }
 
   /** Keeps all others off the unused homes of these organisations, whose jobs wait for them. */
   void protect(Set<OrganisationId> holders) {
     protectedHolders = Set.copyOf(holders);
-    protectedHomes = Room.empty(index.workerCount());
+    protectedHomes = WorkerCapacities.empty(index.workerCount());
     holders.forEach(o -> guarantees.addUnused(o, protectedHomes));
   }
 
@@ -172,18 +172,18 @@
   }
 
   /** Returns what borrowers may use of a room: all but protected homes. Not to be changed. */
-  Room borrowable(Room room) {
+  WorkerCapacities borrowable(WorkerCapacities room) {
     if (protectedHolders.isEmpty()) {
       return room;
     }
-    Room left = room.copy();
+    WorkerCapacities left = room.copy();
     left.takeAll(protectedHomes);
     return left;
   }
 
   /** Returns what a holder may use of a room: all but protected homes of others. */
-  Room beside(OrganisationId holder, Room room) {
-    Room left = room.copy();
+  WorkerCapacities beside(OrganisationId holder, WorkerCapacities room) {
+    WorkerCapacities left = room.copy();
     left.takeAll(protectedHomes);
     if (protectedHolders.contains(holder)) {
       guarantees.addUnused(holder, left);
@@ -192,16 +192,16 @@
   }
 
   /** Returns what is free once the attempts have ended that were told to stop in good time. */
-  Room soon(Job job) {
+  WorkerCapacities soon(Job job) {
     return job.urgent() ? verySoon : soon;
   }
 
   /** Returns what holders use of their guaranteed shapes. */
-  GuaranteeBook guarantees() {
+  GuaranteeUsage guarantees() {
     return guarantees;
   }
 
-  List<Occupant> occupants() {
+  List<PlacedAttempt> occupants() {
     return occupants;
   }
 
@@ -258,7 +258,7 @@
         uses.put(id, ended);
       }
     }
-    for (Occupant o : occupants) {
+    for (PlacedAttempt o : occupants) {
       Job job = o.running().job();
       double ran = Math.max(0, view.nowMillis() - o.running().startedMillis()) / 1000.0;
       uses.merge(job.organisation(), ran * job.shape().accelerators(), Double::sum);
@@ -266,7 +266,7 @@
     return uses;
   }
 
-  boolean isStopped(Occupant occupant) {
+  boolean isStopped(PlacedAttempt occupant) {
     return occupant.running().stopping() || stopped.contains(occupant.running().attempt());
   }
 
@@ -293,7 +293,7 @@
   }
 
   /** Stops an attempt for the sake of a job. */
-  void stop(Occupant occupant, Stop stop) {
+  void stop(PlacedAttempt occupant, Stop stop) {
     stops.add(stop);
     stopped.add(stop.attempt());
     Capacity unit = occupant.running().job().shape().perMember();
@@ -303,7 +303,7 @@
     }
   }
 
-  private void giveUsable(Room room, int[] workers, Capacity unit) {
+  private void giveUsable(WorkerCapacities room, int[] workers, Capacity unit) {
     for (int w : workers) {
       if (w >= 0 && !unusable[w]) {
         room.give(w, unit);
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/QuotaStep.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/QuotaEnforcer.java
@@ -7,14 +7,14 @@
 import org.fescuehook.model.job.Job;
 
 /** Holds organisations to their quotas; an urgent job above it displaces its own organisation. */
-final class QuotaStep {
+final class QuotaEnforcer {
 
   private final PlanState state;
-  private final StopTerms terms;
+  private final StopFactory terms;
 
-  QuotaStep(PlanState state) {
+  QuotaEnforcer(PlanState state) {
     this.state = state;
-    this.terms = new StopTerms(state.view().declarations().policy());
+    this.terms = new StopFactory(state.view().declarations().policy());
   }
 
   /** Tells whether a job is within its organisation's quota, and explains it if not. */
@@ -32,9 +32,9 @@
   }
 
   private void displaceOwn(Candidate candidate, int over) {
-    List<Occupant> own = new ArrayList<>();
+    List<PlacedAttempt> own = new ArrayList<>();
     int missing = over;
-    for (Occupant o : state.occupants()) {
+    for (PlacedAttempt o : state.occupants()) {
       Job other = o.running().job();
       if (!other.organisation().equals(candidate.job().organisation()) || other.urgent()) {
         continue;
@@ -47,7 +47,7 @@
     }
     long now = state.view().nowMillis();
     own.sort(Comparator.comparingDouble(o -> o.stopCost(now)));
-    for (Occupant o : own) {
+    for (PlacedAttempt o : own) {
       if (missing <= 0) {
         return;
       }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/HomeRacks.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/RackChooser.java
@@ -4,7 +4,7 @@
 import org.fescuehook.model.job.Shape;
 
 /** Chooses the racks in which a guaranteed shape that asks for adjacency stands. */
-final class HomeRacks {
+final class RackChooser {
 
   private final FleetIndex index;
   private final Shape shape;
@@ -16,7 +16,7 @@
    *
    * @param first number of the rack that is preferred among equals, and the ones after it
    */
-  HomeRacks(FleetIndex index, Shape shape, Room left, int first) {
+  RackChooser(FleetIndex index, Shape shape, WorkerCapacities left, int first) {
     this.first = first;
     this.index = index;
     this.shape = shape;
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/Reservation.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/Reservation.java
@@ -9,7 +9,7 @@
  * @param inSeconds time until then
  * @param late what other jobs may use of each worker beyond that time
  */
-record Reservation(Candidate job, double inSeconds, Room late) {
+record Reservation(Candidate job, double inSeconds, WorkerCapacities late) {
 
   /** Tells whether a job that starts now must keep off the reserved room. */
   boolean binds(double leftSeconds) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/ReservationPlanner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/ReservationPlanner.java
@@ -13,7 +13,7 @@
   private final PlanState state;
   private final GangPlacer placer;
   private final boolean packing;
-  private Optional<List<Occupant>> byEnd = Optional.empty();
+  private Optional<List<PlacedAttempt>> byEnd = Optional.empty();
 
   ReservationPlanner(PlanState state, GangPlacer placer, boolean packing) {
     this.state = state;
@@ -24,9 +24,10 @@
   /** Returns a reservation, or empty if the shape is not free even after all attempts ended. */
   Optional<Reservation> reserve(Candidate candidate, boolean[] avoid) {
     Shape shape = candidate.job().shape();
-    Growth growth = new Growth(state.index(), shape, state.free().copy(), avoid);
+    CapacityForecast growth =
+        new CapacityForecast(state.index(), shape, state.free().copy(), avoid);
     double inSeconds = 0;
-    for (Occupant o : byEnd()) {
+    for (PlacedAttempt o : byEnd()) {
       if (growth.isEnough()) {
         break;
       }
@@ -36,7 +37,7 @@
     if (!growth.isEnough()) {
       return Optional.empty();
     }
-    Room late = growth.room;
+    WorkerCapacities late = growth.room;
     var preference = new WorkerPreference(state, shape, true, packing);
     Optional<int[]> workers = placer.place(shape, late, avoid, preference);
     if (workers.isEmpty()) {
@@ -46,25 +47,25 @@
     return Optional.of(new Reservation(candidate, inSeconds, late));
   }
 
-  private List<Occupant> byEnd() {
+  private List<PlacedAttempt> byEnd() {
     if (byEnd.isEmpty()) {
-      List<Occupant> sorted = new ArrayList<>(state.occupants());
-      sorted.sort(Comparator.comparingDouble(Occupant::leftSeconds));
+      List<PlacedAttempt> sorted = new ArrayList<>(state.occupants());
+      sorted.sort(Comparator.comparingDouble(PlacedAttempt::leftSeconds));
       byEnd = Optional.of(sorted);
     }
     return byEnd.get();
   }
 
   /** Room that grows as attempts end, with the members that fit kept up to date. */
-  private static final class Growth {
+  private static final class CapacityForecast {
     private final FleetIndex index;
     private final Shape shape;
-    private final Room room;
+    private final WorkerCapacities room;
     private final boolean[] avoid;
     private final int[] rackFit;
     private int members;
 
-    Growth(FleetIndex index, Shape shape, Room room, boolean[] avoid) {
+    CapacityForecast(FleetIndex index, Shape shape, WorkerCapacities room, boolean[] avoid) {
       this.index = index;
       this.shape = shape;
       this.room = room;
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GuaranteedHomes.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/ReservedPlacements.java
@@ -12,60 +12,60 @@
  * follow from the declarations and the usable workers alone, and only a shape's holder is within
  * its guarantee there; so any number of holders can return together. Immutable.
  */
-final class GuaranteedHomes {
+final class ReservedPlacements {
 
   /** Number of a worker that could not be found. */
   static final int NOWHERE = -1;
 
   private static final int MOST_FIRST_RACKS = 16;
 
-  private static final Comparator<GuaranteeCopy> LARGEST_FIRST =
-      Comparator.comparing((GuaranteeCopy c) -> -c.shape().accelerators())
+  private static final Comparator<GuaranteedInstance> LARGEST_FIRST =
+      Comparator.comparing((GuaranteedInstance c) -> -c.shape().accelerators())
           .thenComparing(c -> -c.shape().members() * c.shape().perMember().cores());
 
-  private static final Comparator<GuaranteeCopy> WIDEST_MEMBER_FIRST =
-      Comparator.comparing((GuaranteeCopy c) -> -c.shape().perMember().accelerators())
+  private static final Comparator<GuaranteedInstance> WIDEST_MEMBER_FIRST =
+      Comparator.comparing((GuaranteedInstance c) -> -c.shape().perMember().accelerators())
           .thenComparing(LARGEST_FIRST);
 
-  private static final Comparator<GuaranteeCopy> ADJACENT_FIRST =
-      Comparator.comparing(c -> GuaranteeCopy.isAnywhere(c.shape()));
+  private static final Comparator<GuaranteedInstance> ADJACENT_FIRST =
+      Comparator.comparing(c -> GuaranteedInstance.isAnywhere(c.shape()));
 
   /** Orders in which shapes are settled, tried until all find a home. */
-  private static final List<Comparator<GuaranteeCopy>> ORDERS =
+  private static final List<Comparator<GuaranteedInstance>> ORDERS =
       List.of(
           ADJACENT_FIRST.thenComparing(LARGEST_FIRST),
           LARGEST_FIRST,
           ADJACENT_FIRST.thenComparing(WIDEST_MEMBER_FIRST),
           WIDEST_MEMBER_FIRST);
 
-  private final List<GuaranteeCopy> copies;
+  private final List<GuaranteedInstance> copies;
   private final int[][] homes;
   private final long homeless;
 
-  private GuaranteedHomes(List<GuaranteeCopy> copies, int[][] homes) {
+  private ReservedPlacements(List<GuaranteedInstance> copies, int[][] homes) {
     this.copies = copies;
     this.homes = homes;
     this.homeless = copies.stream().filter(c -> !hasHome(c)).count();
   }
 
   /** Finds homes on the whole declared fleet. */
-  static GuaranteedHomes find(FleetIndex index, List<GuaranteedShape> guarantees) {
-    List<GuaranteeCopy> copies = copies(guarantees);
+  static ReservedPlacements find(FleetIndex index, List<GuaranteedShape> guarantees) {
+    List<GuaranteedInstance> copies = copies(guarantees);
     return settle(index, copies, copies, new int[copies.size()][], index.capacity());
   }
 
   /** Finds other homes for the shapes of which a worker is unusable; the rest stay if they can. */
-  GuaranteedHomes without(FleetIndex index, boolean[] unusable) {
-    Room usable = index.capacity();
+  ReservedPlacements without(FleetIndex index, boolean[] unusable) {
+    WorkerCapacities usable = index.capacity();
     for (int w = 0; w < unusable.length; w++) {
       if (unusable[w]) {
         usable.clear(w);
       }
     }
     int[][] kept = new int[copies.size()][];
-    List<GuaranteeCopy> moving = new ArrayList<>();
-    Room left = usable.copy();
-    for (GuaranteeCopy copy : copies) {
+    List<GuaranteedInstance> moving = new ArrayList<>();
+    WorkerCapacities left = usable.copy();
+    for (GuaranteedInstance copy : copies) {
       int[] own = homes[copy.number()];
       if (Arrays.stream(own).anyMatch(w -> w == NOWHERE || unusable[w])) {
         moving.add(copy);
@@ -74,34 +74,34 @@
         left.take(own, copy.shape().perMember());
       }
     }
-    GuaranteedHomes moved = settle(index, copies, moving, kept, left);
+    ReservedPlacements moved = settle(index, copies, moving, kept, left);
     if (moved.isComplete()) {
       return moved;
     }
-    GuaranteedHomes afresh = settle(index, copies, copies, new int[copies.size()][], usable);
+    ReservedPlacements afresh = settle(index, copies, copies, new int[copies.size()][], usable);
     return afresh.homeless < moved.homeless ? afresh : moved;
   }
 
-  private static List<GuaranteeCopy> copies(List<GuaranteedShape> guarantees) {
-    List<GuaranteeCopy> copies = new ArrayList<>();
+  private static List<GuaranteedInstance> copies(List<GuaranteedShape> guarantees) {
+    List<GuaranteedInstance> copies = new ArrayList<>();
     for (GuaranteedShape g : guarantees) {
       for (int i = 0; i < g.count(); i++) {
-        copies.add(new GuaranteeCopy(copies.size(), g.organisation(), g.shape()));
+        copies.add(new GuaranteedInstance(copies.size(), g.organisation(), g.shape()));
       }
     }
     return copies;
   }
 
-  private static GuaranteedHomes settle(
+  private static ReservedPlacements settle(
       FleetIndex index,
-      List<GuaranteeCopy> copies,
-      List<GuaranteeCopy> moving,
+      List<GuaranteedInstance> copies,
+      List<GuaranteedInstance> moving,
       int[][] kept,
-      Room left) {
-    GuaranteedHomes best = new GuaranteedHomes(copies, nowhere(copies, kept));
+      WorkerCapacities left) {
+    ReservedPlacements best = new ReservedPlacements(copies, nowhere(copies, kept));
     for (int rack = 0; rack < Math.min(MOST_FIRST_RACKS, index.rackCount()); rack++) {
-      for (Comparator<GuaranteeCopy> order : ORDERS) {
-        GuaranteedHomes next = settle(index, copies, moving, kept, left.copy(), order, rack);
+      for (Comparator<GuaranteedInstance> order : ORDERS) {
+        ReservedPlacements next = settle(index, copies, moving, kept, left.copy(), order, rack);
         best = next.homeless < best.homeless ? next : best;
         if (best.isComplete()) {
           return best;
@@ -111,9 +111,9 @@
     return best;
   }
 
-  private static int[][] nowhere(List<GuaranteeCopy> copies, int[][] kept) {
+  private static int[][] nowhere(List<GuaranteedInstance> copies, int[][] kept) {
     int[][] homes = kept.clone();
-    for (GuaranteeCopy copy : copies) {
+    for (GuaranteedInstance copy : copies) {
       if (homes[copy.number()] == null) {
         homes[copy.number()] = new int[copy.shape().members()];
         Arrays.fill(homes[copy.number()], NOWHERE);
@@ -122,21 +122,21 @@
     return homes;
   }
 
-  private static GuaranteedHomes settle(
+  private static ReservedPlacements settle(
       FleetIndex index,
-      List<GuaranteeCopy> copies,
-      List<GuaranteeCopy> moving,
+      List<GuaranteedInstance> copies,
+      List<GuaranteedInstance> moving,
       int[][] kept,
-      Room left,
-      Comparator<GuaranteeCopy> order,
+      WorkerCapacities left,
+      Comparator<GuaranteedInstance> order,
       int firstRack) {
     int[][] homes = kept.clone();
-    List<GuaranteeCopy> ordered = new ArrayList<>(moving);
+    List<GuaranteedInstance> ordered = new ArrayList<>(moving);
     ordered.sort(order);
-    for (GuaranteeCopy copy : ordered) {
+    for (GuaranteedInstance copy : ordered) {
       homes[copy.number()] = settle(index, copy, left, firstRack);
     }
-    return new GuaranteedHomes(copies, homes);
+    return new ReservedPlacements(copies, homes);
   }
 
   /** Tells whether every guaranteed shape has a home. */
@@ -144,23 +144,24 @@
     return homeless == 0;
   }
 
-  List<GuaranteeCopy> copies() {
+  List<GuaranteedInstance> copies() {
     return copies;
   }
 
   /** Returns the worker of each slot of a guaranteed shape; not to be changed. */
-  int[] of(GuaranteeCopy copy) {
+  int[] of(GuaranteedInstance copy) {
     return homes[copy.number()];
   }
 
   /** Tells whether a guaranteed shape has a home. */
-  boolean hasHome(GuaranteeCopy copy) {
+  boolean hasHome(GuaranteedInstance copy) {
     int[] own = homes[copy.number()];
     return own[own.length - 1] != NOWHERE;
   }
 
   /** Settles a shape as tightly as it goes and takes its slots; all slots or none. */
-  private static int[] settle(FleetIndex index, GuaranteeCopy copy, Room left, int firstRack) {
+  private static int[] settle(
+      FleetIndex index, GuaranteedInstance copy, WorkerCapacities left, int firstRack) {
     int[] found = new int[copy.shape().members()];
     int[][] areas = areas(index, copy, left, firstRack);
     for (int s = 0; s < found.length; s++) {
@@ -176,19 +177,20 @@
   }
 
   /** Returns the groups of workers among which slots may stand, the first to be filled first. */
-  private static int[][] areas(FleetIndex index, GuaranteeCopy copy, Room left, int firstRack) {
-    if (GuaranteeCopy.isAnywhere(copy.shape())) {
+  private static int[][] areas(
+      FleetIndex index, GuaranteedInstance copy, WorkerCapacities left, int firstRack) {
+    if (GuaranteedInstance.isAnywhere(copy.shape())) {
       int[] all = new int[index.workerCount()];
       Arrays.setAll(all, w -> w);
       return new int[][] {all};
     }
-    int[] racks = new HomeRacks(index, copy.shape(), left, firstRack).choose();
+    int[] racks = new RackChooser(index, copy.shape(), left, firstRack).choose();
     int[][] areas = new int[racks.length][];
     Arrays.setAll(areas, i -> index.workersOfRack(racks[i]));
     return areas;
   }
 
-  private static int tightest(int[][] areas, Capacity slot, Room left) {
+  private static int tightest(int[][] areas, Capacity slot, WorkerCapacities left) {
     for (int[] workers : areas) {
       int best = NOWHERE;
       for (int w : workers) {
@@ -201,7 +203,7 @@
     return NOWHERE;
   }
 
-  private static boolean isTighter(int worker, int best, Room left) {
+  private static boolean isTighter(int worker, int best, WorkerCapacities left) {
     if (best == NOWHERE || left.accelerators(worker) < left.accelerators(best)) {
       return true;
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/StopTerms.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/StopFactory.java
@@ -7,7 +7,7 @@
 import org.fescuehook.model.job.Job;
 
 /** Sets the notice that a borrower gets, so that the declared bounds hold. */
-final class StopTerms {
+final class StopFactory {
 
   /** Share of the urgent bound that a checkpoint may take; the rest is for stop and start. */
   private static final long URGENT_DIVISOR = 3;
@@ -17,7 +17,7 @@
 
   private final PolicyPreferences policy;
 
-  StopTerms(PolicyPreferences policy) {
+  StopFactory(PolicyPreferences policy) {
     this.policy = policy;
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/VictimRules.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/VictimRules.java
@@ -29,7 +29,7 @@
    */
   List<Victim> forUrgentOrOverdue(Candidate candidate) {
     List<Victim> victims = new ArrayList<>();
-    for (Occupant o : state.occupants()) {
+    for (PlacedAttempt o : state.occupants()) {
       Job other = o.running().job();
       if (other.urgent() || state.isStopped(o) || wasOverdue(o.running())) {
         continue;
@@ -52,7 +52,7 @@
   List<Victim> forMove(Candidate candidate) {
     List<Victim> victims = new ArrayList<>();
     long now = state.view().nowMillis();
-    for (Occupant o : state.occupants()) {
+    for (PlacedAttempt o : state.occupants()) {
       Running r = o.running();
       if (o.guaranteed() || state.isStopped(o) || r.job().urgent() || wasOverdue(r)) {
         continue;
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/VictimSelector.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/VictimSelector.java
@@ -20,7 +20,7 @@
    *
    * @param cost accelerator seconds lost by the stop
    */
-  record Victim(Occupant occupant, double cost) {}
+  record Victim(PlacedAttempt occupant, double cost) {}
 
   /**
    * Attempts whose stop frees a shape.
@@ -37,7 +37,11 @@
    * @param bound most that the shape may use on each worker
    */
   Optional<Selection> select(
-      Shape shape, Room room, Room bound, boolean[] avoid, List<Victim> eligible) {
+      Shape shape,
+      WorkerCapacities room,
+      WorkerCapacities bound,
+      boolean[] avoid,
+      List<Victim> eligible) {
     List<Victim> sorted = new ArrayList<>(eligible);
     sorted.sort(Comparator.comparingDouble(v -> v.cost() / v.occupant().size()));
     Optional<Selection> best = Optional.empty();
@@ -53,7 +57,11 @@
 
   /** Returns the sets of racks that are tried; an empty set stands for the whole fleet. */
   private List<int[]> rackSets(
-      Shape shape, Room room, Room bound, boolean[] avoid, List<Victim> eligible) {
+      Shape shape,
+      WorkerCapacities room,
+      WorkerCapacities bound,
+      boolean[] avoid,
+      List<Victim> eligible) {
     if (shape.maxRacks() == 0 || shape.members() == 1) {
       return List.of(new int[0]);
     }
@@ -94,8 +102,12 @@
 
   /** Returns how many members fit in each rack if all eligible attempts were stopped. */
   private int[] potential(
-      Shape shape, Room room, Room bound, boolean[] avoid, List<Victim> eligible) {
-    Room all = room.copy();
+      Shape shape,
+      WorkerCapacities room,
+      WorkerCapacities bound,
+      boolean[] avoid,
+      List<Victim> eligible) {
+    WorkerCapacities all = room.copy();
     for (Victim v : eligible) {
       all.give(v.occupant().workers(), v.occupant().running().job().shape().perMember());
     }
@@ -112,13 +124,19 @@
   private static final class Trial {
     private final FleetIndex index;
     private final Shape shape;
-    private final Room room;
-    private final Room bound;
+    private final WorkerCapacities room;
+    private final WorkerCapacities bound;
     private final boolean[] avoid;
     private final boolean[] inSet;
     private int members;
 
-    Trial(FleetIndex index, Shape shape, Room room, Room bound, boolean[] avoid, int[] racks) {
+    Trial(
+        FleetIndex index,
+        Shape shape,
+        WorkerCapacities room,
+        WorkerCapacities bound,
+        boolean[] avoid,
+        int[] racks) {
       this.index = index;
       this.shape = shape;
       this.room = room.copy();
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/Room.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/WorkerCapacities.java
@@ -4,25 +4,25 @@
 import org.fescuehook.model.fleet.Capacity;
 
 /** Amounts of resources by worker, which a plan takes from and gives back to. May be negative. */
-final class Room {
+final class WorkerCapacities {
 
   private final int[] accelerators;
   private final int[] cores;
   private final long[] memoryMegabytes;
 
-  private Room(int[] accelerators, int[] cores, long[] memoryMegabytes) {
+  private WorkerCapacities(int[] accelerators, int[] cores, long[] memoryMegabytes) {
     this.accelerators = accelerators;
     this.cores = cores;
     this.memoryMegabytes = memoryMegabytes;
   }
 
   /** Nothing on each of so many workers. */
-  static Room empty(int workers) {
-    return new Room(new int[workers], new int[workers], new long[workers]);
+  static WorkerCapacities empty(int workers) {
+    return new WorkerCapacities(new int[workers], new int[workers], new long[workers]);
   }
 
-  Room copy() {
-    return new Room(
+  WorkerCapacities copy() {
+    return new WorkerCapacities(
         accelerators.clone(),
         cores.clone(),
         Arrays.copyOf(memoryMegabytes, memoryMegabytes.length));
@@ -67,7 +67,7 @@
   }
 
   /** Takes the amounts of another room. */
-  void takeAll(Room other) {
+  void takeAll(WorkerCapacities other) {
     for (int w = 0; w < accelerators.length; w++) {
       accelerators[w] -= other.accelerators[w];
       cores[w] -= other.cores[w];
@@ -83,7 +83,7 @@
   }
 
   /** Lowers each amount to that of another room, where that is less. */
-  void lowerTo(Room other) {
+  void lowerTo(WorkerCapacities other) {
     for (int w = 0; w < accelerators.length; w++) {
       accelerators[w] = Math.min(accelerators[w], other.accelerators[w]);
       cores[w] = Math.min(cores[w], other.cores[w]);
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/WorkerPreference.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/WorkerPreference.java
@@ -63,7 +63,7 @@
   }
 
   private boolean isHome(int worker) {
-    Room homes = state.guarantees().unused();
+    WorkerCapacities homes = state.guarantees().unused();
     return shape.perMember().accelerators() > 0
         ? homes.accelerators(worker) > 0
         : homes.cores(worker) > 0;
--- a/fescuehook/src/test/java/org/fescuehook/logic/dispatch/AtMostOnceProperties.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/dispatch/AtMostOnceProperties.java
@@ -37,7 +37,7 @@
 
   /** A VM with what it commanded and has not heard the end of. */
   private static final class Vm {
-    final CoreFixture core;
+    final DispatchFixture core;
     final OwnOutcomes own;
     final List<DispatchCommand.Append> appends = new ArrayList<>();
     final List<DispatchCommand.Send> sends = new ArrayList<>();
@@ -45,7 +45,7 @@
     int seen;
     int read;
 
-    Vm(CoreFixture core) {
+    Vm(DispatchFixture core) {
       this.core = core;
       this.own = core.own;
     }
@@ -73,7 +73,8 @@
 
     private void start(int i) {
       incarnations++;
-      CoreFixture core = new CoreFixture("vm-" + i, "inc-" + incarnations, random.nextLong());
+      DispatchFixture core =
+          new DispatchFixture("vm-" + i, "inc-" + incarnations, random.nextLong());
       core.makeReady(3, 4);
       vms[i] = new Vm(core);
     }
@@ -154,7 +155,7 @@
             case 1 -> new DispatchEnd.NotSent(NotSentCause.CONNECT_FAILED);
             case 2 -> new DispatchEnd.Failed(FailureKind.CONNECTION_LOST, false, true);
             case 3 -> new DispatchEnd.Failed(FailureKind.DEADLINE, random.nextBoolean(), true);
-            default -> CoreFixture.answered(send.token());
+            default -> DispatchFixture.answered(send.token());
           };
       if (end instanceof DispatchEnd.Answered) {
         String key = keyOf.get(send.ticket());
--- a/fescuehook/src/test/java/org/fescuehook/logic/dispatch/ClaimDeskTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/dispatch/ClaimHandlerTest.java
@@ -16,11 +16,11 @@
 import org.fescuehook.wire.RequestRecord;
 import org.junit.jupiter.api.Test;
 
-class ClaimDeskTest {
+class ClaimHandlerTest {
   private static final long T = 1_700_000_000_000L;
   private static final long HOUR = 3_600_000;
 
-  private final CoreFixture core = CoreFixture.ready(3, 4);
+  private final DispatchFixture core = DispatchFixture.ready(3, 4);
 
   private static RequestKey key(String id) {
     return RequestKey.newBuilder().setOrganisation("a").setRequestId(id).build();
@@ -94,7 +94,7 @@
     core.readRecord(0, T, claimOf("vm-2", "x", "c"));
     core.arrive(1, core.withId("x", "c"));
     fetched(1, Optional.of(OutcomeReply.newBuilder().setInProgress(true).build()));
-    core.pass(ClaimDesk.FETCH_AGAIN_MILLIS);
+    core.pass(ClaimHandler.FETCH_AGAIN_MILLIS);
     assertEquals(2, core.all(DispatchCommand.FetchOutcome.class).size());
     fetched(1, Optional.of(OutcomeReply.newBuilder().setOutcome(outcomeOf("vm-2", "x")).build()));
     assertEquals(201, core.last(DispatchCommand.AnswerRecorded.class).orElseThrow().status());
@@ -112,9 +112,9 @@
   void saysUnknownWhenTheClaimantGivesNoAnswer() {
     core.readRecord(0, T, claimOf("vm-2", "x", "c"));
     core.arrive(1, core.withId("x", "c"));
-    for (int i = 0; i < ClaimDesk.MOST_FETCHES; i++) {
+    for (int i = 0; i < ClaimHandler.MOST_FETCHES; i++) {
       fetched(1, Optional.empty());
-      core.pass(ClaimDesk.FETCH_AGAIN_MILLIS);
+      core.pass(ClaimHandler.FETCH_AGAIN_MILLIS);
     }
     assertEquals(Optional.of(RefusalReason.OUTCOME_UNKNOWN), core.refusalOf(1));
   }
@@ -127,7 +127,7 @@
     core.pass(50);
     core.appendAndRead(1, T);
     core.arrive(3, core.withId("x", "c"));
-    core.end(1, CoreFixture.answered("mine"));
+    core.end(1, DispatchFixture.answered("mine"));
 
     assertEquals(List.of(1L), core.sentTickets());
     List<DispatchCommand.AnswerRecorded> answers = core.all(DispatchCommand.AnswerRecorded.class);
@@ -162,7 +162,7 @@
   void recordsALostConnectionAsUnknownAndNeverDispatchesTheIdAgain() {
     core.arrive(1, core.withId("x", "c"));
     core.appendAndRead(0, T);
-    core.end(1, CoreFixture.lost());
+    core.end(1, DispatchFixture.lost());
     core.pass(50);
     core.appendAndRead(1, T);
     core.arrive(2, core.withId("x", "c"));
@@ -284,10 +284,10 @@
 
   @Test
   void dropsTheOldestAnswersFirstWhenTheyTakeTooMuchRoom() {
-    ClaimBook book = new ClaimBook(HOUR);
-    ClaimBook.Reader deaf = new DeafReader();
+    ClaimRegistry book = new ClaimRegistry(HOUR);
+    ClaimRegistry.Listener deaf = new DeafReader();
     byte[] body = new byte[4096];
-    int over = ClaimBook.MOST_BODY_BYTES / body.length + 1;
+    int over = ClaimRegistry.MOST_BODY_BYTES / body.length + 1;
     for (int i = 0; i < over; i++) {
       book.fold(claimOf("vm-2", "x" + i, "c"), T, deaf);
       RequestOutcome outcome =
@@ -304,20 +304,20 @@
 
   @Test
   void aClaimThatLostKeepsItsIdTakenForAnotherWindow() {
-    ClaimBook book = new ClaimBook(HOUR);
-    ClaimBook.Reader deaf = new DeafReader();
+    ClaimRegistry book = new ClaimRegistry(HOUR);
+    ClaimRegistry.Listener deaf = new DeafReader();
     book.fold(claimOf("vm-2", "x", "c"), T, deaf);
     book.fold(claimOf("vm-3", "x", "c"), T + HOUR - 1, deaf);
     book.fold(claimOf("vm-4", "x", "c"), T + HOUR + 1, deaf);
     assertEquals("vm-2", book.find(key("x")).orElseThrow().writer());
   }
 
-  private static final class DeafReader implements ClaimBook.Reader {
+  private static final class DeafReader implements ClaimRegistry.Listener {
     @Override
-    public void claimRead(RequestKey key, String token, ClaimBook.Claim inForce) {}
+    public void claimRead(RequestKey key, String token, ClaimRegistry.Claim inForce) {}
 
     @Override
-    public void settled(RequestKey key, ClaimBook.Claim claim) {}
+    public void settled(RequestKey key, ClaimRegistry.Claim claim) {}
 
     @Override
     public void released(RequestKey key, String token) {}
--- a/fescuehook/src/test/java/org/fescuehook/logic/dispatch/CoreFixture.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/dispatch/DispatchFixture.java
@@ -29,7 +29,7 @@
 import org.fescuehook.wire.SlotShares;
 
 /** A dispatch core on a virtual clock, which keeps what it commands. */
-final class CoreFixture {
+final class DispatchFixture {
   static final RequestPreferences PREFERENCES =
       new RequestPreferences(
           Duration.ofSeconds(10),
@@ -52,7 +52,7 @@
   long now = 1_000_000;
   private int slots = 4;
 
-  CoreFixture(String vm, String incarnation, long seed) {
+  DispatchFixture(String vm, String incarnation, long seed) {
     this.vm = vm;
     this.core =
         new DispatchCore(
@@ -65,8 +65,8 @@
   }
 
   /** Returns a core that is ready, with executors {@code e0} and on, and organisations a and b. */
-  static CoreFixture ready(int executors, int slots) {
-    CoreFixture fixture = new CoreFixture("vm-1", "inc-1", 7);
+  static DispatchFixture ready(int executors, int slots) {
+    DispatchFixture fixture = new DispatchFixture("vm-1", "inc-1", 7);
     fixture.makeReady(executors, slots);
     return fixture;
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/dispatch/SlotDispatcherTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/dispatch/SlotDispatcherTest.java
@@ -21,9 +21,9 @@
 
   @Test
   void sendsANonRepeatableRequestOnceWhenItsConnectionIsLost() {
-    CoreFixture core = CoreFixture.ready(3, 4);
+    DispatchFixture core = DispatchFixture.ready(3, 4);
     core.arrive(1, core.facts("a", false, false));
-    core.end(1, CoreFixture.lost());
+    core.end(1, DispatchFixture.lost());
     core.pass(9_000);
 
     assertEquals(1, core.executorsOf(1).size());
@@ -33,7 +33,7 @@
   @Test
   void sendsANonRepeatableRequestElsewhereWhenItSurelyDidNotRun() {
     for (DispatchEnd end : List.of(NOT_RUN, UNREACHABLE)) {
-      CoreFixture core = CoreFixture.ready(3, 4);
+      DispatchFixture core = DispatchFixture.ready(3, 4);
       core.arrive(1, core.facts("a", false, false));
       core.end(1, end);
       core.pass(1_000);
@@ -46,9 +46,9 @@
 
   @Test
   void neverSaysNotRunAfterADispatchThatMayHaveRun() {
-    CoreFixture core = CoreFixture.ready(3, 4);
+    DispatchFixture core = DispatchFixture.ready(3, 4);
     core.arrive(1, core.facts("a", false, true));
-    core.end(1, CoreFixture.lost());
+    core.end(1, DispatchFixture.lost());
     core.pass(1_000);
     core.end(1, NOT_RUN);
     core.pass(1_000);
@@ -60,10 +60,10 @@
 
   @Test
   void keepsRetriesWithinTheBudgetsShareOfLiveRequests() {
-    CoreFixture core = CoreFixture.ready(3, 8);
+    DispatchFixture core = DispatchFixture.ready(3, 8);
     for (int i = 1; i <= 1_000; i++) {
       core.arrive(i, core.facts("a", false, true));
-      core.end(i, CoreFixture.lost());
+      core.end(i, DispatchFixture.lost());
       core.pass(5);
       if (core.refusalOf(i).isEmpty()) {
         core.pass(20);
@@ -78,7 +78,7 @@
 
   @Test
   void sendsNothingNewToALeavingExecutor() {
-    CoreFixture core = CoreFixture.ready(2, 4);
+    DispatchFixture core = DispatchFixture.ready(2, 4);
     core.leave("e0");
     for (int i = 1; i <= 4; i++) {
       core.arrive(i, core.facts("a", true, false));
@@ -90,7 +90,7 @@
 
   @Test
   void lowersAShareAtOnceAndRaisesItAfterItsSettlingTime() {
-    CoreFixture core = CoreFixture.ready(1, 4);
+    DispatchFixture core = DispatchFixture.ready(1, 4);
     core.handle(new DispatchEvent.Shared(core.shares(1, 1, 3_000)));
     core.arrive(1, core.facts("a", true, false));
     core.arrive(2, core.facts("a", true, false));
@@ -105,7 +105,7 @@
 
   @Test
   void keepsSlotsForUrgentRequestsUnderAFloodOfOthers() {
-    CoreFixture core = CoreFixture.ready(2, 4);
+    DispatchFixture core = DispatchFixture.ready(2, 4);
     for (int i = 1; i <= 20; i++) {
       core.arrive(i, core.facts("a", false, false));
     }
@@ -116,7 +116,7 @@
 
   @Test
   void sendsWaitingUrgentRequestsBeforeOthers() {
-    CoreFixture core = CoreFixture.ready(1, 1);
+    DispatchFixture core = DispatchFixture.ready(1, 1);
     core.arrive(1, core.facts("a", false, false));
     core.arrive(2, core.facts("a", false, false));
     core.arrive(3, core.facts("a", true, false));
@@ -141,7 +141,7 @@
 
   @Test
   void refusesAnOrganisationBeyondItsShare() {
-    CoreFixture core = CoreFixture.ready(2, 4);
+    DispatchFixture core = DispatchFixture.ready(2, 4);
     for (int i = 1; i <= 41; i++) {
       core.arrive(i, core.facts("a", false, false));
     }
@@ -152,10 +152,10 @@
 
   @Test
   void refusesAtOnceWhatCannotMakeItsDeadline() {
-    CoreFixture core = CoreFixture.ready(1, 1);
+    DispatchFixture core = DispatchFixture.ready(1, 1);
     for (int i = 1; i <= 50; i++) {
       core.arrive(i, core.facts("a", true, false));
-      core.handle(new DispatchEvent.DispatchEnded(i, CoreFixture.answered(""), 4_000));
+      core.handle(new DispatchEvent.DispatchEnded(i, DispatchFixture.answered(""), 4_000));
     }
     for (int i = 101; i <= 104; i++) {
       core.arrive(i, core.facts("a", true, false));
@@ -166,7 +166,7 @@
 
   @Test
   void answersARequestWhoseDeadlinePassesInTheQueue() {
-    CoreFixture core = CoreFixture.ready(1, 1);
+    DispatchFixture core = DispatchFixture.ready(1, 1);
     core.arrive(1, core.facts("a", false, false));
     core.arrive(2, core.facts("a", false, false));
     core.pass(10_005);
@@ -176,7 +176,7 @@
 
   @Test
   void ejectsUnreachableExecutorsButNeverMoreThanHalf() {
-    CoreFixture core = CoreFixture.ready(4, 8);
+    DispatchFixture core = DispatchFixture.ready(4, 8);
     for (int i = 1; i <= 30; i++) {
       core.arrive(i, core.facts("b", true, false));
       for (int ended = 0; core.refusalOf(i).isEmpty(); core.pass(20)) {
@@ -196,7 +196,7 @@
 
   @Test
   void takesADeadPathForNoDeadExecutor() {
-    CoreFixture core = CoreFixture.ready(2, 4);
+    DispatchFixture core = DispatchFixture.ready(2, 4);
     core.arrive(1, core.facts("a", true, false));
     String executor = core.executorsOf(1).getFirst();
     core.end(1, new DispatchEnd.Failed(DispatchEnd.FailureKind.CONNECTION_LOST, false, false));
@@ -211,7 +211,7 @@
 
   @Test
   void takesAPathWithoutAFreshConnectionForADeadExecutor() {
-    CoreFixture core = CoreFixture.ready(2, 4);
+    DispatchFixture core = DispatchFixture.ready(2, 4);
     core.arrive(1, core.facts("a", true, false));
     core.end(1, new DispatchEnd.Failed(DispatchEnd.FailureKind.CONNECTION_LOST, false, false));
     DispatchCommand.CheckPath check = core.last(DispatchCommand.CheckPath.class).orElseThrow();
@@ -238,8 +238,8 @@
 
   @Test
   void refusesBeforeTheFirstSharesArrive() {
-    CoreFixture core = new CoreFixture("vm-1", "inc-1", 7);
-    core.handle(new DispatchEvent.Configured(CoreFixture.configuration(1)));
+    DispatchFixture core = new DispatchFixture("vm-1", "inc-1", 7);
+    core.handle(new DispatchEvent.Configured(DispatchFixture.configuration(1)));
     core.handle(new DispatchEvent.Ready(true, RefusalReason.NOT_READY));
     core.arrive(1, core.facts("a", false, false));
     assertEquals(Optional.of(RefusalReason.NOT_READY), core.refusalOf(1));
--- a/fescuehook/src/test/java/org/fescuehook/logic/dispatch/UrgentUnderFloodTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/dispatch/UrgentUnderOverloadTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Urgent requests beside a flood of long ones, in virtual time. */
-class UrgentUnderFloodTest {
+class UrgentUnderOverloadTest {
   private static final int EXECUTORS = 30;
   private static final long RUN_MILLIS = 20_000;
   private static final long LONG_MILLIS = 2_000;
@@ -36,7 +36,7 @@
 
   /** Returns the times from arrival to answer, sorted. */
   private static List<Long> urgentMillis(boolean flood) {
-    CoreFixture core = CoreFixture.ready(EXECUTORS, 1);
+    DispatchFixture core = DispatchFixture.ready(EXECUTORS, 1);
     PriorityQueue<End> ends = new PriorityQueue<>((a, b) -> Long.compare(a.atMillis, b.atMillis));
     Map<Long, Long> urgentSince = new HashMap<>();
     List<Long> took = new ArrayList<>();
--- a/spec/ClaimWindow.tla
+++ b/spec/ClaimWindow.tla
@@ -2,8 +2,8 @@
 (* How long an id is remembered: VMs that began to read at different records must not   *)
 (* disagree on when it is free again. All claims here are for one id, and time is       *)
 (* counted in steps of the log's clock. What lies between claim and dispatch stands in  *)
-(* RequestClaims. Package org.fescuehook.logic.dispatch: ClaimBook (Wins), RequestStream *)
-(* (Open).                                                                              *)
+(* RequestClaims. Package org.fescuehook.logic.dispatch: ClaimRegistry (Wins),          *)
+(* RequestStreamReader (Open).                                                          *)
 EXTENDS Naturals, Sequences, FiniteSets, TLC
 
 CONSTANTS
--- a/spec/RequestClaims.tla
+++ b/spec/RequestClaims.tla
@@ -3,8 +3,9 @@
 (* times, at any entry VMs; each time is an asking with a token of its own. A VM  *)
 (* may be paused between any two steps, and may crash. An append may land at any  *)
 (* later time, twice, or never, and no VM uses the reply to it.                   *)
-(* Package org.fescuehook.logic.dispatch: ClaimBook (HolderAfter), RequestStream  *)
-(* (Read, Crash), ClaimDesk (all steps of an asking but Dispatch), DispatchCore.  *)
+(* Package org.fescuehook.logic.dispatch: ClaimRegistry (HolderAfter),            *)
+(* RequestStreamReader (Read, Crash), ClaimHandler (all steps of an asking but    *)
+(* Dispatch), DispatchCore.                                                       *)
 EXTENDS Naturals, Sequences, FiniteSets, TLC
 
 CONSTANTS
