--- a/bench/src/main/java/org/fescuehook/bench/policy/Contender.java
+++ b/bench/src/main/java/org/fescuehook/bench/policy/Contender.java
@@ -31,7 +31,7 @@
     PolicyParts all = PolicyParts.ALL;
     return List.of(
         ours("- reclaim", all.withReclaim(false)),
-        ours("- homes", all.withHomes(false)),
+        ours("- homes", all.withAvoidReserved(false)),
         ours("- corrections", all.withCorrection(RunTimeCorrection.NONE)),
         ours("median corrections", all.withCorrection(RunTimeCorrection.MEDIAN)),
         ours("- reservations", all.withReservations(false)),
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/BorrowingJobPlanner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/BorrowingJobPlanner.java
@@ -11,22 +11,22 @@
 import org.fescuehook.model.job.Job;
 import org.fescuehook.model.job.Shape;
 
-/** Starts jobs on capacity beyond their organisations' guarantees. */
+/** Starts jobs on capacity outside their organisations' guarantees. */
 final class BorrowingJobPlanner {
 
-  private static final int MOST_RESERVATIONS = 3;
-  private static final int MOST_MOVE_TRIALS = 8;
+  private static final int MAX_RESERVATIONS = 3;
+  private static final int MAX_MOVE_TRIALS = 8;
 
   private final PlanState state;
   private final GangPlacer placer;
   private final PolicyParts parts;
-  private final StopFactory terms;
-  private final VictimRules victims;
-  private final GuaranteedJobPlanner guarantees;
-  private final QuotaEnforcer quotas;
+  private final StopFactory stopFactory;
+  private final VictimRules victimRules;
+  private final GuaranteedJobPlanner guaranteedPlanner;
+  private final QuotaEnforcer quotaEnforcer;
   private final ReservationPlanner planner;
   private final List<Reservation> reservations = new ArrayList<>();
-  private final Set<Blocked> blocked = new HashSet<>();
+  private final Set<BlockedShape> blocked = new HashSet<>();
   private int moveTrials;
 
   BorrowingJobPlanner(
@@ -34,31 +34,34 @@
       GangPlacer placer,
       PolicyParts parts,
       JobOrder order,
-      GuaranteedJobPlanner guarantees,
-      QuotaEnforcer quotas) {
-    this.quotas = quotas;
-    this.guarantees = guarantees;
+      GuaranteedJobPlanner guaranteedPlanner,
+      QuotaEnforcer quotaEnforcer) {
+    this.quotaEnforcer = quotaEnforcer;
+    this.guaranteedPlanner = guaranteedPlanner;
     this.state = state;
     this.placer = placer;
     this.parts = parts;
-    this.terms = new StopFactory(state.view().declarations().policy());
-    this.victims = new VictimRules(state, order);
+    this.stopFactory = new StopFactory(state.view().declarations().policy());
+    this.victimRules = new VictimRules(state, order);
     this.planner = new ReservationPlanner(state, placer, parts.packing());
   }
 
-  /** A shape that did not fit in what is left; room only shrinks, so it will not fit later. */
-  private record Blocked(Shape shape, int bindingReservations) {}
+  /**
+   * A shape that did not fit in the free capacity. Free capacity only shrinks in the course of a
+   * plan, so the shape will not fit later as long as no fewer reservations overlap its run time.
+   */
+  private record BlockedShape(Shape shape, int overlappingReservations) {}
 
-  /** Starts a job, keeps room for it, or says what it lacks. */
-  void accept(Candidate candidate) {
+  /** Starts a job, allocates or reserves capacity for it, or explains what it lacks. */
+  void plan(Candidate candidate) {
     if (!candidate.mayBorrow()) {
       state.explain(candidate, "guarantees of its organisation are in use; may not borrow", 0);
       return;
     }
-    if (!quotas.allows(candidate)) {
+    if (!quotaEnforcer.allows(candidate)) {
       return;
     }
-    if (startNow(candidate) || guarantees.reclaim(candidate) || stopOthers(candidate)) {
+    if (startNow(candidate) || guaranteedPlanner.reclaim(candidate) || stopOthers(candidate)) {
       return;
     }
     reserve(candidate);
@@ -66,12 +69,13 @@
 
   private boolean startNow(Candidate candidate) {
     Job job = candidate.job();
-    Blocked key = new Blocked(job.shape(), binding(candidate.leftSeconds()));
+    BlockedShape key =
+        new BlockedShape(job.shape(), countOverlapping(candidate.remainingSeconds()));
     if (blocked.contains(key)) {
       return false;
     }
     boolean[] avoid = state.avoid(candidate.waiting());
-    Optional<int[]> workers = place(candidate, room(candidate.leftSeconds()), avoid);
+    Optional<int[]> workers = place(candidate, capacityFor(candidate.remainingSeconds()), avoid);
     if (workers.isEmpty()) {
       if (candidate.waiting().avoid().isEmpty()) {
         blocked.add(key);
@@ -80,44 +84,47 @@
     }
     state.start(candidate, workers.get(), true);
     for (Reservation r : reservations) {
-      r.started(job.shape(), workers.get(), candidate.leftSeconds());
+      r.jobStarted(job.shape(), workers.get(), candidate.remainingSeconds());
     }
     return true;
   }
 
-  private int binding(double leftSeconds) {
+  private int countOverlapping(double remainingSeconds) {
     int count = 0;
     for (Reservation r : reservations) {
-      count += r.binds(leftSeconds) ? 1 : 0;
+      count += r.overlaps(remainingSeconds) ? 1 : 0;
     }
     return count;
   }
 
-  /** Returns what a job of so many seconds may use without delaying a reservation. */
-  private WorkerCapacities room(double leftSeconds) {
-    WorkerCapacities free = state.borrowable(state.free());
-    if (binding(leftSeconds) == 0) {
+  /** Returns the capacity that a job may use without delaying a reservation. */
+  private WorkerCapacities capacityFor(double remainingSeconds) {
+    WorkerCapacities free = state.availableToBorrowers(state.free());
+    if (countOverlapping(remainingSeconds) == 0) {
       return free;
     }
-    WorkerCapacities room = free.copy();
+    WorkerCapacities capacities = free.copy();
     for (Reservation r : reservations) {
-      if (r.binds(leftSeconds)) {
-        room.lowerTo(r.late());
+      if (r.overlaps(remainingSeconds)) {
+        capacities.limitTo(r.unreserved());
       }
     }
-    return room;
+    return capacities;
   }
 
-  private Optional<int[]> place(Candidate candidate, WorkerCapacities room, boolean[] avoid) {
+  private Optional<int[]> place(Candidate candidate, WorkerCapacities capacities, boolean[] avoid) {
     Shape shape = candidate.job().shape();
-    var preference = new WorkerPreference(state, shape, parts.homes(), parts.packing());
-    return placer.place(shape, room, avoid, preference);
+    var preference = new WorkerPreference(state, shape, parts.avoidReserved(), parts.packing());
+    return placer.place(shape, capacities, avoid, preference);
   }
 
-  /** Has other attempts give way: to urgent and overdue jobs, else where it pays. */
+  /**
+   * Preempts other attempts for an urgent or overdue job; for any other job only if the expected
+   * benefit outweighs the cost.
+   */
   private boolean stopOthers(Candidate candidate) {
-    boolean must = candidate.job().urgent() || candidate.overdue();
-    if (!must && !mayMoveOthers()) {
+    boolean mandatory = candidate.job().urgent() || candidate.overdue();
+    if (!mandatory && !mayMoveOthers()) {
       return false;
     }
     boolean[] avoid = state.avoid(candidate.waiting());
@@ -125,56 +132,62 @@
       return true;
     }
     List<Victim> eligible =
-        must ? victims.forUrgentOrOverdue(candidate) : victims.forMove(candidate);
+        mandatory ? victimRules.forUrgentOrOverdue(candidate) : victimRules.forMove(candidate);
     WorkerCapacities all = state.index().capacity();
-    WorkerCapacities soon = state.borrowable(state.soon(candidate.job()));
+    WorkerCapacities availableAfterStops =
+        state.availableToBorrowers(state.freeAfterStops(candidate.job()));
     Optional<Selection> selection =
         new VictimSelector(state.index())
-            .select(candidate.job().shape(), soon, all, avoid, eligible);
-    if (selection.isEmpty() || (!must && !pays(candidate, selection.get(), avoid))) {
+            .select(candidate.job().shape(), availableAfterStops, all, avoid, eligible);
+    if (selection.isEmpty() || (!mandatory && !isWorthwhile(candidate, selection.get(), avoid))) {
       return false;
     }
     StopCause cause = candidate.job().urgent() ? StopCause.URGENT : StopCause.MOVED;
     for (Victim v : selection.get().victims()) {
-      state.stop(v.occupant(), terms.stop(v.occupant().running(), cause, candidate.job()));
+      state.stop(v.attempt(), stopFactory.create(v.attempt().running(), cause, candidate.job()));
     }
     return awaitStops(candidate, avoid);
   }
 
-  /** Tells whether moves are still tried; only for the first jobs, to bound a decision's time. */
+  /**
+   * Returns whether preemption may be tried for one more job that is neither urgent nor overdue.
+   * Only the first such jobs are tried, to limit the time that a decision takes.
+   */
   private boolean mayMoveOthers() {
     return parts.moves()
-        && reservations.size() < MOST_RESERVATIONS
-        && moveTrials++ < MOST_MOVE_TRIALS;
+        && reservations.size() < MAX_RESERVATIONS
+        && moveTrials++ < MAX_MOVE_TRIALS;
   }
 
-  /** Compares the slowdown that the job is spared with the slowdown that the stops cause. */
-  private boolean pays(Candidate candidate, Selection selection, boolean[] avoid) {
-    Optional<Reservation> otherwise = planner.reserve(candidate, avoid);
-    if (otherwise.isEmpty()) {
+  /**
+   * Returns whether the stops reduce the job's slowdown by more than they slow down their victims.
+   */
+  private boolean isWorthwhile(Candidate candidate, Selection selection, boolean[] avoid) {
+    Optional<Reservation> withoutStops = planner.reserve(candidate, avoid);
+    if (withoutStops.isEmpty()) {
       return true;
     }
-    double spared = otherwise.get().inSeconds() / candidate.leftSeconds();
-    return spared > victims.slowdown(selection, candidate);
+    double spared = withoutStops.get().secondsUntilFree() / candidate.remainingSeconds();
+    return spared > victimRules.slowdown(selection, candidate);
   }
 
   private boolean awaitStops(Candidate candidate, boolean[] avoid) {
     Optional<int[]> workers =
-        place(candidate, state.borrowable(state.soon(candidate.job())), avoid);
+        place(candidate, state.availableToBorrowers(state.freeAfterStops(candidate.job())), avoid);
     if (workers.isEmpty()) {
       return false;
     }
-    state.hold(candidate.job(), workers.get());
-    long due =
+    state.allocate(candidate.job(), workers.get());
+    long expectedStartMillis =
         state.view().nowMillis()
             + state.view().declarations().policy().checkpointNotice().toMillis();
-    state.explain(candidate, "waits for attempts that were told to stop", due);
+    state.explain(candidate, "waits for attempts that were told to stop", expectedStartMillis);
     return true;
   }
 
   private void reserve(Candidate candidate) {
-    String missing = state.missing(candidate.job().shape());
-    if (!parts.reservations() || reservations.size() >= MOST_RESERVATIONS) {
+    String missing = state.describeShortage(candidate.job().shape());
+    if (!parts.reservations() || reservations.size() >= MAX_RESERVATIONS) {
       state.explain(candidate, missing, 0);
       return;
     }
@@ -185,7 +198,7 @@
       return;
     }
     reservations.add(reservation.get());
-    long start = state.view().nowMillis() + Math.round(reservation.get().inSeconds() * 1000);
+    long start = state.view().nowMillis() + Math.round(reservation.get().secondsUntilFree() * 1000);
     state.explain(candidate, missing + "; room is reserved", start);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/Candidate.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/Candidate.java
@@ -6,16 +6,21 @@
 import org.fescuehook.model.rule.Verdict;
 
 /**
- * A waiting job with what its place in the order depends on.
+ * A waiting job with the values that determine its position in the order.
  *
  * @param waiting the job
- * @param match the rule that counts
- * @param overdue whether it has waited for the declared bound
- * @param leftSeconds expected run time left
- * @param score higher is earlier among jobs of equal class and priority
+ * @param match the declared rule that applies to the job, with its verdict
+ * @param overdue whether its wait is near or beyond the declared maximum
+ * @param remainingSeconds expected remaining run time
+ * @param score rank among jobs of equal urgency, overdue state and priority; higher scores come
+ *     first
  */
 record Candidate(
-    Waiting waiting, RuleMatcher.Match match, boolean overdue, double leftSeconds, double score) {
+    Waiting waiting,
+    RuleMatcher.Match match,
+    boolean overdue,
+    double remainingSeconds,
+    double score) {
 
   Job job() {
     return waiting.job();
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/EndedAttempt.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/EndedAttempt.java
@@ -6,14 +6,14 @@
 import org.fescuehook.model.job.Placement;
 
 /**
- * An attempt that ended, as far as the policy learns from it.
+ * An ended attempt, with the data that the policy's statistics use.
  *
  * @param job the job
  * @param placement where it ran
  * @param ranSeconds how long this attempt ran
- * @param keptSeconds progress kept by checkpoints of earlier attempts
+ * @param keptSeconds run time of earlier attempts that checkpoints saved
  * @param result how it ended
- * @param blamed worker whose member failed, where one is known
+ * @param blamed worker whose member failed, if known
  * @param endedMillis when it ended, milliseconds since 1970
  */
 public record EndedAttempt(
@@ -27,11 +27,11 @@
 
   /** How an attempt ended. */
   public enum Result {
-    /** The job finished with it. */
+    /** The job finished. */
     FINISHED,
-    /** A member failed by itself. */
+    /** A member failed on its own. */
     FAILED,
-    /** It was stopped, lost its worker or never started. */
+    /** The attempt was stopped, lost its worker or never started. */
     STOPPED
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/FeasibilityChecker.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/FeasibilityChecker.java
@@ -8,14 +8,17 @@
 import org.fescuehook.model.organisation.Organisation;
 import org.fescuehook.model.organisation.OrganisationId;
 
-/** Finds jobs that can never run and guarantees that can never be kept, from declarations alone. */
+/**
+ * Finds, from the declarations alone, jobs that can never run and guarantees that cannot be
+ * satisfied together.
+ */
 public final class FeasibilityChecker {
 
   /**
-   * Returns why a job can never run, or empty if it can when the whole declared fleet is free.
+   * Returns why a job can never run, or empty if it can run when the whole declared fleet is free.
    *
    * @param organisation the job's organisation
-   * @param shape what the job needs
+   * @param shape the job's resource requirements
    */
   public Optional<String> whyNever(
       Declarations declarations, OrganisationId organisation, Shape shape) {
@@ -25,17 +28,17 @@
     }
     FleetIndex index = new FleetIndex(declarations.fleet());
     GangPlacer placer = new GangPlacer(index);
-    WorkerCapacities all = index.capacity();
+    WorkerCapacities allCapacity = index.capacity();
     boolean[] avoid = new boolean[index.workerCount()];
-    if (placer.fits(shape, all, avoid)) {
+    if (placer.fits(shape, allCapacity, avoid)) {
       return Optional.empty();
     }
     Shape member = new Shape(1, shape.perMember(), 0);
-    if (!placer.fits(member, all, avoid)) {
+    if (!placer.fits(member, allCapacity, avoid)) {
       return Optional.of("no declared worker is large enough for one member");
     }
     Shape anywhere = new Shape(shape.members(), shape.perMember(), 0);
-    if (!placer.fits(anywhere, all, avoid)) {
+    if (!placer.fits(anywhere, allCapacity, avoid)) {
       return Optional.of("the declared fleet holds fewer than " + shape.members() + " members");
     }
     return Optional.of(
@@ -43,20 +46,20 @@
   }
 
   /**
-   * Returns the names of guarantees that cannot all stand on the declared fleet at one time; empty
-   * if every guarantee can be kept.
+   * Returns the names of the guarantees that do not fit on the declared fleet together with the
+   * others; empty if all guarantees fit at the same time.
    */
   public List<String> unkeepableGuarantees(Declarations declarations) {
     FleetIndex index = new FleetIndex(declarations.fleet());
-    ReservedPlacements homes = ReservedPlacements.find(index, declarations.guarantees());
+    ReservedPlacements placements = ReservedPlacements.find(index, declarations.guarantees());
     List<String> names = new ArrayList<>();
-    int copy = 0;
+    int instance = 0;
     for (var g : declarations.guarantees()) {
-      boolean kept = true;
+      boolean satisfiable = true;
       for (int i = 0; i < g.count(); i++) {
-        kept &= homes.hasHome(homes.copies().get(copy++));
+        satisfiable &= placements.isPlaced(placements.instances().get(instance++));
       }
-      if (!kept) {
+      if (!satisfiable) {
         names.add(g.name());
       }
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/FleetIndex.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/FleetIndex.java
@@ -9,7 +9,7 @@
 import org.fescuehook.model.fleet.Worker;
 import org.fescuehook.model.fleet.WorkerId;
 
-/** The declared workers by number, and their racks by number. */
+/** Numbers the declared workers and their racks, so that plans can use arrays. */
 final class FleetIndex {
 
   private final List<Worker> workers;
@@ -49,18 +49,18 @@
     return workersOfRack.length;
   }
 
-  /** Returns the number of all accelerators. */
+  /** Returns the total number of accelerators. */
   int accelerators() {
     return accelerators;
   }
 
-  /** Returns the declared capacity of all workers. */
+  /** Returns a new copy of the declared capacity of all workers. */
   WorkerCapacities capacity() {
-    WorkerCapacities room = WorkerCapacities.empty(workers.size());
+    WorkerCapacities capacities = WorkerCapacities.empty(workers.size());
     for (int w = 0; w < workers.size(); w++) {
-      room.give(w, workers.get(w).capacity());
+      capacities.add(w, workers.get(w).capacity());
     }
-    return room;
+    return capacities;
   }
 
   Worker worker(int number) {
@@ -77,12 +77,12 @@
     return rackOf[worker];
   }
 
-  /** Returns the workers of a rack; not to be changed. */
+  /** Returns the numbers of a rack's workers; must not be modified. */
   int[] workersOfRack(int rack) {
     return workersOfRack[rack];
   }
 
-  /** Returns the numbers of the members' workers; -1 for workers that are not declared any more. */
+  /** Returns the numbers of the members' workers; -1 for workers that are no longer declared. */
   int[] numbers(List<WorkerId> members) {
     int[] found = new int[members.size()];
     for (int m = 0; m < found.length; m++) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GangPlacer.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GangPlacer.java
@@ -6,38 +6,41 @@
 import org.fescuehook.model.job.Shape;
 
 /**
- * Places all members of a gang in a room, or none. Not for use by two threads: its arrays are used
- * again for each placement.
+ * Places all members of a gang on workers with enough capacity, or none. Not thread-safe, because
+ * its arrays are reused for each placement.
  */
 final class GangPlacer {
 
   private final FleetIndex index;
-  private final int[] fit;
-  private final int[] rackFit;
+  private final int[] fitsOnWorker;
+  private final int[] fitsInRack;
   private final long[] keys;
 
   GangPlacer(FleetIndex index) {
     this.index = index;
-    this.fit = new int[index.workerCount()];
-    this.rackFit = new int[index.rackCount()];
+    this.fitsOnWorker = new int[index.workerCount()];
+    this.fitsInRack = new int[index.rackCount()];
     this.keys = new long[Math.max(index.workerCount(), index.rackCount())];
   }
 
-  /** Order of preference among workers and racks. */
+  /** Order in which workers and racks are used, as costs. */
   interface Preference {
 
-    /** Returns the cost of a worker, 0 to 2^31 - 1; the least is filled first. */
+    /** Returns the cost of a worker, 0 to 2^31 - 1; workers with lower costs are filled first. */
     int ofWorker(int worker);
 
     /**
-     * Returns the cost of a rack, 0 to 2^31 - 1; the least is taken first.
+     * Returns the cost of a rack, 0 to 2^31 - 1; racks with lower costs are used first.
      *
-     * @param members how many members of the gang fit there
+     * @param members number of members of the gang that fit in the rack
      */
     int ofRack(int rack, int members);
   }
 
-  /** Takes workers in the order of the declaration, and the rack that fits most tightly. */
+  /**
+   * Prefers workers in the order of their declaration, and the rack in which the fewest members
+   * fit.
+   */
   static final Preference FIRST_FIT =
       new Preference() {
         @Override
@@ -52,109 +55,113 @@
       };
 
   /**
-   * Returns the worker of each member.
+   * Returns the worker of each member, or empty if the shape does not fit.
    *
-   * @param room where members may stand
-   * @param avoid workers that are left out, by number
+   * @param capacities capacity that the members may use
+   * @param avoid whether each worker, by number, must not be used
    */
-  Optional<int[]> place(Shape shape, WorkerCapacities room, boolean[] avoid, Preference preference) {
-    if (!count(shape, room, avoid)) {
+  Optional<int[]> place(
+      Shape shape, WorkerCapacities capacities, boolean[] avoid, Preference preference) {
+    if (!countFits(shape, capacities, avoid)) {
       return Optional.empty();
     }
-    if (isAnywhere(shape)) {
+    if (allowsAnyRack(shape)) {
       int[] members = new int[shape.members()];
       fill(members, 0, sortedWorkers(preference));
       return Optional.of(members);
     }
-    long[] racks = racks(shape, preference);
+    long[] racks = selectRacks(shape, preference);
     return racks.length == 0 ? Optional.empty() : Optional.of(fill(shape, racks, preference));
   }
 
-  /** Tells whether racks do not matter to a shape. */
-  private static boolean isAnywhere(Shape shape) {
+  /** Returns whether the members of a shape may be placed on workers of any racks. */
+  private static boolean allowsAnyRack(Shape shape) {
     return shape.maxRacks() == 0 || shape.members() == 1;
   }
 
-  /** Tells whether the shape fits in the room. */
-  boolean fits(Shape shape, WorkerCapacities room, boolean[] avoid) {
-    if (!count(shape, room, avoid)) {
+  /** Returns whether the shape fits in the given capacity. */
+  boolean fits(Shape shape, WorkerCapacities capacities, boolean[] avoid) {
+    if (!countFits(shape, capacities, avoid)) {
       return false;
     }
-    return isAnywhere(shape) || mostInRacks(shape.maxRacks()) >= shape.members();
+    return allowsAnyRack(shape) || maxMembersInRacks(shape.maxRacks()) >= shape.members();
   }
 
-  private boolean count(Shape shape, WorkerCapacities room, boolean[] avoid) {
+  private boolean countFits(Shape shape, WorkerCapacities capacities, boolean[] avoid) {
     Capacity unit = shape.perMember();
-    int most = shape.members();
-    Arrays.fill(rackFit, 0);
+    int members = shape.members();
+    Arrays.fill(fitsInRack, 0);
     int sum = 0;
-    for (int w = 0; w < fit.length; w++) {
-      fit[w] = avoid[w] ? 0 : room.fits(w, unit, most);
-      rackFit[index.rackOf(w)] += fit[w];
-      sum += fit[w];
+    for (int w = 0; w < fitsOnWorker.length; w++) {
+      fitsOnWorker[w] = avoid[w] ? 0 : capacities.fits(w, unit, members);
+      fitsInRack[index.rackOf(w)] += fitsOnWorker[w];
+      sum += fitsOnWorker[w];
     }
-    return sum >= most;
+    return sum >= members;
   }
 
-  private int mostInRacks(int maxRacks) {
+  private int maxMembersInRacks(int maxRacks) {
     if (maxRacks == 1) {
-      int most = 0;
-      for (int sum : rackFit) {
-        most = Math.max(most, sum);
+      int maxMembers = 0;
+      for (int sum : fitsInRack) {
+        maxMembers = Math.max(maxMembers, sum);
       }
-      return most;
+      return maxMembers;
     }
-    int[] sorted = rackFit.clone();
+    int[] sorted = fitsInRack.clone();
     Arrays.sort(sorted);
-    int most = 0;
+    int maxMembers = 0;
     for (int i = 0; i < Math.min(maxRacks, sorted.length); i++) {
-      most += sorted[sorted.length - 1 - i];
+      maxMembers += sorted[sorted.length - 1 - i];
     }
-    return most;
+    return maxMembers;
   }
 
-  /** Returns the racks to be filled, the first first; empty if the shape does not fit. */
-  private long[] racks(Shape shape, Preference preference) {
+  /** Returns the racks to fill, in this order; empty if the shape does not fit. */
+  private long[] selectRacks(Shape shape, Preference preference) {
     long[] single = sortedRacks(preference, shape.members());
     if (single.length > 0) {
       return new long[] {single[0]};
     }
-    return fewRacks(shape, preference);
+    return selectSeveralRacks(shape, preference);
   }
 
-  /** Returns the racks in which at least so many members fit, by preference. */
-  private long[] sortedRacks(Preference preference, int leastMembers) {
+  /** Returns the racks in which at least {@code minMembers} members fit, cheapest first. */
+  private long[] sortedRacks(Preference preference, int minMembers) {
     int count = 0;
-    for (int r = 0; r < rackFit.length; r++) {
-      if (rackFit[r] >= leastMembers) {
-        keys[count++] = ((long) preference.ofRack(r, rackFit[r]) << 32) | r;
+    for (int r = 0; r < fitsInRack.length; r++) {
+      if (fitsInRack[r] >= minMembers) {
+        keys[count++] = ((long) preference.ofRack(r, fitsInRack[r]) << 32) | r;
       }
     }
     return sortedKeys(count);
   }
 
-  /** Takes the racks that hold most, and for the last one the preferred of those that suffice. */
-  private long[] fewRacks(Shape shape, Preference preference) {
+  /**
+   * Returns the racks in which the most members fit; the last one is the cheapest rack in which all
+   * remaining members fit.
+   */
+  private long[] selectSeveralRacks(Shape shape, Preference preference) {
     long[] chosen = new long[shape.maxRacks()];
-    int missing = shape.members();
+    int remaining = shape.members();
     for (int i = 0; i < chosen.length; i++) {
-      long[] enough = sortedRacks(preference, missing);
-      if (enough.length > 0) {
-        chosen[i] = enough[0];
+      long[] sufficient = sortedRacks(preference, remaining);
+      if (sufficient.length > 0) {
+        chosen[i] = sufficient[0];
         return Arrays.copyOf(chosen, i + 1);
       }
       int largest = largestRack();
-      missing -= rackFit[largest];
+      remaining -= fitsInRack[largest];
       chosen[i] = largest;
-      rackFit[largest] = 0;
+      fitsInRack[largest] = 0;
     }
     return new long[0];
   }
 
   private int largestRack() {
     int largest = 0;
-    for (int r = 1; r < rackFit.length; r++) {
-      if (rackFit[r] > rackFit[largest]) {
+    for (int r = 1; r < fitsInRack.length; r++) {
+      if (fitsInRack[r] > fitsInRack[largest]) {
         largest = r;
       }
     }
@@ -170,12 +177,12 @@
     return members;
   }
 
-  /** Fills workers in the given order and returns the number of members that have one. */
-  private int fill(int[] members, int from, long[] workers) {
-    int next = from;
+  /** Assigns members to workers in the given order; returns how many members then have a worker. */
+  private int fill(int[] members, int firstMember, long[] workers) {
+    int next = firstMember;
     for (long key : workers) {
       int w = (int) key;
-      for (int i = 0; i < fit[w]; i++) {
+      for (int i = 0; i < fitsOnWorker[w]; i++) {
         if (next == members.length) {
           return next;
         }
@@ -195,14 +202,14 @@
 
   private long[] sortedWorkers(Preference preference) {
     int count = 0;
-    for (int w = 0; w < fit.length; w++) {
+    for (int w = 0; w < fitsOnWorker.length; w++) {
       count = addKey(w, count, preference);
     }
     return sortedKeys(count);
   }
 
   private int addKey(int worker, int count, Preference preference) {
-    if (fit[worker] == 0) {
+    if (fitsOnWorker[worker] == 0) {
       return count;
     }
     keys[count] = ((long) preference.ofWorker(worker) << 32) | worker;
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GuaranteeScheduler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GuaranteeScheduler.java
@@ -11,71 +11,78 @@
 import org.fescuehook.model.rule.Verdict;
 
 /**
- * The scheduling policy: guarantees first, then ordered jobs on what is left. Not for use by two
- * threads. Between plans it keeps what follows from the declarations alone, and which attempts it
- * stopped at once for urgent jobs; a fresh one that does not know these may stop more than needed.
+ * The default scheduling policy: serves the organisations' guarantees first, then the remaining
+ * jobs in their order on the capacity that is left. Not thread-safe. Between plans it caches what
+ * is derived from the declarations and remembers which attempts it stopped for urgent jobs; a new
+ * instance does not know these stops, so it may stop more attempts than necessary.
  */
 public final class GuaranteeScheduler implements Scheduler {
 
   private final PolicyParts parts;
-  private final Set<AttemptId> stoppedAtOnce = new HashSet<>();
-  private Optional<DeclarationCache> known = Optional.empty();
+  private final Set<AttemptId> stoppedForUrgentJobs = new HashSet<>();
+  private Optional<DeclarationCache> cache = Optional.empty();
 
-  /** Creates the policy with all its parts. */
+  /** Creates the policy with all its features. */
   public GuaranteeScheduler() {
     this(PolicyParts.ALL);
   }
 
-  /** Creates the policy with some of its parts. */
+  /** Creates the policy with the given features. */
   public GuaranteeScheduler(PolicyParts parts) {
     this.parts = parts;
   }
 
-  /** What follows from declarations and unusable workers alone. */
+  /** Data derived only from the declarations and the set of unusable workers. */
   private record DeclarationCache(
       Declarations declarations,
       Set<WorkerId> unusable,
       FleetIndex index,
       GangPlacer placer,
-      ReservedPlacements declaredHomes,
-      ReservedPlacements homes,
+      ReservedPlacements declaredPlacements,
+      ReservedPlacements placements,
       boolean[] isUnusable) {}
 
   @Override
   public Plan plan(View view) {
-    DeclarationCache known = known(view);
+    DeclarationCache cache = currentCache(view);
     RunTimeEstimator estimator = new RunTimeEstimator(view.history(), parts.correction());
-    forgetEnded(view);
+    removeEndedAttempts(view);
     PlanState state =
         new PlanState(
-            view, known.index(), estimator, known.homes(), known.isUnusable(), stoppedAtOnce);
-    QuotaEnforcer quotas = new QuotaEnforcer(state);
-    GuaranteedJobPlanner guarantees =
-        new GuaranteedJobPlanner(state, known.placer(), parts, quotas);
+            view,
+            cache.index(),
+            estimator,
+            cache.placements(),
+            cache.isUnusable(),
+            stoppedForUrgentJobs);
+    QuotaEnforcer quotaEnforcer = new QuotaEnforcer(state);
+    GuaranteedJobPlanner guaranteedPlanner =
+        new GuaranteedJobPlanner(state, cache.placer(), parts, quotaEnforcer);
     JobOrder order = new JobOrder(parts, new RuleMatcher());
     List<Candidate> admitted =
         order.order(state).stream().filter(c -> isAdmitted(c, state)).toList();
-    BorrowingJobPlanner borrowing =
-        new BorrowingJobPlanner(state, known.placer(), parts, order, guarantees, quotas);
-    guarantees.accept(admitted).forEach(borrowing::accept);
+    BorrowingJobPlanner borrowingPlanner =
+        new BorrowingJobPlanner(
+            state, cache.placer(), parts, order, guaranteedPlanner, quotaEnforcer);
+    guaranteedPlanner.plan(admitted).forEach(borrowingPlanner::plan);
     Plan plan = state.plan();
-    remember(plan);
+    recordUrgentStops(plan);
     return plan;
   }
 
-  private void forgetEnded(View view) {
-    if (stoppedAtOnce.isEmpty()) {
+  private void removeEndedAttempts(View view) {
+    if (stoppedForUrgentJobs.isEmpty()) {
       return;
     }
     Set<AttemptId> live = new HashSet<>();
     view.running().forEach(r -> live.add(r.attempt()));
-    stoppedAtOnce.retainAll(live);
+    stoppedForUrgentJobs.retainAll(live);
   }
 
-  private void remember(Plan plan) {
+  private void recordUrgentStops(Plan plan) {
     for (Stop stop : plan.stops()) {
       if (stop.cause() == StopCause.URGENT) {
-        stoppedAtOnce.add(stop.attempt());
+        stoppedForUrgentJobs.add(stop.attempt());
       }
     }
   }
@@ -88,23 +95,26 @@
     return true;
   }
 
-  // The cache is by identity: comparing declarations of 810 workers would cost more than a plan.
+  // Compares declarations by identity: comparing 810 declared workers by value would take longer
+  // than computing a plan.
   @SuppressWarnings("ReferenceEquality")
-  private DeclarationCache known(View view) {
-    if (known.isEmpty() || known.get().declarations() != view.declarations()) {
+  private DeclarationCache currentCache(View view) {
+    if (cache.isEmpty() || cache.get().declarations() != view.declarations()) {
       FleetIndex index = new FleetIndex(view.declarations().fleet());
-      ReservedPlacements homes = ReservedPlacements.find(index, view.declarations().guarantees());
+      ReservedPlacements placements =
+          ReservedPlacements.find(index, view.declarations().guarantees());
       boolean[] none = new boolean[index.workerCount()];
       Declarations declarations = view.declarations();
       GangPlacer placer = new GangPlacer(index);
-      known =
+      cache =
           Optional.of(
-              new DeclarationCache(declarations, Set.of(), index, placer, homes, homes, none));
+              new DeclarationCache(
+                  declarations, Set.of(), index, placer, placements, placements, none));
     }
-    if (!known.get().unusable().equals(view.unusable())) {
-      known = Optional.of(withUnusable(known.get(), Set.copyOf(view.unusable())));
+    if (!cache.get().unusable().equals(view.unusable())) {
+      cache = Optional.of(withUnusable(cache.get(), Set.copyOf(view.unusable())));
     }
-    return known.get();
+    return cache.get();
   }
 
   private static DeclarationCache withUnusable(DeclarationCache before, Set<WorkerId> unusable) {
@@ -116,14 +126,14 @@
         isUnusable[worker] = true;
       }
     }
-    ReservedPlacements homes = before.declaredHomes().without(index, isUnusable);
+    ReservedPlacements placements = before.declaredPlacements().without(index, isUnusable);
     return new DeclarationCache(
         before.declarations(),
         unusable,
         index,
         before.placer(),
-        before.declaredHomes(),
-        homes,
+        before.declaredPlacements(),
+        placements,
         isUnusable);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GuaranteeUsage.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GuaranteeUsage.java
@@ -11,156 +11,171 @@
 import org.fescuehook.model.organisation.OrganisationId;
 
 /**
- * What holders use of their guaranteed shapes. A job is within its guarantee if each member stands
- * in a slot of its organisation that has room for it, at that slot's home.
+ * Tracks how much of the guaranteed shapes is in use. A guaranteed shape has one slot for each of
+ * its members, and each slot is reserved on a worker. A job is within its guarantee if every member
+ * runs on the worker of a slot of its organisation that has enough capacity left.
  */
 final class GuaranteeUsage {
 
   private static final int NONE = -1;
 
-  private final ReservedPlacements homes;
-  private final Capacity[][] left;
-  private final Map<OrganisationId, List<GuaranteedInstance>> copiesOf = new HashMap<>();
+  private final ReservedPlacements placements;
+  private final Capacity[][] unusedInSlot;
+  private final Map<OrganisationId, List<GuaranteedInstance>> instancesOf = new HashMap<>();
   private final WorkerCapacities unused;
   private final int workerCount;
 
-  GuaranteeUsage(ReservedPlacements homes, int workerCount) {
-    this.homes = homes;
+  GuaranteeUsage(ReservedPlacements placements, int workerCount) {
+    this.placements = placements;
     this.workerCount = workerCount;
-    this.left = new Capacity[homes.copies().size()][];
+    this.unusedInSlot = new Capacity[placements.instances().size()][];
     this.unused = WorkerCapacities.empty(workerCount);
-    for (GuaranteedInstance copy : homes.copies()) {
-      left[copy.number()] = new Capacity[copy.shape().members()];
-      Arrays.fill(left[copy.number()], copy.shape().perMember());
-      if (homes.hasHome(copy)) {
-        copiesOf.computeIfAbsent(copy.organisation(), o -> new ArrayList<>()).add(copy);
-        unused.give(homes.of(copy), copy.shape().perMember());
+    for (GuaranteedInstance instance : placements.instances()) {
+      unusedInSlot[instance.number()] = new Capacity[instance.shape().members()];
+      Arrays.fill(unusedInSlot[instance.number()], instance.shape().perMember());
+      if (placements.isPlaced(instance)) {
+        instancesOf.computeIfAbsent(instance.organisation(), o -> new ArrayList<>()).add(instance);
+        unused.add(placements.workersOf(instance), instance.shape().perMember());
       }
     }
   }
 
-  /** Returns what is not used of all guaranteed shapes, at their homes; not to be changed. */
+  /**
+   * Returns the unused capacity of all guaranteed shapes on their reserved workers; must not be
+   * modified.
+   */
   WorkerCapacities unused() {
     return unused;
   }
 
-  /** Adds what an organisation does not use of its guaranteed shapes, at their homes. */
-  void addUnused(OrganisationId organisation, WorkerCapacities room) {
-    for (GuaranteedInstance copy : copiesOf.getOrDefault(organisation, List.of())) {
-      int[] own = homes.of(copy);
-      for (int slot = 0; slot < own.length; slot++) {
-        room.give(own[slot], left[copy.number()][slot]);
+  /** Adds the unused capacity of an organisation's guaranteed shapes on their reserved workers. */
+  void addUnused(OrganisationId organisation, WorkerCapacities capacities) {
+    for (GuaranteedInstance instance : instancesOf.getOrDefault(organisation, List.of())) {
+      int[] workers = placements.workersOf(instance);
+      for (int slot = 0; slot < workers.length; slot++) {
+        capacities.add(workers[slot], unusedInSlot[instance.number()][slot]);
       }
     }
   }
 
-  /** Returns the rooms in one of which a job has to stand to be within its guarantee. */
-  List<WorkerCapacities> roomsFor(Job job) {
-    List<GuaranteedInstance> own = copiesFor(job);
-    if (!hasSlots(own, job.shape())) {
+  /** Returns reserved capacities; a job is within its guarantee if it fits in one of them. */
+  List<WorkerCapacities> reservedCapacitiesFor(Job job) {
+    List<GuaranteedInstance> ownInstances = instancesFor(job);
+    if (!hasSlots(ownInstances, job.shape())) {
       return new ArrayList<>();
     }
-    if (GuaranteedInstance.isAnywhere(job.shape())) {
-      return new ArrayList<>(List.of(room(own, job.shape())));
+    if (GuaranteedInstance.allowsAnyRack(job.shape())) {
+      return new ArrayList<>(List.of(reservedCapacity(ownInstances, job.shape())));
     }
-    List<WorkerCapacities> rooms = new ArrayList<>();
-    for (GuaranteedInstance copy : own) {
-      if (copy.isAdjacentEnough(job.shape())) {
-        rooms.add(room(List.of(copy), job.shape()));
+    List<WorkerCapacities> options = new ArrayList<>();
+    for (GuaranteedInstance instance : ownInstances) {
+      if (instance.satisfiesRackLimitOf(job.shape())) {
+        options.add(reservedCapacity(List.of(instance), job.shape()));
       }
     }
-    return rooms;
+    return options;
   }
 
-  /** Returns the shapes that a job may use: work without accelerators uses none that have any. */
-  private List<GuaranteedInstance> copiesFor(Job job) {
-    List<GuaranteedInstance> own = copiesOf.getOrDefault(job.organisation(), List.of());
-    if (own.isEmpty()) {
-      return own;
+  /**
+   * Returns the guaranteed shapes of the job's organisation that it may use. Jobs without
+   * accelerators use only shapes without accelerators, and vice versa.
+   */
+  private List<GuaranteedInstance> instancesFor(Job job) {
+    List<GuaranteedInstance> ownInstances = instancesOf.getOrDefault(job.organisation(), List.of());
+    if (ownInstances.isEmpty()) {
+      return ownInstances;
     }
-    boolean needsAny = job.shape().accelerators() > 0;
-    List<GuaranteedInstance> matching = new ArrayList<>(own);
-    matching.removeIf(c -> c.shape().accelerators() > 0 != needsAny);
+    boolean needsAccelerators = job.shape().accelerators() > 0;
+    List<GuaranteedInstance> matching = new ArrayList<>(ownInstances);
+    matching.removeIf(i -> i.shape().accelerators() > 0 != needsAccelerators);
     return matching;
   }
 
-  /** Tells whether there are slots for all members, on whichever workers. */
-  private boolean hasSlots(List<GuaranteedInstance> copies, Shape shape) {
+  /** Returns whether the slots can hold all members, regardless of their workers. */
+  private boolean hasSlots(List<GuaranteedInstance> instances, Shape shape) {
     long members = 0;
-    for (GuaranteedInstance copy : copies) {
-      for (Capacity slot : left[copy.number()]) {
+    for (GuaranteedInstance instance : instances) {
+      for (Capacity slot : unusedInSlot[instance.number()]) {
         members += slot.fits(shape.perMember());
       }
     }
     return members >= shape.members();
   }
 
-  /** Returns room for as many members on each worker as its slots hold, each in one slot. */
-  private WorkerCapacities room(List<GuaranteedInstance> copies, Shape shape) {
-    WorkerCapacities room = WorkerCapacities.empty(workerCount);
+  /**
+   * Returns, for each worker, the capacity for as many members as its slots can hold, each member
+   * within one slot.
+   */
+  private WorkerCapacities reservedCapacity(List<GuaranteedInstance> instances, Shape shape) {
+    WorkerCapacities capacities = WorkerCapacities.empty(workerCount);
     Capacity unit = shape.perMember();
-    for (GuaranteedInstance copy : copies) {
-      int[] own = homes.of(copy);
-      for (int slot = 0; slot < own.length; slot++) {
-        int members = Math.min(shape.members(), left[copy.number()][slot].fits(unit));
-        room.give(own[slot], unit.times(members));
+    for (GuaranteedInstance instance : instances) {
+      int[] workers = placements.workersOf(instance);
+      for (int slot = 0; slot < workers.length; slot++) {
+        int members = Math.min(shape.members(), unusedInSlot[instance.number()][slot].fits(unit));
+        capacities.add(workers[slot], unit.times(members));
       }
     }
-    return room;
+    return capacities;
   }
 
   /**
-   * Counts a job as within its guarantee, in one guaranteed shape if it fits so, else over several.
+   * Charges a job to the guarantees: to a single guaranteed shape if it fits in one, else to
+   * several.
    *
-   * @param workers worker of each member, by number
-   * @return false if it is not, and nothing was counted
+   * @param workers number of the worker of each member
+   * @return false if the job is not within its guarantee; nothing is charged then
    */
-  boolean use(Job job, int[] workers) {
-    List<GuaranteedInstance> own = copiesFor(job);
-    for (GuaranteedInstance copy : own) {
-      if (use(List.of(copy), job.shape(), workers)) {
+  boolean charge(Job job, int[] workers) {
+    List<GuaranteedInstance> ownInstances = instancesFor(job);
+    for (GuaranteedInstance instance : ownInstances) {
+      if (charge(List.of(instance), job.shape(), workers)) {
         return true;
       }
     }
-    return own.size() > 1 && use(own, job.shape(), workers);
+    return ownInstances.size() > 1 && charge(ownInstances, job.shape(), workers);
   }
 
-  private boolean use(List<GuaranteedInstance> copies, Shape shape, int[] workers) {
-    List<int[]> taken = new ArrayList<>(workers.length);
+  private boolean charge(List<GuaranteedInstance> instances, Shape shape, int[] workers) {
+    List<int[]> charged = new ArrayList<>(workers.length);
     for (int worker : workers) {
-      int[] slot = worker < 0 ? new int[0] : tightestSlot(copies, worker, shape.perMember());
+      int[] slot = worker < 0 ? new int[0] : tightestSlot(instances, worker, shape.perMember());
       if (slot.length == 0) {
-        taken.forEach(s -> giveBack(s, shape.perMember()));
+        charged.forEach(s -> refund(s, shape.perMember()));
         return false;
       }
-      left[slot[0]][slot[1]] = left[slot[0]][slot[1]].minus(shape.perMember());
-      taken.add(slot);
+      unusedInSlot[slot[0]][slot[1]] = unusedInSlot[slot[0]][slot[1]].minus(shape.perMember());
+      charged.add(slot);
     }
-    unused.take(workers, shape.perMember());
+    unused.subtract(workers, shape.perMember());
     return true;
   }
 
-  private void giveBack(int[] slot, Capacity amount) {
-    left[slot[0]][slot[1]] = left[slot[0]][slot[1]].plus(amount);
+  private void refund(int[] slot, Capacity amount) {
+    unusedInSlot[slot[0]][slot[1]] = unusedInSlot[slot[0]][slot[1]].plus(amount);
   }
 
-  /** Returns the numbers of a guaranteed shape and of its slot; empty if none has room. */
-  private int[] tightestSlot(List<GuaranteedInstance> own, int worker, Capacity amount) {
-    int bestCopy = NONE;
+  /**
+   * Returns the number of a guaranteed shape and of its slot with the fewest accelerators left;
+   * empty if no slot has enough capacity.
+   */
+  private int[] tightestSlot(List<GuaranteedInstance> ownInstances, int worker, Capacity amount) {
+    int bestInstance = NONE;
     int bestSlot = NONE;
-    for (GuaranteedInstance copy : own) {
-      int[] workers = homes.of(copy);
+    for (GuaranteedInstance instance : ownInstances) {
+      int[] workers = placements.workersOf(instance);
       for (int slot = 0; slot < workers.length; slot++) {
-        Capacity free = left[copy.number()][slot];
+        Capacity free = unusedInSlot[instance.number()][slot];
         if (workers[slot] != worker || !free.contains(amount)) {
           continue;
         }
-        if (bestCopy == NONE || free.accelerators() < left[bestCopy][bestSlot].accelerators()) {
-          bestCopy = copy.number();
+        if (bestInstance == NONE
+            || free.accelerators() < unusedInSlot[bestInstance][bestSlot].accelerators()) {
+          bestInstance = instance.number();
           bestSlot = slot;
         }
       }
     }
-    return bestCopy == NONE ? new int[0] : new int[] {bestCopy, bestSlot};
+    return bestInstance == NONE ? new int[0] : new int[] {bestInstance, bestSlot};
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GuaranteedInstance.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GuaranteedInstance.java
@@ -4,21 +4,24 @@
 import org.fescuehook.model.organisation.OrganisationId;
 
 /**
- * One guaranteed shape; a guarantee with a count stands for several.
+ * One guaranteed shape; a guarantee declared with a count has that many instances.
  *
- * @param number its number among all of them
- * @param organisation holder
- * @param shape the shape
+ * @param number number of the instance among all instances
+ * @param organisation organisation that holds the guarantee
+ * @param shape the guaranteed shape
  */
 record GuaranteedInstance(int number, OrganisationId organisation, Shape shape) {
 
-  /** Tells whether racks do not matter to a shape. */
-  static boolean isAnywhere(Shape shape) {
+  /** Returns whether the members of a shape may be placed on workers of any racks. */
+  static boolean allowsAnyRack(Shape shape) {
     return shape.maxRacks() == 0 || shape.members() == 1;
   }
 
-  /** Tells whether any part of this guaranteed shape is as adjacent as a job's shape asks. */
-  boolean isAdjacentEnough(Shape job) {
+  /**
+   * Returns whether any part of this guaranteed shape spans no more racks than a job's shape
+   * allows.
+   */
+  boolean satisfiesRackLimitOf(Shape job) {
     if (shape.members() == 1) {
       return true;
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GuaranteedJobPlanner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GuaranteedJobPlanner.java
@@ -13,64 +13,66 @@
 import org.fescuehook.model.job.Shape;
 import org.fescuehook.model.organisation.OrganisationId;
 
-/** Starts the jobs that guarantees cover, and has borrowers give way to them. */
+/** Starts the jobs that guarantees cover, and preempts borrowers for them. */
 final class GuaranteedJobPlanner {
 
-  private static final double URGENT_FACTOR = 100;
+  private static final double URGENT_COST_FACTOR = 100;
 
   private final PlanState state;
   private final GangPlacer placer;
   private final PolicyParts parts;
-  private final StopFactory terms;
-  private final QuotaEnforcer quotas;
-  private final Set<Demand> withoutStart = new HashSet<>();
-  private final Set<Demand> withoutReclaim = new HashSet<>();
-  private final Set<Shape> withoutRoom = new HashSet<>();
+  private final StopFactory stopFactory;
+  private final QuotaEnforcer quotaEnforcer;
+  private final Set<Demand> notStartable = new HashSet<>();
+  private final Set<Demand> notReclaimable = new HashSet<>();
+  private final Set<Shape> notBorrowable = new HashSet<>();
 
   GuaranteedJobPlanner(
-      PlanState state, GangPlacer placer, PolicyParts parts, QuotaEnforcer quotas) {
-    this.quotas = quotas;
+      PlanState state, GangPlacer placer, PolicyParts parts, QuotaEnforcer quotaEnforcer) {
+    this.quotaEnforcer = quotaEnforcer;
     this.state = state;
     this.placer = placer;
     this.parts = parts;
-    this.terms = new StopFactory(state.view().declarations().policy());
+    this.stopFactory = new StopFactory(state.view().declarations().policy());
   }
 
   /**
-   * Deals with the jobs that guarantees cover: starts them at their homes or keeps these for them.
-   * A job that can start as a borrower elsewhere is left to its turn among the others, which spares
-   * borrowers a stop. An organisation's urgent job that its guarantees do not cover goes before its
-   * other jobs.
+   * Plans the jobs that guarantees cover: starts them on their reserved placements, or keeps these
+   * free for them. A job that could also start elsewhere as a borrower is returned with the others,
+   * which avoids preempting a borrower for it. If an organisation has an urgent job that its
+   * guarantees do not cover, that job precedes the organisation's other jobs, and these are not
+   * covered either.
    *
-   * @return the jobs that are not dealt with, in the same order
+   * @return the jobs that are still to be planned, in the same order
    */
-  List<Candidate> accept(List<Candidate> candidates) {
-    List<Candidate> covered = covered(candidates);
-    state.protect(holders(covered));
+  List<Candidate> plan(List<Candidate> candidates) {
+    List<Candidate> covered = coveredByGuarantees(candidates);
+    state.protectReservedPlacements(holders(covered));
     Set<Candidate> open = new HashSet<>();
     Set<Candidate> done = new HashSet<>();
     for (Candidate c : covered) {
-      List<WorkerCapacities> homes = homes(c);
-      if (!quotas.allows(c) || (!homes.isEmpty() && startOrAwait(c, homes))) {
+      List<WorkerCapacities> reservedOptions = reservedOptions(c);
+      if (!quotaEnforcer.allows(c)
+          || (!reservedOptions.isEmpty() && startOrAwaitStops(c, reservedOptions))) {
         done.add(c);
-      } else if (!homes.isEmpty()) {
+      } else if (!reservedOptions.isEmpty()) {
         open.add(c);
       }
     }
-    state.protect(holders(open));
+    state.protectReservedPlacements(holders(open));
     List<Candidate> left = new ArrayList<>(candidates);
     left.removeIf(c -> done.contains(c) || (open.contains(c) && !canBorrow(c) && reclaim(c)));
     return left;
   }
 
-  /** Returns the jobs that guarantees would cover if each were alone. */
-  private List<Candidate> covered(List<Candidate> candidates) {
+  /** Returns the jobs that guarantees would cover if each job were the only one. */
+  private List<Candidate> coveredByGuarantees(List<Candidate> candidates) {
     List<Candidate> covered = new ArrayList<>();
     Set<OrganisationId> urgent = new HashSet<>();
     for (Candidate c : candidates) {
       OrganisationId organisation = c.job().organisation();
       boolean yields = !c.job().urgent() && urgent.contains(organisation);
-      if (!yields && !homes(c).isEmpty()) {
+      if (!yields && !reservedOptions(c).isEmpty()) {
         covered.add(c);
       } else if (c.job().urgent()) {
         urgent.add(organisation);
@@ -86,8 +88,8 @@
   }
 
   /**
-   * What jobs have in common that fare alike. Room only shrinks in the course of a plan, so what
-   * one of them did not get, the next will not get either.
+   * Properties that decide whether a job can be placed. Free capacity only shrinks in the course of
+   * a plan, so if one job could not be placed, the next job with the same demand cannot be either.
    */
   private record Demand(OrganisationId organisation, Shape shape, boolean urgent) {
 
@@ -97,70 +99,76 @@
     }
   }
 
-  private boolean startOrAwait(Candidate candidate, List<WorkerCapacities> homes) {
+  private boolean startOrAwaitStops(Candidate candidate, List<WorkerCapacities> reservedOptions) {
     Demand demand = Demand.of(candidate);
-    if (withoutStart.contains(demand)) {
+    if (notStartable.contains(demand)) {
       return false;
     }
     boolean[] avoid = state.avoid(candidate.waiting());
-    if (startAtHome(candidate, homes, avoid) || awaitStops(candidate, homes, avoid)) {
+    if (startOnReserved(candidate, reservedOptions, avoid)
+        || awaitStops(candidate, reservedOptions, avoid)) {
       return true;
     }
     if (candidate.waiting().avoid().isEmpty()) {
-      withoutStart.add(demand);
+      notStartable.add(demand);
     }
     return false;
   }
 
   private boolean canBorrow(Candidate candidate) {
     Shape shape = candidate.job().shape();
-    if (!candidate.mayBorrow() || withoutRoom.contains(shape)) {
+    if (!candidate.mayBorrow() || notBorrowable.contains(shape)) {
       return false;
     }
     boolean[] avoid = state.avoid(candidate.waiting());
-    if (placer.fits(shape, state.borrowable(state.free()), avoid)) {
+    if (placer.fits(shape, state.availableToBorrowers(state.free()), avoid)) {
       return true;
     }
     if (candidate.waiting().avoid().isEmpty()) {
-      withoutRoom.add(shape);
+      notBorrowable.add(shape);
     }
     return false;
   }
 
-  /** Has borrowers give way to a job that could not start elsewhere after all. */
+  /** Preempts borrowers for a job that could not start elsewhere as a borrower. */
   boolean reclaim(Candidate candidate) {
     Demand demand = Demand.of(candidate);
-    if (!parts.reclaim() || withoutReclaim.contains(demand)) {
+    if (!parts.reclaim() || notReclaimable.contains(demand)) {
       return false;
     }
-    List<WorkerCapacities> homes = homes(candidate);
+    List<WorkerCapacities> reservedOptions = reservedOptions(candidate);
     boolean[] avoid = state.avoid(candidate.waiting());
-    if (!homes.isEmpty()
-        && (awaitStops(candidate, homes, avoid) || reclaim(candidate, homes, avoid))) {
+    if (!reservedOptions.isEmpty()
+        && (awaitStops(candidate, reservedOptions, avoid)
+            || reclaim(candidate, reservedOptions, avoid))) {
       return true;
     }
     if (candidate.waiting().avoid().isEmpty()) {
-      withoutReclaim.add(demand);
+      notReclaimable.add(demand);
     }
     return false;
   }
 
-  /** Returns the homes in which the job would be within its guarantee. */
-  private List<WorkerCapacities> homes(Candidate candidate) {
-    List<WorkerCapacities> homes = state.guarantees().roomsFor(candidate.job());
-    if (homes.isEmpty()) {
-      return homes;
+  /**
+   * Returns the reserved capacities, each of which could hold the whole job within its guarantee.
+   */
+  private List<WorkerCapacities> reservedOptions(Candidate candidate) {
+    List<WorkerCapacities> reservedOptions =
+        state.guarantees().reservedCapacitiesFor(candidate.job());
+    if (reservedOptions.isEmpty()) {
+      return reservedOptions;
     }
     boolean[] avoid = state.avoid(candidate.waiting());
-    homes.removeIf(home -> !placer.fits(candidate.job().shape(), home, avoid));
-    return homes;
+    reservedOptions.removeIf(reserved -> !placer.fits(candidate.job().shape(), reserved, avoid));
+    return reservedOptions;
   }
 
-  private boolean startAtHome(Candidate candidate, List<WorkerCapacities> homes, boolean[] avoid) {
+  private boolean startOnReserved(
+      Candidate candidate, List<WorkerCapacities> reservedOptions, boolean[] avoid) {
     Job job = candidate.job();
-    for (WorkerCapacities home : homes) {
-      Optional<int[]> workers = place(job, state.free(), home, avoid);
-      if (workers.isPresent() && state.useGuarantee(job, workers.get())) {
+    for (WorkerCapacities reserved : reservedOptions) {
+      Optional<int[]> workers = place(job, state.free(), reserved, avoid);
+      if (workers.isPresent() && state.chargeGuarantee(job, workers.get())) {
         state.start(candidate, workers.get(), false);
         return true;
       }
@@ -168,28 +176,33 @@
     return false;
   }
 
-  private boolean awaitStops(Candidate candidate, List<WorkerCapacities> homes, boolean[] avoid) {
+  private boolean awaitStops(
+      Candidate candidate, List<WorkerCapacities> reservedOptions, boolean[] avoid) {
     Job job = candidate.job();
-    for (WorkerCapacities home : homes) {
-      Optional<int[]> workers = place(job, state.soon(job), home, avoid);
-      if (workers.isPresent() && state.useGuarantee(job, workers.get())) {
-        state.hold(job, workers.get());
-        state.explain(candidate, "waits for borrowers that were told to stop", dueMillis());
+    for (WorkerCapacities reserved : reservedOptions) {
+      Optional<int[]> workers = place(job, state.freeAfterStops(job), reserved, avoid);
+      if (workers.isPresent() && state.chargeGuarantee(job, workers.get())) {
+        state.allocate(job, workers.get());
+        state.explain(
+            candidate, "waits for borrowers that were told to stop", expectedStartMillis());
         return true;
       }
     }
     return false;
   }
 
-  private boolean reclaim(Candidate candidate, List<WorkerCapacities> homes, boolean[] avoid) {
+  private boolean reclaim(
+      Candidate candidate, List<WorkerCapacities> reservedOptions, boolean[] avoid) {
     Job job = candidate.job();
     List<Victim> eligible = victims(job);
-    WorkerCapacities soon = state.beside(job.organisation(), state.soon(job));
+    WorkerCapacities availableAfterStops =
+        state.availableToHolder(job.organisation(), state.freeAfterStops(job));
     VictimSelector selector = new VictimSelector(state.index());
     Optional<Selection> best = Optional.empty();
-    for (WorkerCapacities home : homes) {
+    for (WorkerCapacities reserved : reservedOptions) {
       Optional<Selection> found =
-          selector.select(job.shape(), soon, home, avoid, at(home, eligible));
+          selector.select(
+              job.shape(), availableAfterStops, reserved, avoid, withMemberIn(reserved, eligible));
       if (found.isPresent() && (best.isEmpty() || found.get().cost() < best.get().cost())) {
         best = found;
       }
@@ -199,56 +212,62 @@
     }
     StopCause cause = job.urgent() ? StopCause.URGENT : StopCause.RECLAIMED;
     for (Victim v : best.get().victims()) {
-      state.stop(v.occupant(), terms.stop(v.occupant().running(), cause, job));
+      state.stop(v.attempt(), stopFactory.create(v.attempt().running(), cause, job));
     }
-    return awaitStops(candidate, homes, avoid);
+    return awaitStops(candidate, reservedOptions, avoid);
   }
 
-  /** Returns the victims that have a member on a worker of a home. */
-  private static List<Victim> at(WorkerCapacities home, List<Victim> victims) {
-    List<Victim> there = new ArrayList<>();
+  /** Returns the victims that have a member on a worker of the reserved capacity. */
+  private static List<Victim> withMemberIn(WorkerCapacities reserved, List<Victim> victims) {
+    List<Victim> found = new ArrayList<>();
     for (Victim v : victims) {
-      for (int w : v.occupant().workers()) {
-        if (w >= 0 && (home.accelerators(w) > 0 || home.cores(w) > 0)) {
-          there.add(v);
+      for (int w : v.attempt().workers()) {
+        if (w >= 0 && (reserved.accelerators(w) > 0 || reserved.cores(w) > 0)) {
+          found.add(v);
           break;
         }
       }
     }
-    return there;
+    return found;
   }
 
-  /** Returns borrowers; urgent ones only as a last resort, those of the same organisation never. */
+  /**
+   * Returns the borrowers that may be stopped for a job. Urgent ones are a last resort because of
+   * their high cost; those of the job's own organisation are never stopped.
+   */
   private List<Victim> victims(Job job) {
     List<Victim> victims = new ArrayList<>();
-    for (PlacedAttempt o : state.occupants()) {
-      if (o.guaranteed() || state.isStopped(o) || isOwnUrgent(o, job)) {
+    for (PlacedAttempt a : state.attempts()) {
+      if (a.guaranteed() || state.isStopped(a) || isUrgentOfSameOrganisation(a, job)) {
         continue;
       }
-      double cost = o.stopCost(state.view().nowMillis());
-      victims.add(new Victim(o, o.running().job().urgent() ? cost * URGENT_FACTOR : cost));
+      double cost = a.stopCost(state.view().nowMillis());
+      victims.add(new Victim(a, a.running().job().urgent() ? cost * URGENT_COST_FACTOR : cost));
     }
     return victims;
   }
 
-  private static boolean isOwnUrgent(PlacedAttempt occupant, Job job) {
-    Job other = occupant.running().job();
+  private static boolean isUrgentOfSameOrganisation(PlacedAttempt attempt, Job job) {
+    Job other = attempt.running().job();
     return other.urgent() && other.organisation().equals(job.organisation());
   }
 
-  /** Places a job at home, first in the slots that have least left, so that others stay whole. */
+  /**
+   * Places a job in reserved capacity. Fills the workers with the least reserved capacity left
+   * first, so that whole slots remain for other jobs.
+   */
   private Optional<int[]> place(
-      Job job, WorkerCapacities available, WorkerCapacities home, boolean[] avoid) {
-    WorkerCapacities room = state.beside(job.organisation(), available);
-    room.lowerTo(home);
-    return placer.place(job.shape(), room, avoid, new HomePreference(home));
+      Job job, WorkerCapacities available, WorkerCapacities reserved, boolean[] avoid) {
+    WorkerCapacities capacities = state.availableToHolder(job.organisation(), available);
+    capacities.limitTo(reserved);
+    return placer.place(job.shape(), capacities, avoid, new LeastReservedFirst(reserved));
   }
 
-  private record HomePreference(WorkerCapacities home) implements GangPlacer.Preference {
+  private record LeastReservedFirst(WorkerCapacities reserved) implements GangPlacer.Preference {
 
     @Override
     public int ofWorker(int worker) {
-      return Math.max(0, home.accelerators(worker));
+      return Math.max(0, reserved.accelerators(worker));
     }
 
     @Override
@@ -257,7 +276,7 @@
     }
   }
 
-  private long dueMillis() {
+  private long expectedStartMillis() {
     return state.view().nowMillis()
         + state.view().declarations().policy().reclaimBound().toMillis();
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/History.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/History.java
@@ -9,12 +9,12 @@
 import org.fescuehook.wire.HistorySnapshot;
 
 /**
- * What was learned from ended attempts: corrections of declared run times, use by organisation and
- * evidence against workers. Immutable.
+ * Statistics of ended attempts: ratios of actual to declared run time and resource use by
+ * organisation, and failures by worker. Immutable.
  */
 public final class History {
 
-  /** Nothing learned yet. */
+  /** A history without any ended attempt. */
   public static final History EMPTY = new History(Map.of(), Map.of());
 
   private final Map<OrganisationId, OrganisationUse> organisations;
@@ -25,17 +25,17 @@
     this.workers = Map.copyOf(workers);
   }
 
-  /** Reads a history from a snapshot. */
+  /** Restores a history from a snapshot. */
   public static History fromSnapshot(HistorySnapshot snapshot) {
     return HistoryCodec.decode(snapshot);
   }
 
-  /** Returns this history for a snapshot; equal histories give equal snapshots. */
+  /** Returns this history as part of a snapshot; equal histories yield equal snapshots. */
   public HistorySnapshot toSnapshot() {
     return HistoryCodec.encode(new TreeMap<>(organisations), new TreeMap<>(workers));
   }
 
-  /** Returns the history after an attempt ended. */
+  /** Returns this history with one more ended attempt. */
   public History afterAttempt(EndedAttempt ended) {
     Map<OrganisationId, OrganisationUse> uses = new HashMap<>(organisations);
     OrganisationId id = ended.job().organisation();
@@ -43,7 +43,7 @@
     return new History(uses, workersAfter(ended));
   }
 
-  /** Returns the history after a worker was quarantined. */
+  /** Returns this history with a new quarantine of a worker. */
   public History afterQuarantine(WorkerId worker, long untilMillis) {
     Map<WorkerId, WorkerRecord> records = new HashMap<>(workers);
     records.put(worker, record(worker).quarantined(untilMillis));
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/HistoryCodec.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/HistoryCodec.java
@@ -11,7 +11,7 @@
 import org.fescuehook.wire.WorkerFailure;
 import org.fescuehook.wire.WorkerHistory;
 
-/** Converts histories from and to snapshots. */
+/** Converts histories to and from the protobuf messages of snapshots. */
 final class HistoryCodec {
 
   private HistoryCodec() {}
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/JobOrder.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/JobOrder.java
@@ -13,8 +13,9 @@
 import org.fescuehook.model.organisation.OrganisationId;
 
 /**
- * Orders waiting jobs: urgent ones, overdue ones, then by the priority of their rules; among equals
- * by the slowdown that they have come to, weighed by the use of their organisations.
+ * Orders waiting jobs: urgent jobs first, then overdue jobs, then by the priority that their rules
+ * give. Among equals, jobs with the largest slowdown so far come first; the slowdown is divided by
+ * the overuse of the job's organisation.
  */
 final class JobOrder {
 
@@ -26,9 +27,9 @@
           .thenComparing(c -> c.job().submittedMillis())
           .thenComparing(c -> c.job().id());
 
-  private static final double OVERDUE_SHARE = 0.9;
-  private static final double LEAST_OVERUSE = 0.25;
-  private static final double MOST_OVERUSE = 4;
+  private static final double OVERDUE_FRACTION = 0.9;
+  private static final double MIN_OVERUSE = 0.25;
+  private static final double MAX_OVERUSE = 4;
 
   private final PolicyParts parts;
   private final RuleMatcher matcher;
@@ -39,7 +40,7 @@
     this.matcher = matcher;
   }
 
-  /** Returns the waiting jobs in the order in which they are tried. */
+  /** Returns the waiting jobs in the order in which they are planned. */
   List<Candidate> order(PlanState state) {
     View view = state.view();
     overuse = parts.fairness() ? overuse(state) : Map.of();
@@ -52,25 +53,25 @@
   }
 
   /**
-   * Tells whether a wait comes near the declared bound. It does so early, as room has yet to be
-   * made for the job.
+   * Returns whether a wait is near or beyond the declared maximum. A job counts as overdue before
+   * the maximum is reached because it takes time to free capacity for it.
    */
   static boolean isOverdue(long waitedMillis, View view) {
-    long bound = view.declarations().policy().maxWait().toMillis();
-    return waitedMillis >= bound * OVERDUE_SHARE;
+    long maxWaitMillis = view.declarations().policy().maxWait().toMillis();
+    return waitedMillis >= maxWaitMillis * OVERDUE_FRACTION;
   }
 
-  /** Returns the score that a running attempt's job would have if it waited. */
-  double score(PlacedAttempt occupant, PlanState state) {
-    Job job = occupant.running().job();
+  /** Returns the score that the job of a running attempt would have if it were waiting. */
+  double score(PlacedAttempt attempt, PlanState state) {
+    Job job = attempt.running().job();
     long waitedMillis = Math.max(0, state.view().nowMillis() - job.submittedMillis());
-    return score(job, waitedMillis, occupant.leftSeconds());
+    return score(job, waitedMillis, attempt.remainingSeconds());
   }
 
-  private double score(Job job, long waitedMillis, double leftSeconds) {
+  private double score(Job job, long waitedMillis, double remainingSeconds) {
     double score = 1;
     if (parts.ordering()) {
-      score = (waitedMillis / 1000.0 + leftSeconds) / leftSeconds;
+      score = (waitedMillis / 1000.0 + remainingSeconds) / remainingSeconds;
     }
     return score / overuse.getOrDefault(job.organisation(), 1.0);
   }
@@ -82,14 +83,14 @@
         matcher.match(view.declarations().rules(), job, view.nowMillis(), state.load());
     long waitedMillis = Math.max(0, view.nowMillis() - job.submittedMillis());
     boolean overdue = parts.ageing() && isOverdue(waitedMillis, view);
-    double left = state.estimator().left(job, waiting.ranSeconds());
-    double score = score(job, waitedMillis, left);
-    return new Candidate(waiting, match, overdue, left, overdue ? 0 : score);
+    double remainingSeconds = state.estimator().remainingSeconds(job, waiting.ranSeconds());
+    double score = score(job, waitedMillis, remainingSeconds);
+    return new Candidate(waiting, match, overdue, remainingSeconds, overdue ? 0 : score);
   }
 
-  /** Returns for each organisation its share of the use over its share of the weights. */
+  /** Returns for each organisation its share of the use divided by its share of the weights. */
   private static Map<OrganisationId, Double> overuse(PlanState state) {
-    Map<OrganisationId, Double> uses = state.weightedUse();
+    Map<OrganisationId, Double> uses = state.decayedUse();
     double useSum = 0;
     double weightSum = 0;
     for (Organisation o : state.view().declarations().organisations()) {
@@ -99,9 +100,9 @@
     }
     Map<OrganisationId, Double> overuse = new HashMap<>();
     for (Organisation o : state.view().declarations().organisations()) {
-      double fair = useSum * o.weight() / Math.max(weightSum, o.weight());
-      double ratio = fair > 0 ? uses.getOrDefault(o.id(), 0.0) / fair : 1;
-      overuse.put(o.id(), Math.clamp(ratio, LEAST_OVERUSE, MOST_OVERUSE));
+      double fairUse = useSum * o.weight() / Math.max(weightSum, o.weight());
+      double ratio = fairUse > 0 ? uses.getOrDefault(o.id(), 0.0) / fairUse : 1;
+      overuse.put(o.id(), Math.clamp(ratio, MIN_OVERUSE, MAX_OVERUSE));
     }
     return overuse;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/PlacedAttempt.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/PlacedAttempt.java
@@ -3,18 +3,22 @@
 import org.fescuehook.logic.scheduling.Scheduler.Running;
 
 /**
- * A live attempt with the numbers of its workers.
+ * A live attempt with the data that a plan needs about it.
  *
  * @param running the attempt
- * @param workers worker of each member, by number; -1 for a worker that is not declared
- * @param guaranteed whether it runs within its organisation's guarantees
- * @param leftSeconds expected time to its end
+ * @param workers number of the worker of each member; -1 for a worker that is no longer declared
+ * @param guaranteed whether its organisation's guarantees cover it
+ * @param remainingSeconds expected time until it ends
  */
-record PlacedAttempt(Running running, int[] workers, boolean guaranteed, double leftSeconds) {
+record PlacedAttempt(Running running, int[] workers, boolean guaranteed, double remainingSeconds) {
 
   private static final double RESTART_SECONDS = 60;
+  private static final double CORE_WEIGHT = 0.01;
 
-  /** Returns the accelerator seconds lost by stopping it; a core counts as a small part. */
+  /**
+   * Returns the accelerator seconds lost by stopping the attempt: the time of a restart and, if it
+   * cannot be checkpointed, its run time so far.
+   */
   double stopCost(long nowMillis) {
     double lost = RESTART_SECONDS;
     if (!running.job().checkpointable()) {
@@ -23,9 +27,12 @@
     return lost * size();
   }
 
-  /** Returns accelerators and, for work without them, a small part for each core. */
+  /**
+   * Returns the size in accelerators; each core counts as {@link #CORE_WEIGHT} accelerators, so
+   * that jobs without accelerators have a size too.
+   */
   double size() {
     var shape = running.job().shape();
-    return shape.accelerators() + 0.01 * shape.members() * shape.perMember().cores();
+    return shape.accelerators() + CORE_WEIGHT * shape.members() * shape.perMember().cores();
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/PlanState.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/PlanState.java
@@ -26,7 +26,7 @@
 import org.fescuehook.model.organisation.Organisation;
 import org.fescuehook.model.organisation.OrganisationId;
 
-/** The books of one plan: what is free, what is used within guarantees, and what was decided. */
+/** Mutable state of one plan: free capacity, use of the guarantees, and the decisions so far. */
 final class PlanState {
 
   private final View view;
@@ -36,37 +36,38 @@
   private final boolean[] suspect;
   private final int[] freeInRack;
   private final WorkerCapacities free;
-  private final WorkerCapacities soon;
-  private final WorkerCapacities verySoon;
-  private final Set<AttemptId> stoppedAtOnce;
+  private final WorkerCapacities freeAfterStops;
+  private final WorkerCapacities freeAfterUrgentStops;
+  private final Set<AttemptId> stoppedForUrgentJobs;
   private final GuaranteeUsage guarantees;
-  private final List<PlacedAttempt> occupants = new ArrayList<>();
-  private final Map<OrganisationId, int[]> inUse = new HashMap<>();
+  private final List<PlacedAttempt> attempts = new ArrayList<>();
+  private final Map<OrganisationId, int[]> acceleratorsInUse = new HashMap<>();
   private final Map<OrganisationId, Organisation> organisations = new HashMap<>();
-  private int used;
+  private int totalAcceleratorsInUse;
 
   private final List<Start> starts = new ArrayList<>();
   private final List<Stop> stops = new ArrayList<>();
   private Set<OrganisationId> protectedHolders = Set.of();
-  private WorkerCapacities protectedHomes;
+  private WorkerCapacities protectedCapacity;
   private final Set<AttemptId> stopped = new HashSet<>();
   private final Map<JobId, Explanation> reasons = new LinkedHashMap<>();
 
   /**
-   * Opens the books.
+   * Creates the state before any decision.
    *
-   * @param unusable workers that get nothing new, by number; not to be changed
-   * @param stoppedAtOnce attempts that were told to stop within the urgent bound
+   * @param unusable whether each worker, by number, gets no new attempts; must not be modified
+   * @param stoppedForUrgentJobs attempts that were ordered to stop within the bound for urgent
+   *     starts
    */
   PlanState(
       View view,
       FleetIndex index,
       RunTimeEstimator estimator,
-      ReservedPlacements homes,
+      ReservedPlacements placements,
       boolean[] unusable,
-      Set<AttemptId> stoppedAtOnce) {
+      Set<AttemptId> stoppedForUrgentJobs) {
     this.view = view;
-    this.stoppedAtOnce = stoppedAtOnce;
+    this.stoppedForUrgentJobs = stoppedForUrgentJobs;
     this.index = index;
     this.estimator = estimator;
     this.unusable = unusable;
@@ -78,13 +79,13 @@
         free.clear(w);
       }
     }
-    this.soon = free.copy();
-    this.verySoon = free.copy();
-    this.protectedHomes = WorkerCapacities.empty(index.workerCount());
-    this.guarantees = new GuaranteeUsage(homes, index.workerCount());
+    this.freeAfterStops = free.copy();
+    this.freeAfterUrgentStops = free.copy();
+    this.protectedCapacity = WorkerCapacities.empty(index.workerCount());
+    this.guarantees = new GuaranteeUsage(placements, index.workerCount());
     markSuspects();
     view.declarations().organisations().forEach(o -> organisations.put(o.id(), o));
-    view.running().forEach(this::addRunning);
+    view.running().forEach(this::addAttempt);
     for (int w = 0; w < unusable.length; w++) {
       freeInRack[index.rackOf(w)] += Math.max(0, free.accelerators(w));
     }
@@ -102,34 +103,36 @@
             });
   }
 
-  private void addRunning(Running running) {
+  private void addAttempt(Running running) {
     Job job = running.job();
     int[] workers = index.numbers(running.placement().members());
-    boolean guaranteed = !running.borrowed() && guarantees.use(job, workers);
+    boolean guaranteed = !running.borrowed() && guarantees.charge(job, workers);
     double ran = (view.nowMillis() - running.startedMillis()) / 1000.0 + running.keptSeconds();
-    occupants.add(new PlacedAttempt(running, workers, guaranteed, estimator.left(job, ran)));
+    attempts.add(
+        new PlacedAttempt(running, workers, guaranteed, estimator.remainingSeconds(job, ran)));
     Capacity unit = job.shape().perMember();
-    takeUsable(free, workers, unit);
+    subtractUsable(free, workers, unit);
     if (!running.stopping()) {
-      takeUsable(soon, workers, unit);
+      subtractUsable(freeAfterStops, workers, unit);
     }
-    if (!running.stopping() || !stoppedAtOnce.contains(running.attempt())) {
-      takeUsable(verySoon, workers, unit);
+    if (!running.stopping() || !stoppedForUrgentJobs.contains(running.attempt())) {
+      subtractUsable(freeAfterUrgentStops, workers, unit);
     }
-    countUse(job);
+    addUse(job);
   }
 
-  private void takeUsable(WorkerCapacities room, int[] workers, Capacity unit) {
+  private void subtractUsable(WorkerCapacities capacities, int[] workers, Capacity unit) {
     for (int w : workers) {
       if (w >= 0 && !unusable[w]) {
-        room.take(w, unit);
+        capacities.subtract(w, unit);
       }
     }
   }
 
-  private void countUse(Job job) {
-    inUse.computeIfAbsent(job.organisation(), o -> new int[1])[0] += job.shape().accelerators();
-    used += job.shape().accelerators();
+  private void addUse(Job job) {
+    acceleratorsInUse.computeIfAbsent(job.organisation(), o -> new int[1])[0] +=
+        job.shape().accelerators();
+    totalAcceleratorsInUse += job.shape().accelerators();
   }
 
   View view() {
@@ -144,75 +147,84 @@
     return estimator;
   }
 
-  /** Returns what is free now and not held for a job. */
+  /** Returns the capacity that is free now and not allocated to a job by this plan. */
   WorkerCapacities free() {
     return free;
   }
 
-  /** Keeps all others off the unused homes of these organisations, whose jobs wait for them. */
-  void protect(Set<OrganisationId> holders) {
+  /** Bars all other jobs from the unused reserved placements of organisations with waiting jobs. */
+  void protectReservedPlacements(Set<OrganisationId> holders) {
     protectedHolders = Set.copyOf(holders);
-    protectedHomes = WorkerCapacities.empty(index.workerCount());
-    holders.forEach(o -> guarantees.addUnused(o, protectedHomes));
+    protectedCapacity = WorkerCapacities.empty(index.workerCount());
+    holders.forEach(o -> guarantees.addUnused(o, protectedCapacity));
   }
 
   /**
-   * Counts a job as within its organisation's guarantees.
+   * Charges a job to its organisation's guarantees.
    *
-   * @return false if it is not, and nothing was counted
+   * @return false if the guarantees do not cover it on these workers; nothing is charged then
    */
-  boolean useGuarantee(Job job, int[] workers) {
-    if (!guarantees.use(job, workers)) {
+  boolean chargeGuarantee(Job job, int[] workers) {
+    if (!guarantees.charge(job, workers)) {
       return false;
     }
     if (protectedHolders.contains(job.organisation())) {
-      protectedHomes.take(workers, job.shape().perMember());
+      protectedCapacity.subtract(workers, job.shape().perMember());
     }
     return true;
   }
 
-  /** Returns what borrowers may use of a room: all but protected homes. Not to be changed. */
-  WorkerCapacities borrowable(WorkerCapacities room) {
+  /**
+   * Returns the part of a capacity that borrowers may use: all but the protected placements. Must
+   * not be modified.
+   */
+  WorkerCapacities availableToBorrowers(WorkerCapacities capacities) {
     if (protectedHolders.isEmpty()) {
-      return room;
+      return capacities;
     }
-    WorkerCapacities left = room.copy();
-    left.takeAll(protectedHomes);
-    return left;
+    WorkerCapacities available = capacities.copy();
+    available.subtractAll(protectedCapacity);
+    return available;
   }
 
-  /** Returns what a holder may use of a room: all but protected homes of others. */
-  WorkerCapacities beside(OrganisationId holder, WorkerCapacities room) {
-    WorkerCapacities left = room.copy();
-    left.takeAll(protectedHomes);
+  /**
+   * Returns the part of a capacity that the holder of a guarantee may use: all but the protected
+   * placements of other organisations.
+   */
+  WorkerCapacities availableToHolder(OrganisationId holder, WorkerCapacities capacities) {
+    WorkerCapacities available = capacities.copy();
+    available.subtractAll(protectedCapacity);
     if (protectedHolders.contains(holder)) {
-      guarantees.addUnused(holder, left);
+      guarantees.addUnused(holder, available);
     }
-    return left;
+    return available;
   }
 
-  /** Returns what is free once the attempts have ended that were told to stop in good time. */
-  WorkerCapacities soon(Job job) {
-    return job.urgent() ? verySoon : soon;
+  /**
+   * Returns the capacity that is free once stopping attempts have ended; for an urgent job only
+   * those that were ordered to stop within the bound for urgent starts.
+   */
+  WorkerCapacities freeAfterStops(Job job) {
+    return job.urgent() ? freeAfterUrgentStops : freeAfterStops;
   }
 
-  /** Returns what holders use of their guaranteed shapes. */
+  /** Returns how much of the guarantees is in use. */
   GuaranteeUsage guarantees() {
     return guarantees;
   }
 
-  List<PlacedAttempt> occupants() {
-    return occupants;
+  List<PlacedAttempt> attempts() {
+    return attempts;
   }
 
-  /** Returns the share of all accelerators that is in use. */
+  /** Returns the fraction of all accelerators that is in use. */
   double load() {
-    return index.accelerators() == 0 ? 0 : (double) used / index.accelerators();
+    return index.accelerators() == 0 ? 0 : (double) totalAcceleratorsInUse / index.accelerators();
   }
 
   /**
-   * Returns the workers on which a job may not stand, by number: unusable ones, and those on which
-   * it failed unless it fits nowhere else.
+   * Returns, by worker number, whether a job must not be placed on the worker: true for unusable
+   * workers and, unless the job fits nowhere else, for those on which it failed.
    */
   boolean[] avoid(Waiting waiting) {
     if (waiting.avoid().isEmpty()) {
@@ -229,7 +241,7 @@
     return elsewhere ? avoid : unusable;
   }
 
-  /** Tells whether a job failed on a worker and none finished there since. */
+  /** Returns whether a job failed on a worker and none has finished there since. */
   boolean isSuspect(int worker) {
     return suspect[worker];
   }
@@ -239,18 +251,23 @@
     return freeInRack[index.rackOf(worker)];
   }
 
-  /** Returns by how many accelerators a job would take its organisation above its quota. */
+  /**
+   * Returns by how many accelerators a job would exceed its organisation's quota; may be negative.
+   */
   int overQuota(Job job) {
     Organisation organisation = organisations.get(job.organisation());
     if (organisation == null || job.shape().accelerators() == 0) {
       return 0;
     }
-    int[] own = inUse.getOrDefault(job.organisation(), new int[1]);
-    return own[0] + job.shape().accelerators() - organisation.quotaAccelerators();
+    int[] ofOrganisation = acceleratorsInUse.getOrDefault(job.organisation(), new int[1]);
+    return ofOrganisation[0] + job.shape().accelerators() - organisation.quotaAccelerators();
   }
 
-  /** Returns each organisation's decayed use, running attempts included. */
-  Map<OrganisationId, Double> weightedUse() {
+  /**
+   * Returns the exponentially decayed accelerator seconds of each organisation, including running
+   * attempts.
+   */
+  Map<OrganisationId, Double> decayedUse() {
     Map<OrganisationId, Double> uses = new HashMap<>();
     for (OrganisationId id : organisations.keySet()) {
       double ended = view.history().use(id).acceleratorSecondsAt(view.nowMillis());
@@ -258,19 +275,19 @@
         uses.put(id, ended);
       }
     }
-    for (PlacedAttempt o : occupants) {
-      Job job = o.running().job();
-      double ran = Math.max(0, view.nowMillis() - o.running().startedMillis()) / 1000.0;
+    for (PlacedAttempt a : attempts) {
+      Job job = a.running().job();
+      double ran = Math.max(0, view.nowMillis() - a.running().startedMillis()) / 1000.0;
       uses.merge(job.organisation(), ran * job.shape().accelerators(), Double::sum);
     }
     return uses;
   }
 
-  boolean isStopped(PlacedAttempt occupant) {
-    return occupant.running().stopping() || stopped.contains(occupant.running().attempt());
+  boolean isStopped(PlacedAttempt attempt) {
+    return attempt.running().stopping() || stopped.contains(attempt.running().attempt());
   }
 
-  /** Starts a job now. */
+  /** Plans to start a job now on the given workers. */
   void start(Candidate candidate, int[] workers, boolean borrowed) {
     List<WorkerId> members = new ArrayList<>(workers.length);
     for (int w : workers) {
@@ -278,41 +295,41 @@
     }
     Job job = candidate.job();
     starts.add(new Start(job.id(), new Placement(members), candidate.match().rule(), borrowed));
-    hold(job, workers);
+    allocate(job, workers);
   }
 
-  /** Keeps room for a job, so that no later one in the order gets it. */
-  void hold(Job job, int[] workers) {
-    countUse(job);
-    free.take(workers, job.shape().perMember());
+  /** Allocates capacity to a job, so that jobs later in the order cannot use it. */
+  void allocate(Job job, int[] workers) {
+    addUse(job);
+    free.subtract(workers, job.shape().perMember());
     for (int w : workers) {
       freeInRack[index.rackOf(w)] -= job.shape().perMember().accelerators();
     }
-    soon.take(workers, job.shape().perMember());
-    verySoon.take(workers, job.shape().perMember());
+    freeAfterStops.subtract(workers, job.shape().perMember());
+    freeAfterUrgentStops.subtract(workers, job.shape().perMember());
   }
 
-  /** Stops an attempt for the sake of a job. */
-  void stop(PlacedAttempt occupant, Stop stop) {
+  /** Plans to stop an attempt to free its resources for a job. */
+  void stop(PlacedAttempt attempt, Stop stop) {
     stops.add(stop);
     stopped.add(stop.attempt());
-    Capacity unit = occupant.running().job().shape().perMember();
-    giveUsable(soon, occupant.workers(), unit);
+    Capacity unit = attempt.running().job().shape().perMember();
+    addUsable(freeAfterStops, attempt.workers(), unit);
     if (stop.cause() == StopCause.URGENT) {
-      giveUsable(verySoon, occupant.workers(), unit);
+      addUsable(freeAfterUrgentStops, attempt.workers(), unit);
     }
   }
 
-  private void giveUsable(WorkerCapacities room, int[] workers, Capacity unit) {
+  private void addUsable(WorkerCapacities capacities, int[] workers, Capacity unit) {
     for (int w : workers) {
       if (w >= 0 && !unusable[w]) {
-        room.give(w, unit);
+        capacities.add(w, unit);
       }
     }
   }
 
-  /** Says in words what a shape lacks. */
-  String missing(Shape shape) {
+  /** Describes which resources are missing for a shape. */
+  String describeShortage(Shape shape) {
     int sum = 0;
     for (int f : freeInRack) {
       sum += f;
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/PolicyParts.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/PolicyParts.java
@@ -1,21 +1,24 @@
 package org.fescuehook.logic.scheduling;
 
 /**
- * Parts of the policy that can be switched off, to measure what each earns.
+ * Features of the scheduling policy. Each can be switched off to measure its effect.
  *
- * @param reclaim borrowers give way to holders
- * @param homes borrowers keep off the homes of guaranteed shapes while there is other room
- * @param correction how declared run times are corrected
- * @param reservations blocked large jobs get a reservation, others are started around it
- * @param ordering short jobs first, weighed against the time waited
- * @param fairness organisations that used much come later
- * @param packing workers and racks are filled tightly
- * @param moves checkpointable borrowers move to make room for a shape
- * @param ageing jobs that waited for the declared bound come before all others
+ * @param reclaim preempts borrowers for jobs that guarantees cover
+ * @param avoidReserved lets borrowers avoid reserved placements as long as other capacity is free
+ * @param correction method by which declared run times are corrected
+ * @param reservations reserves capacity for blocked jobs; other jobs start if they do not delay
+ *     them
+ * @param ordering orders jobs by slowdown: short jobs first, balanced against the time they have
+ *     waited
+ * @param fairness puts jobs of organisations with a high use later
+ * @param packing packs workers and racks tightly
+ * @param moves stops checkpointable borrowers to free a shape; they continue later elsewhere
+ * @param ageing puts jobs whose wait is near or beyond the declared maximum before all others that
+ *     are not urgent
  */
 public record PolicyParts(
     boolean reclaim,
-    boolean homes,
+    boolean avoidReserved,
     RunTimeCorrection correction,
     boolean reservations,
     boolean ordering,
@@ -24,61 +27,77 @@
     boolean moves,
     boolean ageing) {
 
-  /** All parts. */
+  /** All features. */
   public static final PolicyParts ALL =
       new PolicyParts(true, true, RunTimeCorrection.MEAN, true, true, true, true, true, true);
 
-  /** Returns these parts with reclaim set. */
+  /** Returns a copy with the given value of {@code reclaim}. */
   public PolicyParts withReclaim(boolean value) {
     return new PolicyParts(
-        value, homes, correction, reservations, ordering, fairness, packing, moves, ageing);
+        value, avoidReserved, correction, reservations, ordering, fairness, packing, moves, ageing);
   }
 
-  /** Returns these parts with homes set. */
-  public PolicyParts withHomes(boolean value) {
+  /** Returns a copy with the given value of {@code avoidReserved}. */
+  public PolicyParts withAvoidReserved(boolean value) {
     return new PolicyParts(
         reclaim, value, correction, reservations, ordering, fairness, packing, moves, ageing);
   }
 
-  /** Returns these parts with correction set. */
+  /** Returns a copy with the given value of {@code correction}. */
   public PolicyParts withCorrection(RunTimeCorrection value) {
     return new PolicyParts(
-        reclaim, homes, value, reservations, ordering, fairness, packing, moves, ageing);
+        reclaim, avoidReserved, value, reservations, ordering, fairness, packing, moves, ageing);
   }
 
-  /** Returns these parts with reservations set. */
+  /** Returns a copy with the given value of {@code reservations}. */
   public PolicyParts withReservations(boolean value) {
     return new PolicyParts(
-        reclaim, homes, correction, value, ordering, fairness, packing, moves, ageing);
+        reclaim, avoidReserved, correction, value, ordering, fairness, packing, moves, ageing);
   }
 
-  /** Returns these parts with ordering set. */
+  /** Returns a copy with the given value of {@code ordering}. */
   public PolicyParts withOrdering(boolean value) {
     return new PolicyParts(
-        reclaim, homes, correction, reservations, value, fairness, packing, moves, ageing);
+        reclaim, avoidReserved, correction, reservations, value, fairness, packing, moves, ageing);
   }
 
-  /** Returns these parts with fairness set. */
+  /** Returns a copy with the given value of {@code fairness}. */
   public PolicyParts withFairness(boolean value) {
     return new PolicyParts(
-        reclaim, homes, correction, reservations, ordering, value, packing, moves, ageing);
+        reclaim, avoidReserved, correction, reservations, ordering, value, packing, moves, ageing);
   }
 
-  /** Returns these parts with packing set. */
+  /** Returns a copy with the given value of {@code packing}. */
   public PolicyParts withPacking(boolean value) {
     return new PolicyParts(
-        reclaim, homes, correction, reservations, ordering, fairness, value, moves, ageing);
+        reclaim, avoidReserved, correction, reservations, ordering, fairness, value, moves, ageing);
   }
 
-  /** Returns these parts with moves set. */
+  /** Returns a copy with the given value of {@code moves}. */
   public PolicyParts withMoves(boolean value) {
     return new PolicyParts(
-        reclaim, homes, correction, reservations, ordering, fairness, packing, value, ageing);
+        reclaim,
+        avoidReserved,
+        correction,
+        reservations,
+        ordering,
+        fairness,
+        packing,
+        value,
+        ageing);
   }
 
-  /** Returns these parts with ageing set. */
+  /** Returns a copy with the given value of {@code ageing}. */
   public PolicyParts withAgeing(boolean value) {
     return new PolicyParts(
-        reclaim, homes, correction, reservations, ordering, fairness, packing, moves, value);
+        reclaim,
+        avoidReserved,
+        correction,
+        reservations,
+        ordering,
+        fairness,
+        packing,
+        moves,
+        value);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/QuotaEnforcer.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/QuotaEnforcer.java
@@ -6,53 +6,59 @@
 import org.fescuehook.logic.scheduling.Scheduler.StopCause;
 import org.fescuehook.model.job.Job;
 
-/** Holds organisations to their quotas; an urgent job above it displaces its own organisation. */
+/**
+ * Enforces the quotas of organisations. An urgent job that exceeds the quota preempts other
+ * attempts of its own organisation.
+ */
 final class QuotaEnforcer {
 
   private final PlanState state;
-  private final StopFactory terms;
+  private final StopFactory stopFactory;
 
   QuotaEnforcer(PlanState state) {
     this.state = state;
-    this.terms = new StopFactory(state.view().declarations().policy());
+    this.stopFactory = new StopFactory(state.view().declarations().policy());
   }
 
-  /** Tells whether a job is within its organisation's quota, and explains it if not. */
+  /**
+   * Returns whether a job is within its organisation's quota. If it is not, records the explanation
+   * and, for an urgent job, stops other attempts of the organisation.
+   */
   boolean allows(Candidate candidate) {
     Job job = candidate.job();
-    int over = state.overQuota(job);
-    if (over <= 0) {
+    int excess = state.overQuota(job);
+    if (excess <= 0) {
       return true;
     }
     state.explain(candidate, "its organisation's quota is in use", 0);
     if (job.urgent()) {
-      displaceOwn(candidate, over);
+      preemptOwn(candidate, excess);
     }
     return false;
   }
 
-  private void displaceOwn(Candidate candidate, int over) {
-    List<PlacedAttempt> own = new ArrayList<>();
-    int missing = over;
-    for (PlacedAttempt o : state.occupants()) {
-      Job other = o.running().job();
+  private void preemptOwn(Candidate candidate, int excess) {
+    List<PlacedAttempt> stoppable = new ArrayList<>();
+    int remainingExcess = excess;
+    for (PlacedAttempt a : state.attempts()) {
+      Job other = a.running().job();
       if (!other.organisation().equals(candidate.job().organisation()) || other.urgent()) {
         continue;
       }
-      if (state.isStopped(o)) {
-        missing -= other.shape().accelerators();
+      if (state.isStopped(a)) {
+        remainingExcess -= other.shape().accelerators();
       } else if (other.shape().accelerators() > 0) {
-        own.add(o);
+        stoppable.add(a);
       }
     }
     long now = state.view().nowMillis();
-    own.sort(Comparator.comparingDouble(o -> o.stopCost(now)));
-    for (PlacedAttempt o : own) {
-      if (missing <= 0) {
+    stoppable.sort(Comparator.comparingDouble(a -> a.stopCost(now)));
+    for (PlacedAttempt a : stoppable) {
+      if (remainingExcess <= 0) {
         return;
       }
-      state.stop(o, terms.stop(o.running(), StopCause.URGENT, candidate.job()));
-      missing -= o.running().job().shape().accelerators();
+      state.stop(a, stopFactory.create(a.running(), StopCause.URGENT, candidate.job()));
+      remainingExcess -= a.running().job().shape().accelerators();
     }
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/Reservation.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/Reservation.java
@@ -3,23 +3,27 @@
 import org.fescuehook.model.job.Shape;
 
 /**
- * Room that is kept for a blocked job from the time on at which its shape is expected to be free.
+ * A reservation of future capacity for a blocked job, from the time at which its shape is expected
+ * to be free.
  *
  * @param job the job
- * @param inSeconds time until then
- * @param late what other jobs may use of each worker beyond that time
+ * @param secondsUntilFree expected time until the shape is free
+ * @param unreserved capacity on each worker that other jobs may use beyond that time
  */
-record Reservation(Candidate job, double inSeconds, WorkerCapacities late) {
+record Reservation(Candidate job, double secondsUntilFree, WorkerCapacities unreserved) {
 
-  /** Tells whether a job that starts now must keep off the reserved room. */
-  boolean binds(double leftSeconds) {
-    return leftSeconds > inSeconds;
+  /** Returns whether a job that starts now would still run when the reservation begins. */
+  boolean overlaps(double remainingSeconds) {
+    return remainingSeconds > secondsUntilFree;
   }
 
-  /** Counts a job that starts now. */
-  void started(Shape shape, int[] workers, double leftSeconds) {
-    if (binds(leftSeconds)) {
-      late.take(workers, shape.perMember());
+  /**
+   * Subtracts the capacity of a job that starts now, if it would still run when the reservation
+   * begins.
+   */
+  void jobStarted(Shape shape, int[] workers, double remainingSeconds) {
+    if (overlaps(remainingSeconds)) {
+      unreserved.subtract(workers, shape.perMember());
     }
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/ReservationPlanner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/ReservationPlanner.java
@@ -7,13 +7,13 @@
 import org.fescuehook.model.fleet.Capacity;
 import org.fescuehook.model.job.Shape;
 
-/** Finds when and where a blocked shape is expected to be free. */
+/** Predicts when and where a blocked shape will be free. */
 final class ReservationPlanner {
 
   private final PlanState state;
   private final GangPlacer placer;
   private final boolean packing;
-  private Optional<List<PlacedAttempt>> byEnd = Optional.empty();
+  private Optional<List<PlacedAttempt>> attemptsByEnd = Optional.empty();
 
   ReservationPlanner(PlanState state, GangPlacer placer, boolean packing) {
     this.state = state;
@@ -21,90 +21,90 @@
     this.packing = packing;
   }
 
-  /** Returns a reservation, or empty if the shape is not free even after all attempts ended. */
+  /** Returns a reservation, or empty if the shape would not fit even after all attempts ended. */
   Optional<Reservation> reserve(Candidate candidate, boolean[] avoid) {
     Shape shape = candidate.job().shape();
-    CapacityForecast growth =
+    CapacityForecast forecast =
         new CapacityForecast(state.index(), shape, state.free().copy(), avoid);
-    double inSeconds = 0;
-    for (PlacedAttempt o : byEnd()) {
-      if (growth.isEnough()) {
+    double secondsUntilFree = 0;
+    for (PlacedAttempt a : attemptsByEnd()) {
+      if (forecast.isSufficient()) {
         break;
       }
-      growth.give(o.workers(), o.running().job().shape().perMember());
-      inSeconds = o.leftSeconds();
+      forecast.release(a.workers(), a.running().job().shape().perMember());
+      secondsUntilFree = a.remainingSeconds();
     }
-    if (!growth.isEnough()) {
+    if (!forecast.isSufficient()) {
       return Optional.empty();
     }
-    WorkerCapacities late = growth.room;
+    WorkerCapacities unreserved = forecast.available;
     var preference = new WorkerPreference(state, shape, true, packing);
-    Optional<int[]> workers = placer.place(shape, late, avoid, preference);
+    Optional<int[]> workers = placer.place(shape, unreserved, avoid, preference);
     if (workers.isEmpty()) {
       return Optional.empty();
     }
-    late.take(workers.get(), shape.perMember());
-    return Optional.of(new Reservation(candidate, inSeconds, late));
+    unreserved.subtract(workers.get(), shape.perMember());
+    return Optional.of(new Reservation(candidate, secondsUntilFree, unreserved));
   }
 
-  private List<PlacedAttempt> byEnd() {
-    if (byEnd.isEmpty()) {
-      List<PlacedAttempt> sorted = new ArrayList<>(state.occupants());
-      sorted.sort(Comparator.comparingDouble(PlacedAttempt::leftSeconds));
-      byEnd = Optional.of(sorted);
+  private List<PlacedAttempt> attemptsByEnd() {
+    if (attemptsByEnd.isEmpty()) {
+      List<PlacedAttempt> sorted = new ArrayList<>(state.attempts());
+      sorted.sort(Comparator.comparingDouble(PlacedAttempt::remainingSeconds));
+      attemptsByEnd = Optional.of(sorted);
     }
-    return byEnd.get();
+    return attemptsByEnd.get();
   }
 
-  /** Room that grows as attempts end, with the members that fit kept up to date. */
+  /** Forecast of the free capacity as attempts end, with the number of members that fit. */
   private static final class CapacityForecast {
     private final FleetIndex index;
     private final Shape shape;
-    private final WorkerCapacities room;
+    private final WorkerCapacities available;
     private final boolean[] avoid;
-    private final int[] rackFit;
+    private final int[] fitsInRack;
     private int members;
 
-    CapacityForecast(FleetIndex index, Shape shape, WorkerCapacities room, boolean[] avoid) {
+    CapacityForecast(FleetIndex index, Shape shape, WorkerCapacities available, boolean[] avoid) {
       this.index = index;
       this.shape = shape;
-      this.room = room;
+      this.available = available;
       this.avoid = avoid;
-      this.rackFit = new int[index.rackCount()];
+      this.fitsInRack = new int[index.rackCount()];
       for (int w = 0; w < index.workerCount(); w++) {
-        count(w, 1);
+        countFits(w, 1);
       }
     }
 
-    void give(int[] workers, Capacity unit) {
+    void release(int[] workers, Capacity unit) {
       for (int w : workers) {
         if (w >= 0 && !avoid[w]) {
-          count(w, -1);
-          room.give(w, unit);
-          count(w, 1);
+          countFits(w, -1);
+          available.add(w, unit);
+          countFits(w, 1);
         }
       }
     }
 
-    private void count(int worker, int sign) {
-      int fit = avoid[worker] ? 0 : room.fits(worker, shape.perMember(), shape.members());
-      rackFit[index.rackOf(worker)] += sign * fit;
-      members += sign * fit;
+    private void countFits(int worker, int sign) {
+      int fits = avoid[worker] ? 0 : available.fits(worker, shape.perMember(), shape.members());
+      fitsInRack[index.rackOf(worker)] += sign * fits;
+      members += sign * fits;
     }
 
-    boolean isEnough() {
+    boolean isSufficient() {
       if (members < shape.members()) {
         return false;
       }
       if (shape.maxRacks() == 0 || shape.members() == 1) {
         return true;
       }
-      int[] fits = rackFit.clone();
-      int missing = shape.members();
-      for (int i = 0; i < shape.maxRacks() && missing > 0; i++) {
-        missing -= takeLargest(fits);
+      int[] fits = fitsInRack.clone();
+      int remaining = shape.members();
+      for (int i = 0; i < shape.maxRacks() && remaining > 0; i++) {
+        remaining -= takeLargest(fits);
       }
-      return missing <= 0;
+      return remaining <= 0;
     }
 
     private static int takeLargest(int[] fits) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/ReservedPlacements.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/ReservedPlacements.java
@@ -8,53 +8,58 @@
 import org.fescuehook.model.organisation.GuaranteedShape;
 
 /**
- * The workers on which all guaranteed shapes stand at one time, if every borrower gave way. They
- * follow from the declarations and the usable workers alone, and only a shape's holder is within
- * its guarantee there; so any number of holders can return together. Immutable.
+ * The workers that are reserved for the guaranteed shapes, such that all shapes fit at the same
+ * time once all borrowers are preempted. Computed only from the declarations and the usable
+ * workers. An organisation is within its guarantee only on the workers reserved for its own shapes,
+ * so any number of organisations can claim their guarantees at the same time. Immutable.
  */
 final class ReservedPlacements {
 
-  /** Number of a worker that could not be found. */
-  static final int NOWHERE = -1;
+  /** Stands for the worker of a slot that could not be placed. */
+  static final int UNPLACED = -1;
 
-  private static final int MOST_FIRST_RACKS = 16;
+  /** Number of racks that are tried as the first one to fill. */
+  private static final int MAX_FIRST_RACKS = 16;
 
   private static final Comparator<GuaranteedInstance> LARGEST_FIRST =
-      Comparator.comparing((GuaranteedInstance c) -> -c.shape().accelerators())
-          .thenComparing(c -> -c.shape().members() * c.shape().perMember().cores());
+      Comparator.comparing((GuaranteedInstance i) -> -i.shape().accelerators())
+          .thenComparing(i -> -i.shape().members() * i.shape().perMember().cores());
 
-  private static final Comparator<GuaranteedInstance> WIDEST_MEMBER_FIRST =
-      Comparator.comparing((GuaranteedInstance c) -> -c.shape().perMember().accelerators())
+  private static final Comparator<GuaranteedInstance> LARGEST_MEMBER_FIRST =
+      Comparator.comparing((GuaranteedInstance i) -> -i.shape().perMember().accelerators())
           .thenComparing(LARGEST_FIRST);
 
-  private static final Comparator<GuaranteedInstance> ADJACENT_FIRST =
-      Comparator.comparing(c -> GuaranteedInstance.isAnywhere(c.shape()));
+  private static final Comparator<GuaranteedInstance> RACK_LIMITED_FIRST =
+      Comparator.comparing(i -> GuaranteedInstance.allowsAnyRack(i.shape()));
 
-  /** Orders in which shapes are settled, tried until all find a home. */
+  /** Orders in which shapes are placed; tried one after the other until all shapes are placed. */
   private static final List<Comparator<GuaranteedInstance>> ORDERS =
       List.of(
-          ADJACENT_FIRST.thenComparing(LARGEST_FIRST),
+          RACK_LIMITED_FIRST.thenComparing(LARGEST_FIRST),
           LARGEST_FIRST,
-          ADJACENT_FIRST.thenComparing(WIDEST_MEMBER_FIRST),
-          WIDEST_MEMBER_FIRST);
+          RACK_LIMITED_FIRST.thenComparing(LARGEST_MEMBER_FIRST),
+          LARGEST_MEMBER_FIRST);
 
-  private final List<GuaranteedInstance> copies;
-  private final int[][] homes;
-  private final long homeless;
+  private final List<GuaranteedInstance> instances;
+  private final int[][] placements;
+  private final long unplacedCount;
 
-  private ReservedPlacements(List<GuaranteedInstance> copies, int[][] homes) {
-    this.copies = copies;
-    this.homes = homes;
-    this.homeless = copies.stream().filter(c -> !hasHome(c)).count();
+  private ReservedPlacements(List<GuaranteedInstance> instances, int[][] placements) {
+    this.instances = instances;
+    this.placements = placements;
+    this.unplacedCount = instances.stream().filter(i -> !isPlaced(i)).count();
   }
 
-  /** Finds homes on the whole declared fleet. */
+  /** Finds placements on the whole declared fleet. */
   static ReservedPlacements find(FleetIndex index, List<GuaranteedShape> guarantees) {
-    List<GuaranteedInstance> copies = copies(guarantees);
-    return settle(index, copies, copies, new int[copies.size()][], index.capacity());
+    List<GuaranteedInstance> instances = instances(guarantees);
+    return place(index, instances, instances, new int[instances.size()][], index.capacity());
   }
 
-  /** Finds other homes for the shapes of which a worker is unusable; the rest stay if they can. */
+  /**
+   * Finds other placements for the shapes that have a slot on an unusable worker. All other shapes
+   * keep their placements, unless placing all shapes anew leaves fewer of them unplaced.
+   */
   ReservedPlacements without(FleetIndex index, boolean[] unusable) {
     WorkerCapacities usable = index.capacity();
     for (int w = 0; w < unusable.length; w++) {
@@ -62,47 +67,49 @@
         usable.clear(w);
       }
     }
-    int[][] kept = new int[copies.size()][];
+    int[][] kept = new int[instances.size()][];
     List<GuaranteedInstance> moving = new ArrayList<>();
-    WorkerCapacities left = usable.copy();
-    for (GuaranteedInstance copy : copies) {
-      int[] own = homes[copy.number()];
-      if (Arrays.stream(own).anyMatch(w -> w == NOWHERE || unusable[w])) {
-        moving.add(copy);
+    WorkerCapacities available = usable.copy();
+    for (GuaranteedInstance instance : instances) {
+      int[] workers = placements[instance.number()];
+      if (Arrays.stream(workers).anyMatch(w -> w == UNPLACED || unusable[w])) {
+        moving.add(instance);
       } else {
-        kept[copy.number()] = own;
-        left.take(own, copy.shape().perMember());
+        kept[instance.number()] = workers;
+        available.subtract(workers, instance.shape().perMember());
       }
     }
-    ReservedPlacements moved = settle(index, copies, moving, kept, left);
+    ReservedPlacements moved = place(index, instances, moving, kept, available);
     if (moved.isComplete()) {
       return moved;
     }
-    ReservedPlacements afresh = settle(index, copies, copies, new int[copies.size()][], usable);
-    return afresh.homeless < moved.homeless ? afresh : moved;
+    ReservedPlacements allAnew =
+        place(index, instances, instances, new int[instances.size()][], usable);
+    return allAnew.unplacedCount < moved.unplacedCount ? allAnew : moved;
   }
 
-  private static List<GuaranteedInstance> copies(List<GuaranteedShape> guarantees) {
-    List<GuaranteedInstance> copies = new ArrayList<>();
+  private static List<GuaranteedInstance> instances(List<GuaranteedShape> guarantees) {
+    List<GuaranteedInstance> instances = new ArrayList<>();
     for (GuaranteedShape g : guarantees) {
       for (int i = 0; i < g.count(); i++) {
-        copies.add(new GuaranteedInstance(copies.size(), g.organisation(), g.shape()));
+        instances.add(new GuaranteedInstance(instances.size(), g.organisation(), g.shape()));
       }
     }
-    return copies;
+    return instances;
   }
 
-  private static ReservedPlacements settle(
+  private static ReservedPlacements place(
       FleetIndex index,
-      List<GuaranteedInstance> copies,
+      List<GuaranteedInstance> instances,
       List<GuaranteedInstance> moving,
       int[][] kept,
-      WorkerCapacities left) {
-    ReservedPlacements best = new ReservedPlacements(copies, nowhere(copies, kept));
-    for (int rack = 0; rack < Math.min(MOST_FIRST_RACKS, index.rackCount()); rack++) {
+      WorkerCapacities available) {
+    ReservedPlacements best = new ReservedPlacements(instances, withUnplaced(instances, kept));
+    for (int rack = 0; rack < Math.min(MAX_FIRST_RACKS, index.rackCount()); rack++) {
       for (Comparator<GuaranteedInstance> order : ORDERS) {
-        ReservedPlacements next = settle(index, copies, moving, kept, left.copy(), order, rack);
-        best = next.homeless < best.homeless ? next : best;
+        ReservedPlacements candidate =
+            place(index, instances, moving, kept, available.copy(), order, rack);
+        best = candidate.unplacedCount < best.unplacedCount ? candidate : best;
         if (best.isComplete()) {
           return best;
         }
@@ -111,103 +118,108 @@
     return best;
   }
 
-  private static int[][] nowhere(List<GuaranteedInstance> copies, int[][] kept) {
-    int[][] homes = kept.clone();
-    for (GuaranteedInstance copy : copies) {
-      if (homes[copy.number()] == null) {
-        homes[copy.number()] = new int[copy.shape().members()];
-        Arrays.fill(homes[copy.number()], NOWHERE);
+  private static int[][] withUnplaced(List<GuaranteedInstance> instances, int[][] kept) {
+    int[][] placements = kept.clone();
+    for (GuaranteedInstance instance : instances) {
+      if (placements[instance.number()] == null) {
+        placements[instance.number()] = new int[instance.shape().members()];
+        Arrays.fill(placements[instance.number()], UNPLACED);
       }
     }
-    return homes;
+    return placements;
   }
 
-  private static ReservedPlacements settle(
+  private static ReservedPlacements place(
       FleetIndex index,
-      List<GuaranteedInstance> copies,
+      List<GuaranteedInstance> instances,
       List<GuaranteedInstance> moving,
       int[][] kept,
-      WorkerCapacities left,
+      WorkerCapacities available,
       Comparator<GuaranteedInstance> order,
       int firstRack) {
-    int[][] homes = kept.clone();
+    int[][] placements = kept.clone();
     List<GuaranteedInstance> ordered = new ArrayList<>(moving);
     ordered.sort(order);
-    for (GuaranteedInstance copy : ordered) {
-      homes[copy.number()] = settle(index, copy, left, firstRack);
+    for (GuaranteedInstance instance : ordered) {
+      placements[instance.number()] = place(index, instance, available, firstRack);
     }
-    return new ReservedPlacements(copies, homes);
+    return new ReservedPlacements(instances, placements);
   }
 
-  /** Tells whether every guaranteed shape has a home. */
+  /** Returns whether every guaranteed shape is placed. */
   boolean isComplete() {
-    return homeless == 0;
+    return unplacedCount == 0;
   }
 
-  List<GuaranteedInstance> copies() {
-    return copies;
+  List<GuaranteedInstance> instances() {
+    return instances;
   }
 
-  /** Returns the worker of each slot of a guaranteed shape; not to be changed. */
-  int[] of(GuaranteedInstance copy) {
-    return homes[copy.number()];
+  /** Returns the number of the worker of each slot of a guaranteed shape; must not be modified. */
+  int[] workersOf(GuaranteedInstance instance) {
+    return placements[instance.number()];
   }
 
-  /** Tells whether a guaranteed shape has a home. */
-  boolean hasHome(GuaranteedInstance copy) {
-    int[] own = homes[copy.number()];
-    return own[own.length - 1] != NOWHERE;
+  /** Returns whether a guaranteed shape is placed. */
+  boolean isPlaced(GuaranteedInstance instance) {
+    int[] workers = placements[instance.number()];
+    return workers[workers.length - 1] != UNPLACED;
   }
 
-  /** Settles a shape as tightly as it goes and takes its slots; all slots or none. */
-  private static int[] settle(
-      FleetIndex index, GuaranteedInstance copy, WorkerCapacities left, int firstRack) {
-    int[] found = new int[copy.shape().members()];
-    int[][] areas = areas(index, copy, left, firstRack);
-    for (int s = 0; s < found.length; s++) {
-      found[s] = tightest(areas, copy.shape().perMember(), left);
-      if (found[s] == NOWHERE) {
-        left.give(Arrays.copyOf(found, s), copy.shape().perMember());
-        Arrays.fill(found, NOWHERE);
-        return found;
+  /**
+   * Places a shape as tightly as possible and subtracts its slots; places either all slots or none.
+   */
+  private static int[] place(
+      FleetIndex index, GuaranteedInstance instance, WorkerCapacities available, int firstRack) {
+    int[] workers = new int[instance.shape().members()];
+    int[][] workerGroups = workerGroups(index, instance, available, firstRack);
+    for (int s = 0; s < workers.length; s++) {
+      workers[s] = tightestWorker(workerGroups, instance.shape().perMember(), available);
+      if (workers[s] == UNPLACED) {
+        available.add(Arrays.copyOf(workers, s), instance.shape().perMember());
+        Arrays.fill(workers, UNPLACED);
+        return workers;
       }
-      left.take(found[s], copy.shape().perMember());
+      available.subtract(workers[s], instance.shape().perMember());
     }
-    return found;
+    return workers;
   }
 
-  /** Returns the groups of workers among which slots may stand, the first to be filled first. */
-  private static int[][] areas(
-      FleetIndex index, GuaranteedInstance copy, WorkerCapacities left, int firstRack) {
-    if (GuaranteedInstance.isAnywhere(copy.shape())) {
+  /**
+   * Returns the groups of workers on which slots may be placed, in the order in which to fill them.
+   */
+  private static int[][] workerGroups(
+      FleetIndex index, GuaranteedInstance instance, WorkerCapacities available, int firstRack) {
+    if (GuaranteedInstance.allowsAnyRack(instance.shape())) {
       int[] all = new int[index.workerCount()];
       Arrays.setAll(all, w -> w);
       return new int[][] {all};
     }
-    int[] racks = new RackChooser(index, copy.shape(), left, firstRack).choose();
-    int[][] areas = new int[racks.length][];
-    Arrays.setAll(areas, i -> index.workersOfRack(racks[i]));
-    return areas;
+    int[] racks = new RackChooser(index, instance.shape(), available, firstRack).choose();
+    int[][] workerGroups = new int[racks.length][];
+    Arrays.setAll(workerGroups, i -> index.workersOfRack(racks[i]));
+    return workerGroups;
   }
 
-  private static int tightest(int[][] areas, Capacity slot, WorkerCapacities left) {
-    for (int[] workers : areas) {
-      int best = NOWHERE;
+  private static int tightestWorker(
+      int[][] workerGroups, Capacity slot, WorkerCapacities available) {
+    for (int[] workers : workerGroups) {
+      int best = UNPLACED;
       for (int w : workers) {
-        best = left.contains(w, slot) && isTighter(w, best, left) ? w : best;
+        best = available.contains(w, slot) && isTighter(w, best, available) ? w : best;
       }
-      if (best != NOWHERE) {
+      if (best != UNPLACED) {
         return best;
       }
     }
-    return NOWHERE;
+    return UNPLACED;
   }
 
-  private static boolean isTighter(int worker, int best, WorkerCapacities left) {
-    if (best == NOWHERE || left.accelerators(worker) < left.accelerators(best)) {
+  private static boolean isTighter(int worker, int best, WorkerCapacities available) {
+    if (best == UNPLACED || available.accelerators(worker) < available.accelerators(best)) {
       return true;
     }
-    return left.accelerators(worker) == left.accelerators(best)
-        && left.cores(worker) < left.cores(best);
+    return available.accelerators(worker) == available.accelerators(best)
+        && available.cores(worker) < available.cores(best);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/RunTimeCorrection.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/RunTimeCorrection.java
@@ -1,11 +1,13 @@
 package org.fescuehook.logic.scheduling;
 
-/** How declared run times are corrected. */
+/** Method by which declared run times are corrected. */
 public enum RunTimeCorrection {
-  /** Not at all. */
+  /** No correction. */
   NONE,
-  /** By the geometric mean of the organisation's ratios of run time to declared run time. */
+  /**
+   * Multiplies by the geometric mean of the organisation's ratios of actual to declared run time.
+   */
   MEAN,
-  /** By the median of these ratios. */
+  /** Multiplies by the median of the organisation's ratios of actual to declared run time. */
   MEDIAN
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/RunTimeEstimator.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/RunTimeEstimator.java
@@ -6,11 +6,11 @@
 import org.fescuehook.model.job.Job;
 import org.fescuehook.model.organisation.OrganisationId;
 
-/** Estimates run times: the declared ones, corrected by what was seen of the organisation. */
+/** Estimates run times from the declared ones, corrected by the organisation's past ratios. */
 final class RunTimeEstimator {
 
-  private static final int LEAST_RATIOS = 3;
-  private static final double OVERRUN_SHARE = 0.25;
+  private static final int MIN_RATIOS = 3;
+  private static final double OVERRUN_FRACTION = 0.25;
 
   private final History history;
   private final RunTimeCorrection correction;
@@ -21,21 +21,24 @@
     this.correction = correction;
   }
 
-  /** Returns the expected run time of a job from its beginning, seconds. */
-  double total(Job job) {
+  /** Returns the expected total run time of a job in seconds. */
+  double totalSeconds(Job job) {
     double factor = factors.computeIfAbsent(job.organisation(), this::factor);
     return Math.max(1, job.declaredSeconds() * factor);
   }
 
-  /** Returns the expected time left of a job that has run for some seconds. */
-  double left(Job job, double ranSeconds) {
-    double left = total(job) - ranSeconds;
-    return Math.max(left, Math.max(1, ranSeconds * OVERRUN_SHARE));
+  /**
+   * Returns the expected remaining run time of a job in seconds. For a job near or beyond its
+   * estimate this is a fixed fraction of the time that it has run.
+   */
+  double remainingSeconds(Job job, double ranSeconds) {
+    double remaining = totalSeconds(job) - ranSeconds;
+    return Math.max(remaining, Math.max(1, ranSeconds * OVERRUN_FRACTION));
   }
 
   private double factor(OrganisationId organisation) {
     List<Double> ratios = history.use(organisation).ratios();
-    if (ratios.size() < LEAST_RATIOS) {
+    if (ratios.size() < MIN_RATIOS) {
       return 1;
     }
     return switch (correction) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/Scheduler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/Scheduler.java
@@ -11,24 +11,25 @@
 import org.fescuehook.model.job.Placement;
 
 /**
- * A scheduling policy. Deterministic: the same views in the same order give the same plans. It has
- * no clock and no randomness, but may remember what it decided, so each decision thread has its
- * own.
+ * A scheduling policy. Deterministic: the same views in the same order yield the same plans. An
+ * implementation uses neither a clock nor randomness. It may keep state from earlier plans, so each
+ * decision thread needs its own instance.
  */
 public interface Scheduler {
 
-  /** Decides what to do now. */
+  /** Returns the attempts to start and to stop now, given the current state. */
   Plan plan(View view);
 
   /**
-   * What the policy sees.
+   * State on which the policy decides.
    *
    * @param nowMillis time of the decision, milliseconds since 1970
-   * @param declarations declarations in force
+   * @param declarations declarations in effect
    * @param waiting jobs without a live attempt, in the order of submission
-   * @param running live attempts, whose resources are in use, in the order of their start
-   * @param unusable workers that get nothing new: leaving, silent or quarantined
-   * @param history what was learned from ended attempts
+   * @param running live attempts, which occupy their resources, in the order of their start
+   * @param unusable workers that get no new attempts because they are leaving, silent or
+   *     quarantined
+   * @param history statistics gathered from ended attempts
    */
   record View(
       long nowMillis,
@@ -42,9 +43,9 @@
    * A waiting job.
    *
    * @param job the job
-   * @param failures failed attempts so far
-   * @param ranSeconds progress kept by checkpoints
-   * @param avoid workers on which it failed
+   * @param failures number of failed attempts so far
+   * @param ranSeconds run time saved in the job's last checkpoint
+   * @param avoid workers on which an attempt of it failed
    */
   record Waiting(Job job, int failures, long ranSeconds, Set<WorkerId> avoid) {}
 
@@ -54,10 +55,10 @@
    * @param job the job
    * @param attempt the attempt
    * @param placement where it runs
-   * @param borrowed whether it uses capacity beyond its organisation's guaranteed shapes
-   * @param startedMillis when it was planned, milliseconds since 1970
-   * @param keptSeconds progress kept by checkpoints of earlier attempts
-   * @param stopping whether it has been told to stop
+   * @param borrowed whether it runs on capacity outside its organisation's guarantees
+   * @param startedMillis when its start was planned, milliseconds since 1970
+   * @param keptSeconds run time of earlier attempts that checkpoints saved
+   * @param stopping whether it has already been ordered to stop
    */
   record Running(
       Job job,
@@ -69,24 +70,29 @@
       boolean stopping) {}
 
   /**
-   * What to do.
+   * The decisions of one run of the policy.
    *
-   * @param starts attempts to start now, on resources that are free now
+   * @param starts attempts to start now, on resources that are already free
    * @param stops attempts to stop
-   * @param reasons for each job that goes on waiting, why
+   * @param reasons explanation for each job that continues to wait
    */
   record Plan(List<Start> starts, List<Stop> stops, Map<JobId, Explanation> reasons) {}
 
-  /** Start an attempt of a job. */
+  /**
+   * Starts an attempt of a job.
+   *
+   * @param rule number of the declared rule that applies to the job; 0 if none matches
+   * @param borrowed whether it runs on capacity outside its organisation's guarantees
+   */
   record Start(JobId job, Placement placement, int rule, boolean borrowed) {}
 
   /**
-   * Stop an attempt.
+   * Stops an attempt.
    *
-   * @param checkpointFirst whether a checkpoint is asked for before the stop
-   * @param noticeMillis time for the checkpoint, after which the attempt is stopped all the same; 0
-   *     without a checkpoint
-   * @param beneficiary job for which it gives way
+   * @param checkpointFirst whether the attempt is asked for a checkpoint before it is stopped
+   * @param noticeMillis time allowed for the checkpoint, after which the attempt is stopped even
+   *     without one; 0 if no checkpoint is requested
+   * @param beneficiary job that needs the attempt's resources
    */
   record Stop(
       AttemptId attempt,
@@ -105,9 +111,9 @@
   /**
    * Why a job waits.
    *
-   * @param rule number of the rule that counted; 0 if none matched
-   * @param missing what it lacks, in words
-   * @param expectedStartMillis expected start, milliseconds since 1970; 0 if not known
+   * @param rule number of the declared rule that applies to the job; 0 if none matches
+   * @param missing description of what prevents its start
+   * @param expectedStartMillis expected start, milliseconds since 1970; 0 if unknown
    */
   record Explanation(int rule, String missing, long expectedStartMillis) {}
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/StopFactory.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/StopFactory.java
@@ -6,14 +6,17 @@
 import org.fescuehook.model.configuration.PolicyPreferences;
 import org.fescuehook.model.job.Job;
 
-/** Sets the notice that a borrower gets, so that the declared bounds hold. */
+/** Creates stops whose checkpoint notice is short enough to meet the declared time bounds. */
 final class StopFactory {
 
-  /** Share of the urgent bound that a checkpoint may take; the rest is for stop and start. */
-  private static final long URGENT_DIVISOR = 3;
+  /**
+   * A checkpoint may take one third of the bound for urgent starts; the rest is for the stop and
+   * the start.
+   */
+  private static final long URGENT_BOUND_DIVISOR = 3;
 
-  /** Share of the reclaim bound that is kept for stop and start. */
-  private static final long RECLAIM_DIVISOR = 4;
+  /** One quarter of the reclaim bound is kept for the stop and the start. */
+  private static final long RECLAIM_BOUND_DIVISOR = 4;
 
   private final PolicyPreferences policy;
 
@@ -21,21 +24,22 @@
     this.policy = policy;
   }
 
-  /** Returns the stop of an attempt for the sake of a job. */
-  Stop stop(Running victim, StopCause cause, Job beneficiary) {
-    long notice = victim.job().checkpointable() ? notice(cause) : 0;
-    return new Stop(victim.attempt(), cause, notice > 0, notice, beneficiary.id());
+  /** Returns the stop of an attempt that frees its resources for a job. */
+  Stop create(Running victim, StopCause cause, Job beneficiary) {
+    long noticeMillis = victim.job().checkpointable() ? noticeMillis(cause) : 0;
+    return new Stop(victim.attempt(), cause, noticeMillis > 0, noticeMillis, beneficiary.id());
   }
 
-  private long notice(StopCause cause) {
-    long declared = policy.checkpointNotice().toMillis();
+  private long noticeMillis(StopCause cause) {
+    long declaredMillis = policy.checkpointNotice().toMillis();
     return switch (cause) {
-      case URGENT -> Math.min(declared, policy.urgentStartBound().toMillis() / URGENT_DIVISOR);
+      case URGENT ->
+          Math.min(declaredMillis, policy.urgentStartBound().toMillis() / URGENT_BOUND_DIVISOR);
       case RECLAIMED -> {
-        long bound = policy.reclaimBound().toMillis();
-        yield Math.min(declared, bound - bound / RECLAIM_DIVISOR);
+        long boundMillis = policy.reclaimBound().toMillis();
+        yield Math.min(declaredMillis, boundMillis - boundMillis / RECLAIM_BOUND_DIVISOR);
       }
-      case MOVED -> declared;
+      case MOVED -> declaredMillis;
     };
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/VictimSelector.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/VictimSelector.java
@@ -6,7 +6,10 @@
 import java.util.Optional;
 import org.fescuehook.model.job.Shape;
 
-/** Selects the attempts that free a whole shape with the least work lost. */
+/**
+ * Selects attempts to stop so that a whole shape becomes free and as little work as possible is
+ * lost.
+ */
 final class VictimSelector {
 
   private final FleetIndex index;
@@ -20,10 +23,10 @@
    *
    * @param cost accelerator seconds lost by the stop
    */
-  record Victim(PlacedAttempt occupant, double cost) {}
+  record Victim(PlacedAttempt attempt, double cost) {}
 
   /**
-   * Attempts whose stop frees a shape.
+   * Attempts whose stops together free a shape.
    *
    * @param victims the attempts
    * @param cost accelerator seconds lost by all stops
@@ -33,20 +36,20 @@
   /**
    * Returns the cheapest selection found, or empty if no set of these attempts frees the shape.
    *
-   * @param room what is free without any stop
-   * @param bound most that the shape may use on each worker
+   * @param available capacity that is free without any stop
+   * @param limit maximum capacity that the shape may use on each worker
    */
   Optional<Selection> select(
       Shape shape,
-      WorkerCapacities room,
-      WorkerCapacities bound,
+      WorkerCapacities available,
+      WorkerCapacities limit,
       boolean[] avoid,
       List<Victim> eligible) {
     List<Victim> sorted = new ArrayList<>(eligible);
-    sorted.sort(Comparator.comparingDouble(v -> v.cost() / v.occupant().size()));
+    sorted.sort(Comparator.comparingDouble(v -> v.cost() / v.attempt().size()));
     Optional<Selection> best = Optional.empty();
-    for (int[] racks : rackSets(shape, room, bound, avoid, eligible)) {
-      Trial trial = new Trial(index, shape, room, bound, avoid, racks);
+    for (int[] racks : rackSets(shape, available, limit, avoid, eligible)) {
+      Trial trial = new Trial(index, shape, available, limit, avoid, racks);
       Optional<Selection> found = trial.select(sorted);
       if (found.isPresent() && (best.isEmpty() || found.get().cost() < best.get().cost())) {
         best = found;
@@ -55,35 +58,38 @@
     return best;
   }
 
-  /** Returns the sets of racks that are tried; an empty set stands for the whole fleet. */
+  /** Returns the sets of racks to try; an empty set stands for the whole fleet. */
   private List<int[]> rackSets(
       Shape shape,
-      WorkerCapacities room,
-      WorkerCapacities bound,
+      WorkerCapacities available,
+      WorkerCapacities limit,
       boolean[] avoid,
       List<Victim> eligible) {
     if (shape.maxRacks() == 0 || shape.members() == 1) {
       return List.of(new int[0]);
     }
-    int[] potential = potential(shape, room, bound, avoid, eligible);
+    int[] potential = potential(shape, available, limit, avoid, eligible);
     List<int[]> sets = new ArrayList<>();
-    for (int first = 0; first < potential.length; first++) {
-      addSet(sets, first, potential, shape);
+    for (int firstRack = 0; firstRack < potential.length; firstRack++) {
+      addSet(sets, firstRack, potential, shape);
     }
     return sets;
   }
 
-  /** Adds a set that begins with one rack and goes on with those that could hold most members. */
-  private static void addSet(List<int[]> sets, int first, int[] potential, Shape shape) {
-    List<Integer> set = new ArrayList<>(List.of(first));
-    int sum = potential[first];
+  /**
+   * Adds a set that starts with the given rack and continues with the racks that could hold the
+   * most members. Adds none if the allowed number of racks cannot hold all members.
+   */
+  private static void addSet(List<int[]> sets, int firstRack, int[] potential, Shape shape) {
+    List<Integer> set = new ArrayList<>(List.of(firstRack));
+    int sum = potential[firstRack];
     while (sum < shape.members() && set.size() < shape.maxRacks()) {
-      int next = largestOutside(set, potential);
-      if (next < 0) {
+      int nextRack = largestOutside(set, potential);
+      if (nextRack < 0) {
         return;
       }
-      set.add(next);
-      sum += potential[next];
+      set.add(nextRack);
+      sum += potential[nextRack];
     }
     if (sum >= shape.members()) {
       sets.add(set.stream().mapToInt(Integer::intValue).toArray());
@@ -100,54 +106,54 @@
     return largest;
   }
 
-  /** Returns how many members fit in each rack if all eligible attempts were stopped. */
+  /** Returns how many members would fit in each rack if all eligible attempts were stopped. */
   private int[] potential(
       Shape shape,
-      WorkerCapacities room,
-      WorkerCapacities bound,
+      WorkerCapacities available,
+      WorkerCapacities limit,
       boolean[] avoid,
       List<Victim> eligible) {
-    WorkerCapacities all = room.copy();
+    WorkerCapacities afterStops = available.copy();
     for (Victim v : eligible) {
-      all.give(v.occupant().workers(), v.occupant().running().job().shape().perMember());
+      afterStops.add(v.attempt().workers(), v.attempt().running().job().shape().perMember());
     }
-    all.lowerTo(bound);
+    afterStops.limitTo(limit);
     int[] potential = new int[index.rackCount()];
     for (int w = 0; w < index.workerCount(); w++) {
-      int fit = avoid[w] ? 0 : all.fits(w, shape.perMember(), shape.members());
+      int fit = avoid[w] ? 0 : afterStops.fits(w, shape.perMember(), shape.members());
       potential[index.rackOf(w)] += fit;
     }
     return potential;
   }
 
-  /** One set of racks with what stops would free there. */
+  /** Tries stops within one set of racks. */
   private static final class Trial {
     private final FleetIndex index;
     private final Shape shape;
-    private final WorkerCapacities room;
-    private final WorkerCapacities bound;
+    private final WorkerCapacities available;
+    private final WorkerCapacities limit;
     private final boolean[] avoid;
-    private final boolean[] inSet;
+    private final boolean[] inRackSet;
     private int members;
 
     Trial(
         FleetIndex index,
         Shape shape,
-        WorkerCapacities room,
-        WorkerCapacities bound,
+        WorkerCapacities available,
+        WorkerCapacities limit,
         boolean[] avoid,
         int[] racks) {
       this.index = index;
       this.shape = shape;
-      this.room = room.copy();
-      this.bound = bound;
+      this.available = available.copy();
+      this.limit = limit;
       this.avoid = avoid;
-      this.inSet = new boolean[index.rackCount()];
-      for (int r = 0; r < inSet.length; r++) {
-        inSet[r] = racks.length == 0;
+      this.inRackSet = new boolean[index.rackCount()];
+      for (int r = 0; r < inRackSet.length; r++) {
+        inRackSet[r] = racks.length == 0;
       }
       for (int r : racks) {
-        inSet[r] = true;
+        inRackSet[r] = true;
       }
       for (int w = 0; w < index.workerCount(); w++) {
         members += fits(w);
@@ -160,7 +166,7 @@
         if (members >= shape.members()) {
           break;
         }
-        if (touches(v)) {
+        if (touchesRackSet(v)) {
           stop(v);
           chosen.add(v);
         }
@@ -168,17 +174,17 @@
       if (members < shape.members()) {
         return Optional.empty();
       }
-      spareDearest(chosen);
+      dropUnneeded(chosen);
       double cost = chosen.stream().mapToDouble(Victim::cost).sum();
       return Optional.of(new Selection(chosen, cost));
     }
 
-    /** Takes back stops that turn out not to be needed, the dearest first. */
-    private void spareDearest(List<Victim> chosen) {
-      List<Victim> dearest = new ArrayList<>(chosen);
-      dearest.sort(Comparator.comparingDouble(v -> -v.cost()));
-      for (Victim v : dearest) {
-        spare(v);
+    /** Removes stops that are not needed after all, the most expensive first. */
+    private void dropUnneeded(List<Victim> chosen) {
+      List<Victim> byCostDescending = new ArrayList<>(chosen);
+      byCostDescending.sort(Comparator.comparingDouble(v -> -v.cost()));
+      for (Victim v : byCostDescending) {
+        undoStop(v);
         if (members >= shape.members()) {
           chosen.remove(v);
         } else {
@@ -187,9 +193,9 @@
       }
     }
 
-    private boolean touches(Victim victim) {
-      for (int w : victim.occupant().workers()) {
-        if (w >= 0 && inSet[index.rackOf(w)]) {
+    private boolean touchesRackSet(Victim victim) {
+      for (int w : victim.attempt().workers()) {
+        if (w >= 0 && inRackSet[index.rackOf(w)]) {
           return true;
         }
       }
@@ -197,33 +203,33 @@
     }
 
     private void stop(Victim victim) {
-      var unit = victim.occupant().running().job().shape().perMember();
-      for (int w : victim.occupant().workers()) {
+      var unit = victim.attempt().running().job().shape().perMember();
+      for (int w : victim.attempt().workers()) {
         if (w >= 0) {
           members -= fits(w);
-          room.give(w, unit);
+          available.add(w, unit);
           members += fits(w);
         }
       }
     }
 
-    private void spare(Victim victim) {
-      var unit = victim.occupant().running().job().shape().perMember();
-      for (int w : victim.occupant().workers()) {
+    private void undoStop(Victim victim) {
+      var unit = victim.attempt().running().job().shape().perMember();
+      for (int w : victim.attempt().workers()) {
         if (w >= 0) {
           members -= fits(w);
-          room.take(w, unit);
+          available.subtract(w, unit);
           members += fits(w);
         }
       }
     }
 
     private int fits(int worker) {
-      if (avoid[worker] || !inSet[index.rackOf(worker)]) {
+      if (avoid[worker] || !inRackSet[index.rackOf(worker)]) {
         return 0;
       }
-      int fit = room.fits(worker, shape.perMember(), shape.members());
-      return Math.min(fit, bound.fits(worker, shape.perMember(), shape.members()));
+      int fit = available.fits(worker, shape.perMember(), shape.members());
+      return Math.min(fit, limit.fits(worker, shape.perMember(), shape.members()));
     }
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/WorkerCapacities.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/WorkerCapacities.java
@@ -3,7 +3,10 @@
 import java.util.Arrays;
 import org.fescuehook.model.fleet.Capacity;
 
-/** Amounts of resources by worker, which a plan takes from and gives back to. May be negative. */
+/**
+ * Amounts of resources on each worker, such as the free capacity of the fleet. A plan subtracts
+ * what it uses and adds what it frees; amounts may become negative.
+ */
 final class WorkerCapacities {
 
   private final int[] accelerators;
@@ -16,7 +19,7 @@
     this.memoryMegabytes = memoryMegabytes;
   }
 
-  /** Nothing on each of so many workers. */
+  /** Returns zero amounts for the given number of workers. */
   static WorkerCapacities empty(int workers) {
     return new WorkerCapacities(new int[workers], new int[workers], new long[workers]);
   }
@@ -36,38 +39,40 @@
     return cores[worker];
   }
 
-  void take(int worker, Capacity amount) {
+  void subtract(int worker, Capacity amount) {
     accelerators[worker] -= amount.accelerators();
     cores[worker] -= amount.cores();
     memoryMegabytes[worker] -= amount.memoryMegabytes();
   }
 
-  void give(int worker, Capacity amount) {
+  void add(int worker, Capacity amount) {
     accelerators[worker] += amount.accelerators();
     cores[worker] += amount.cores();
     memoryMegabytes[worker] += amount.memoryMegabytes();
   }
 
-  /** Takes an amount on the worker of each member; skips members with a negative worker. */
-  void take(int[] members, Capacity amount) {
+  /**
+   * Subtracts an amount on the worker of each member; skips members with a negative worker number.
+   */
+  void subtract(int[] members, Capacity amount) {
     for (int worker : members) {
       if (worker >= 0) {
-        take(worker, amount);
+        subtract(worker, amount);
       }
     }
   }
 
-  /** Gives an amount to the worker of each member; skips members with a negative worker. */
-  void give(int[] members, Capacity amount) {
+  /** Adds an amount on the worker of each member; skips members with a negative worker number. */
+  void add(int[] members, Capacity amount) {
     for (int worker : members) {
       if (worker >= 0) {
-        give(worker, amount);
+        add(worker, amount);
       }
     }
   }
 
-  /** Takes the amounts of another room. */
-  void takeAll(WorkerCapacities other) {
+  /** Subtracts the amounts of another instance. */
+  void subtractAll(WorkerCapacities other) {
     for (int w = 0; w < accelerators.length; w++) {
       accelerators[w] -= other.accelerators[w];
       cores[w] -= other.cores[w];
@@ -75,15 +80,15 @@
     }
   }
 
-  /** Removes whatever there is on a worker. */
+  /** Sets the amounts on a worker to zero. */
   void clear(int worker) {
     accelerators[worker] = 0;
     cores[worker] = 0;
     memoryMegabytes[worker] = 0;
   }
 
-  /** Lowers each amount to that of another room, where that is less. */
-  void lowerTo(WorkerCapacities other) {
+  /** Limits each amount to the corresponding amount of another instance. */
+  void limitTo(WorkerCapacities other) {
     for (int w = 0; w < accelerators.length; w++) {
       accelerators[w] = Math.min(accelerators[w], other.accelerators[w]);
       cores[w] = Math.min(cores[w], other.cores[w]);
@@ -97,15 +102,15 @@
         && memoryMegabytes[worker] >= amount.memoryMegabytes();
   }
 
-  /** Returns how many units fit on a worker at once, at most {@code most}. */
-  int fits(int worker, Capacity unit, int most) {
+  /** Returns how many units fit on a worker, at most {@code limit}. */
+  int fits(int worker, Capacity unit, int limit) {
     if (!contains(worker, unit)) {
       return 0;
     }
-    if (most == 1) {
+    if (limit == 1) {
       return 1;
     }
-    long count = most;
+    long count = limit;
     if (unit.accelerators() > 0) {
       count = Math.min(count, accelerators[worker] / unit.accelerators());
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/WorkerJudge.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/WorkerJudge.java
@@ -10,28 +10,29 @@
 import org.fescuehook.model.job.JobId;
 
 /**
- * Finds workers that fail jobs which go well elsewhere. A job that fails everywhere is no evidence
- * against any worker.
+ * Detects faulty workers: those on which jobs fail that run successfully on other workers. A job
+ * that fails on every worker is no evidence against any of them.
  */
 public final class WorkerJudge {
 
-  private static final int LEAST_JOBS = 2;
-  private static final long LEAST_SURVIVAL_SECONDS = 60;
+  private static final int MIN_JOBS = 2;
+  private static final long MIN_SURVIVAL_SECONDS = 60;
   private static final int SURVIVAL_FACTOR = 3;
   private static final long FIRST_QUARANTINE_MILLIS = 600_000;
-  private static final int MOST_DOUBLINGS = 6;
+  private static final int MAX_DOUBLINGS = 6;
 
   /**
-   * A worker to be quarantined.
+   * The decision to quarantine a worker.
    *
-   * @param untilMillis when it gets work again, on probation, milliseconds since 1970
-   * @param evidence the jobs that speak against it, in words
+   * @param untilMillis end of the quarantine, milliseconds since 1970; the worker then gets jobs
+   *     again, on probation
+   * @param evidence text that names the jobs that ran successfully on other workers
    */
   public record Judgement(WorkerId worker, long untilMillis, String evidence) {}
 
   /**
-   * Returns the workers to be quarantined now, in the order of their names. Workers in quarantine
-   * are not judged again.
+   * Returns the workers to quarantine now, in the order of their names. Workers that are already in
+   * quarantine are skipped.
    */
   public List<Judgement> judge(Scheduler.View view) {
     List<Judgement> judgements = new ArrayList<>();
@@ -41,45 +42,49 @@
           if (record.quarantinedUntilMillis() > view.nowMillis()) {
             return;
           }
-          SortedSet<JobId> against = evidence(worker, record, view);
-          if (against.size() >= least(record)) {
-            judgements.add(judgement(worker, record, against, view.nowMillis()));
+          SortedSet<JobId> failedJobs = evidence(worker, record, view);
+          if (failedJobs.size() >= requiredJobs(record)) {
+            judgements.add(judgement(worker, record, failedJobs, view.nowMillis()));
           }
         });
     return judgements;
   }
 
-  /** On probation one job is enough. */
-  private static int least(WorkerRecord record) {
-    return record.quarantines() > 0 ? 1 : LEAST_JOBS;
+  /**
+   * Returns how many jobs are needed as evidence; one suffices for a worker that was quarantined
+   * before.
+   */
+  private static int requiredJobs(WorkerRecord record) {
+    return record.quarantines() > 0 ? 1 : MIN_JOBS;
   }
 
   private static Judgement judgement(
-      WorkerId worker, WorkerRecord record, SortedSet<JobId> against, long nowMillis) {
-    long length = FIRST_QUARANTINE_MILLIS << Math.min(MOST_DOUBLINGS, record.quarantines());
-    return new Judgement(worker, nowMillis + length, "jobs that ran elsewhere: " + against);
+      WorkerId worker, WorkerRecord record, SortedSet<JobId> failedJobs, long nowMillis) {
+    long lengthMillis = FIRST_QUARANTINE_MILLIS << Math.min(MAX_DOUBLINGS, record.quarantines());
+    return new Judgement(
+        worker, nowMillis + lengthMillis, "jobs that ran elsewhere: " + failedJobs);
   }
 
   private static SortedSet<JobId> evidence(
       WorkerId worker, WorkerRecord record, Scheduler.View view) {
-    SortedSet<JobId> against = new TreeSet<>();
+    SortedSet<JobId> failedJobs = new TreeSet<>();
     for (WorkerRecord.Failure f : record.failures()) {
       if (f.confirmed() || survivesElsewhere(f, worker, view)) {
-        against.add(f.job());
+        failedJobs.add(f.job());
       }
     }
-    return against;
+    return failedJobs;
   }
 
   private static boolean survivesElsewhere(
       WorkerRecord.Failure failure, WorkerId worker, Scheduler.View view) {
-    long needed = Math.max(LEAST_SURVIVAL_SECONDS, SURVIVAL_FACTOR * failure.ranSeconds());
+    long neededSeconds = Math.max(MIN_SURVIVAL_SECONDS, SURVIVAL_FACTOR * failure.ranSeconds());
     for (Scheduler.Running r : view.running()) {
       if (!r.job().id().equals(failure.job())) {
         continue;
       }
-      long ran = (view.nowMillis() - r.startedMillis()) / 1000;
-      return ran >= needed && !r.placement().members().contains(worker);
+      long ranSeconds = (view.nowMillis() - r.startedMillis()) / 1000;
+      return ranSeconds >= neededSeconds && !r.placement().members().contains(worker);
     }
     return false;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/WorkerRecord.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/WorkerRecord.java
@@ -6,18 +6,19 @@
 import org.fescuehook.model.organisation.OrganisationId;
 
 /**
- * What was learned about one worker since it last finished an attempt. Immutable.
+ * Failures and quarantines of one worker since an attempt last finished on it. Immutable.
  *
- * @param failures failed attempts that are blamed on it, oldest first, one for each job
- * @param quarantines how often it was quarantined
+ * @param failures failed attempts that are attributed to the worker, oldest first, at most one for
+ *     each job
+ * @param quarantines number of quarantines of the worker
  * @param quarantinedUntilMillis end of the last quarantine, milliseconds since 1970; 0 for none
  */
 record WorkerRecord(List<Failure> failures, int quarantines, long quarantinedUntilMillis) {
 
-  /** Nothing learned. */
+  /** A worker without failures and quarantines. */
   static final WorkerRecord NONE = new WorkerRecord(List.of(), 0, 0);
 
-  private static final int MOST_FAILURES = 8;
+  private static final int MAX_FAILURES = 8;
 
   WorkerRecord {
     failures = List.copyOf(failures);
@@ -30,23 +31,25 @@
    * @param organisation its organisation
    * @param ranSeconds how long it ran before it failed
    * @param atMillis when it failed, milliseconds since 1970
-   * @param confirmed whether the job went well on other workers since
+   * @param confirmed whether the job has finished on other workers since
    */
   record Failure(
       JobId job, OrganisationId organisation, long ranSeconds, long atMillis, boolean confirmed) {}
 
-  /** Returns the record after a failure. */
+  /** Returns a copy with one more failure. */
   WorkerRecord plusFailure(Failure failure) {
     List<Failure> kept = new ArrayList<>(failures);
     kept.removeIf(f -> f.job().equals(failure.job()));
-    if (kept.size() == MOST_FAILURES) {
+    if (kept.size() == MAX_FAILURES) {
       kept.removeFirst();
     }
     kept.add(failure);
     return new WorkerRecord(kept, quarantines, quarantinedUntilMillis);
   }
 
-  /** Returns the record once a job that failed here has finished on other workers. */
+  /**
+   * Returns a copy in which a job's failure is confirmed because the job finished on other workers.
+   */
   WorkerRecord confirming(JobId job) {
     List<Failure> kept = new ArrayList<>();
     for (Failure f : failures) {
@@ -56,12 +59,12 @@
     return new WorkerRecord(kept, quarantines, quarantinedUntilMillis);
   }
 
-  /** Returns the record after a quarantine began; its evidence is spent. */
+  /** Returns a copy with a new quarantine and without the failures that led to it. */
   WorkerRecord quarantined(long untilMillis) {
     return new WorkerRecord(List.of(), quarantines + 1, untilMillis);
   }
 
-  /** Tells whether a job failed here. */
+  /** Returns whether a job's failure is attributed to this worker. */
   boolean blames(JobId job) {
     return failures.stream().anyMatch(f -> f.job().equals(job));
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/package-info.java
@@ -1,4 +1,7 @@
-/** The scheduling policy: which waiting job starts where, and which borrower gives way. */
+/**
+ * The scheduling policy: which waiting jobs start on which workers, and which borrowers are
+ * preempted.
+ */
 @NullMarked
 package org.fescuehook.logic.scheduling;
 
