--- a/fescuehook/src/test/java/org/fescuehook/logic/scheduling/FeasibilityCheckerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/scheduling/FeasibilityCheckerTest.java
@@ -27,30 +27,35 @@
   private final FeasibilityChecker checker = new FeasibilityChecker();
 
   @Test
-  void whatFitsTheEmptyFleetCanRun() {
-    assertEquals(Optional.empty(), why(shape(2, 4, 1)));
+  void acceptsAShapeThatFitsTheEmptyFleet() {
+    assertEquals(Optional.empty(), infeasibility(shape(2, 4, 1)));
   }
 
   @Test
-  void theReasonNamesWhatIsTooLarge() {
+  void namesTheReasonWhyAShapeCanNeverRun() {
     assertEquals(
-        Optional.of("no declared worker is large enough for one member"), why(shape(1, 5, 0)));
-    assertEquals(Optional.of("no 1 declared racks hold 3 members"), why(shape(3, 4, 1)));
-    assertEquals(Optional.of("the declared fleet holds fewer than 9 members"), why(shape(9, 2, 0)));
+        Optional.of("no declared worker is large enough for one member"),
+        infeasibility(shape(1, 5, 0)));
+    assertEquals(Optional.of("no 1 declared racks hold 3 members"), infeasibility(shape(3, 4, 1)));
     assertEquals(
-        Optional.of("needs 20 accelerators; the quota of bio is 18"), why(shape(10, 2, 0)));
+        Optional.of("the declared fleet holds fewer than 9 members"),
+        infeasibility(shape(9, 2, 0)));
+    assertEquals(
+        Optional.of("needs 20 accelerators; the quota of bio is 18"),
+        infeasibility(shape(10, 2, 0)));
   }
 
   @Test
-  void guaranteesThatDoNotAllFitAtOnceAreNamed() {
-    GuaranteedShape rack = new GuaranteedShape("racks", BIO, shape(2, 4, 1), 2);
+  void namesGuaranteesThatDoNotFitTogether() {
+    GuaranteedShape rackWide = new GuaranteedShape("racks", BIO, shape(2, 4, 1), 2);
     GuaranteedShape more = new GuaranteedShape("more", BIO, shape(1, 1, 0), 1);
 
-    assertEquals(List.of(), checker.unkeepableGuarantees(declarations(List.of(rack))));
-    assertEquals(List.of("more"), checker.unkeepableGuarantees(declarations(List.of(rack, more))));
+    assertEquals(List.of(), checker.unkeepableGuarantees(declarations(List.of(rackWide))));
+    assertEquals(
+        List.of("more"), checker.unkeepableGuarantees(declarations(List.of(rackWide, more))));
   }
 
-  private Optional<String> why(Shape shape) {
+  private Optional<String> infeasibility(Shape shape) {
     return checker.whyNever(declarations(List.of()), BIO, shape);
   }
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/scheduling/HistoryTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/scheduling/HistoryTest.java
@@ -15,32 +15,32 @@
 
 class HistoryTest {
 
-  private static final long DAY = 24L * 3600 * 1000;
+  private static final long DAY_MILLIS = 24L * 3600 * 1000;
   private static final OrganisationId BIO = new OrganisationId("bio");
   private static final WorkerId W1 = new WorkerId("w1");
 
   @Test
-  void aSnapshotKeepsAllThatWasLearned() {
+  void restoresAllStatisticsFromASnapshot() {
     History history =
         History.EMPTY
             .afterAttempt(ended("a", EndedAttempt.Result.FINISHED, 120, 10))
             .afterAttempt(ended("b", EndedAttempt.Result.FAILED, 3, 20))
             .afterQuarantine(new WorkerId("w2"), 5000);
 
-    History read = History.fromSnapshot(history.toSnapshot());
+    History restored = History.fromSnapshot(history.toSnapshot());
 
-    assertEquals(history.toSnapshot(), read.toSnapshot());
-    assertEquals(List.of(2.0), read.use(BIO).ratios());
-    assertEquals(1, read.record(W1).failures().size());
+    assertEquals(history.toSnapshot(), restored.toSnapshot());
+    assertEquals(List.of(2.0), restored.use(BIO).ratios());
+    assertEquals(1, restored.record(W1).failures().size());
   }
 
   @Test
-  void useHalvesInADay() {
+  void acceleratorUseHalvesEachDay() {
     History history =
-        History.EMPTY.afterAttempt(ended("a", EndedAttempt.Result.FINISHED, 100, DAY));
+        History.EMPTY.afterAttempt(ended("a", EndedAttempt.Result.FINISHED, 100, DAY_MILLIS));
 
-    assertEquals(400, history.use(BIO).acceleratorSecondsAt(DAY), 1e-6);
-    assertEquals(200, history.use(BIO).acceleratorSecondsAt(2 * DAY), 1e-6);
+    assertEquals(400, history.use(BIO).acceleratorSecondsAt(DAY_MILLIS), 1e-6);
+    assertEquals(200, history.use(BIO).acceleratorSecondsAt(2 * DAY_MILLIS), 1e-6);
   }
 
   private static EndedAttempt ended(
--- a/fescuehook/src/test/java/org/fescuehook/logic/scheduling/PlanAuditor.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/scheduling/PlanAuditor.java
@@ -27,25 +27,28 @@
 import org.fescuehook.model.organisation.GuaranteedShape;
 import org.fescuehook.model.organisation.OrganisationId;
 
-/** Checks each decision by plain sums of its own, and lets all absent holders return at once. */
+/**
+ * Checks each plan independently of the scheduler's own accounting: placements stay within
+ * capacities, and all unused guarantees could be claimed at the same time.
+ */
 final class PlanAuditor implements ReplayListener {
 
-  private final List<String> faults = new ArrayList<>();
+  private final List<String> violations = new ArrayList<>();
 
-  List<String> faults() {
-    return faults;
+  List<String> violations() {
+    return violations;
   }
 
   @Override
   public void decided(View view, Plan plan) {
     checkStarts(view, plan);
     checkStops(view, plan);
-    checkExplained(view, plan);
-    checkReclaimable(view, plan);
+    checkReasons(view, plan);
+    checkGuaranteesClaimable(view, plan);
   }
 
-  private void fault(View view, String text) {
-    faults.add("at " + view.nowMillis() + ": " + text);
+  private void addViolation(View view, String text) {
+    violations.add("at " + view.nowMillis() + ": " + text);
   }
 
   private void checkStarts(View view, Plan plan) {
@@ -57,7 +60,7 @@
     for (Start s : plan.starts()) {
       Waiting w = waiting.remove(s.job());
       if (w == null) {
-        fault(view, s.job() + " started though it does not wait, or twice");
+        addViolation(view, s.job() + " started although it is not waiting, or started twice");
         continue;
       }
       checkPlacement(view, w, s, workers);
@@ -66,7 +69,7 @@
     used.forEach(
         (id, sum) -> {
           if (!workers.get(id).capacity().contains(sum)) {
-            fault(view, id + " is used beyond its capacity: " + sum);
+            addViolation(view, id + " is used beyond its capacity: " + sum);
           }
         });
   }
@@ -74,30 +77,30 @@
   private void checkPlacement(View view, Waiting w, Start s, Map<WorkerId, Worker> workers) {
     List<WorkerId> members = s.placement().members();
     if (members.size() != w.job().shape().members()) {
-      fault(view, s.job() + " starts with a part of its members");
+      addViolation(view, s.job() + " starts with only some of its members");
     }
     Set<RackId> racks =
         members.stream().map(m -> workers.get(m).rack()).collect(Collectors.toSet());
     int maxRacks = w.job().shape().maxRacks();
     if (maxRacks > 0 && racks.size() > maxRacks) {
-      fault(view, s.job() + " is spread over " + racks);
+      addViolation(view, s.job() + " is spread over " + racks);
     }
     for (WorkerId m : members) {
       if (view.unusable().contains(m)) {
-        fault(view, s.job() + " starts on unusable " + m);
+        addViolation(view, s.job() + " starts on unusable " + m);
       }
       if (w.avoid().contains(m) && fitsElsewhere(view, w)) {
-        fault(view, s.job() + " starts again on " + m);
+        addViolation(view, s.job() + " starts again on avoided " + m);
       }
     }
   }
 
   private static boolean fitsElsewhere(View view, Waiting w) {
-    Set<WorkerId> without = new HashSet<>(view.unusable());
-    without.addAll(w.avoid());
-    Declarations left = without(view.declarations(), without);
+    Set<WorkerId> excluded = new HashSet<>(view.unusable());
+    excluded.addAll(w.avoid());
+    Declarations remaining = withoutWorkers(view.declarations(), excluded);
     return new FeasibilityChecker()
-        .whyNever(left, w.job().organisation(), w.job().shape())
+        .whyNever(remaining, w.job().organisation(), w.job().shape())
         .isEmpty();
   }
 
@@ -107,54 +110,61 @@
     for (Stop s : plan.stops()) {
       Running r = running.remove(s.attempt());
       if (r == null || r.stopping()) {
-        fault(view, s.attempt() + " is stopped though it does not run, or twice");
+        addViolation(
+            view, s.attempt() + " is stopped although it is not running, or stopped twice");
       }
     }
   }
 
-  private void checkExplained(View view, Plan plan) {
+  private void checkReasons(View view, Plan plan) {
     Set<JobId> started = plan.starts().stream().map(Start::job).collect(Collectors.toSet());
     for (Waiting w : view.waiting()) {
       if (!started.contains(w.job().id()) && !plan.reasons().containsKey(w.job().id())) {
-        fault(view, w.job().id() + " waits without a reason");
+        addViolation(view, w.job().id() + " waits without a reason");
       }
     }
   }
 
-  /** Lets every organisation without running work demand all its shapes, in two steps. */
-  private void checkReclaimable(View view, Plan plan) {
-    if (!guaranteesCanBeKept(view)) {
+  /**
+   * Checks that every organisation without running attempts could claim all its guaranteed shapes
+   * at once: the first plan may stop borrowers, the second one must start all remaining jobs.
+   */
+  private void checkGuaranteesClaimable(View view, Plan plan) {
+    if (!guaranteesAreFeasible(view)) {
       return;
     }
     List<Running> running = after(view, plan);
-    Set<OrganisationId> present = new HashSet<>();
-    running.forEach(r -> present.add(r.job().organisation()));
-    List<Waiting> demand = demand(view, present);
-    if (demand.isEmpty()) {
+    Set<OrganisationId> organisationsWithAttempts = new HashSet<>();
+    running.forEach(r -> organisationsWithAttempts.add(r.job().organisation()));
+    List<Waiting> claims = claims(view, organisationsWithAttempts);
+    if (claims.isEmpty()) {
       return;
     }
     GuaranteeScheduler scheduler = new GuaranteeScheduler();
-    View first = with(view, demand, running);
-    Plan reclaim = scheduler.plan(first);
-    Set<JobId> served = reclaim.starts().stream().map(Start::job).collect(Collectors.toSet());
-    List<Running> left = after(first, reclaim);
-    left.removeIf(Running::stopping);
-    List<Waiting> open = new ArrayList<>(demand);
-    open.removeIf(w -> served.contains(w.job().id()));
-    Plan second = scheduler.plan(with(view, open, left));
-    if (second.starts().size() != open.size()) {
-      fault(view, "guaranteed shapes cannot be reclaimed: " + reclaim + ", then " + second);
+    View firstView = with(view, claims, running);
+    Plan firstPlan = scheduler.plan(firstView);
+    Set<JobId> startedClaims =
+        firstPlan.starts().stream().map(Start::job).collect(Collectors.toSet());
+    List<Running> stillRunning = after(firstView, firstPlan);
+    stillRunning.removeIf(Running::stopping);
+    List<Waiting> remainingClaims = new ArrayList<>(claims);
+    remainingClaims.removeIf(w -> startedClaims.contains(w.job().id()));
+    Plan secondPlan = scheduler.plan(with(view, remainingClaims, stillRunning));
+    if (secondPlan.starts().size() != remainingClaims.size()) {
+      addViolation(
+          view, "guaranteed shapes cannot be claimed: " + firstPlan + ", then " + secondPlan);
     }
   }
 
-  private static boolean guaranteesCanBeKept(View view) {
-    Declarations usable = without(view.declarations(), view.unusable());
+  private static boolean guaranteesAreFeasible(View view) {
+    Declarations usable = withoutWorkers(view.declarations(), view.unusable());
     return new FeasibilityChecker().unkeepableGuarantees(usable).isEmpty();
   }
 
-  private static Declarations without(Declarations d, Set<WorkerId> gone) {
-    List<Worker> left = d.fleet().workers().stream().filter(w -> !gone.contains(w.id())).toList();
-    Fleet fleet = new Fleet(left, List.of());
+  private static Declarations withoutWorkers(Declarations d, Set<WorkerId> removed) {
+    List<Worker> remaining =
+        d.fleet().workers().stream().filter(w -> !removed.contains(w.id())).toList();
+    Fleet fleet = new Fleet(remaining, List.of());
     return new Declarations(d.organisations(), d.guarantees(), d.rules(), fleet, d.policy());
   }
 
@@ -189,10 +199,10 @@
     return running;
   }
 
-  private static List<Waiting> demand(View view, Set<OrganisationId> present) {
-    List<Waiting> demand = new ArrayList<>();
+  private static List<Waiting> claims(View view, Set<OrganisationId> organisationsWithAttempts) {
+    List<Waiting> claims = new ArrayList<>();
     for (GuaranteedShape g : view.declarations().guarantees()) {
-      for (int i = 0; i < g.count() && !present.contains(g.organisation()); i++) {
+      for (int i = 0; i < g.count() && !organisationsWithAttempts.contains(g.organisation()); i++) {
         Job job =
             new Job(
                 new JobId("demand-" + g.name() + "-" + i),
@@ -204,10 +214,10 @@
                 60,
                 view.nowMillis(),
                 "test");
-        demand.add(new Waiting(job, 0, 0, Set.of()));
+        claims.add(new Waiting(job, 0, 0, Set.of()));
       }
     }
-    return demand;
+    return claims;
   }
 
   private static Map<WorkerId, Worker> workers(View view) {
--- a/fescuehook/src/test/java/org/fescuehook/logic/scheduling/RandomHistory.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/scheduling/RandomHistory.java
@@ -27,7 +27,7 @@
 import org.fescuehook.model.organisation.Organisation;
 import org.fescuehook.model.organisation.OrganisationId;
 
-/** A random small fleet, its jobs, and two faults of random kinds. */
+/** Generates a random trace: a small fleet, its jobs, and two faults of random kinds. */
 final class RandomHistory {
 
   private static final long LENGTH_MILLIS = 3_600_000;
@@ -37,13 +37,13 @@
   private final List<Worker> workers = new ArrayList<>();
   private final List<Organisation> organisations = new ArrayList<>();
   private final List<TraceEvent> events = new ArrayList<>();
-  private int jobs;
+  private int nextJob;
 
   RandomHistory(long seed) {
     random = new SplittableRandom(seed);
   }
 
-  Trace write() {
+  Trace generate() {
     addWorkers();
     for (int i = 0; i < between(2, 4); i++) {
       organisations.add(new Organisation(new OrganisationId("org" + i), between(1, 3), 100, 1));
@@ -58,8 +58,8 @@
     return new Trace(declarations, WorkerTiming.DEFAULT, events);
   }
 
-  private int between(int least, int most) {
-    return random.nextInt(least, most + 1);
+  private int between(int min, int max) {
+    return random.nextInt(min, max + 1);
   }
 
   private void addWorkers() {
@@ -77,7 +77,7 @@
     }
   }
 
-  /** Adds random guarantees as long as all of them can be kept. */
+  /** Adds random guarantees, leaving out those that would make the guarantees infeasible. */
   private Declarations withGuarantees() {
     PolicyPreferences policy =
         new PolicyPreferences(
@@ -92,12 +92,12 @@
     Declarations declarations = new Declarations(organisations, kept, List.of(), fleet, policy);
     for (Organisation o : organisations) {
       GuaranteedShape next = new GuaranteedShape("g" + kept.size(), o.id(), shape(), between(1, 2));
-      List<GuaranteedShape> tried = new ArrayList<>(kept);
-      tried.add(next);
-      Declarations more = new Declarations(organisations, tried, List.of(), fleet, policy);
-      if (new FeasibilityChecker().unkeepableGuarantees(more).isEmpty()) {
+      List<GuaranteedShape> extended = new ArrayList<>(kept);
+      extended.add(next);
+      Declarations candidate = new Declarations(organisations, extended, List.of(), fleet, policy);
+      if (new FeasibilityChecker().unkeepableGuarantees(candidate).isEmpty()) {
         kept.add(next);
-        declarations = more;
+        declarations = candidate;
       }
     }
     return declarations;
@@ -114,7 +114,7 @@
     boolean checkpointable = random.nextBoolean();
     Job job =
         new Job(
-            new JobId("j" + jobs++),
+            new JobId("j" + nextJob++),
             organisations.get(random.nextInt(organisations.size())).id(),
             Optional.empty(),
             shape(),
@@ -127,8 +127,8 @@
         checkpointable && random.nextInt(4) > 0
             ? OptionalLong.of(between(100, 40_000))
             : OptionalLong.empty();
-    JobCourse course = new JobCourse(between(5, 3000), failsAfter, checkpoint);
-    events.add(new TraceEvent.Submitted(job, course));
+    JobCourse behaviour = new JobCourse(between(5, 3000), failsAfter, checkpoint);
+    events.add(new TraceEvent.Submitted(job, behaviour));
   }
 
   private void addFault() {
--- a/fescuehook/src/test/java/org/fescuehook/logic/scheduling/SchedulerPropertyTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/scheduling/SchedulerPropertyTest.java
@@ -12,21 +12,21 @@
 import org.fescuehook.logic.trace.Replayer;
 import org.fescuehook.logic.trace.Trace;
 
-/** Random histories, each with a pair of faults. jqwik prints the seed of a failed run. */
+/** Replays random traces, each with two faults. On a failure jqwik prints the seed of the run. */
 class SchedulerPropertyTest {
 
-  private static final int HISTORIES = 10_000;
+  private static final int TRIES = 10_000;
 
-  @Property(tries = HISTORIES, seed = "-7524066022649029302", shrinking = ShrinkingMode.OFF)
-  void everyDecisionKeepsTheBooksAndTheGuarantees(@ForAll long seed) {
-    Trace trace = new RandomHistory(seed).write();
+  @Property(tries = TRIES, seed = "-7524066022649029302", shrinking = ShrinkingMode.OFF)
+  void plansRespectCapacitiesAndKeepGuaranteesClaimable(@ForAll long seed) {
+    Trace trace = new RandomHistory(seed).generate();
     PlanAuditor auditor = new PlanAuditor();
     Replayer replayer =
         new Replayer(trace, new GuaranteeScheduler(), Optional.of(new WorkerJudge()), auditor);
 
     List<JobOutcome> outcomes = replayer.replay();
 
-    assertEquals(List.of(), auditor.faults(), () -> "seed " + seed);
+    assertEquals(List.of(), auditor.violations(), () -> "seed " + seed);
     for (JobOutcome o : outcomes) {
       assertTrue(o.end() != JobOutcome.End.UNFINISHED, () -> "seed " + seed + ": " + o);
     }
--- a/fescuehook/src/test/java/org/fescuehook/logic/scheduling/WorkerJudgeTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/scheduling/WorkerJudgeTest.java
@@ -21,7 +21,7 @@
 
 class WorkerJudgeTest {
 
-  private static final WorkerId BAD = new WorkerId("bad");
+  private static final WorkerId FAULTY = new WorkerId("bad");
   private static final WorkerId OTHER = new WorkerId("other");
   private static final long NOW = 1_000_000;
 
@@ -29,50 +29,50 @@
   private final List<Scheduler.Running> running = new ArrayList<>();
 
   @Test
-  void twoJobsThatFinishElsewhereAreEvidence() {
+  void quarantinesAWorkerAfterTwoOfItsFailedJobsFinishElsewhere() {
     History history =
-        failed(failed(History.EMPTY, "a", BAD), "b", BAD)
+        failed(failed(History.EMPTY, "a", FAULTY), "b", FAULTY)
             .afterAttempt(ended("a", OTHER, EndedAttempt.Result.FINISHED))
             .afterAttempt(ended("b", OTHER, EndedAttempt.Result.FINISHED));
 
-    assertEquals(List.of(BAD), judged(history));
+    assertEquals(List.of(FAULTY), quarantinedWorkers(history));
   }
 
   @Test
-  void jobsThatOutliveTheirFailureElsewhereAreEvidenceBeforeTheyFinish() {
-    History history = failed(failed(History.EMPTY, "a", BAD), "b", BAD);
+  void countsAJobThatRunsLongEnoughElsewhereBeforeItFinishes() {
+    History history = failed(failed(History.EMPTY, "a", FAULTY), "b", FAULTY);
     running.add(running("a", OTHER, 61));
     running.add(running("b", OTHER, 59));
-    assertEquals(List.of(), judged(history));
+    assertEquals(List.of(), quarantinedWorkers(history));
 
     running.set(1, running("b", OTHER, 60));
-    assertEquals(List.of(BAD), judged(history));
+    assertEquals(List.of(FAULTY), quarantinedWorkers(history));
   }
 
   @Test
-  void jobsThatFailEverywhereSpeakAgainstNoWorker() {
+  void ignoresJobsThatFailOnEveryWorker() {
     History history = History.EMPTY;
     for (String job : List.of("a", "b", "c", "d")) {
-      history = failed(failed(history, job, BAD), job, OTHER);
+      history = failed(failed(history, job, FAULTY), job, OTHER);
     }
 
-    assertEquals(List.of(), judged(history));
+    assertEquals(List.of(), quarantinedWorkers(history));
   }
 
   @Test
-  void aFinishedAttemptClearsTheWorker() {
+  void clearsFailuresOnceAnAttemptFinishesOnTheWorker() {
     History history =
-        failed(failed(History.EMPTY, "a", BAD), "b", BAD)
-            .afterAttempt(ended("c", BAD, EndedAttempt.Result.FINISHED))
+        failed(failed(History.EMPTY, "a", FAULTY), "b", FAULTY)
+            .afterAttempt(ended("c", FAULTY, EndedAttempt.Result.FINISHED))
             .afterAttempt(ended("a", OTHER, EndedAttempt.Result.FINISHED))
             .afterAttempt(ended("b", OTHER, EndedAttempt.Result.FINISHED));
 
-    assertEquals(List.of(), judged(history));
+    assertEquals(List.of(), quarantinedWorkers(history));
   }
 
   @Test
-  void onProbationOneJobIsEnoughAndTheQuarantineDoubles() {
-    History history = failed(History.EMPTY.afterQuarantine(BAD, NOW), "a", BAD);
+  void quarantinesAgainAfterOneJobForTwiceAsLong() {
+    History history = failed(History.EMPTY.afterQuarantine(FAULTY, NOW), "a", FAULTY);
     running.add(running("a", OTHER, 60));
 
     List<WorkerJudge.Judgement> judgements = judge.judge(view(history));
@@ -81,7 +81,7 @@
     assertEquals(NOW + 1_200_000, judgements.getFirst().untilMillis());
   }
 
-  private List<WorkerId> judged(History history) {
+  private List<WorkerId> quarantinedWorkers(History history) {
     return judge.judge(view(history)).stream().map(WorkerJudge.Judgement::worker).toList();
   }
 
