--- a/fescuehook/src/test/java/org/fescuehook/logic/scheduling/RandomHistory.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/scheduling/RandomTrace.java
@@ -28,7 +28,7 @@
 import org.fescuehook.model.organisation.OrganisationId;
 
 /** Generates a random trace: a small fleet, its jobs, and two faults of random kinds. */
-final class RandomHistory {
+final class RandomTrace {
 
   private static final long LENGTH_MILLIS = 3_600_000;
   private static final int FAULT_KINDS = 5;
@@ -39,7 +39,7 @@
   private final List<TraceEvent> events = new ArrayList<>();
   private int nextJob;
 
-  RandomHistory(long seed) {
+  RandomTrace(long seed) {
     random = new SplittableRandom(seed);
   }
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/scheduling/SchedulerPropertyTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/scheduling/SchedulerPropertyTest.java
@@ -19,7 +19,7 @@
 
   @Property(tries = TRIES, seed = "-7524066022649029302", shrinking = ShrinkingMode.OFF)
   void plansRespectCapacitiesAndKeepGuaranteesClaimable(@ForAll long seed) {
-    Trace trace = new RandomHistory(seed).generate();
+    Trace trace = new RandomTrace(seed).generate();
     PlanAuditor auditor = new PlanAuditor();
     Replayer replayer =
         new Replayer(trace, new GuaranteeScheduler(), Optional.of(new WorkerJudge()), auditor);
