--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/Backoff.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/Backoff.java
@@ -2,7 +2,7 @@
 
 import java.util.random.RandomGenerator;
 
-/** Waiting time before a retry: exponential, with full jitter. */
+/** Computes the delay before a retry: exponential backoff with full jitter. */
 final class Backoff {
   static final long BASE_MILLIS = 10;
   static final long CAP_MILLIS = 500;
@@ -13,9 +13,12 @@
     this.random = random;
   }
 
-  /** Returns the wait before the dispatch after {@code dispatches} ones, in milliseconds. */
-  long millis(int dispatches) {
-    long ceiling = Math.min(CAP_MILLIS, BASE_MILLIS << Math.min(10, dispatches));
-    return random.nextLong(ceiling + 1);
+  /**
+   * Returns the delay before the next dispatch of a request that was dispatched {@code dispatches}
+   * times.
+   */
+  long delayMillis(int dispatches) {
+    long maxMillis = Math.min(CAP_MILLIS, BASE_MILLIS << Math.min(10, dispatches));
+    return random.nextLong(maxMillis + 1);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ClaimBatcher.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ClaimBatcher.java
@@ -10,22 +10,23 @@
 import org.fescuehook.wire.RequestRelease;
 
 /**
- * Collects claims, outcomes and releases into records: one append in flight, and no more appends
- * per second than this VM's part of what the log takes. All that waits shares the next append.
+ * Collects claims, outcomes and releases into records to append to the log. At most one append is
+ * in flight, and appends are limited to this VM's share of the rate that the log can handle. All
+ * waiting items go into the next append together, up to a maximum size.
  */
 final class ClaimBatcher {
-  /** Appends of all entry VMs together, per second. */
+  /** Maximum rate of appends by all entry VMs together. */
   static final int APPENDS_PER_SECOND = 200;
 
-  /** Longest time for an append to end before it is taken for lost. */
+  /** Time after which an append without a reply is considered lost. */
   static final long APPEND_TIMEOUT_MILLIS = 5_000;
 
-  /** Most claims that wait. */
-  static final int MOST_WAITING_CLAIMS = 2_000;
+  /** Maximum number of waiting claims. */
+  static final int MAX_WAITING_CLAIMS = 2_000;
 
   static final long PAUSE_AFTER_FAILURE_MILLIS = 500;
 
-  private static final int MOST_RECORD_BYTES = 512 << 10;
+  private static final int MAX_RECORD_BYTES = 512 << 10;
 
   private final String writer;
   private final String incarnation;
@@ -34,7 +35,7 @@
   private final Deque<RequestRelease> releases = new ArrayDeque<>();
   private Optional<RequestRecord> inFlight = Optional.empty();
   private long intervalMillis = 1000 / APPENDS_PER_SECOND;
-  private long lastBegunMillis = Long.MIN_VALUE / 2;
+  private long lastAppendMillis = Long.MIN_VALUE / 2;
   private long sequence;
 
   ClaimBatcher(String writer, String incarnation) {
@@ -42,21 +43,21 @@
     this.incarnation = incarnation;
   }
 
-  /** Shares the log's appends among so many entry VMs. */
-  void shareAmong(int vms) {
-    intervalMillis = Math.max(1, vms) * 1000L / APPENDS_PER_SECOND;
+  /** Sets the number of entry VMs that share the maximum rate of appends. */
+  void setVmCount(int vmCount) {
+    intervalMillis = Math.max(1, vmCount) * 1000L / APPENDS_PER_SECOND;
   }
 
-  /** Adds a claim; false if too many wait. */
+  /** Adds a claim; returns false if too many claims are waiting. */
   boolean claim(RequestClaim claim) {
-    if (claims.size() >= MOST_WAITING_CLAIMS) {
+    if (claims.size() >= MAX_WAITING_CLAIMS) {
       return false;
     }
     claims.addLast(claim);
     return true;
   }
 
-  /** Takes back a claim that was not handed to the log; false if it may have been. */
+  /** Removes a claim that was not yet appended; returns false if it may have been. */
   boolean withdraw(String token) {
     return claims.removeIf(claim -> claim.getToken().equals(token));
   }
@@ -69,36 +70,40 @@
     releases.addLast(RequestRelease.newBuilder().setKey(key).setToken(token).build());
   }
 
-  /** Returns the number of the append in flight or last begun. */
+  /** Returns the sequence number of the append in flight, else of the last one. */
   long sequence() {
     return sequence;
   }
 
-  /** Begins the next append, if there is something to append and one may begin. */
+  /**
+   * Returns the record of the next append if there is anything to append and an append may begin
+   * now.
+   */
   Optional<RequestRecord> next(long nowMillis) {
-    boolean busy = inFlight.isPresent() && nowMillis - lastBegunMillis < APPEND_TIMEOUT_MILLIS;
-    if (busy || nowMillis - lastBegunMillis < intervalMillis || isEmpty()) {
+    boolean appendInFlight =
+        inFlight.isPresent() && nowMillis - lastAppendMillis < APPEND_TIMEOUT_MILLIS;
+    if (appendInFlight || nowMillis - lastAppendMillis < intervalMillis || isEmpty()) {
       return Optional.empty();
     }
-    inFlight.ifPresent(this::putBack);
+    inFlight.ifPresent(this::requeue);
     sequence++;
-    lastBegunMillis = nowMillis;
-    inFlight = Optional.of(collect(nowMillis));
+    lastAppendMillis = nowMillis;
+    inFlight = Optional.of(buildRecord(nowMillis));
     return inFlight;
   }
 
-  /** Returns how many outcomes and releases are not known to be in the log. */
-  int unrecorded() {
-    int begun =
+  /** Returns the number of outcomes and releases that are not yet known to be in the log. */
+  int unconfirmedCount() {
+    int inFlightCount =
         inFlight.map(record -> record.getOutcomesCount() + record.getReleasesCount()).orElse(0);
-    return begun + outcomes.size() + releases.size();
+    return inFlightCount + outcomes.size() + releases.size();
   }
 
   private boolean isEmpty() {
     return claims.isEmpty() && outcomes.isEmpty() && releases.isEmpty();
   }
 
-  private RequestRecord collect(long nowMillis) {
+  private RequestRecord buildRecord(long nowMillis) {
     RequestRecord.Builder record =
         RequestRecord.newBuilder()
             .setVersion(RequestRecords.VERSION)
@@ -107,23 +112,25 @@
             .setSequence(sequence)
             .setWrittenMillis(nowMillis);
     int bytes = 0;
-    while (!releases.isEmpty() && bytes < MOST_RECORD_BYTES) {
+    while (!releases.isEmpty() && bytes < MAX_RECORD_BYTES) {
       bytes += releases.peekFirst().getSerializedSize();
       record.addReleases(releases.removeFirst());
     }
-    while (!claims.isEmpty() && bytes < MOST_RECORD_BYTES) {
+    while (!claims.isEmpty() && bytes < MAX_RECORD_BYTES) {
       bytes += claims.peekFirst().getSerializedSize();
       record.addClaims(claims.removeFirst());
     }
-    while (!outcomes.isEmpty() && bytes < MOST_RECORD_BYTES) {
+    while (!outcomes.isEmpty() && bytes < MAX_RECORD_BYTES) {
       bytes += outcomes.peekFirst().getSerializedSize();
       record.addOutcomes(outcomes.removeFirst());
     }
     return record.build();
   }
 
-  /** Ends the append in flight; empty if it is not the one that is awaited. */
-  Optional<RequestRecord> ended(long append) {
+  /**
+   * Ends the append in flight and returns its record; empty if {@code append} is an earlier append.
+   */
+  Optional<RequestRecord> endAppend(long append) {
     if (append != sequence) {
       return Optional.empty();
     }
@@ -132,13 +139,16 @@
     return ended;
   }
 
-  /** Appends what is worth repeating again, after a pause; claims are not repeated. */
-  void failed(RequestRecord record, long nowMillis) {
-    putBack(record);
-    lastBegunMillis = nowMillis + PAUSE_AFTER_FAILURE_MILLIS;
+  /**
+   * Queues the outcomes and releases of a failed append again, for an append after a pause. Claims
+   * are not repeated.
+   */
+  void requeueFailed(RequestRecord record, long nowMillis) {
+    requeue(record);
+    lastAppendMillis = nowMillis + PAUSE_AFTER_FAILURE_MILLIS;
   }
 
-  private void putBack(RequestRecord record) {
+  private void requeue(RequestRecord record) {
     record.getOutcomesList().reversed().forEach(outcomes::addFirst);
     record.getReleasesList().reversed().forEach(releases::addFirst);
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ClaimHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ClaimHandler.java
@@ -19,51 +19,56 @@
 import org.fescuehook.wire.RequestRecord;
 
 /**
- * Requests with an id: claims the id in the log, lets only the winner be dispatched, records what
- * came of it, and answers later requests with the same id.
+ * Handles requests with an id: claims the id in the log, passes only the request whose claim wins
+ * on to be dispatched, records its outcome, and answers later requests with the same id from that
+ * outcome.
  */
 final class ClaimHandler implements ClaimRegistry.Listener {
-  /** Times that a claimant without an answer is asked before its outcome counts as unknown. */
-  static final int MOST_FETCHES = 3;
+  /**
+   * Number of times that a claimant which gives no answer is asked before the outcome counts as
+   * unknown.
+   */
+  static final int MAX_FETCHES = 3;
 
-  static final long FETCH_AGAIN_MILLIS = 300;
+  static final long FETCH_RETRY_MILLIS = 300;
 
-  private static final int MOST_ABANDONED = 10_000;
+  private static final int MAX_ABANDONED = 10_000;
 
   private final String vm;
   private final String incarnation;
   private final OpenRequests requests;
-  private final ClaimRegistry book;
+  private final ClaimRegistry registry;
   private final ClaimBatcher batcher;
-  private final OwnOutcomes own;
-  private final Consumer<OpenRequest> winner;
+  private final OwnOutcomes localOutcomes;
+  private final Consumer<OpenRequest> onClaimWon;
   private final Consumer<DispatchCommand> out;
-  private final Map<String, OpenRequest> awaiting = new HashMap<>();
+  private final Map<String, OpenRequest> awaitingClaim = new HashMap<>();
   private final Set<String> abandoned = new LinkedHashSet<>();
   private final Map<RequestKey, List<OpenRequest>> followers = new HashMap<>();
-  private int claimsMade;
+  private int claimCount;
 
   /**
-   * Creates the desk.
+   * Creates the handler.
    *
-   * @param winner takes each request whose claim won; it may be dispatched
+   * @param onClaimWon is called for each request whose claim won; the request may be dispatched
+   *     then
    */
   ClaimHandler(
       VmId vm,
       String incarnation,
       OpenRequests requests,
-      ClaimRegistry book,
+      ClaimRegistry registry,
       ClaimBatcher batcher,
-      OwnOutcomes own,
-      Consumer<OpenRequest> winner,
+      OwnOutcomes localOutcomes,
+      Consumer<OpenRequest> onClaimWon,
       Consumer<DispatchCommand> out) {
     this.vm = vm.value();
     this.incarnation = incarnation;
     this.requests = requests;
-    this.book = book;
+    this.registry = registry;
     this.batcher = batcher;
-    this.own = own;
-    this.winner = winner;
+    this.localOutcomes = localOutcomes;
+    this.onClaimWon = onClaimWon;
     this.out = out;
   }
 
@@ -78,75 +83,75 @@
         .build();
   }
 
-  /** Tells whether the request's id is claimed. */
-  boolean knows(RequestFacts facts) {
-    return book.find(key(facts)).isPresent();
+  /** Returns whether the request's id is claimed. */
+  boolean isClaimed(RequestFacts facts) {
+    return registry.find(key(facts)).isPresent();
   }
 
   /**
-   * Takes a request with an id.
+   * Accepts a request with an id.
    *
-   * @param closed why no claim can be made now; empty if one can
+   * @param claimRefusal why no id can be claimed now; empty if ids can be claimed
    */
-  void arrived(OpenRequest request, Optional<RefusalReason> closed) {
-    Optional<ClaimRegistry.Claim> claim = book.find(key(request));
+  void accept(OpenRequest request, Optional<RefusalReason> claimRefusal) {
+    Optional<ClaimRegistry.Claim> claim = registry.find(key(request));
     if (claim.isPresent()) {
       follow(request, claim.get());
       return;
     }
-    if (closed.isPresent()) {
-      requests.refuse(request, closed.get(), "a request id cannot be claimed now");
+    if (claimRefusal.isPresent()) {
+      requests.refuse(request, claimRefusal.get(), "a request id cannot be claimed now");
       return;
     }
     claim(request);
   }
 
   private void claim(OpenRequest request) {
-    claimsMade++;
-    String token = incarnation + "-" + claimsMade;
+    claimCount++;
+    String token = incarnation + "-" + claimCount;
     RequestClaim claim =
         RequestClaim.newBuilder()
             .setKey(key(request))
             .setToken(token)
             .setDigest(request.facts.digest().value())
             .build();
-    if (book.full() || !batcher.claim(claim)) {
+    if (registry.isFull() || !batcher.claim(claim)) {
       requests.refuse(request, RefusalReason.QUEUE_FULL, "too many request ids are kept");
       return;
     }
     request.state = OpenRequest.State.CLAIMING;
     request.claimToken = Optional.of(token);
-    awaiting.put(token, request);
-    own.begin(claim.getKey(), token);
+    awaitingClaim.put(token, request);
+    localOutcomes.add(claim.getKey(), token);
   }
 
   @Override
-  public void claimRead(RequestKey key, String token, ClaimRegistry.Claim inForce) {
-    boolean won = inForce.token().equals(token);
-    Optional<OpenRequest> request = Optional.ofNullable(awaiting.remove(token));
+  public void claimRead(RequestKey key, String token, ClaimRegistry.Claim inEffect) {
+    boolean won = inEffect.token().equals(token);
+    Optional<OpenRequest> request = Optional.ofNullable(awaitingClaim.remove(token));
     if (request.isEmpty()) {
       if (abandoned.remove(token)) {
-        dropAbandoned(key, token, won);
+        resolveAbandoned(key, token, won);
       }
       return;
     }
     if (won) {
       request.get().claimWon = true;
-      own.won(key, token);
-      winner.accept(request.get());
+      localOutcomes.claimWon(key, token);
+      onClaimWon.accept(request.get());
       return;
     }
     request.get().claimToken = Optional.empty();
-    own.forget(key, token);
-    follow(request.get(), inForce);
+    localOutcomes.remove(key, token);
+    follow(request.get(), inEffect);
   }
 
-  private void dropAbandoned(RequestKey key, String token, boolean won) {
+  private void resolveAbandoned(RequestKey key, String token, boolean won) {
     if (won) {
       batcher.release(key, token);
       return;
     }
-    own.forget(key, token);
+    localOutcomes.remove(key, token);
   }
 
   private void follow(OpenRequest request, ClaimRegistry.Claim claim) {
@@ -156,7 +161,7 @@
       return;
     }
     Optional<RequestOutcome> outcome =
-        claim.outcome().or(() -> own.settledOutcome(key(request), claim.token()));
+        claim.outcome().or(() -> localOutcomes.recordedOutcome(key(request), claim.token()));
     if (outcome.isPresent()) {
       answer(request, outcome.get());
       return;
@@ -177,9 +182,9 @@
         new DispatchCommand.FetchOutcome(request.ticket, new VmId(claim.writer()), key(request)));
   }
 
-  /** Takes a claimant's reply; returns whether it is to be asked again later. */
-  boolean fetched(OpenRequest request, Optional<OutcomeReply> reply) {
-    Optional<ClaimRegistry.Claim> claim = book.find(key(request));
+  /** Handles a claimant's reply; returns whether the claimant must be asked again later. */
+  boolean outcomeFetched(OpenRequest request, Optional<OutcomeReply> reply) {
+    Optional<ClaimRegistry.Claim> claim = registry.find(key(request));
     if (request.state != OpenRequest.State.FOLLOWING || claim.isEmpty()) {
       return false;
     }
@@ -192,9 +197,9 @@
       answer(request, outcome.get());
       return false;
     }
-    boolean running = reply.isPresent() && reply.get().getInProgress();
-    request.fetches = running ? 0 : request.fetches + 1;
-    if (request.fetches >= MOST_FETCHES) {
+    boolean inProgress = reply.isPresent() && reply.get().getInProgress();
+    request.fetches = inProgress ? 0 : request.fetches + 1;
+    if (request.fetches >= MAX_FETCHES) {
       requests.refuse(
           request, RefusalReason.OUTCOME_UNKNOWN, "the entry VM that ran it gives no answer");
       return false;
@@ -202,12 +207,12 @@
     return true;
   }
 
-  /** Asks the claimant again. */
-  void fetchAgain(OpenRequest request) {
+  /** Asks the claimant again, if the request still waits for the outcome. */
+  void retryFetch(OpenRequest request) {
     if (!requests.isOpen(request) || request.state != OpenRequest.State.FOLLOWING) {
       return;
     }
-    book.find(key(request)).ifPresent(claim -> fetch(request, claim));
+    registry.find(key(request)).ifPresent(claim -> fetch(request, claim));
   }
 
   private void answer(OpenRequest request, RequestOutcome outcome) {
@@ -230,7 +235,7 @@
       return;
     }
     ByteString body = answered.kept() ? ByteString.copyFrom(answered.body()) : ByteString.EMPTY;
-    settle(
+    recordOutcome(
         request,
         RequestOutcome.newBuilder()
             .setKey(key(request))
@@ -242,54 +247,57 @@
             .build());
   }
 
-  private void settle(OpenRequest request, RequestOutcome outcome) {
-    request.settled = true;
-    own.settle(outcome);
+  private void recordOutcome(OpenRequest request, RequestOutcome outcome) {
+    request.outcomeRecorded = true;
+    localOutcomes.record(outcome);
     batcher.outcome(outcome);
     answerFollowers(outcome);
   }
 
   private void answerFollowers(RequestOutcome outcome) {
-    List<OpenRequest> waiting =
+    List<OpenRequest> waitingFollowers =
         Optional.ofNullable(followers.remove(outcome.getKey())).orElse(List.of());
-    for (OpenRequest follower : waiting) {
+    for (OpenRequest follower : waitingFollowers) {
       answer(follower, outcome);
     }
   }
 
-  /** Takes a request that is open no longer: its id is released, or settled as unknown. */
-  void closed(OpenRequest request) {
+  /**
+   * Handles a request that is no longer open. If its claim has no outcome yet, releases the id or,
+   * if the request may have been run, records the outcome as unknown.
+   */
+  void requestClosed(OpenRequest request) {
     unfollow(request);
-    if (request.claimToken.isEmpty() || request.settled) {
+    if (request.claimToken.isEmpty() || request.outcomeRecorded) {
       return;
     }
     String token = request.claimToken.get();
     if (request.claimWon) {
-      giveUp(request, token);
+      releaseOrRecordUnknown(request, token);
       return;
     }
-    awaiting.remove(token);
+    awaitingClaim.remove(token);
     if (batcher.withdraw(token)) {
-      own.forget(key(request), token);
+      localOutcomes.remove(key(request), token);
       return;
     }
     abandon(token);
   }
 
-  private void giveUp(OpenRequest request, String token) {
+  private void releaseOrRecordUnknown(OpenRequest request, String token) {
     if (!request.mayHaveRun) {
       batcher.release(key(request), token);
       return;
     }
-    settle(
+    recordOutcome(
         request,
         RequestOutcome.newBuilder().setKey(key(request)).setToken(token).setUnknown(true).build());
   }
 
-  /** The claim may still turn up in the log; it is released then. */
+  /** Remembers a claim that may still appear in the log, where it is then released. */
   private void abandon(String token) {
     abandoned.add(token);
-    if (abandoned.size() > MOST_ABANDONED) {
+    if (abandoned.size() > MAX_ABANDONED) {
       abandoned.remove(abandoned.iterator().next());
     }
   }
@@ -297,38 +305,39 @@
   private void unfollow(OpenRequest request) {
     followers.computeIfPresent(
         key(request),
-        (key, waiting) -> {
-          waiting.remove(request);
-          return waiting.isEmpty() ? null : waiting;
+        (key, waitingFollowers) -> {
+          waitingFollowers.remove(request);
+          return waitingFollowers.isEmpty() ? null : waitingFollowers;
         });
   }
 
   @Override
-  public void settled(RequestKey key, ClaimRegistry.Claim claim) {
+  public void outcomeRead(RequestKey key, ClaimRegistry.Claim claim) {
     answerFollowers(claim.outcome().orElseThrow());
   }
 
   @Override
-  public void released(RequestKey key, String token) {
-    own.forget(key, token);
-    List<OpenRequest> waiting = Optional.ofNullable(followers.remove(key)).orElse(List.of());
-    for (OpenRequest follower : waiting) {
+  public void claimReleased(RequestKey key, String token) {
+    localOutcomes.remove(key, token);
+    List<OpenRequest> waitingFollowers =
+        Optional.ofNullable(followers.remove(key)).orElse(List.of());
+    for (OpenRequest follower : waitingFollowers) {
       follower.fetches = 0;
       claim(follower);
     }
   }
 
-  /** Takes the end of an append. */
+  /** Handles the end of an append. */
   void appendEnded(long append, AppendResult result, long nowMillis) {
-    Optional<RequestRecord> record = batcher.ended(append);
+    Optional<RequestRecord> record = batcher.endAppend(append);
     if (record.isEmpty()) {
       return;
     }
     switch (result) {
       case AppendResult.Appended _ -> {}
-      case AppendResult.Unknown _ -> batcher.failed(record.get(), nowMillis);
+      case AppendResult.Unknown _ -> batcher.requeueFailed(record.get(), nowMillis);
       case AppendResult.NotAppended _ -> {
-        batcher.failed(record.get(), nowMillis);
+        batcher.requeueFailed(record.get(), nowMillis);
         refuseClaims(record.get());
       }
     }
@@ -337,8 +346,8 @@
   private void refuseClaims(RequestRecord record) {
     for (RequestClaim claim : record.getClaimsList()) {
       abandoned.remove(claim.getToken());
-      Optional<OpenRequest> request = Optional.ofNullable(awaiting.remove(claim.getToken()));
-      own.forget(claim.getKey(), claim.getToken());
+      Optional<OpenRequest> request = Optional.ofNullable(awaitingClaim.remove(claim.getToken()));
+      localOutcomes.remove(claim.getKey(), claim.getToken());
       if (request.isPresent()) {
         request.get().claimToken = Optional.empty();
         requests.refuse(request.get(), RefusalReason.LOG_UNAVAILABLE, "the log took no claim");
@@ -346,15 +355,18 @@
     }
   }
 
-  /** The log does not answer: what waits for its claim is refused; it will not be dispatched. */
-  void logLost() {
-    for (OpenRequest request : List.copyOf(awaiting.values())) {
+  /**
+   * Rejects all requests that wait for their claims, because the log is unreachable; they will not
+   * be dispatched.
+   */
+  void logUnreachable() {
+    for (OpenRequest request : List.copyOf(awaitingClaim.values())) {
       requests.refuse(request, RefusalReason.LOG_UNAVAILABLE, "the log does not answer");
     }
   }
 
-  /** Begins the next append, if one may begin. */
-  void append(long nowMillis) {
+  /** Begins the next append, if there is anything to append and an append may begin now. */
+  void beginAppend(long nowMillis) {
     batcher
         .next(nowMillis)
         .ifPresent(record -> out.accept(new DispatchCommand.Append(batcher.sequence(), record)));
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ClaimRegistry.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ClaimRegistry.java
@@ -14,17 +14,18 @@
 import org.fescuehook.wire.RequestRelease;
 
 /**
- * Fold of the stream {@code requests}: who claimed each request id first, and what came of it.
- * Every entry VM folds the same records to the same book. Claims expire by the log's own time.
+ * State of the request ids, built from the records of the stream {@code requests}: which claim of
+ * each id came first, and its outcome. Every entry VM applies the same records and so reaches the
+ * same state. Claims expire by the time stamps of the log, not by a local clock.
  */
 final class ClaimRegistry {
-  /** Most claims in the book before this VM makes no more. */
-  static final int MOST_CLAIMS = 100_000;
+  /** Number of registered claims from which on this VM makes no new ones. */
+  static final int MAX_CLAIMS = 100_000;
 
-  /** Most bytes of answers in the book; the oldest are dropped first. */
-  static final int MOST_BODY_BYTES = 16 << 20;
+  /** Maximum total size of stored answers; the oldest ones are dropped first. */
+  static final int MAX_BODY_BYTES = 16 << 20;
 
-  /** What is known of a request id. */
+  /** The claim in effect for a request id, and its outcome if known. */
   record Claim(
       String writer,
       String incarnation,
@@ -33,31 +34,31 @@
       long appendedMillis,
       Optional<RequestOutcome> outcome) {
 
-    private Claim at(long millis) {
+    private Claim withAppendedMillis(long millis) {
       return new Claim(writer, incarnation, token, digest, millis, outcome);
     }
 
-    private Claim with(RequestOutcome settled) {
-      return new Claim(writer, incarnation, token, digest, appendedMillis, Optional.of(settled));
+    private Claim withOutcome(RequestOutcome resolved) {
+      return new Claim(writer, incarnation, token, digest, appendedMillis, Optional.of(resolved));
     }
   }
 
-  /** Hears what the records change. */
+  /** Is notified of the changes that records make. */
   interface Listener {
-    /** A claim was read; {@code inForce} is the one that won, itself or an earlier one. */
-    void claimRead(RequestKey key, String token, Claim inForce);
+    /** A claim was read; {@code inEffect} is the claim that won: this one or an earlier one. */
+    void claimRead(RequestKey key, String token, Claim inEffect);
 
-    /** The outcome of the claim in force was read. */
-    void settled(RequestKey key, Claim claim);
+    /** The outcome of the claim in effect was read. */
+    void outcomeRead(RequestKey key, Claim claim);
 
-    /** The claim in force was given up. */
-    void released(RequestKey key, String token);
+    /** The claim in effect was released. */
+    void claimReleased(RequestKey key, String token);
   }
 
   private final long windowMillis;
-  // In the order of their times, so that the oldest come first.
+  // In the order of their time stamps, oldest first.
   private final Map<RequestKey, Claim> claims = new LinkedHashMap<>();
-  private final Deque<RequestKey> withBody = new ArrayDeque<>();
+  private final Deque<RequestKey> keysWithBody = new ArrayDeque<>();
   private long bodyBytes;
   private long logMillis;
 
@@ -65,18 +66,18 @@
     this.windowMillis = windowMillis;
   }
 
-  /** Folds a record. */
-  void fold(RequestRecord record, long appendedMillis, Listener reader) {
+  /** Applies a record. */
+  void apply(RequestRecord record, long appendedMillis, Listener listener) {
     logMillis = Math.max(logMillis, appendedMillis);
     expire();
     for (RequestClaim claim : record.getClaimsList()) {
-      fold(record, claim, reader);
+      apply(record, claim, listener);
     }
     for (RequestOutcome outcome : record.getOutcomesList()) {
-      fold(outcome, reader);
+      apply(outcome, listener);
     }
     for (RequestRelease release : record.getReleasesList()) {
-      fold(release, reader);
+      apply(release, listener);
     }
   }
 
@@ -92,8 +93,8 @@
     }
   }
 
-  private void fold(RequestRecord record, RequestClaim claim, Listener reader) {
-    Claim fresh =
+  private void apply(RequestRecord record, RequestClaim claim, Listener listener) {
+    Claim newClaim =
         new Claim(
             record.getWriter(),
             record.getIncarnation(),
@@ -101,27 +102,28 @@
             new RequestDigest(claim.getDigest()),
             logMillis,
             Optional.empty());
-    // Every claim of a key, also one that loses, keeps the key taken for another window. Else a VM
-    // that began reading after the first one vanished would let a later claim win than the others.
+    // Every claim of a key, even one that loses, extends the claim in effect by another window.
+    // Otherwise a VM that began to read after the first claim had been deleted from the log would
+    // let a later claim win than the other VMs do.
     Optional<Claim> earlier = Optional.ofNullable(claims.remove(claim.getKey()));
-    Claim inForce = earlier.map(e -> e.at(logMillis)).orElse(fresh);
-    claims.put(claim.getKey(), inForce);
-    reader.claimRead(claim.getKey(), claim.getToken(), inForce);
+    Claim inEffect = earlier.map(e -> e.withAppendedMillis(logMillis)).orElse(newClaim);
+    claims.put(claim.getKey(), inEffect);
+    listener.claimRead(claim.getKey(), claim.getToken(), inEffect);
   }
 
-  private void fold(RequestOutcome outcome, Listener reader) {
+  private void apply(RequestOutcome outcome, Listener listener) {
     Optional<Claim> claim = find(outcome.getKey());
-    boolean counts =
+    boolean applies =
         claim.isPresent()
             && claim.get().token().equals(outcome.getToken())
             && claim.get().outcome().isEmpty();
-    if (!counts) {
+    if (!applies) {
       return;
     }
-    Claim settled = claim.get().with(outcome);
-    claims.put(outcome.getKey(), settled);
+    Claim resolved = claim.get().withOutcome(outcome);
+    claims.put(outcome.getKey(), resolved);
     keepBody(outcome);
-    reader.settled(outcome.getKey(), settled);
+    listener.outcomeRead(outcome.getKey(), resolved);
   }
 
   private void keepBody(RequestOutcome outcome) {
@@ -129,9 +131,9 @@
       return;
     }
     bodyBytes += outcome.getBody().size();
-    withBody.addLast(outcome.getKey());
-    while (bodyBytes > MOST_BODY_BYTES && !withBody.isEmpty()) {
-      dropBody(withBody.removeFirst());
+    keysWithBody.addLast(outcome.getKey());
+    while (bodyBytes > MAX_BODY_BYTES && !keysWithBody.isEmpty()) {
+      dropBody(keysWithBody.removeFirst());
     }
   }
 
@@ -142,35 +144,35 @@
       return;
     }
     bodyBytes -= outcome.get().getBody().size();
-    RequestOutcome bare =
+    RequestOutcome withoutBody =
         outcome.get().toBuilder().setBody(ByteString.EMPTY).setWhole(false).build();
-    claims.put(key, claim.get().with(bare));
+    claims.put(key, claim.get().withOutcome(withoutBody));
   }
 
-  private void fold(RequestRelease release, Listener reader) {
+  private void apply(RequestRelease release, Listener listener) {
     Optional<Claim> claim = find(release.getKey());
-    boolean counts =
+    boolean applies =
         claim.isPresent()
             && claim.get().token().equals(release.getToken())
             && claim.get().outcome().isEmpty();
-    if (!counts) {
+    if (!applies) {
       return;
     }
     claims.remove(release.getKey());
-    reader.released(release.getKey(), release.getToken());
+    listener.claimReleased(release.getKey(), release.getToken());
   }
 
-  /** Returns the claim in force for a request id. */
+  /** Returns the claim in effect for a request id. */
   Optional<Claim> find(RequestKey key) {
     return Optional.ofNullable(claims.get(key));
   }
 
-  /** Tells whether the book has no room for claims of this VM. */
-  boolean full() {
-    return claims.size() >= MOST_CLAIMS;
+  /** Returns whether this VM must not make new claims because the registry is full. */
+  boolean isFull() {
+    return claims.size() >= MAX_CLAIMS;
   }
 
-  /** Returns the latest time of the log that was read. */
+  /** Returns the latest time stamp read from the log. */
   long logMillis() {
     return logMillis;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/DelayedTasks.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/DelayedTasks.java
@@ -3,19 +3,19 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Tasks of the dispatch core that become due with time. */
+/** Tasks that the dispatch core runs after a delay, in the order in which they are due. */
 final class DelayedTasks {
-  private record Task(long dueMillis, long order, Runnable action) {}
+  private record Task(long dueMillis, long sequence, Runnable action) {}
 
   private final PriorityQueue<Task> tasks =
-      new PriorityQueue<>(Comparator.comparingLong(Task::dueMillis).thenComparing(Task::order));
-  private long order;
+      new PriorityQueue<>(Comparator.comparingLong(Task::dueMillis).thenComparing(Task::sequence));
+  private long sequence;
 
-  void after(long nowMillis, long delayMillis, Runnable action) {
-    tasks.add(new Task(nowMillis + delayMillis, order++, action));
+  void schedule(long nowMillis, long delayMillis, Runnable action) {
+    tasks.add(new Task(nowMillis + delayMillis, sequence++, action));
   }
 
-  /** Runs what is due. */
+  /** Runs all tasks that are due. */
   void run(long nowMillis) {
     while (!tasks.isEmpty() && tasks.peek().dueMillis() <= nowMillis) {
       tasks.poll().action().run();
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/DispatchCommand.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/DispatchCommand.java
@@ -7,51 +7,51 @@
 import org.fescuehook.wire.RequestKey;
 import org.fescuehook.wire.RequestRecord;
 
-/** What the dispatch core wants done. */
+/** An action that the dispatch core requests. */
 public sealed interface DispatchCommand {
 
   /**
-   * Send a request to an executor.
+   * Sends a request to an executor.
    *
-   * @param token unique for this dispatch
-   * @param progressMillis longest time without a sign of life on a pooled connection; 0 for none
+   * @param token unique identifier of this dispatch
+   * @param progressMillis maximum time without progress on a pooled connection; 0 for no limit
    */
   record Send(long ticket, ExecutorId executor, String token, long progressMillis)
       implements DispatchCommand {}
 
   /**
-   * Answer a request with a refusal.
+   * Rejects a request.
    *
-   * @param retryAfterSeconds when to come back; 0 for no advice
+   * @param retryAfterSeconds time after which the caller may retry; 0 for no advice
    */
   record Refuse(long ticket, RefusalReason reason, String detail, int retryAfterSeconds)
       implements DispatchCommand {}
 
-  /** Answer a request with the recorded answer to an earlier one with the same id. */
+  /** Answers a request with the recorded answer to an earlier request with the same id. */
   record AnswerRecorded(long ticket, int status, String contentType, byte[] body)
       implements DispatchCommand {}
 
-  /** Forget a request: its answer was passed on, or its caller is gone. */
+  /** Releases a request whose answer was passed on or whose caller is gone. */
   record Finish(long ticket) implements DispatchCommand {}
 
-  /** Append a record to the stream {@code requests}. */
+  /** Appends a record to the stream {@code requests}. */
   record Append(long append, RequestRecord record) implements DispatchCommand {}
 
-  /** Ask the claimant of a request id for its outcome. */
+  /** Asks the VM that claimed a request id for the outcome. */
   record FetchOutcome(long ticket, VmId claimant, RequestKey key) implements DispatchCommand {}
 
-  /** Open a fresh connection to an executor, to see whether it can be reached. */
+  /** Opens a new connection to an executor to check whether it can be reached. */
   record CheckPath(ExecutorId executor) implements DispatchCommand {}
 
-  /** Close the idle connections to an executor. */
+  /** Closes the idle connections to an executor. */
   record CloseIdle(ExecutorId executor) implements DispatchCommand {}
 
-  /** Count a retry. */
+  /** Counts a retry. */
   record CountRetry(RetryReason reason) implements DispatchCommand {}
 
-  /** Count one under a metric name, with tag pairs. */
+  /** Increments a counter, given by its metric name and pairs of tag name and value. */
   record Count(String name, String... tags) implements DispatchCommand {}
 
-  /** Write a log line. */
+  /** Writes a log line. */
   record Note(NumberedEvent event, Object... arguments) implements DispatchCommand {}
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/DispatchCore.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/DispatchCore.java
@@ -17,8 +17,9 @@
 import org.fescuehook.wire.SlotShares;
 
 /**
- * Decides on short requests: takes them in or refuses them, claims ids, chooses executors, retries.
- * Has no thread and no clock: one thread hands in events with the time.
+ * Decides on short requests: accepts or rejects them, claims their ids, chooses executors, and
+ * retries. Has neither a thread nor a clock of its own: a single thread passes in each event with
+ * the current time.
  */
 public final class DispatchCore {
   private final OpenRequests requests;
@@ -27,7 +28,7 @@
   private final ClaimHandler claims;
   private final ClaimBatcher batcher;
   private final RequestStreamReader stream;
-  private final DelayedTasks delayed = new DelayedTasks();
+  private final DelayedTasks delayedTasks = new DelayedTasks();
   private Map<OrganisationId, Organisation> organisations = Map.of();
   private boolean ready;
   private RefusalReason whyNotReady = RefusalReason.NOT_READY;
@@ -36,32 +37,42 @@
   /**
    * Creates the core.
    *
-   * @param incarnation distinguishes starts of the same VM
-   * @param own where peers look up what this VM knows
+   * @param incarnation identifies this process among successive processes of the same VM
+   * @param localOutcomes receives the outcomes of ids that this VM claimed; peers look them up
+   *     there
    * @param random source of jitter
-   * @param out takes commands, in their order
+   * @param out receives the commands in order
    */
   public DispatchCore(
       IdentityPreferences identity,
       String incarnation,
       RequestPreferences preferences,
-      OwnOutcomes own,
+      OwnOutcomes localOutcomes,
       RandomGenerator random,
       Consumer<DispatchCommand> out) {
-    ClaimRegistry book = new ClaimRegistry(preferences.claimWindow().toMillis());
-    this.requests = new OpenRequests(out, random, this::closed);
+    ClaimRegistry registry = new ClaimRegistry(preferences.claimWindow().toMillis());
+    this.requests = new OpenRequests(out, random, this::requestClosed);
     this.executors = new ExecutorTable(identity.vm(), identity.domain());
     this.batcher = new ClaimBatcher(identity.vm().value(), incarnation);
     this.claims =
-        new ClaimHandler(identity.vm(), incarnation, requests, book, batcher, own, this::won, out);
+        new ClaimHandler(
+            identity.vm(),
+            incarnation,
+            requests,
+            registry,
+            batcher,
+            localOutcomes,
+            this::claimWon,
+            out);
     this.slots =
         new SlotDispatcher(
-            preferences, incarnation, requests, executors, claims, delayed, random, out);
-    this.stream = new RequestStreamReader(book, claims, preferences.claimWindow().toMillis(), out);
+            preferences, incarnation, requests, executors, claims, delayedTasks, random, out);
+    this.stream =
+        new RequestStreamReader(registry, claims, preferences.claimWindow().toMillis(), out);
   }
 
   /**
-   * Takes an event.
+   * Handles an event.
    *
    * @param nowMillis monotonic time
    */
@@ -73,15 +84,16 @@
       case DispatchEvent.DispatchEnded ended ->
           requests
               .find(ended.ticket())
-              .ifPresent(request -> slots.ended(request, ended.end(), ended.tookMillis(), now));
+              .ifPresent(
+                  request -> slots.dispatchEnded(request, ended.end(), ended.tookMillis(), now));
       case DispatchEvent.PathSuspected suspected -> slots.pathSuspected(suspected.executor());
       case DispatchEvent.PathChecked checked ->
           slots.pathChecked(checked.executor(), checked.reachable(), now);
       case DispatchEvent.Configured configured -> configured(configured.configuration());
       case DispatchEvent.Shared shared -> shared(shared.shares());
-      case DispatchEvent.Leaving leaving -> executors.leaving(leaving.executors());
+      case DispatchEvent.Leaving leaving -> executors.setLeaving(leaving.executors());
       case DispatchEvent.RecordRead read -> stream.read(read.record());
-      case DispatchEvent.CaughtUp _ -> stream.caughtUp();
+      case DispatchEvent.CaughtUp _ -> stream.setCaughtUp();
       case DispatchEvent.LogReachable reachable -> logReachable(reachable.reachable());
       case DispatchEvent.AppendEnded ended ->
           claims.appendEnded(ended.append(), ended.result(), now);
@@ -92,20 +104,21 @@
       }
       case DispatchEvent.Tick() -> tick();
     }
-    claims.append(now);
+    claims.beginAppend(now);
   }
 
   private void arrived(long ticket, RequestFacts facts) {
-    // What is known of an id is told whatever the load: a refusal as not run would mislead.
-    boolean known = facts.claimed() && claims.knows(facts);
+    // A request with a claimed id is answered from the claim even under overload or before this VM
+    // is ready: rejecting it as not run would be wrong, as the id's first request may have run.
+    boolean alreadyClaimed = facts.claimed() && claims.isClaimed(facts);
     Optional<RefusalReason> refusal = refusal(facts);
-    if (refusal.isPresent() && !known) {
-      requests.refuseUnopened(ticket, refusal.get(), detail(refusal.get()));
+    if (refusal.isPresent() && !alreadyClaimed) {
+      requests.refuseUnaccepted(ticket, refusal.get(), detail(refusal.get()));
       return;
     }
     OpenRequest request = requests.add(ticket, facts);
     if (facts.claimed()) {
-      claims.arrived(request, stream.closed());
+      claims.accept(request, stream.claimRefusal());
       return;
     }
     slots.enqueue(request, now);
@@ -115,7 +128,7 @@
     if (!ready) {
       return Optional.of(whyNotReady);
     }
-    if (!executors.shared()) {
+    if (!executors.hasShares()) {
       return Optional.of(RefusalReason.NOT_READY);
     }
     Optional<Organisation> organisation =
@@ -129,7 +142,7 @@
     if (requests.inFlight(facts.organisation()) >= organisation.get().requestShare()) {
       return Optional.of(RefusalReason.ORGANISATION_SHARE);
     }
-    return slots.hopeless(facts, now);
+    return slots.refusalOnArrival(facts, now);
   }
 
   private static String detail(RefusalReason reason) {
@@ -144,12 +157,12 @@
     };
   }
 
-  private void won(OpenRequest request) {
+  private void claimWon(OpenRequest request) {
     slots.enqueue(request, now);
   }
 
-  private void closed(OpenRequest request) {
-    claims.closed(request);
+  private void requestClosed(OpenRequest request) {
+    claims.requestClosed(request);
   }
 
   private void cancelled(long ticket) {
@@ -159,7 +172,7 @@
     }
     request.get().cancelled = true;
     if (request.get().state == OpenRequest.State.SENT) {
-      // The executor may be running it; its end is awaited, for the slot and for the record.
+      // The executor may be running it; waits for its end to free the slot and record the outcome.
       return;
     }
     if (request.get().state == OpenRequest.State.QUEUED) {
@@ -176,57 +189,58 @@
       weights.put(organisation.id(), organisation.weight());
     }
     organisations = Map.copyOf(declared);
-    slots.weigh(weights);
+    slots.setWeights(weights);
     executors.configure(configuration.declarations().fleet().executors(), now);
     slots.dispatchWaiting(now);
   }
 
   private void shared(SlotShares shares) {
-    executors.share(shares, now);
+    executors.setShares(shares, now);
     Set<String> vms = new HashSet<>();
     shares.getSharesList().forEach(share -> vms.add(share.getVm()));
-    batcher.shareAmong(vms.size());
+    batcher.setVmCount(vms.size());
     slots.dispatchWaiting(now);
   }
 
   private void logReachable(boolean reachable) {
-    stream.reachable(reachable);
+    stream.setReachable(reachable);
     if (!reachable) {
-      claims.logLost();
+      claims.logUnreachable();
     }
   }
 
   private void outcomeFetched(DispatchEvent.OutcomeFetched fetched) {
     Optional<OpenRequest> request = requests.find(fetched.ticket());
-    if (request.isEmpty() || !claims.fetched(request.get(), fetched.reply())) {
+    if (request.isEmpty() || !claims.outcomeFetched(request.get(), fetched.reply())) {
       return;
     }
-    delayed.after(now, ClaimHandler.FETCH_AGAIN_MILLIS, () -> claims.fetchAgain(request.get()));
+    delayedTasks.schedule(
+        now, ClaimHandler.FETCH_RETRY_MILLIS, () -> claims.retryFetch(request.get()));
   }
 
   private void tick() {
-    delayed.run(now);
-    for (OpenRequest request : requests.overdue(now)) {
+    delayedTasks.run(now);
+    for (OpenRequest request : requests.expired(now)) {
       if (request.state == OpenRequest.State.QUEUED) {
         slots.remove(request);
       }
-      requests.refuse(request, overdue(request), "the deadline passed");
+      requests.refuse(request, expiryReason(request), "the deadline passed");
     }
     slots.dispatchWaiting(now);
   }
 
-  private static RefusalReason overdue(OpenRequest request) {
+  private static RefusalReason expiryReason(OpenRequest request) {
     return request.state == OpenRequest.State.FOLLOWING
         ? RefusalReason.IN_PROGRESS
         : RefusalReason.DEADLINE_BEFORE_DISPATCH;
   }
 
-  /** Returns how many outcomes and releases are not yet known to be in the log. */
+  /** Returns the number of outcomes and releases that are not yet known to be in the log. */
   public int unrecorded() {
-    return batcher.unrecorded();
+    return batcher.unconfirmedCount();
   }
 
-  /** Returns the connections that may be open to each executor now. */
+  /** Returns the maximum number of connections to each executor at this time. */
   public Map<ExecutorId, Integer> connectionLimits() {
     return executors.connectionLimits(now);
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/DispatchEnd.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/DispatchEnd.java
@@ -1,14 +1,14 @@
 package org.fescuehook.logic.dispatch;
 
-/** How one dispatch of a request to an executor ended. */
+/** Result of one dispatch of a request to an executor. */
 public sealed interface DispatchEnd {
 
   /**
-   * A whole answer came.
+   * A complete answer was received.
    *
-   * @param contentType its content type, empty if it named none
-   * @param body its body if it is small and the request has an id, else empty
-   * @param kept whether {@code body} is the whole body
+   * @param contentType content type of the answer; empty if it has none
+   * @param body body of the answer if it is small and the request's id was claimed, else empty
+   * @param kept whether {@code body} is the complete body
    */
   record Answered(int status, String contentType, byte[] body, boolean kept)
       implements DispatchEnd {}
@@ -16,39 +16,42 @@
   /** No byte of the request was written to a connection. */
   record NotSent(NotSentCause cause) implements DispatchEnd {}
 
-  /** The executor answered that it has not run the request. */
+  /** The executor answered that it did not run the request. */
   record RefusedNotRun() implements DispatchEnd {}
 
   /**
-   * A byte may have been written and no whole answer came.
+   * Part of the request may have been written, and no complete answer was received.
    *
-   * @param answerStarted whether a part of the answer was passed on to the caller
+   * @param answerStarted whether part of the answer was passed on to the caller
    * @param freshConnection whether the connection was opened for this request
    */
   record Failed(FailureKind kind, boolean answerStarted, boolean freshConnection)
       implements DispatchEnd {}
 
-  /** Why nothing was written. */
+  /** Why no byte of the request was written. */
   enum NotSentCause {
-    /** The executor accepted no connection. */
+    /** The connection to the executor could not be opened. */
     CONNECT_FAILED,
     /** All connections that this VM may open to the executor are in use. */
     NO_CONNECTION,
-    /** The pooled connection turned out to be closed. */
+    /** The pooled connection was already closed. */
     CONNECTION_CLOSED,
-    /** The deadline passed before the write. */
+    /** The deadline passed before the request was written. */
     DEADLINE
   }
 
-  /** What went wrong after the write. */
+  /** What failed after the request was written. */
   enum FailureKind {
-    /** The connection broke. */
+    /** The connection was lost. */
     CONNECTION_LOST,
-    /** The answer was malformed, cut, not delimited, or another request's. */
+    /**
+     * The answer was malformed, truncated, without a delimited length, or belonged to another
+     * request.
+     */
     BAD_ANSWER,
     /** The deadline passed. */
     DEADLINE,
-    /** A pooled connection gave no sign of life within the progress deadline. */
+    /** A pooled connection made no progress within the time allowed for it. */
     NO_PROGRESS
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/DispatchEvent.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/DispatchEvent.java
@@ -10,10 +10,10 @@
 import org.fescuehook.wire.OutcomeReply;
 import org.fescuehook.wire.SlotShares;
 
-/** What the dispatch core reacts to. */
+/** An event that the dispatch core handles. */
 public sealed interface DispatchEvent {
 
-  /** A caller sent a whole request. */
+  /** A caller's request arrived completely. */
   record Arrived(long ticket, RequestFacts facts) implements DispatchEvent {}
 
   /** The caller of a request is gone. */
@@ -22,39 +22,41 @@
   /** A dispatch ended. */
   record DispatchEnded(long ticket, DispatchEnd end, long tookMillis) implements DispatchEvent {}
 
-  /** A pooled connection to an executor gave no sign of life. */
+  /** A pooled connection to an executor made no progress. */
   record PathSuspected(ExecutorId executor) implements DispatchEvent {}
 
-  /** A fresh connection to an executor was tried. */
+  /** The attempt to open a new connection to an executor ended. */
   record PathChecked(ExecutorId executor, boolean reachable) implements DispatchEvent {}
 
-  /** A configuration came in force. */
+  /** A configuration took effect. */
   record Configured(Configuration configuration) implements DispatchEvent {}
 
-  /** Shares of executors' slots came in force. */
+  /** Shares of the executors' slots were announced. */
   record Shared(SlotShares shares) implements DispatchEvent {}
 
-  /** These executors, and no others, are leaving. */
+  /** The set of leaving executors changed to {@code executors}. */
   record Leaving(Set<ExecutorId> executors) implements DispatchEvent {}
 
-  /** A record of the stream {@code requests}, in the order of offsets. */
+  /**
+   * A record of the stream {@code requests} was read; records come in the order of their offsets.
+   */
   record RecordRead(LogRecord record) implements DispatchEvent {}
 
   /** A read reached the end of the stream {@code requests}. */
   record CaughtUp(long earliest, long next) implements DispatchEvent {}
 
-  /** The log answers, or does not. */
+  /** The log became reachable or unreachable. */
   record LogReachable(boolean reachable) implements DispatchEvent {}
 
   /** An append ended. */
   record AppendEnded(long append, LogAppender.AppendResult result) implements DispatchEvent {}
 
-  /** A peer was asked for an outcome; empty if it gave no answer. */
+  /** A peer's reply to the request for an outcome; empty if it gave none. */
   record OutcomeFetched(long ticket, Optional<OutcomeReply> reply) implements DispatchEvent {}
 
-  /** The path opened or closed for new requests. */
+  /** The VM started or stopped accepting new requests. */
   record Ready(boolean ready, RefusalReason why) implements DispatchEvent {}
 
-  /** Time has passed. */
+  /** Triggers the tasks that are due; sent at regular intervals. */
   record Tick() implements DispatchEvent {}
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/EffectiveShare.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/EffectiveShare.java
@@ -1,34 +1,34 @@
 package org.fescuehook.logic.dispatch;
 
 /**
- * This VM's share of an executor's slots or connections: lowered at once, raised only after a
- * settling time.
+ * This VM's share of an executor's slots or connections. A lower announced share takes effect at
+ * once, a higher one only after a delay, in which the other VMs lower theirs.
  */
 final class EffectiveShare {
-  private int inForce;
+  private int effective;
   private int announced;
   private long raiseAtMillis;
 
-  /** Takes an announced share. */
-  void announce(int slots, long nowMillis, long settleMillis) {
-    settle(nowMillis);
-    announced = slots;
-    if (slots <= inForce) {
-      inForce = slots;
+  /** Sets a new announced share. */
+  void announce(int share, long nowMillis, long raiseDelayMillis) {
+    applyDueRaise(nowMillis);
+    announced = share;
+    if (share <= effective) {
+      effective = share;
       return;
     }
-    raiseAtMillis = nowMillis + settleMillis;
+    raiseAtMillis = nowMillis + raiseDelayMillis;
   }
 
-  /** Returns the share that may be used. */
-  int slots(long nowMillis) {
-    settle(nowMillis);
-    return inForce;
+  /** Returns the share that this VM may use now. */
+  int effective(long nowMillis) {
+    applyDueRaise(nowMillis);
+    return effective;
   }
 
-  private void settle(long nowMillis) {
-    if (announced > inForce && nowMillis >= raiseAtMillis) {
-      inForce = announced;
+  private void applyDueRaise(long nowMillis) {
+    if (announced > effective && nowMillis >= raiseAtMillis) {
+      effective = announced;
     }
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ExecutorHealth.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ExecutorHealth.java
@@ -1,41 +1,44 @@
 package org.fescuehook.logic.dispatch;
 
 /**
- * Judges one executor by how its dispatches ended: ejected after failures in a row, for a time that
- * doubles, and let back slowly.
+ * Health of one executor, derived from the results of its dispatches. After consecutive failures
+ * the executor is ejected, for a time that doubles with each ejection in a row; afterwards the
+ * number of its usable slots increases slowly.
  */
 final class ExecutorHealth {
   static final int FAILURES_TO_EJECT = 3;
   static final long FIRST_EJECTION_MILLIS = 2_000;
-  static final long LONGEST_EJECTION_MILLIS = 60_000;
+  static final long MAX_EJECTION_MILLIS = 60_000;
   static final long SLOW_START_MILLIS = 10_000;
 
   static final int REACHABLE_FAILURES_TO_EJECT = 2;
   static final long PAUSE_MILLIS = 50;
 
-  private int failures;
+  private int consecutiveFailures;
   private int reachableFailures;
-  private long pausedUntil;
+  private long pausedUntilMillis;
   private int ejections;
-  private long ejectedUntil;
+  private long ejectedUntilMillis;
   private boolean checking;
 
-  /** Notes a success. */
+  /** Records a success. */
   void succeeded(long nowMillis) {
-    failures = 0;
+    consecutiveFailures = 0;
     reachableFailures = 0;
-    if (nowMillis - ejectedUntil > SLOW_START_MILLIS) {
+    if (nowMillis - ejectedUntilMillis > SLOW_START_MILLIS) {
       ejections = 0;
     }
   }
 
-  /** Notes a failure; true if there are now enough in a row to eject. */
+  /**
+   * Records a failure; returns whether there are now enough consecutive failures for an ejection.
+   */
   boolean failed() {
-    failures++;
-    return failures >= FAILURES_TO_EJECT;
+    consecutiveFailures++;
+    return consecutiveFailures >= FAILURES_TO_EJECT;
   }
 
-  /** Notes that a fresh connection is being tried; false if one is already. */
+  /** Begins a check with a new connection; returns false if one is already in progress. */
   boolean beginCheck() {
     if (checking) {
       return false;
@@ -45,50 +48,52 @@
   }
 
   /**
-   * Notes how trying a fresh connection ended; true if the executor is to be ejected. One that
-   * takes connections gets a second chance, since its pooled connections may be what failed.
+   * Ends a check with a new connection; returns whether the executor must be ejected. An executor
+   * that accepts a connection gets a second chance, because only its pooled connections may have
+   * failed.
    */
   boolean checked(boolean reachable) {
     checking = false;
     if (!reachable) {
       return true;
     }
-    if (failures < FAILURES_TO_EJECT) {
+    if (consecutiveFailures < FAILURES_TO_EJECT) {
       return false;
     }
-    failures = 0;
+    consecutiveFailures = 0;
     reachableFailures++;
     return reachableFailures >= REACHABLE_FAILURES_TO_EJECT;
   }
 
-  /** Sends nothing for a moment: the executor said that it has no free slot. */
+  /** Pauses dispatches for a short time because the executor reported that it has no free slot. */
   void pause(long nowMillis) {
-    pausedUntil = nowMillis + PAUSE_MILLIS;
+    pausedUntilMillis = nowMillis + PAUSE_MILLIS;
   }
 
-  boolean paused(long nowMillis) {
-    return nowMillis < pausedUntil;
+  boolean isPaused(long nowMillis) {
+    return nowMillis < pausedUntilMillis;
   }
 
-  /** Ejects it; each time in a row lasts twice as long. */
+  /** Ejects the executor and returns for how long; each ejection in a row lasts twice as long. */
   long eject(long nowMillis) {
-    long lasts = Math.min(LONGEST_EJECTION_MILLIS, FIRST_EJECTION_MILLIS << Math.min(5, ejections));
+    long durationMillis =
+        Math.min(MAX_EJECTION_MILLIS, FIRST_EJECTION_MILLIS << Math.min(5, ejections));
     ejections++;
-    failures = FAILURES_TO_EJECT - 1;
-    ejectedUntil = nowMillis + lasts;
-    return lasts;
+    consecutiveFailures = FAILURES_TO_EJECT - 1;
+    ejectedUntilMillis = nowMillis + durationMillis;
+    return durationMillis;
   }
 
-  boolean ejected(long nowMillis) {
-    return nowMillis < ejectedUntil;
+  boolean isEjected(long nowMillis) {
+    return nowMillis < ejectedUntilMillis;
   }
 
-  /** Returns how many of {@code slots} may be used, fewer for a while after an ejection. */
-  int allowed(int slots, long nowMillis) {
-    if (ejections == 0 || nowMillis - ejectedUntil >= SLOW_START_MILLIS) {
+  /** Returns how many of {@code slots} may be used; fewer for some time after an ejection. */
+  int allowedSlots(int slots, long nowMillis) {
+    if (ejections == 0 || nowMillis - ejectedUntilMillis >= SLOW_START_MILLIS) {
       return slots;
     }
-    long since = Math.max(0, nowMillis - ejectedUntil);
-    return (int) Math.max(1, slots * since / SLOW_START_MILLIS);
+    long sinceEjectionMillis = Math.max(0, nowMillis - ejectedUntilMillis);
+    return (int) Math.max(1, slots * sinceEjectionMillis / SLOW_START_MILLIS);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ExecutorTable.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ExecutorTable.java
@@ -14,31 +14,34 @@
 import org.fescuehook.wire.SlotShare;
 import org.fescuehook.wire.SlotShares;
 
-/** The executors as this VM sees them: shares, load, health. Chooses one for a request. */
+/**
+ * The executors with this VM's shares of them, their load and their health. Chooses the executor
+ * for a request.
+ */
 final class ExecutorTable {
-  /** Largest share of the executors that may be ejected at once. */
-  static final double EJECTION_CAP = 0.5;
+  /** Maximum fraction of the executors that may be ejected at the same time. */
+  static final double MAX_EJECTED_FRACTION = 0.5;
 
-  /** Load by which an executor in another failure domain has to be better. */
+  /** Added to the load of executors in other failure domains when they are compared. */
   private static final double OTHER_DOMAIN_PENALTY = 0.5;
 
-  /** One in so many slots is kept for urgent requests. */
-  private static final int URGENT_SHARE = 8;
+  /** One of this many slots is reserved for urgent requests. */
+  private static final int URGENT_SLOT_DIVISOR = 8;
 
   private final VmId vm;
   private final FailureDomain domain;
   private final Map<ExecutorId, Entry> entries = new HashMap<>();
   private Map<ExecutorId, SlotShare> shares = Map.of();
   private Set<ExecutorId> leaving = Set.of();
-  private boolean shared;
-  private int turn;
+  private boolean hasShares;
+  private int rotation;
 
   ExecutorTable(VmId vm, FailureDomain domain) {
     this.vm = vm;
     this.domain = domain;
   }
 
-  /** Takes the declared executors; what is known of those that stay is kept. */
+  /** Sets the declared executors; keeps the state of executors that were declared before. */
   void configure(List<Executor> executors, long nowMillis) {
     Set<ExecutorId> declared = new HashSet<>();
     for (Executor executor : executors) {
@@ -56,42 +59,43 @@
     entries.values().removeIf(entry -> entry.declared.isEmpty() && entry.inUse == 0);
   }
 
-  /** Takes shares of slots. */
-  void share(SlotShares announced, long nowMillis) {
-    Map<ExecutorId, SlotShare> own = new HashMap<>();
-    for (SlotShare share : announced.getSharesList()) {
-      if (share.getVm().equals(vm.value())) {
-        own.put(new ExecutorId(share.getExecutor()), share);
+  /** Sets the announced shares of slots and connections. */
+  void setShares(SlotShares announced, long nowMillis) {
+    Map<ExecutorId, SlotShare> ownShares = new HashMap<>();
+    for (SlotShare slotShare : announced.getSharesList()) {
+      if (slotShare.getVm().equals(vm.value())) {
+        ownShares.put(new ExecutorId(slotShare.getExecutor()), slotShare);
       }
     }
-    shares = Map.copyOf(own);
+    shares = Map.copyOf(ownShares);
     long settleMillis = announced.getSettleMillis();
     entries.forEach((id, entry) -> announce(id, entry, nowMillis, settleMillis));
-    shared = true;
+    hasShares = true;
   }
 
   private void announce(ExecutorId id, Entry entry, long nowMillis, long settleMillis) {
-    Optional<SlotShare> own = Optional.ofNullable(shares.get(id));
-    entry.share.announce(own.map(s -> s.getSlots()).orElse(0), nowMillis, settleMillis);
-    entry.connections.announce(own.map(s -> s.getConnections()).orElse(0), nowMillis, settleMillis);
+    Optional<SlotShare> ownShares = Optional.ofNullable(shares.get(id));
+    entry.slotShare.announce(ownShares.map(s -> s.getSlots()).orElse(0), nowMillis, settleMillis);
+    entry.connectionShare.announce(
+        ownShares.map(s -> s.getConnections()).orElse(0), nowMillis, settleMillis);
   }
 
-  /** Tells whether shares were ever announced. */
-  boolean shared() {
-    return shared;
+  /** Returns whether shares have been announced. */
+  boolean hasShares() {
+    return hasShares;
   }
 
-  void leaving(Set<ExecutorId> executors) {
+  void setLeaving(Set<ExecutorId> executors) {
     leaving = Set.copyOf(executors);
   }
 
   /**
-   * Chooses the executor for a request and takes a slot of it.
+   * Chooses an executor for a request and occupies one of its slots.
    *
-   * @param tried executors that are taken only if no other can be used at all
+   * @param tried executors that are chosen only if no other executor is usable at all
    */
-  Optional<ExecutorId> take(boolean urgent, Collection<ExecutorId> tried, long nowMillis) {
-    if (!hasFree(urgent, nowMillis)) {
+  Optional<ExecutorId> acquire(boolean urgent, Collection<ExecutorId> tried, long nowMillis) {
+    if (!hasFreeSlot(urgent, nowMillis)) {
       return Optional.empty();
     }
     Collection<ExecutorId> excluded = othersUsable(tried, nowMillis) ? tried : List.of();
@@ -113,11 +117,11 @@
   private Optional<ExecutorId> choose(Collection<ExecutorId> excluded, long nowMillis) {
     Optional<ExecutorId> best = Optional.empty();
     double bestScore = Double.MAX_VALUE;
-    turn++;
+    rotation++;
     for (Map.Entry<ExecutorId, Entry> candidate : entries.entrySet()) {
       Entry entry = candidate.getValue();
       int slots = usableSlots(candidate.getKey(), entry, nowMillis);
-      boolean free = entry.inUse < slots && !entry.health.paused(nowMillis);
+      boolean free = entry.inUse < slots && !entry.health.isPaused(nowMillis);
       if (!free || excluded.contains(candidate.getKey())) {
         continue;
       }
@@ -130,22 +134,25 @@
     return best;
   }
 
-  /** Load, then domain; equal ones take turns. */
+  /**
+   * Returns the executor's load, plus a penalty for another failure domain and a small value that
+   * rotates among executors of equal load.
+   */
   private double score(ExecutorId id, Entry entry, int slots) {
     double load = (double) entry.inUse / slots;
-    boolean own = entry.declared.orElseThrow().domain().equals(domain);
-    double spread = Math.floorMod(id.hashCode() * 31 + turn * 0x9E3779B9, 1024) / 1e6;
-    return load + (own ? 0 : OTHER_DOMAIN_PENALTY) + spread;
+    boolean ownShares = entry.declared.orElseThrow().domain().equals(domain);
+    double spread = Math.floorMod(id.hashCode() * 31 + rotation * 0x9E3779B9, 1024) / 1e6;
+    return load + (ownShares ? 0 : OTHER_DOMAIN_PENALTY) + spread;
   }
 
   private int usableSlots(ExecutorId id, Entry entry, long nowMillis) {
-    if (entry.declared.isEmpty() || leaving.contains(id) || entry.health.ejected(nowMillis)) {
+    if (entry.declared.isEmpty() || leaving.contains(id) || entry.health.isEjected(nowMillis)) {
       return 0;
     }
-    return entry.health.allowed(entry.share.slots(nowMillis), nowMillis);
+    return entry.health.allowedSlots(entry.slotShare.effective(nowMillis), nowMillis);
   }
 
-  /** Returns the slots that may be used now, busy or not. */
+  /** Returns the number of slots that this VM may use now, including busy ones. */
   int totalSlots(long nowMillis) {
     int total = 0;
     for (Map.Entry<ExecutorId, Entry> entry : entries.entrySet()) {
@@ -154,24 +161,27 @@
     return total;
   }
 
-  /** Tells whether a request of the class may be sent now; some slots are kept for urgent ones. */
-  boolean hasFree(boolean urgent, long nowMillis) {
-    int kept = urgent ? 0 : totalSlots(nowMillis) / URGENT_SHARE;
-    return freeSlots(nowMillis) > kept;
+  /**
+   * Returns whether an urgent or normal request may be dispatched now; some slots are reserved for
+   * urgent requests.
+   */
+  boolean hasFreeSlot(boolean urgent, long nowMillis) {
+    int reserved = urgent ? 0 : totalSlots(nowMillis) / URGENT_SLOT_DIVISOR;
+    return freeSlots(nowMillis) > reserved;
   }
 
   private int freeSlots(long nowMillis) {
     int free = 0;
     for (Map.Entry<ExecutorId, Entry> entry : entries.entrySet()) {
       int slots = usableSlots(entry.getKey(), entry.getValue(), nowMillis);
-      if (!entry.getValue().health.paused(nowMillis)) {
+      if (!entry.getValue().health.isPaused(nowMillis)) {
         free += Math.max(0, slots - entry.getValue().inUse);
       }
     }
     return free;
   }
 
-  /** Gives back a slot. */
+  /** Frees a slot. */
   void release(ExecutorId id) {
     Entry entry = entries.get(id);
     entry.inUse--;
@@ -184,24 +194,24 @@
     return Optional.ofNullable(entries.get(id)).map(entry -> entry.health);
   }
 
-  /** Tells whether one more executor may be ejected under the cap. */
+  /** Returns whether one more executor may be ejected. */
   boolean mayEject(long nowMillis) {
     long declared = entries.values().stream().filter(e -> e.declared.isPresent()).count();
-    long ejected = entries.values().stream().filter(e -> e.health.ejected(nowMillis)).count();
-    return ejected + 1 <= declared * EJECTION_CAP;
+    long ejected = entries.values().stream().filter(e -> e.health.isEjected(nowMillis)).count();
+    return ejected + 1 <= declared * MAX_EJECTED_FRACTION;
   }
 
-  /** Returns the connections that may be open to each executor now. */
+  /** Returns the maximum number of connections to each executor at this time. */
   Map<ExecutorId, Integer> connectionLimits(long nowMillis) {
     Map<ExecutorId, Integer> limits = new HashMap<>();
-    entries.forEach((id, entry) -> limits.put(id, entry.connections.slots(nowMillis)));
+    entries.forEach((id, entry) -> limits.put(id, entry.connectionShare.effective(nowMillis)));
     return limits;
   }
 
   private static final class Entry {
     private Optional<Executor> declared = Optional.empty();
-    private final EffectiveShare share = new EffectiveShare();
-    private final EffectiveShare connections = new EffectiveShare();
+    private final EffectiveShare slotShare = new EffectiveShare();
+    private final EffectiveShare connectionShare = new EffectiveShare();
     private final ExecutorHealth health = new ExecutorHealth();
     private int inUse;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/FairQueue.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/FairQueue.java
@@ -10,12 +10,12 @@
 import org.fescuehook.model.organisation.OrganisationId;
 
 /**
- * Bounded queue of requests that wait for a slot: first in first out within an organisation,
- * deficit round robin by weight between organisations.
+ * Bounded queue of requests that wait for a slot: first in, first out within an organisation, and
+ * weighted deficit round robin between organisations.
  */
 final class FairQueue {
   private final int limit;
-  private final Map<OrganisationId, OrganisationQueue> lanes = new HashMap<>();
+  private final Map<OrganisationId, OrganisationQueue> queues = new HashMap<>();
   private final Deque<OrganisationQueue> active = new ArrayDeque<>();
   private Map<OrganisationId, Double> weights = Map.of();
   private double smallestWeight = 1;
@@ -25,75 +25,81 @@
     this.limit = limit;
   }
 
-  /** Sets the weights; an organisation without one counts as the smallest. */
-  void weigh(Map<OrganisationId, Double> newWeights) {
+  /** Sets the weights; an organisation without a weight gets the smallest one. */
+  void setWeights(Map<OrganisationId, Double> newWeights) {
     weights = Map.copyOf(newWeights);
     smallestWeight = weights.values().stream().mapToDouble(Double::doubleValue).min().orElse(1);
-    lanes.values().forEach(lane -> lane.quantum = quantum(lane.organisation));
+    queues.values().forEach(queue -> queue.quantum = quantum(queue.organisation));
   }
 
   private double quantum(OrganisationId organisation) {
     return weights.getOrDefault(organisation, smallestWeight) / smallestWeight;
   }
 
-  /** Adds a request at the end of its organisation's lane; false if the queue is full. */
+  /**
+   * Adds a request at the end of its organisation's queue; returns false if the whole queue is
+   * full.
+   */
   boolean add(OrganisationId organisation, long ticket) {
     if (size >= limit) {
       return false;
     }
-    OrganisationQueue lane =
-        lanes.computeIfAbsent(organisation, id -> new OrganisationQueue(id, quantum(id)));
-    if (lane.tickets.isEmpty()) {
-      active.addLast(lane);
+    OrganisationQueue queue =
+        queues.computeIfAbsent(organisation, id -> new OrganisationQueue(id, quantum(id)));
+    if (queue.tickets.isEmpty()) {
+      active.addLast(queue);
     }
-    lane.tickets.addLast(ticket);
+    queue.tickets.addLast(ticket);
     size++;
     return true;
   }
 
-  /** Takes the next request that is still wanted; drops the others on the way. */
-  OptionalLong take(LongPredicate wanted) {
+  /**
+   * Removes and returns the next request that satisfies {@code isWaiting}; drops requests before it
+   * that do not.
+   */
+  OptionalLong poll(LongPredicate isWaiting) {
     while (!active.isEmpty()) {
-      OrganisationQueue lane = active.peekFirst();
-      if (lane.deficit < 1) {
-        lane.deficit += lane.quantum;
+      OrganisationQueue queue = active.peekFirst();
+      if (queue.deficit < 1) {
+        queue.deficit += queue.quantum;
       }
-      long ticket = lane.tickets.removeFirst();
+      long ticket = queue.tickets.removeFirst();
       size--;
-      boolean isWanted = wanted.test(ticket);
-      if (isWanted) {
-        lane.deficit -= 1;
+      boolean waits = isWaiting.test(ticket);
+      if (waits) {
+        queue.deficit -= 1;
       }
-      turn(lane);
-      if (isWanted) {
+      advance(queue);
+      if (waits) {
         return OptionalLong.of(ticket);
       }
     }
     return OptionalLong.empty();
   }
 
-  private void turn(OrganisationQueue lane) {
-    if (lane.tickets.isEmpty()) {
-      lane.deficit = 0;
+  private void advance(OrganisationQueue queue) {
+    if (queue.tickets.isEmpty()) {
+      queue.deficit = 0;
       active.removeFirst();
-      lanes.remove(lane.organisation);
+      queues.remove(queue.organisation);
       return;
     }
-    if (lane.deficit < 1) {
+    if (queue.deficit < 1) {
       active.addLast(active.removeFirst());
     }
   }
 
-  /** Removes a request that waits. */
+  /** Removes a waiting request. */
   void remove(OrganisationId organisation, long ticket) {
-    Optional<OrganisationQueue> lane = Optional.ofNullable(lanes.get(organisation));
-    if (lane.isEmpty() || !lane.get().tickets.remove(ticket)) {
+    Optional<OrganisationQueue> queue = Optional.ofNullable(queues.get(organisation));
+    if (queue.isEmpty() || !queue.get().tickets.remove(ticket)) {
       return;
     }
     size--;
-    if (lane.get().tickets.isEmpty()) {
-      active.remove(lane.get());
-      lanes.remove(organisation);
+    if (queue.get().tickets.isEmpty()) {
+      active.remove(queue.get());
+      queues.remove(organisation);
     }
   }
 
@@ -105,14 +111,18 @@
     return size == 0;
   }
 
-  /** Returns how many requests are served before a new one of the organisation, at its share. */
-  double ahead(OrganisationId organisation) {
-    int own = Optional.ofNullable(lanes.get(organisation)).map(l -> l.tickets.size()).orElse(0);
+  /**
+   * Returns the expected number of requests that are dispatched before a new request of the
+   * organisation.
+   */
+  double requestsAhead(OrganisationId organisation) {
+    int own = Optional.ofNullable(queues.get(organisation)).map(q -> q.tickets.size()).orElse(0);
     double quantum = quantum(organisation);
     double others =
         active.stream()
-            .filter(lane -> !lane.organisation.equals(organisation))
-            .mapToDouble(lane -> Math.min(lane.tickets.size(), (own + 1) * lane.quantum / quantum))
+            .filter(queue -> !queue.organisation.equals(organisation))
+            .mapToDouble(
+                queue -> Math.min(queue.tickets.size(), (own + 1) * queue.quantum / quantum))
             .sum();
     return own + others;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/HealthMonitor.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/HealthMonitor.java
@@ -6,7 +6,11 @@
 import org.fescuehook.logic.dispatch.DispatchEnd.NotSentCause;
 import org.fescuehook.model.fleet.ExecutorId;
 
-/** Ejects executors that fail, telling a dead path from a dead executor, under a cap. */
+/**
+ * Ejects failing executors, up to a maximum fraction of all executors. Before ejecting one whose
+ * connections fail, opens a new connection to it, to distinguish a broken connection from a dead
+ * executor.
+ */
 final class HealthMonitor {
   private final ExecutorTable executors;
   private final Consumer<DispatchCommand> out;
@@ -16,8 +20,8 @@
     this.out = out;
   }
 
-  /** Notes how a dispatch ended. */
-  void ended(ExecutorId executor, DispatchEnd end, long nowMillis) {
+  /** Records how a dispatch ended. */
+  void dispatchEnded(ExecutorId executor, DispatchEnd end, long nowMillis) {
     Optional<ExecutorHealth> health = executors.health(executor);
     if (health.isEmpty()) {
       return;
@@ -30,35 +34,37 @@
           eject(executor, health.get(), nowMillis);
         }
       }
-      case DispatchEnd.Failed failed -> failed(executor, health.get(), failed, nowMillis);
+      case DispatchEnd.Failed failed -> dispatchFailed(executor, health.get(), failed, nowMillis);
     }
   }
 
-  private void failed(
+  private void dispatchFailed(
       ExecutorId executor, ExecutorHealth health, DispatchEnd.Failed failed, long nowMillis) {
-    boolean enough = health.failed();
+    boolean ejectable = health.failed();
     if (failed.kind() == FailureKind.BAD_ANSWER) {
-      if (enough) {
+      if (ejectable) {
         eject(executor, health, nowMillis);
       }
       return;
     }
     boolean suspectPath = failed.kind() == FailureKind.NO_PROGRESS || !failed.freshConnection();
-    if ((enough || suspectPath) && health.beginCheck()) {
+    if ((ejectable || suspectPath) && health.beginCheck()) {
       out.accept(new DispatchCommand.CheckPath(executor));
     }
   }
 
-  /** Has a fresh connection tried, since a pooled one gave no sign of life. */
-  void suspected(ExecutorId executor) {
-    boolean begun = executors.health(executor).map(ExecutorHealth::beginCheck).orElse(false);
-    if (begun) {
+  /**
+   * Requests a new connection to check an executor of which a pooled connection made no progress.
+   */
+  void pathSuspected(ExecutorId executor) {
+    boolean started = executors.health(executor).map(ExecutorHealth::beginCheck).orElse(false);
+    if (started) {
       out.accept(new DispatchCommand.CheckPath(executor));
     }
   }
 
-  /** Takes the result of trying a fresh connection. */
-  void checked(ExecutorId executor, boolean reachable, long nowMillis) {
+  /** Handles the result of opening a new connection to check an executor. */
+  void pathChecked(ExecutorId executor, boolean reachable, long nowMillis) {
     Optional<ExecutorHealth> health = executors.health(executor);
     if (health.isEmpty()) {
       return;
@@ -73,7 +79,7 @@
   }
 
   private void eject(ExecutorId executor, ExecutorHealth health, long nowMillis) {
-    if (health.ejected(nowMillis)) {
+    if (health.isEjected(nowMillis)) {
       return;
     }
     if (!executors.mayEject(nowMillis)) {
@@ -81,9 +87,9 @@
       out.accept(new DispatchCommand.Note(RequestEvent.EJECTION_CAPPED, executor));
       return;
     }
-    long lasts = health.eject(nowMillis);
+    long durationMillis = health.eject(nowMillis);
     out.accept(new DispatchCommand.Count("fescuehook.executors.ejections"));
     out.accept(new DispatchCommand.CloseIdle(executor));
-    out.accept(new DispatchCommand.Note(RequestEvent.EXECUTOR_EJECTED, executor, lasts));
+    out.accept(new DispatchCommand.Note(RequestEvent.EXECUTOR_EJECTED, executor, durationMillis));
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/OpenRequest.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/OpenRequest.java
@@ -5,19 +5,19 @@
 import java.util.Optional;
 import org.fescuehook.model.fleet.ExecutorId;
 
-/** A request that has not been answered. Used by the dispatch core only. */
+/** A request that has not been answered yet. Used only by the thread of the dispatch core. */
 final class OpenRequest {
-  /** Where the request is. */
+  /** Stage of processing. */
   enum State {
-    /** Its claim is not read back. */
+    /** Waits until its claim is read back from the log. */
     CLAIMING,
-    /** Another request with the same id is being run. */
+    /** Waits for the outcome of another request with the same id. */
     FOLLOWING,
     /** Waits for a slot. */
     QUEUED,
-    /** Waits before it is dispatched again. */
+    /** Waits for the backoff delay before it is dispatched again. */
     BACKING_OFF,
-    /** Handed to an executor's connection. */
+    /** Passed to an executor's connection. */
     SENT
   }
 
@@ -30,9 +30,9 @@
   int dispatches;
   int fetches;
   boolean claimWon;
-  boolean settled;
+  boolean outcomeRecorded;
   boolean cancelled;
-  // Set once a byte may have reached an executor that did not deny having run the request.
+  // Set once any byte may have reached an executor, unless it reported not having run the request.
   boolean mayHaveRun;
 
   OpenRequest(long ticket, RequestFacts facts) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/OpenRequests.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/OpenRequests.java
@@ -12,24 +12,24 @@
 import org.fescuehook.model.request.Ran;
 import org.fescuehook.model.request.RefusalReason;
 
-/** All requests that have not been answered, and the ways to answer one. */
+/** The requests that have not been answered yet; answers and rejects them. */
 final class OpenRequests {
-  private static final int LONGEST_RETRY_AFTER_SECONDS = 3;
+  private static final int MAX_RETRY_AFTER_SECONDS = 3;
 
   private final Map<Long, OpenRequest> open = new HashMap<>();
   private final Map<OrganisationId, Integer> inFlight = new HashMap<>();
   private final Consumer<DispatchCommand> out;
   private final RandomGenerator random;
-  private final Consumer<OpenRequest> closed;
+  private final Consumer<OpenRequest> onClosed;
 
   /**
    * Creates the table.
    *
-   * @param closed hears of each request that has to be claimed, once it is open no longer
+   * @param onClosed is called for each request with a claimed id, once it is no longer open
    */
   OpenRequests(
-      Consumer<DispatchCommand> out, RandomGenerator random, Consumer<OpenRequest> closed) {
-    this.closed = closed;
+      Consumer<DispatchCommand> out, RandomGenerator random, Consumer<OpenRequest> onClosed) {
+    this.onClosed = onClosed;
     this.out = out;
     this.random = random;
   }
@@ -53,37 +53,39 @@
     return inFlight.getOrDefault(organisation, 0);
   }
 
-  /** Returns the requests whose deadline has passed and that no executor's connection holds. */
-  List<OpenRequest> overdue(long nowMillis) {
-    List<OpenRequest> overdue = new ArrayList<>();
+  /** Returns the requests whose deadline has passed and that are not dispatched to an executor. */
+  List<OpenRequest> expired(long nowMillis) {
+    List<OpenRequest> expired = new ArrayList<>();
     for (OpenRequest request : open.values()) {
-      boolean late = request.facts.deadlineMillis() <= nowMillis;
-      if (late && request.state != OpenRequest.State.SENT) {
-        overdue.add(request);
+      boolean isExpired = request.facts.deadlineMillis() <= nowMillis;
+      if (isExpired && request.state != OpenRequest.State.SENT) {
+        expired.add(request);
       }
     }
-    return overdue;
+    return expired;
   }
 
   Collection<OpenRequest> all() {
     return List.copyOf(open.values());
   }
 
-  /** Refuses a request that was never taken in. */
-  void refuseUnopened(long ticket, RefusalReason reason, String detail) {
-    out.accept(new DispatchCommand.Refuse(ticket, reason, detail, retryAfter(reason)));
+  /** Rejects a request that was never accepted. */
+  void refuseUnaccepted(long ticket, RefusalReason reason, String detail) {
+    out.accept(new DispatchCommand.Refuse(ticket, reason, detail, retryAfterSeconds(reason)));
   }
 
   /**
-   * Refuses an open request; never says that it was not run when an earlier try may have run it.
+   * Rejects an open request. Never reports that it was not run if an earlier dispatch may have run
+   * it.
    */
   void refuse(OpenRequest request, RefusalReason reason, String detail) {
-    RefusalReason known = truthful(request, reason);
-    out.accept(new DispatchCommand.Refuse(request.ticket, known, detail, retryAfter(known)));
+    RefusalReason reported = consistentReason(request, reason);
+    out.accept(
+        new DispatchCommand.Refuse(request.ticket, reported, detail, retryAfterSeconds(reported)));
     remove(request);
   }
 
-  private static RefusalReason truthful(OpenRequest request, RefusalReason reason) {
+  private static RefusalReason consistentReason(OpenRequest request, RefusalReason reason) {
     if (!request.mayHaveRun || reason.ran() != Ran.NO) {
       return reason;
     }
@@ -92,17 +94,17 @@
         : RefusalReason.CONNECTION_LOST;
   }
 
-  private int retryAfter(RefusalReason reason) {
-    return reason.retryable() ? 1 + random.nextInt(LONGEST_RETRY_AFTER_SECONDS) : 0;
+  private int retryAfterSeconds(RefusalReason reason) {
+    return reason.retryable() ? 1 + random.nextInt(MAX_RETRY_AFTER_SECONDS) : 0;
   }
 
-  /** Answers with what is recorded for the request's id. */
+  /** Answers a request with the recorded answer for its id. */
   void answerRecorded(OpenRequest request, int status, String contentType, byte[] body) {
     out.accept(new DispatchCommand.AnswerRecorded(request.ticket, status, contentType, body));
     remove(request);
   }
 
-  /** Forgets a request whose answer was passed on, or whose caller is gone. */
+  /** Removes a request whose answer was passed on or whose caller is gone. */
   void finish(OpenRequest request) {
     out.accept(new DispatchCommand.Finish(request.ticket));
     remove(request);
@@ -111,7 +113,7 @@
   private void remove(OpenRequest request) {
     open.remove(request.ticket);
     if (request.facts.claimed()) {
-      closed.accept(request);
+      onClosed.accept(request);
     }
     inFlight.computeIfPresent(request.facts.organisation(), (id, n) -> n == 1 ? null : n - 1);
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/OutcomeFetcher.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/OutcomeFetcher.java
@@ -6,13 +6,13 @@
 import org.fescuehook.wire.OutcomeReply;
 import org.fescuehook.wire.RequestKey;
 
-/** Asks the entry VM that claimed a request id for its outcome. */
+/** Asks the entry VM that claimed a request id for the outcome. */
 public interface OutcomeFetcher {
 
   /**
-   * Asks without waiting.
+   * Sends the question without waiting for the reply.
    *
-   * @param sink called once; empty if the peer gave no answer in time
+   * @param sink called once with the reply; empty if the peer gave none in time
    */
   void fetch(VmId claimant, RequestKey key, Consumer<Optional<OutcomeReply>> sink);
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/OwnOutcomes.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/OwnOutcomes.java
@@ -8,56 +8,59 @@
 import org.fescuehook.wire.RequestKey;
 import org.fescuehook.wire.RequestOutcome;
 
-/** What this VM knows of the request ids that it claimed; asked by peers from other threads. */
+/**
+ * Outcomes of the request ids that this VM claimed. Thread-safe, because other threads look them up
+ * for peers.
+ */
 public final class OwnOutcomes {
-  private static final int MOST_SETTLED = 2048;
+  private static final int MAX_RECORDED = 2048;
 
   private record LocalClaim(String token, Optional<RequestOutcome> outcome) {}
 
-  private final Map<RequestKey, LocalClaim> running = new LinkedHashMap<>();
-  private final Map<RequestKey, LocalClaim> settled = new LinkedHashMap<>();
+  private final Map<RequestKey, LocalClaim> inProgress = new LinkedHashMap<>();
+  private final Map<RequestKey, LocalClaim> recorded = new LinkedHashMap<>();
 
-  /** Notes a claim that waits for the log. */
-  synchronized void begin(RequestKey key, String token) {
-    running.putIfAbsent(key, new LocalClaim(token, Optional.empty()));
+  /** Adds a claim that is not yet read back from the log. */
+  synchronized void add(RequestKey key, String token) {
+    inProgress.putIfAbsent(key, new LocalClaim(token, Optional.empty()));
   }
 
-  /** Notes a claim that won. */
-  synchronized void won(RequestKey key, String token) {
-    running.put(key, new LocalClaim(token, Optional.empty()));
+  /** Adds a claim that won. */
+  synchronized void claimWon(RequestKey key, String token) {
+    inProgress.put(key, new LocalClaim(token, Optional.empty()));
   }
 
-  /** Forgets a claim that was lost or released. */
-  synchronized void forget(RequestKey key, String token) {
-    if (running.containsKey(key) && running.get(key).token().equals(token)) {
-      running.remove(key);
+  /** Removes a claim that lost or was released. */
+  synchronized void remove(RequestKey key, String token) {
+    if (inProgress.containsKey(key) && inProgress.get(key).token().equals(token)) {
+      inProgress.remove(key);
     }
   }
 
-  /** Notes an outcome; the oldest are forgotten, the log has them. */
-  synchronized void settle(RequestOutcome outcome) {
-    running.remove(outcome.getKey());
-    settled.put(outcome.getKey(), new LocalClaim(outcome.getToken(), Optional.of(outcome)));
-    Iterator<RequestKey> oldest = settled.keySet().iterator();
-    while (settled.size() > MOST_SETTLED) {
+  /** Records an outcome. Drops the oldest outcomes beyond the maximum, as the log has them. */
+  synchronized void record(RequestOutcome outcome) {
+    inProgress.remove(outcome.getKey());
+    recorded.put(outcome.getKey(), new LocalClaim(outcome.getToken(), Optional.of(outcome)));
+    Iterator<RequestKey> oldest = recorded.keySet().iterator();
+    while (recorded.size() > MAX_RECORDED) {
       oldest.next();
       oldest.remove();
     }
   }
 
-  /** Returns the outcome of a claim with this token, if it is settled. */
-  synchronized Optional<RequestOutcome> settledOutcome(RequestKey key, String token) {
-    return Optional.ofNullable(settled.get(key))
-        .filter(known -> known.token().equals(token))
+  /** Returns the outcome of a claim with this token, if one is recorded. */
+  synchronized Optional<RequestOutcome> recordedOutcome(RequestKey key, String token) {
+    return Optional.ofNullable(recorded.get(key))
+        .filter(claim -> claim.token().equals(token))
         .flatMap(LocalClaim::outcome);
   }
 
-  /** Answers a peer; empty if this VM knows nothing of the key. */
+  /** Returns the reply to a peer that asks for an outcome; empty if the key is unknown here. */
   public synchronized Optional<OutcomeReply> find(RequestKey key) {
-    if (running.containsKey(key)) {
+    if (inProgress.containsKey(key)) {
       return Optional.of(OutcomeReply.newBuilder().setInProgress(true).build());
     }
-    return Optional.ofNullable(settled.get(key))
+    return Optional.ofNullable(recorded.get(key))
         .flatMap(LocalClaim::outcome)
         .map(outcome -> OutcomeReply.newBuilder().setOutcome(outcome).build());
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/RequestDigest.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/RequestDigest.java
@@ -5,7 +5,7 @@
 /**
  * Digest of the content of a request.
  *
- * @param value SHA-256, or empty
+ * @param value SHA-256 digest, or empty
  */
 public record RequestDigest(ByteString value) {
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/RequestFacts.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/RequestFacts.java
@@ -4,14 +4,14 @@
 import org.fescuehook.model.organisation.OrganisationId;
 
 /**
- * What the decisions need to know of a request.
+ * The attributes of a request that the dispatch decisions use.
  *
- * @param organisation organisation that the caller named
- * @param requestId the caller's own id; empty if none was given
+ * @param organisation organisation that the caller stated
+ * @param requestId id that the caller chose; empty if there is none
  * @param digest digest of method, path, query and body; empty if there is no id
- * @param urgent whether it goes before others
- * @param repeatable whether running it twice does no harm
- * @param deadlineMillis monotonic time until which the caller waits
+ * @param urgent whether it is dispatched before requests that are not urgent
+ * @param repeatable whether it is idempotent, so that it may be run more than once
+ * @param deadlineMillis deadline of the caller, as monotonic time
  */
 public record RequestFacts(
     OrganisationId organisation,
@@ -21,7 +21,7 @@
     boolean repeatable,
     long deadlineMillis) {
 
-  /** Tells whether the request has to be claimed in the log before it is dispatched. */
+  /** Returns whether the request's id must be claimed in the log before it is dispatched. */
   public boolean claimed() {
     return requestId.isPresent() && !repeatable;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/RequestRecords.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/RequestRecords.java
@@ -5,22 +5,22 @@
 
 /** Decodes records of the stream {@code requests}. */
 final class RequestRecords {
-  /** Version that this program writes. */
+  /** Version of the records that this program writes. */
   static final int VERSION = 1;
 
-  /** Newest version that this program understands: its own and the next. */
+  /** Newest version that this program can read: one above the version that it writes. */
   static final int NEWEST_READABLE = VERSION + 1;
 
   /** Result of decoding. */
   sealed interface Decoded {
 
-    /** A record that can be folded. */
+    /** A record that can be applied. */
     record Readable(RequestRecord record) implements Decoded {}
 
-    /** A record of a version whose claims this program may misread. */
+    /** A record of a version that is too new for this program, which might misread its claims. */
     record Newer(int version) implements Decoded {}
 
-    /** No record at all. */
+    /** Data that is not a valid record. */
     record Corrupt() implements Decoded {}
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/RequestStreamReader.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/RequestStreamReader.java
@@ -5,27 +5,30 @@
 import org.fescuehook.model.log.LogRecord;
 import org.fescuehook.model.request.RefusalReason;
 
-/** Reads the stream {@code requests} into the book, and tells whether the book can be relied on. */
+/**
+ * Applies the records of the stream {@code requests} to the registry, and decides whether the
+ * registry is complete enough to make new claims.
+ */
 final class RequestStreamReader {
   private static final long NO_OFFSET = -1;
 
-  private final ClaimRegistry book;
-  private final ClaimRegistry.Listener reader;
+  private final ClaimRegistry registry;
+  private final ClaimRegistry.Listener listener;
   private final long windowMillis;
   private final Consumer<DispatchCommand> out;
   private long lastOffset = NO_OFFSET;
   private boolean caughtUp;
   private boolean reachable;
-  private boolean newerVersion;
-  private Optional<Long> missedAtMillis = Optional.empty();
+  private boolean newerVersionRead;
+  private Optional<Long> recordsMissedAtMillis = Optional.empty();
 
   RequestStreamReader(
-      ClaimRegistry book,
-      ClaimRegistry.Listener reader,
+      ClaimRegistry registry,
+      ClaimRegistry.Listener listener,
       long windowMillis,
       Consumer<DispatchCommand> out) {
-    this.book = book;
-    this.reader = reader;
+    this.registry = registry;
+    this.listener = listener;
     this.windowMillis = windowMillis;
     this.out = out;
   }
@@ -35,7 +38,7 @@
       return;
     }
     if (lastOffset != NO_OFFSET && record.offset() > lastOffset + 1) {
-      missedAtMillis = Optional.of(record.appendedMillis());
+      recordsMissedAtMillis = Optional.of(record.appendedMillis());
       out.accept(new DispatchCommand.Count("fescuehook.requests.records.missed"));
       out.accept(
           new DispatchCommand.Note(
@@ -44,8 +47,9 @@
     lastOffset = record.offset();
     switch (RequestRecords.decode(record.data())) {
       case RequestRecords.Decoded.Readable readable ->
-          book.fold(readable.record(), record.appendedMillis(), reader);
-      case RequestRecords.Decoded.Newer newer -> newer(record.offset(), newer.version());
+          registry.apply(readable.record(), record.appendedMillis(), listener);
+      case RequestRecords.Decoded.Newer newer ->
+          reportNewerVersion(record.offset(), newer.version());
       case RequestRecords.Decoded.Corrupt() -> {
         out.accept(new DispatchCommand.Count("fescuehook.requests.records.corrupt"));
         out.accept(new DispatchCommand.Note(RequestEvent.RECORD_CORRUPT, record.offset()));
@@ -53,24 +57,24 @@
     }
   }
 
-  private void newer(long offset, int version) {
-    newerVersion = true;
+  private void reportNewerVersion(long offset, int version) {
+    newerVersionRead = true;
     out.accept(new DispatchCommand.Count("fescuehook.requests.records.newer"));
     out.accept(new DispatchCommand.Note(RequestEvent.RECORD_NEWER, offset, version));
   }
 
-  void caughtUp() {
+  void setCaughtUp() {
     caughtUp = true;
     reachable = true;
   }
 
-  void reachable(boolean isReachable) {
+  void setReachable(boolean isReachable) {
     reachable = isReachable;
   }
 
-  /** Returns why no id can be claimed now; empty if one can. */
-  Optional<RefusalReason> closed() {
-    if (!caughtUp || newerVersion || missing()) {
+  /** Returns why no request id can be claimed now; empty if ids can be claimed. */
+  Optional<RefusalReason> claimRefusal() {
+    if (!caughtUp || newerVersionRead || mayMissClaims()) {
       return Optional.of(RefusalReason.NOT_READY);
     }
     if (!reachable) {
@@ -79,8 +83,12 @@
     return Optional.empty();
   }
 
-  /** Claims that vanished unread may be in force until the window has passed. */
-  private boolean missing() {
-    return missedAtMillis.isPresent() && book.logMillis() < missedAtMillis.get() + windowMillis;
+  /**
+   * Returns whether claims that were deleted from the log before they were read may still be in
+   * effect.
+   */
+  private boolean mayMissClaims() {
+    return recordsMissedAtMillis.isPresent()
+        && registry.logMillis() < recordsMissedAtMillis.get() + windowMillis;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/RetryBudget.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/RetryBudget.java
@@ -1,32 +1,35 @@
 package org.fescuehook.logic.dispatch;
 
-/** Allows retries as a share of the requests of the last ten seconds. */
+/** Limits retries to a fraction of the requests accepted in the last ten seconds. */
 final class RetryBudget {
   private static final int BUCKETS = 10;
   private static final long BUCKET_MILLIS = 1000;
 
-  /** Retries allowed in the window whatever the traffic, so that a quiet system retries at all. */
-  static final int FLOOR = 10;
+  /**
+   * Number of retries always allowed in the window, so that a system with little traffic can retry
+   * at all.
+   */
+  static final int MIN_RETRIES = 10;
 
   private final double share;
   private final long[] requests = new long[BUCKETS];
   private final long[] retries = new long[BUCKETS];
-  private long current = Long.MIN_VALUE;
+  private long currentBucket = Long.MIN_VALUE;
 
   RetryBudget(double share) {
     this.share = share;
   }
 
-  /** Notes a request that was accepted. */
-  void accepted(long nowMillis) {
+  /** Records a newly accepted request. */
+  void requestAccepted(long nowMillis) {
     advance(nowMillis);
     requests[index()]++;
   }
 
-  /** Takes one retry; false if the budget is spent. */
-  boolean take(long nowMillis) {
+  /** Consumes one retry; returns false if the budget is exhausted. */
+  boolean tryConsume(long nowMillis) {
     advance(nowMillis);
-    if (sum(retries) >= FLOOR + share * sum(requests)) {
+    if (sum(retries) >= MIN_RETRIES + share * sum(requests)) {
       return false;
     }
     retries[index()]++;
@@ -34,22 +37,22 @@
   }
 
   private int index() {
-    return (int) Math.floorMod(current, (long) BUCKETS);
+    return (int) Math.floorMod(currentBucket, (long) BUCKETS);
   }
 
   private void advance(long nowMillis) {
     long bucket = Math.floorDiv(nowMillis, BUCKET_MILLIS);
-    if (current == Long.MIN_VALUE) {
-      current = bucket;
+    if (currentBucket == Long.MIN_VALUE) {
+      currentBucket = bucket;
       return;
     }
-    long steps = Math.min(BUCKETS, bucket - current);
+    long steps = Math.min(BUCKETS, bucket - currentBucket);
     for (long i = 0; i < steps; i++) {
-      current++;
+      currentBucket++;
       requests[index()] = 0;
       retries[index()] = 0;
     }
-    current = Math.max(current, bucket);
+    currentBucket = Math.max(currentBucket, bucket);
   }
 
   private static long sum(long[] values) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/RetryReason.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/RetryReason.java
@@ -2,24 +2,24 @@
 
 import java.util.Locale;
 
-/** Why a request was dispatched again. Each has a counter. */
+/** Why a request was dispatched again. Each reason has its own counter. */
 public enum RetryReason {
-  /** The executor accepted no connection. */
+  /** The connection to the executor could not be opened. */
   CONNECT_FAILED,
-  /** No connection was free. */
+  /** No connection to the executor was free. */
   NO_CONNECTION,
-  /** The pooled connection was closed before the write. */
+  /** The pooled connection was closed before the request was written. */
   CONNECTION_CLOSED,
-  /** The executor said that it has not run the request. */
+  /** The executor reported that it did not run the request. */
   REFUSED_NOT_RUN,
-  /** The connection broke; repeatable requests only. */
+  /** The connection was lost; only repeatable requests are retried. */
   CONNECTION_LOST,
-  /** The answer was no answer to the request; repeatable requests only. */
+  /** The answer was invalid; only repeatable requests are retried. */
   BAD_ANSWER,
-  /** No sign of life came; repeatable requests only. */
+  /** The connection made no progress; only repeatable requests are retried. */
   NO_PROGRESS;
 
-  /** Returns the metric tag. */
+  /** Returns the value of the metric's tag. */
   public String slug() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/SlotDispatcher.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/SlotDispatcher.java
@@ -12,15 +12,18 @@
 import org.fescuehook.model.preferences.RequestPreferences;
 import org.fescuehook.model.request.RefusalReason;
 
-/** Gives slots to waiting requests, and dispatches again what may be. */
+/**
+ * Dispatches waiting requests to free slots of executors, and retries failed dispatches where that
+ * is safe.
+ */
 final class SlotDispatcher {
   private final RequestPreferences preferences;
   private final String incarnation;
-  private final OpenRequests requests;
+  private final OpenRequests openRequests;
   private final ExecutorTable executors;
   private final HealthMonitor health;
   private final ClaimHandler claims;
-  private final DelayedTasks delayed;
+  private final DelayedTasks delayedTasks;
   private final Consumer<DispatchCommand> out;
   private final RetryBudget budget;
   private final Backoff backoff;
@@ -31,18 +34,18 @@
   SlotDispatcher(
       RequestPreferences preferences,
       String incarnation,
-      OpenRequests requests,
+      OpenRequests openRequests,
       ExecutorTable executors,
       ClaimHandler claims,
-      DelayedTasks delayed,
+      DelayedTasks delayedTasks,
       RandomGenerator random,
       Consumer<DispatchCommand> out) {
     this.preferences = preferences;
     this.incarnation = incarnation;
-    this.requests = requests;
+    this.openRequests = openRequests;
     this.executors = executors;
     this.claims = claims;
-    this.delayed = delayed;
+    this.delayedTasks = delayedTasks;
     this.out = out;
     this.health = new HealthMonitor(executors, out);
     this.budget = new RetryBudget(preferences.retryBudget());
@@ -51,13 +54,16 @@
     this.normal = new FairQueue(preferences.queueLength());
   }
 
-  void weigh(Map<OrganisationId, Double> weights) {
-    urgent.weigh(weights);
-    normal.weigh(weights);
+  void setWeights(Map<OrganisationId, Double> weights) {
+    urgent.setWeights(weights);
+    normal.setWeights(weights);
   }
 
-  /** Returns why a new request could not be dispatched in time; empty if it can be. */
-  Optional<RefusalReason> hopeless(RequestFacts facts, long nowMillis) {
+  /**
+   * Returns why a new request is rejected on arrival because it would not be dispatched before its
+   * deadline; empty if it is accepted.
+   */
+  Optional<RefusalReason> refusalOnArrival(RequestFacts facts, long nowMillis) {
     FairQueue queue = queue(facts);
     if (queue.size() >= preferences.queueLength()) {
       return Optional.of(RefusalReason.QUEUE_FULL);
@@ -66,11 +72,11 @@
     if (slots == 0) {
       return Optional.of(RefusalReason.NO_EXECUTOR);
     }
-    if (executors.hasFree(facts.urgent(), nowMillis)) {
+    if (executors.hasFreeSlot(facts.urgent(), nowMillis)) {
       return Optional.empty();
     }
-    double ends = queue.ahead(facts.organisation()) + 1;
-    boolean late = nowMillis + serviceTime.millis(ends, slots) > facts.deadlineMillis();
+    double ends = queue.requestsAhead(facts.organisation()) + 1;
+    boolean late = nowMillis + serviceTime.expectedMillis(ends, slots) > facts.deadlineMillis();
     return late ? Optional.of(RefusalReason.NO_EXECUTOR) : Optional.empty();
   }
 
@@ -78,58 +84,59 @@
     return facts.urgent() ? urgent : normal;
   }
 
-  /** Takes a request that may be dispatched. */
+  /** Queues a request that may be dispatched. */
   void enqueue(OpenRequest request, long nowMillis) {
     if (request.dispatches == 0) {
-      budget.accepted(nowMillis);
+      budget.requestAccepted(nowMillis);
     }
     request.state = OpenRequest.State.QUEUED;
     if (!queue(request.facts).add(request.facts.organisation(), request.ticket)) {
-      requests.refuse(request, RefusalReason.QUEUE_FULL, "too many requests wait for a slot");
+      openRequests.refuse(request, RefusalReason.QUEUE_FULL, "too many requests wait for a slot");
       return;
     }
     dispatchWaiting(nowMillis);
   }
 
-  /** Forgets that a request waits. */
+  /** Removes a request from its queue. */
   void remove(OpenRequest request) {
     queue(request.facts).remove(request.facts.organisation(), request.ticket);
   }
 
-  /** Sends as many waiting requests as there are slots, urgent ones first. */
+  /** Dispatches as many waiting requests as there are free slots, urgent ones first. */
   void dispatchWaiting(long nowMillis) {
     dispatchFrom(urgent, true, nowMillis);
     dispatchFrom(normal, false, nowMillis);
   }
 
   private void dispatchFrom(FairQueue queue, boolean isUrgent, long nowMillis) {
-    while (!queue.isEmpty() && executors.hasFree(isUrgent, nowMillis)) {
-      OptionalLong next = queue.take(ticket -> isWaiting(ticket, nowMillis));
+    while (!queue.isEmpty() && executors.hasFreeSlot(isUrgent, nowMillis)) {
+      OptionalLong next = queue.poll(ticket -> isWaiting(ticket, nowMillis));
       if (next.isEmpty()) {
         return;
       }
-      send(requests.find(next.getAsLong()).orElseThrow(), nowMillis);
+      dispatch(openRequests.find(next.getAsLong()).orElseThrow(), nowMillis);
     }
   }
 
   private boolean isWaiting(long ticket, long nowMillis) {
-    Optional<OpenRequest> request = requests.find(ticket);
+    Optional<OpenRequest> request = openRequests.find(ticket);
     if (request.isEmpty() || request.get().state != OpenRequest.State.QUEUED) {
       return false;
     }
     if (request.get().facts.deadlineMillis() > nowMillis) {
       return true;
     }
-    requests.refuse(
+    openRequests.refuse(
         request.get(), RefusalReason.DEADLINE_BEFORE_DISPATCH, "deadline passed in the queue");
     return false;
   }
 
-  private void send(OpenRequest request, long nowMillis) {
+  private void dispatch(OpenRequest request, long nowMillis) {
     boolean isUrgent = request.facts.urgent();
-    Optional<ExecutorId> chosen = executors.take(isUrgent, request.tried, nowMillis);
+    Optional<ExecutorId> chosen = executors.acquire(isUrgent, request.tried, nowMillis);
     if (chosen.isEmpty()) {
-      // Only executors that were tried before have a free slot; another one will have soon.
+      // Only executors that this request already tried have a free slot; retries later, when
+      // another executor may have one.
       backOff(request, nowMillis);
       return;
     }
@@ -141,7 +148,7 @@
     out.accept(new DispatchCommand.Send(request.ticket, chosen.get(), token, progressMillis));
   }
 
-  /** Half of the time left, so that a retry has the other half. */
+  /** Returns half of the time until the deadline, so that the other half remains for a retry. */
   private long progressMillis(OpenRequest request, long nowMillis) {
     if (!request.facts.repeatable() || request.dispatches >= preferences.maxTries()) {
       return 0;
@@ -149,17 +156,17 @@
     return Math.max(1, (request.facts.deadlineMillis() - nowMillis) / 2);
   }
 
-  /** Takes the end of a dispatch. */
-  void ended(OpenRequest request, DispatchEnd end, long tookMillis, long nowMillis) {
+  /** Handles the end of a dispatch. */
+  void dispatchEnded(OpenRequest request, DispatchEnd end, long tookMillis, long nowMillis) {
     ExecutorId executor = request.executor.orElseThrow();
     executors.release(executor);
     request.executor = Optional.empty();
-    health.ended(executor, end, nowMillis);
+    health.dispatchEnded(executor, end, nowMillis);
     switch (end) {
       case DispatchEnd.Answered answered -> {
-        serviceTime.took(tookMillis);
+        serviceTime.addSample(tookMillis);
         claims.answered(request, answered);
-        requests.finish(request);
+        openRequests.finish(request);
       }
       case DispatchEnd.NotSent notSent -> notSent(request, executor, notSent.cause(), nowMillis);
       case DispatchEnd.RefusedNotRun() ->
@@ -178,16 +185,16 @@
       OpenRequest request, ExecutorId executor, NotSentCause cause, long nowMillis) {
     switch (cause) {
       case DEADLINE ->
-          requests.refuse(
+          openRequests.refuse(
               request, RefusalReason.DEADLINE_BEFORE_DISPATCH, "deadline passed before the write");
-      case CONNECT_FAILED -> retryUnsent(request, executor, RetryReason.CONNECT_FAILED, nowMillis);
-      case NO_CONNECTION -> retryUnsent(request, executor, RetryReason.NO_CONNECTION, nowMillis);
+      case CONNECT_FAILED -> retryNotSent(request, executor, RetryReason.CONNECT_FAILED, nowMillis);
+      case NO_CONNECTION -> retryNotSent(request, executor, RetryReason.NO_CONNECTION, nowMillis);
       case CONNECTION_CLOSED ->
-          retryUnsent(request, executor, RetryReason.CONNECTION_CLOSED, nowMillis);
+          retryNotSent(request, executor, RetryReason.CONNECTION_CLOSED, nowMillis);
     }
   }
 
-  private void retryUnsent(
+  private void retryNotSent(
       OpenRequest request, ExecutorId executor, RetryReason reason, long nowMillis) {
     retry(request, executor, reason, RefusalReason.NO_EXECUTOR, nowMillis);
   }
@@ -196,13 +203,13 @@
       OpenRequest request, ExecutorId executor, DispatchEnd.Failed failed, long nowMillis) {
     request.mayHaveRun = true;
     if (failed.answerStarted()) {
-      // The caller's connection is cut by whoever passes the answer on.
-      requests.finish(request);
+      // The code that passes the answer on closes the caller's connection.
+      openRequests.finish(request);
       return;
     }
     RefusalReason refusal = refusal(failed.kind());
     if (!request.facts.repeatable() || failed.kind() == FailureKind.DEADLINE) {
-      requests.refuse(request, refusal, "at executor " + executor);
+      openRequests.refuse(request, refusal, "at executor " + executor);
       return;
     }
     retry(request, executor, retryReason(failed.kind()), refusal, nowMillis);
@@ -229,20 +236,21 @@
       OpenRequest request,
       ExecutorId executor,
       RetryReason reason,
-      RefusalReason otherwise,
+      RefusalReason refusalWithoutRetry,
       long nowMillis) {
     request.tried.add(executor);
     if (request.cancelled) {
-      requests.finish(request);
+      openRequests.finish(request);
       return;
     }
     if (request.dispatches >= preferences.maxTries()) {
-      requests.refuse(request, otherwise, "after " + request.dispatches + " dispatches");
+      openRequests.refuse(
+          request, refusalWithoutRetry, "after " + request.dispatches + " dispatches");
       return;
     }
-    if (!budget.take(nowMillis)) {
+    if (!budget.tryConsume(nowMillis)) {
       out.accept(new DispatchCommand.Count("fescuehook.requests.retries.over.budget"));
-      requests.refuse(request, otherwise, "no retry: the budget of retries is spent");
+      openRequests.refuse(request, refusalWithoutRetry, "no retry: the budget of retries is spent");
       return;
     }
     out.accept(new DispatchCommand.CountRetry(reason));
@@ -251,23 +259,23 @@
 
   private void backOff(OpenRequest request, long nowMillis) {
     request.state = OpenRequest.State.BACKING_OFF;
-    long waitMillis = Math.max(1, backoff.millis(request.dispatches));
-    delayed.after(nowMillis, waitMillis, () -> resume(request, nowMillis + waitMillis));
+    long waitMillis = Math.max(1, backoff.delayMillis(request.dispatches));
+    delayedTasks.schedule(nowMillis, waitMillis, () -> resume(request, nowMillis + waitMillis));
   }
 
   private void resume(OpenRequest request, long nowMillis) {
-    if (requests.isOpen(request) && request.state == OpenRequest.State.BACKING_OFF) {
+    if (openRequests.isOpen(request) && request.state == OpenRequest.State.BACKING_OFF) {
       enqueue(request, nowMillis);
     }
   }
 
-  /** Takes that a pooled connection gave no sign of life. */
+  /** Handles a pooled connection that made no progress. */
   void pathSuspected(ExecutorId executor) {
-    health.suspected(executor);
+    health.pathSuspected(executor);
   }
 
-  /** Takes the result of trying a fresh connection. */
+  /** Handles the result of opening a new connection to check an executor. */
   void pathChecked(ExecutorId executor, boolean reachable, long nowMillis) {
-    health.checked(executor, reachable, nowMillis);
+    health.pathChecked(executor, reachable, nowMillis);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/package-info.java
@@ -1,4 +1,4 @@
-/** Short requests: claims, choice of executor, limits, retries. */
+/** Dispatch of short requests: claims of request ids, choice of executors, limits, and retries. */
 @NullMarked
 package org.fescuehook.logic.dispatch;
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/dispatch/ClaimHandlerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/dispatch/ClaimHandlerTest.java
@@ -94,7 +94,7 @@
     core.readRecord(0, T, claimOf("vm-2", "x", "c"));
     core.arrive(1, core.withId("x", "c"));
     fetched(1, Optional.of(OutcomeReply.newBuilder().setInProgress(true).build()));
-    core.pass(ClaimHandler.FETCH_AGAIN_MILLIS);
+    core.pass(ClaimHandler.FETCH_RETRY_MILLIS);
     assertEquals(2, core.all(DispatchCommand.FetchOutcome.class).size());
     fetched(1, Optional.of(OutcomeReply.newBuilder().setOutcome(outcomeOf("vm-2", "x")).build()));
     assertEquals(201, core.last(DispatchCommand.AnswerRecorded.class).orElseThrow().status());
@@ -112,9 +112,9 @@
   void saysUnknownWhenTheClaimantGivesNoAnswer() {
     core.readRecord(0, T, claimOf("vm-2", "x", "c"));
     core.arrive(1, core.withId("x", "c"));
-    for (int i = 0; i < ClaimHandler.MOST_FETCHES; i++) {
+    for (int i = 0; i < ClaimHandler.MAX_FETCHES; i++) {
       fetched(1, Optional.empty());
-      core.pass(ClaimHandler.FETCH_AGAIN_MILLIS);
+      core.pass(ClaimHandler.FETCH_RETRY_MILLIS);
     }
     assertEquals(Optional.of(RefusalReason.OUTCOME_UNKNOWN), core.refusalOf(1));
   }
@@ -236,16 +236,16 @@
   @Test
   void boundsAppendsToThisVmsPartOfWhatTheLogTakes() {
     ClaimBatcher batcher = new ClaimBatcher("vm-1", "inc-1");
-    batcher.shareAmong(7);
-    int begun = 0;
+    batcher.setVmCount(7);
+    int appends = 0;
     for (long now = 0; now < 1_000; now++) {
       batcher.claim(RequestClaim.newBuilder().setKey(key("x" + now)).build());
       if (batcher.next(now).isPresent()) {
-        begun++;
-        batcher.ended(batcher.sequence());
+        appends++;
+        batcher.endAppend(batcher.sequence());
       }
     }
-    assertTrue(begun <= ClaimBatcher.APPENDS_PER_SECOND / 7 + 1, "" + begun);
+    assertTrue(appends <= ClaimBatcher.APPENDS_PER_SECOND / 7 + 1, "" + appends);
   }
 
   @Test
@@ -284,42 +284,42 @@
 
   @Test
   void dropsTheOldestAnswersFirstWhenTheyTakeTooMuchRoom() {
-    ClaimRegistry book = new ClaimRegistry(HOUR);
-    ClaimRegistry.Listener deaf = new DeafReader();
+    ClaimRegistry registry = new ClaimRegistry(HOUR);
+    ClaimRegistry.Listener ignoring = new IgnoringListener();
     byte[] body = new byte[4096];
-    int over = ClaimRegistry.MOST_BODY_BYTES / body.length + 1;
+    int over = ClaimRegistry.MAX_BODY_BYTES / body.length + 1;
     for (int i = 0; i < over; i++) {
-      book.fold(claimOf("vm-2", "x" + i, "c"), T, deaf);
+      registry.apply(claimOf("vm-2", "x" + i, "c"), T, ignoring);
       RequestOutcome outcome =
           outcomeOf("vm-2", "x" + i).toBuilder()
               .setBody(com.google.protobuf.ByteString.copyFrom(body))
               .build();
-      book.fold(record("vm-2").addOutcomes(outcome).build(), T, deaf);
+      registry.apply(record("vm-2").addOutcomes(outcome).build(), T, ignoring);
     }
-    RequestOutcome first = book.find(key("x0")).orElseThrow().outcome().orElseThrow();
-    RequestOutcome second = book.find(key("x1")).orElseThrow().outcome().orElseThrow();
+    RequestOutcome first = registry.find(key("x0")).orElseThrow().outcome().orElseThrow();
+    RequestOutcome second = registry.find(key("x1")).orElseThrow().outcome().orElseThrow();
     assertEquals("201 false", first.getStatus() + " " + first.getWhole());
     assertTrue(second.getWhole());
   }
 
   @Test
   void aClaimThatLostKeepsItsIdTakenForAnotherWindow() {
-    ClaimRegistry book = new ClaimRegistry(HOUR);
-    ClaimRegistry.Listener deaf = new DeafReader();
-    book.fold(claimOf("vm-2", "x", "c"), T, deaf);
-    book.fold(claimOf("vm-3", "x", "c"), T + HOUR - 1, deaf);
-    book.fold(claimOf("vm-4", "x", "c"), T + HOUR + 1, deaf);
-    assertEquals("vm-2", book.find(key("x")).orElseThrow().writer());
+    ClaimRegistry registry = new ClaimRegistry(HOUR);
+    ClaimRegistry.Listener ignoring = new IgnoringListener();
+    registry.apply(claimOf("vm-2", "x", "c"), T, ignoring);
+    registry.apply(claimOf("vm-3", "x", "c"), T + HOUR - 1, ignoring);
+    registry.apply(claimOf("vm-4", "x", "c"), T + HOUR + 1, ignoring);
+    assertEquals("vm-2", registry.find(key("x")).orElseThrow().writer());
   }
 
-  private static final class DeafReader implements ClaimRegistry.Listener {
+  private static final class IgnoringListener implements ClaimRegistry.Listener {
     @Override
-    public void claimRead(RequestKey key, String token, ClaimRegistry.Claim inForce) {}
+    public void claimRead(RequestKey key, String token, ClaimRegistry.Claim inEffect) {}
 
     @Override
-    public void settled(RequestKey key, ClaimRegistry.Claim claim) {}
+    public void outcomeRead(RequestKey key, ClaimRegistry.Claim claim) {}
 
     @Override
-    public void released(RequestKey key, String token) {}
+    public void claimReleased(RequestKey key, String token) {}
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/dispatch/SlotDispatcherTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/dispatch/SlotDispatcherTest.java
@@ -72,7 +72,7 @@
     }
     // All within the ten seconds of the window.
     assertTrue(core.now - 1_000_000 < 10_000);
-    assertEquals(100 + RetryBudget.FLOOR, core.all(DispatchCommand.CountRetry.class).size());
+    assertEquals(100 + RetryBudget.MIN_RETRIES, core.all(DispatchCommand.CountRetry.class).size());
     assertTrue(core.count("fescuehook.requests.retries.over.budget") > 0);
   }
 
@@ -127,14 +127,14 @@
   @Test
   void sharesSlotsBetweenOrganisationsByWeight() {
     FairQueue queue = new FairQueue(1_000);
-    queue.weigh(Map.of(new OrganisationId("a"), 3.0, new OrganisationId("b"), 1.0));
+    queue.setWeights(Map.of(new OrganisationId("a"), 3.0, new OrganisationId("b"), 1.0));
     for (int i = 0; i < 400; i++) {
       queue.add(new OrganisationId("a"), i);
       queue.add(new OrganisationId("b"), 1_000 + i);
     }
     int fromA = 0;
     for (int i = 0; i < 200; i++) {
-      fromA += queue.take(ticket -> true).getAsLong() < 1_000 ? 1 : 0;
+      fromA += queue.poll(ticket -> true).getAsLong() < 1_000 ? 1 : 0;
     }
     assertEquals(150, fromA);
   }
@@ -229,11 +229,11 @@
   void letsAnEjectedExecutorBackSlowly() {
     ExecutorHealth health = new ExecutorHealth();
     long lasts = health.eject(1_000);
-    assertTrue(health.ejected(1_000 + lasts - 1));
+    assertTrue(health.isEjected(1_000 + lasts - 1));
     long back = 1_000 + lasts;
-    assertEquals(1, health.allowed(8, back));
-    assertEquals(4, health.allowed(8, back + ExecutorHealth.SLOW_START_MILLIS / 2));
-    assertEquals(8, health.allowed(8, back + ExecutorHealth.SLOW_START_MILLIS));
+    assertEquals(1, health.allowedSlots(8, back));
+    assertEquals(4, health.allowedSlots(8, back + ExecutorHealth.SLOW_START_MILLIS / 2));
+    assertEquals(8, health.allowedSlots(8, back + ExecutorHealth.SLOW_START_MILLIS));
   }
 
   @Test
