--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/CrashJudge.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/CrashJudge.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.OptionalLong;
 import java.util.concurrent.TimeUnit;
-import org.fescuehook.logic.batch.BatchTurn;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.state.LiveRun;
 import org.fescuehook.logic.batch.state.LiveRun.Stage;
 import org.fescuehook.model.batch.BatchStep;
@@ -44,23 +44,23 @@
   record Case(Loss loss, long lostAt, boolean leaving, boolean crashedLately) {
 
     /** The loss of the present life of an executor. */
-    static Case of(ExecutorState executor, Loss loss, BatchTurn turn) {
+    static Case of(ExecutorState executor, Loss loss, BatchContext context) {
       return new Case(
           loss,
-          executor.silentSince().orElse(turn.nowNanos()),
+          executor.silentSince().orElse(context.nowNanos()),
           executor.profile().leaving(),
-          executor.restartedLately(turn.nowNanos()));
+          executor.restartedLately(context.nowNanos()));
     }
 
     /** The loss of a former life; this owner may not have met that one. */
-    static Case ofFormerLife(ExecutorState executor, BatchTurn turn) {
+    static Case ofFormerLife(ExecutorState executor, BatchContext context) {
       return executor
           .formerLife()
           .map(
               former ->
                   new Case(
                       Loss.RESTARTED, former.endedAt(), former.leaving(), former.crashedLately()))
-          .orElseGet(() -> new Case(Loss.RESTARTED, turn.nowNanos(), false, false));
+          .orElseGet(() -> new Case(Loss.RESTARTED, context.nowNanos(), false, false));
     }
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorDuty.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 import java.util.Set;
 import org.fescuehook.logic.batch.BatchCommand;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.BatchLogEvent;
-import org.fescuehook.logic.batch.BatchTurn;
 import org.fescuehook.logic.batch.executor.CrashJudge.Loss;
 import org.fescuehook.logic.batch.executor.OrderOutcome.Rejection;
 import org.fescuehook.logic.batch.state.LiveRun;
@@ -62,14 +62,14 @@
       Duration longestLease,
       Duration inheritedLease,
       RunListener listener,
-      BatchTurn turn) {
-    this.nextRoundAt = turn.nowNanos();
+      BatchContext context) {
+    this.nextRoundAt = context.nowNanos();
     this.orders = new OrderSender(epoch, lease);
     this.polls = new PollDuty(book, orders);
     this.pacer = new Pacer(orders);
     this.starts = new StartSettler(orders, pacer, listener);
     this.inheritedLeaseNanos = inheritedLease.toNanos();
-    this.orphans = new OrphanedRuns(turn.nowNanos() + inheritedLeaseNanos);
+    this.orphans = new OrphanedRuns(context.nowNanos() + inheritedLeaseNanos);
     this.listener = listener;
     this.reports = new ReportReader(orders, pacer, listener, longestLease);
     this.lost = new LostExecutors(book, reports);
@@ -90,24 +90,24 @@
   }
 
   /** Takes over runs of a former owner, once, before the first step. */
-  public void inherit(List<LiveRun> runs, BatchTurn turn) {
+  public void inherit(List<LiveRun> runs, BatchContext context) {
     for (LiveRun run : runs) {
       Optional<ExecutorState> executor = book.find(run.executor());
       if (executor.isPresent()) {
-        adopt(executor.get(), run, turn);
+        adopt(executor.get(), run, context);
       } else {
         orphans.add(run);
       }
     }
-    pacer.inherited(runs, run -> book.find(run.executor()), turn);
+    pacer.inherited(runs, run -> book.find(run.executor()), context);
   }
 
-  private void adopt(ExecutorState executor, LiveRun run, BatchTurn turn) {
+  private void adopt(ExecutorState executor, LiveRun run, BatchContext context) {
     executor.add(run);
-    executor.lease().mayLastUntil(turn.nowNanos() + inheritedLeaseNanos);
+    executor.lease().mayLastUntil(context.nowNanos() + inheritedLeaseNanos);
     if (run.stage() == Stage.STOPPING) {
       // Its executor was not listed when the stop was decided.
-      orders.stop(executor, run, turn);
+      orders.stop(executor, run, context);
     }
   }
 
@@ -116,25 +116,25 @@
    *
    * @return whether it tells anything new
    */
-  public boolean seen(ExecutorProfile profile, BatchTurn turn) {
+  public boolean seen(ExecutorProfile profile, BatchContext context) {
     Optional<ExecutorState> found = book.find(profile.id());
     if (found.isEmpty()) {
       ExecutorState executor = new ExecutorState(profile, orders.mark());
       lost.listed(executor);
       book.add(executor);
-      orphans.take(profile.id()).forEach(run -> adopt(executor, run, turn));
+      orphans.take(profile.id()).forEach(run -> adopt(executor, run, context));
       return true;
     }
     if (profile.incarnation().before(found.get().incarnation())) {
       return false;
     }
-    ExecutorState executor = restarts.described(found.get(), profile.incarnation(), turn);
+    ExecutorState executor = restarts.described(found.get(), profile.incarnation(), context);
     boolean same = executor.listed() && executor.profile().equals(profile);
     boolean wasLeaving = executor.profile().leaving();
     executor.describe(profile);
     if (profile.leaving() && !wasLeaving) {
-      turn.note(BatchLogEvent.EXECUTOR_LEAVING, executor.incarnation(), executor.runs().size());
-      listener.leaving(executor, turn);
+      context.note(BatchLogEvent.EXECUTOR_LEAVING, executor.incarnation(), executor.runs().size());
+      listener.leaving(executor, context);
     }
     return !same;
   }
@@ -148,66 +148,66 @@
    * Sends what is due: to the executors that were heard of since the last step at once, to all
    * others in intervals, since a look at each of a large fleet costs more than most events.
    */
-  public void step(BatchTurn turn) {
-    if (turn.nowNanos() - nextRoundAt < 0) {
-      List.copyOf(heardOf).forEach(executor -> look(executor, turn));
+  public void step(BatchContext context) {
+    if (context.nowNanos() - nextRoundAt < 0) {
+      List.copyOf(heardOf).forEach(executor -> look(executor, context));
       heardOf.clear();
       return;
     }
-    nextRoundAt = turn.nowNanos() + ROUND_NANOS;
+    nextRoundAt = context.nowNanos() + ROUND_NANOS;
     heardOf.clear();
-    book.snapshot().forEach(executor -> look(executor, turn));
-    polls.contact(turn);
+    book.snapshot().forEach(executor -> look(executor, context));
+    polls.contact(context);
     orphans
-        .takeLost(turn.nowNanos())
+        .takeLost(context.nowNanos())
         .forEach(
             run ->
                 reports.loseWithExecutor(
                     run,
                     CrashEvidence.DOUBTFUL,
                     "its executor is not listed and its lease has expired",
-                    turn));
+                    context));
   }
 
-  private void look(ExecutorState executor, BatchTurn turn) {
-    polls.missOverdue(executor, OVERDUE_NANOS, turn);
-    settleSilence(executor, turn);
-    repeatOrders(executor, turn);
-    polls.poll(executor, turn);
+  private void look(ExecutorState executor, BatchContext context) {
+    polls.missOverdue(executor, OVERDUE_NANOS, context);
+    settleSilence(executor, context);
+    repeatOrders(executor, context);
+    polls.poll(executor, context);
   }
 
-  private void settleSilence(ExecutorState executor, BatchTurn turn) {
+  private void settleSilence(ExecutorState executor, BatchContext context) {
     boolean silent = executor.missedPolls() > 0;
-    if (silent && turn.nowNanos() - executor.lease().untilNanos() > 0) {
-      lost.loseAll(executor, Loss.SILENT, "silent until its lease had expired", turn);
+    if (silent && context.nowNanos() - executor.lease().untilNanos() > 0) {
+      lost.loseAll(executor, Loss.SILENT, "silent until its lease had expired", context);
     }
     boolean mayRun = !executor.runs().isEmpty() || (executor.runsUnknown() && !silent);
     boolean idle = !mayRun && executor.poll().isEmpty();
     boolean acknowledges = executor.ends().owes() && !silent;
     // It may be listed again in a moment, and then lists ends that are on their way to the store.
     if (!executor.listed() && idle && !acknowledges && !executor.ends().unstored()) {
-      turn.note(BatchLogEvent.EXECUTOR_FORGOTTEN, executor.incarnation());
-      forget(executor, turn);
+      context.note(BatchLogEvent.EXECUTOR_FORGOTTEN, executor.incarnation());
+      forget(executor, context);
     }
   }
 
-  private void forget(ExecutorState executor, BatchTurn turn) {
+  private void forget(ExecutorState executor, BatchContext context) {
     book.remove(executor);
     heardOf.remove(executor);
     pacer.forget(executor);
-    turn.add(new BatchCommand.ForgetExecutor(executor.profile().id()));
+    context.add(new BatchCommand.ForgetExecutor(executor.profile().id()));
   }
 
-  private void repeatOrders(ExecutorState executor, BatchTurn turn) {
+  private void repeatOrders(ExecutorState executor, BatchContext context) {
     for (LiveRun run : List.copyOf(executor.runs())) {
-      boolean overdue = turn.nowNanos() - run.orderedAt() > OVERDUE_NANOS;
+      boolean overdue = context.nowNanos() - run.orderedAt() > OVERDUE_NANOS;
       if (run.stage() == Stage.STARTING && executor.known() && overdue) {
-        starts.ended(executor, run, new OrderOutcome.Unanswered("no outcome came"), turn);
+        starts.ended(executor, run, new OrderOutcome.Unanswered("no outcome came"), context);
         continue;
       }
       boolean stopOwed = run.stage() == Stage.STOPPING && !run.stopTaken();
-      if (stopOwed && turn.nowNanos() - run.orderedAt() > STOP_REPEAT_NANOS) {
-        orders.stop(executor, run, turn);
+      if (stopOwed && context.nowNanos() - run.orderedAt() > STOP_REPEAT_NANOS) {
+        orders.stop(executor, run, context);
       }
     }
   }
@@ -217,7 +217,7 @@
    * slow; where the executor has less room by now, or is about to leave, another place is looked
    * for.
    */
-  public void start(LiveRun run, BatchTurn turn) {
+  public void start(LiveRun run, BatchContext context) {
     Optional<ExecutorState> executor = book.find(run.executor());
     if (executor.isEmpty() || !executor.get().known()) {
       return;
@@ -225,15 +225,16 @@
     boolean leaving = executor.get().profile().leaving();
     if (leaving || executor.get().overbooked()) {
       executor.get().remove(run);
-      reports.lose(run, leaving ? "its executor leaves" : "its executor has less room now", turn);
+      reports.lose(
+          run, leaving ? "its executor leaves" : "its executor has less room now", context);
       return;
     }
-    run.enter(Stage.STARTING, turn.nowNanos());
-    orders.start(executor.get(), run, turn);
+    run.enter(Stage.STARTING, context.nowNanos());
+    orders.start(executor.get(), run, context);
   }
 
   /** Orders the end of a run; one that was not started yet is dropped at once. */
-  public void stop(LiveRun run, String cause, BatchTurn turn) {
+  public void stop(LiveRun run, String cause, BatchContext context) {
     if (run.stage() == Stage.STOPPING) {
       return;
     }
@@ -243,12 +244,12 @@
     }
     if (run.stage() == Stage.PLACED) {
       executor.ifPresent(state -> state.remove(run));
-      listener.lost(run, cause, turn);
+      listener.lost(run, cause, context);
       return;
     }
-    turn.note(BatchLogEvent.RUN_STOPPING, run.run(), run.incarnation(), cause);
-    run.enter(Stage.STOPPING, turn.nowNanos());
-    executor.ifPresent(state -> orders.stop(state, run, turn));
+    context.note(BatchLogEvent.RUN_STOPPING, run.run(), run.incarnation(), cause);
+    run.enter(Stage.STOPPING, context.nowNanos());
+    executor.ifPresent(state -> orders.stop(state, run, context));
   }
 
   /**
@@ -256,7 +257,7 @@
    *
    * @return whether the executor can be used from now on and could not before
    */
-  public boolean ended(ExecutorId id, long number, OrderOutcome outcome, BatchTurn turn) {
+  public boolean ended(ExecutorId id, long number, OrderOutcome outcome, BatchContext context) {
     if (!orders.ofThisEpoch(number)) {
       return false;
     }
@@ -264,7 +265,7 @@
       orders.notSent(number);
     }
     Optional<LiveRun> run = orders.takeRun(number);
-    polls.orderEnded(number, outcome, turn);
+    polls.orderEnded(number, outcome, context);
     Optional<ExecutorState> found = book.find(id);
     if (found.isEmpty()) {
       return false;
@@ -276,49 +277,49 @@
     }
     heardOf.add(executor);
     if (outcome instanceof OrderOutcome.OtherIncarnation) {
-      turn.note(
+      context.note(
           BatchLogEvent.EXECUTOR_GONE,
           executor.incarnation(),
           "another incarnation answered",
           executor.runs().size());
       run.filter(live -> live.stage() == Stage.STARTING && !live.startUncertain())
           .ifPresent(LiveRun::startNeverArrived);
-      lost.loseAll(executor, Loss.RESTARTED, "its executor was restarted", turn);
-      forget(executor, turn);
-      lost.crashed(executor.profile(), turn);
+      lost.loseAll(executor, Loss.RESTARTED, "its executor was restarted", context);
+      forget(executor, context);
+      lost.crashed(executor.profile(), context);
       return false;
     }
     if (outcome instanceof OrderOutcome.Rejected(Rejection rejection)
         && rejection == Rejection.FENCED) {
-      listener.fenced(turn);
+      listener.fenced(context);
       return false;
     }
     if (executor.poll().filter(poll -> poll.number() == number).isPresent()) {
-      boolean usable = executor.usable(turn.nowNanos());
-      pollEnded(executor, outcome, turn);
-      return !usable && executor.usable(turn.nowNanos());
+      boolean usable = executor.usable(context.nowNanos());
+      pollEnded(executor, outcome, context);
+      return !usable && executor.usable(context.nowNanos());
     }
     // A run that ended or was given up meanwhile holds no capacity any more.
     run.filter(live -> executor.run(live.run()).isPresent())
-        .ifPresent(live -> orderEnded(executor, live, outcome, turn));
+        .ifPresent(live -> orderEnded(executor, live, outcome, context));
     return false;
   }
 
   private void orderEnded(
-      ExecutorState executor, LiveRun run, OrderOutcome outcome, BatchTurn turn) {
+      ExecutorState executor, LiveRun run, OrderOutcome outcome, BatchContext context) {
     if (outcome instanceof OrderOutcome.Done(long clock)) {
-      executor.lease().read(clock, turn.nowNanos());
+      executor.lease().read(clock, context.nowNanos());
     }
     switch (run.stage()) {
-      case STARTING -> starts.ended(executor, run, outcome, turn);
-      case STOPPING -> stopEnded(run, outcome, turn);
+      case STARTING -> starts.ended(executor, run, outcome, context);
+      case STOPPING -> stopEnded(run, outcome, context);
       case PLACED, RUNNING, INHERITED -> {}
     }
   }
 
-  private static void stopEnded(LiveRun run, OrderOutcome outcome, BatchTurn turn) {
-    long millis = Duration.ofNanos(turn.nowNanos() - run.stageSince()).toMillis();
-    turn.note(
+  private static void stopEnded(LiveRun run, OrderOutcome outcome, BatchContext context) {
+    long millis = Duration.ofNanos(context.nowNanos() - run.stageSince()).toMillis();
+    context.note(
         BatchLogEvent.STOP_ORDER_ENDED,
         run.run(),
         run.incarnation(),
@@ -326,19 +327,19 @@
         outcome,
         millis);
     if (outcome instanceof OrderOutcome.Done) {
-      run.stopTaken(turn.nowNanos());
+      run.stopTaken(context.nowNanos());
     }
   }
 
-  private void pollEnded(ExecutorState executor, OrderOutcome outcome, BatchTurn turn) {
+  private void pollEnded(ExecutorState executor, OrderOutcome outcome, BatchContext context) {
     if (outcome instanceof OrderOutcome.Polled polled) {
-      if (restarts.answered(executor, polled.bornMillis(), turn)) {
+      if (restarts.answered(executor, polled.bornMillis(), context)) {
         heardOf.remove(executor);
         return;
       }
-      lost.loseUnlisted(executor, reports.take(executor, polled, turn), turn);
+      lost.loseUnlisted(executor, reports.take(executor, polled, context), context);
       return;
     }
-    polls.missed(executor, outcome, turn);
+    polls.missed(executor, outcome, context);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorJudge.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorJudge.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import java.util.OptionalDouble;
-import org.fescuehook.logic.batch.BatchTurn;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.state.LiveRun;
 import org.fescuehook.logic.batch.state.LiveRun.Stage;
 import org.fescuehook.model.batch.RunEnd;
@@ -50,7 +50,7 @@
    * Rests an executor on which runs fail, longer each time, until one is done there. A run that has
    * failed elsewhere before is no evidence: a hopeless job would rest one executor after the other.
    */
-  static void ended(ExecutorState executor, LiveRun run, RunEnd end, BatchTurn turn) {
+  static void ended(ExecutorState executor, LiveRun run, RunEnd end, BatchContext context) {
     if (end == RunEnd.DONE) {
       executor.succeeded();
     }
@@ -58,7 +58,7 @@
       return;
     }
     int doublings = Math.min(executor.failed() - 1, MOST_REST_DOUBLINGS);
-    executor.rest(FAILURE_REST.multipliedBy(1L << doublings), "a run failed there", turn);
+    executor.rest(FAILURE_REST.multipliedBy(1L << doublings), "a run failed there", context);
   }
 
   /**
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorState.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorState.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.OptionalLong;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.BatchLogEvent;
-import org.fescuehook.logic.batch.BatchTurn;
 import org.fescuehook.logic.batch.state.LiveRun;
-import org.fescuehook.model.batch.Demand;
 import org.fescuehook.model.batch.ExecutorProfile;
+import org.fescuehook.model.batch.ResourceVector;
 import org.fescuehook.model.batch.TaskRun;
 import org.fescuehook.model.fleet.Incarnation;
 
@@ -28,7 +28,7 @@
   private final OrderMark mark;
   private final Optional<FormerLife> formerLife;
   private final Map<TaskRun, LiveRun> runs = new LinkedHashMap<>();
-  private Demand used = Demand.NONE;
+  private ResourceVector used = ResourceVector.NONE;
   private boolean listed = true;
   private boolean known;
   private int missedPolls;
@@ -161,7 +161,7 @@
   }
 
   /** Returns what is not reserved. */
-  public Demand free() {
+  public ResourceVector free() {
     return profile.capacity().minus(used);
   }
 
@@ -316,10 +316,10 @@
   }
 
   /** Gives it nothing new for a while. */
-  public void rest(Duration length, String cause, BatchTurn turn) {
+  public void rest(Duration length, String cause, BatchContext context) {
     resting = true;
-    restUntil = turn.nowNanos() + length.toNanos();
-    turn.note(BatchLogEvent.EXECUTOR_RESTED, incarnation, length.toMillis(), cause);
+    restUntil = context.nowNanos() + length.toNanos();
+    context.note(BatchLogEvent.EXECUTOR_RESTED, incarnation, length.toMillis(), cause);
   }
 
   private boolean rests(long nowNanos) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/LostExecutors.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/LostExecutors.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.BatchLogEvent;
-import org.fescuehook.logic.batch.BatchTurn;
 import org.fescuehook.logic.batch.executor.CrashJudge.Loss;
 import org.fescuehook.logic.batch.state.LiveRun;
 import org.fescuehook.model.batch.ExecutorProfile;
@@ -29,19 +29,19 @@
   }
 
   /** Gives up all runs of an executor that is lost. */
-  void loseAll(ExecutorState executor, Loss loss, String cause, BatchTurn turn) {
+  void loseAll(ExecutorState executor, Loss loss, String cause, BatchContext context) {
     Map<Boolean, List<LiveRun>> byLife = byLife(executor, List.copyOf(executor.runs()));
-    loseWithFormerLife(executor, byLife.get(false), turn);
-    lose(executor, CrashJudge.Case.of(executor, loss, turn), byLife.get(true), cause, turn);
+    loseWithFormerLife(executor, byLife.get(false), context);
+    lose(executor, CrashJudge.Case.of(executor, loss, context), byLife.get(true), cause, context);
   }
 
   /** Gives up runs that an executor does not list. */
-  void loseUnlisted(ExecutorState executor, List<LiveRun> runs, BatchTurn turn) {
+  void loseUnlisted(ExecutorState executor, List<LiveRun> runs, BatchContext context) {
     Map<Boolean, List<LiveRun>> byLife = byLife(executor, runs);
-    loseWithFormerLife(executor, byLife.get(false), turn);
+    loseWithFormerLife(executor, byLife.get(false), context);
     for (LiveRun run : byLife.get(true)) {
       executor.remove(run);
-      reports.lose(run, "its executor does not list it", turn);
+      reports.lose(run, "its executor does not list it", context);
     }
   }
 
@@ -51,9 +51,10 @@
         .collect(partitioningBy(run -> !run.incarnation().differsFrom(executor.incarnation())));
   }
 
-  private void loseWithFormerLife(ExecutorState executor, List<LiveRun> runs, BatchTurn turn) {
-    CrashJudge.Case restart = CrashJudge.Case.ofFormerLife(executor, turn);
-    lose(executor, restart, runs, "its executor was restarted", turn);
+  private void loseWithFormerLife(
+      ExecutorState executor, List<LiveRun> runs, BatchContext context) {
+    CrashJudge.Case restart = CrashJudge.Case.ofFormerLife(executor, context);
+    lose(executor, restart, runs, "its executor was restarted", context);
   }
 
   private void lose(
@@ -61,17 +62,17 @@
       CrashJudge.Case loss,
       List<LiveRun> runs,
       String cause,
-      BatchTurn turn) {
+      BatchContext context) {
     Map<LiveRun, CrashEvidence> evidence = CrashJudge.judge(loss, runs);
     for (LiveRun run : evidence.keySet()) {
-      note(loss, run, evidence.size() - 1, turn);
+      note(loss, run, evidence.size() - 1, context);
     }
     evidence.forEach(
         (run, against) -> {
           executor.remove(run);
           boolean unclear = against != CrashEvidence.NONE && mayHaveEndedBefore(run);
           CrashEvidence known = unclear ? CrashEvidence.DOUBTFUL : against;
-          reports.loseWithExecutor(run, known, cause, turn);
+          reports.loseWithExecutor(run, known, cause, context);
         });
   }
 
@@ -86,27 +87,27 @@
             .anyMatch(other -> book.find(other.executor()).filter(e -> !e.calm()).isPresent());
   }
 
-  private static void note(CrashJudge.Case loss, LiveRun run, int others, BatchTurn turn) {
+  private static void note(CrashJudge.Case loss, LiveRun run, int others, BatchContext context) {
     String age =
         run.startOrderedAt().isPresent()
             ? Duration.ofNanos(loss.lostAt() - run.startOrderedAt().getAsLong()).toMillis() + " ms"
             : "unknown";
     String seen = run.seenRunning() ? "seen running" : "never seen running";
-    turn.note(
+    context.note(
         BatchLogEvent.RUN_LOST_WITH_EXECUTOR, run.run(), run.incarnation(), seen, age, others);
   }
 
   /** Takes in that an executor has crashed: what is listed at its address is a new incarnation. */
-  void crashed(ExecutorProfile profile, BatchTurn turn) {
+  void crashed(ExecutorProfile profile, BatchContext context) {
     InetSocketAddress address = profile.address();
-    crashedAt.values().removeIf(at -> ExecutorState.longAgo(at, turn.nowNanos()));
+    crashedAt.values().removeIf(at -> ExecutorState.longAgo(at, context.nowNanos()));
     Optional<ExecutorState> next =
         book.all().stream()
             .filter(executor -> executor.profile().address().equals(address))
             .findFirst();
     next.ifPresentOrElse(
-        executor -> executor.restarted(turn.nowNanos()),
-        () -> crashedAt.put(address, turn.nowNanos()));
+        executor -> executor.restarted(context.nowNanos()),
+        () -> crashedAt.put(address, context.nowNanos()));
   }
 
   /** Takes in that an executor is listed for the first time. */
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/OrderSender.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/OrderSender.java
@@ -7,7 +7,7 @@
 import java.util.OptionalLong;
 import org.fescuehook.logic.batch.BatchCommand;
 import org.fescuehook.logic.batch.BatchCommand.ExecutorOrder;
-import org.fescuehook.logic.batch.BatchTurn;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.EpochNumbers;
 import org.fescuehook.logic.batch.state.LiveRun;
 import org.fescuehook.logic.batch.state.LiveRun.Stage;
@@ -51,11 +51,11 @@
    *
    * @return the number of the order
    */
-  long poll(ExecutorState executor, BatchTurn turn) {
+  long poll(ExecutorState executor, BatchContext context) {
     boolean calm = executor.calm();
     OptionalLong leaseUntil = OptionalLong.empty();
     if (calm && executor.runs().stream().anyMatch(run -> run.stage() != Stage.STOPPING)) {
-      leaseUntil = OptionalLong.of(executor.lease().extend(lease, turn.nowNanos()));
+      leaseUntil = OptionalLong.of(executor.lease().extend(lease, context.nowNanos()));
     } else if (executor.lease().untilMillis() > 0) {
       leaseUntil = OptionalLong.of(executor.lease().untilMillis());
     }
@@ -64,37 +64,37 @@
     // One that missed an answer may have started again, and would forget ends that nobody has read.
     long acknowledged = calm ? executor.ends().owed() : 0;
     ExecutorOrder poll = new ExecutorOrder.Poll(acknowledged, leaseUntil, longestWait);
-    long number = send(executor, poll, turn);
-    executor.pollSent(number, acknowledged, turn.nowNanos());
+    long number = send(executor, poll, context);
+    executor.pollSent(number, acknowledged, context.nowNanos());
     return number;
   }
 
   /** Orders the start of a run. */
-  void start(ExecutorState executor, LiveRun run, BatchTurn turn) {
-    run.ordered(turn.nowNanos());
-    long leaseUntil = executor.lease().extend(lease, turn.nowNanos());
+  void start(ExecutorState executor, LiveRun run, BatchContext context) {
+    run.ordered(context.nowNanos());
+    long leaseUntil = executor.lease().extend(lease, context.nowNanos());
     String spec = run.step().job().job().submission().spec();
     ExecutorOrder order =
         new ExecutorOrder.Start(run.run(), spec, run.checkpoint(), run.ticket(), leaseUntil);
-    ordered.put(send(executor, order, turn), new RunOrder(run, run.stage()));
+    ordered.put(send(executor, order, context), new RunOrder(run, run.stage()));
   }
 
   /** Orders the end of a run. */
-  void stop(ExecutorState executor, LiveRun run, BatchTurn turn) {
-    run.ordered(turn.nowNanos());
+  void stop(ExecutorState executor, LiveRun run, BatchContext context) {
+    run.ordered(context.nowNanos());
     ExecutorOrder order = new ExecutorOrder.Stop(run.run());
-    ordered.put(send(executor, order, turn), new RunOrder(run, run.stage()));
+    ordered.put(send(executor, order, context), new RunOrder(run, run.stage()));
   }
 
   /** Orders a run to work at a share of its speed. */
-  void pace(ExecutorState executor, LiveRun run, int percent, BatchTurn turn) {
+  void pace(ExecutorState executor, LiveRun run, int percent, BatchContext context) {
     run.slowedDown();
-    send(executor, new ExecutorOrder.Pace(run.run(), percent), turn);
+    send(executor, new ExecutorOrder.Pace(run.run(), percent), context);
   }
 
   /** Orders the end of a run that the owner does not know. */
-  void stopUnknown(ExecutorState executor, TaskRun run, BatchTurn turn) {
-    send(executor, new ExecutorOrder.Stop(run), turn);
+  void stopUnknown(ExecutorState executor, TaskRun run, BatchContext context) {
+    send(executor, new ExecutorOrder.Stop(run), context);
   }
 
   /** Tells whether an order was sent in this epoch; outcomes of former ones tell nothing of it. */
@@ -135,9 +135,9 @@
     return mark();
   }
 
-  private long send(ExecutorState executor, ExecutorOrder order, BatchTurn turn) {
+  private long send(ExecutorState executor, ExecutorOrder order, BatchContext context) {
     lastNumber++;
-    turn.add(
+    context.add(
         new BatchCommand.Order(executor.profile(), lastNumber, executor.mark().fence(), order));
     return lastNumber;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/Pacer.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/Pacer.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Function;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.BatchLogEvent;
-import org.fescuehook.logic.batch.BatchTurn;
 import org.fescuehook.logic.batch.executor.OrderOutcome.ActiveRun;
 import org.fescuehook.logic.batch.state.LiveRun;
 import org.fescuehook.model.batch.BatchStep;
@@ -47,15 +47,15 @@
   }
 
   /** Looks at what an executor reports of its runs. */
-  void look(ExecutorState executor, OrderOutcome.Polled report, BatchTurn turn) {
+  void look(ExecutorState executor, OrderOutcome.Polled report, BatchContext context) {
     double nearest = 0;
     for (ActiveRun active : report.active()) {
       nearest = Math.max(nearest, nearness(executor, active));
     }
     Pace pace = paces.getOrDefault(executor, new Pace(FULL_PERCENT, Long.MIN_VALUE / 2));
-    int percent = next(pace, nearest, turn.nowNanos() - pace.since());
+    int percent = next(pace, nearest, context.nowNanos() - pace.since());
     if (percent != pace.percent()) {
-      change(executor, percent, nearest, turn);
+      change(executor, percent, nearest, context);
     }
   }
 
@@ -78,26 +78,26 @@
     return pace.percent();
   }
 
-  private void change(ExecutorState executor, int percent, double nearest, BatchTurn turn) {
-    paces.put(executor, new Pace(percent, turn.nowNanos()));
-    turn.note(
+  private void change(ExecutorState executor, int percent, double nearest, BatchContext context) {
+    paces.put(executor, new Pace(percent, context.nowNanos()));
+    context.note(
         BatchLogEvent.WORK_PACED,
         executor.incarnation(),
         percent,
         Math.round(nearest * FULL_PERCENT));
     for (LiveRun run : executor.runs()) {
       if (!run.step().spec().serves()) {
-        orders.pace(executor, run, percent, turn);
+        orders.pace(executor, run, percent, context);
       }
     }
   }
 
   /** Has a run that starts now work at the pace of its executor. */
-  void started(ExecutorState executor, LiveRun run, BatchTurn turn) {
+  void started(ExecutorState executor, LiveRun run, BatchContext context) {
     Pace pace = paces.get(executor);
     boolean slowed = pace != null && pace.percent() < FULL_PERCENT;
     if (slowed && !run.step().spec().serves()) {
-      orders.pace(executor, run, pace.percent(), turn);
+      orders.pace(executor, run, pace.percent(), context);
     }
   }
 
@@ -106,13 +106,17 @@
    * where some of the inherited tasks serve users, as it had no reason elsewhere.
    */
   void inherited(
-      List<LiveRun> runs, Function<LiveRun, Optional<ExecutorState>> executors, BatchTurn turn) {
+      List<LiveRun> runs,
+      Function<LiveRun, Optional<ExecutorState>> executors,
+      BatchContext context) {
     if (runs.stream().noneMatch(run -> run.step().spec().serves())) {
       return;
     }
     for (LiveRun run : runs) {
       if (!run.step().spec().serves()) {
-        executors.apply(run).ifPresent(executor -> orders.pace(executor, run, FULL_PERCENT, turn));
+        executors
+            .apply(run)
+            .ifPresent(executor -> orders.pace(executor, run, FULL_PERCENT, context));
       }
     }
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/PollDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/PollDuty.java
@@ -6,8 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.BatchLogEvent;
-import org.fescuehook.logic.batch.BatchTurn;
 
 /** Decides when executors are polled, and keeps count of those that do not answer. */
 final class PollDuty {
@@ -38,31 +38,33 @@
    * admits: first those with runs, whose leases need renewal, and of these first who is due
    * longest, so that some that stay silent do not take the places of the others each time.
    */
-  void contact(BatchTurn turn) {
+  void contact(BatchContext context) {
     List<ExecutorState> due = new ArrayList<>();
     for (ExecutorState executor : book.all()) {
-      if (!executor.calm() && needsPoll(executor) && executor.pollDue(turn.nowNanos())) {
+      if (!executor.calm() && needsPoll(executor) && executor.pollDue(context.nowNanos())) {
         due.add(executor);
       }
     }
     due.sort(
         comparing((ExecutorState executor) -> executor.runs().isEmpty())
             .thenComparingLong(ExecutorState::nextPollAt));
-    due.forEach(executor -> contact(executor, turn));
+    due.forEach(executor -> contact(executor, context));
   }
 
-  /** Asks an executor now that is due by {@link #contact(BatchTurn)}, if the window admits it. */
-  void contact(ExecutorState executor, BatchTurn turn) {
+  /**
+   * Asks an executor now that is due by {@link #contact(BatchContext)}, if the window admits it.
+   */
+  void contact(ExecutorState executor, BatchContext context) {
     boolean missed = executor.missedPolls() > 0;
     if (contacts.admits(missed)) {
-      contacts.sent(orders.poll(executor, turn), missed, turn.nowNanos());
+      contacts.sent(orders.poll(executor, context), missed, context.nowNanos());
     }
   }
 
   /** Polls an executor that answers, if it is due. */
-  void poll(ExecutorState executor, BatchTurn turn) {
-    if (executor.calm() && needsPoll(executor) && executor.pollDue(turn.nowNanos())) {
-      orders.poll(executor, turn);
+  void poll(ExecutorState executor, BatchContext context) {
+    if (executor.calm() && needsPoll(executor) && executor.pollDue(context.nowNanos())) {
+      orders.poll(executor, context);
     }
   }
 
@@ -75,9 +77,9 @@
   }
 
   /** Takes in how an order ended, as far as it shows how fast executors answer. */
-  void orderEnded(long number, OrderOutcome outcome, BatchTurn turn) {
+  void orderEnded(long number, OrderOutcome outcome, BatchContext context) {
     if (outcome.answered()) {
-      contacts.answered(number, turn.nowNanos());
+      contacts.answered(number, context.nowNanos());
     } else {
       contacts.missed(number);
     }
@@ -89,22 +91,22 @@
   }
 
   /** Gives up waiting for a poll whose outcome has not come for too long. */
-  void missOverdue(ExecutorState executor, long overdueNanos, BatchTurn turn) {
+  void missOverdue(ExecutorState executor, long overdueNanos, BatchContext context) {
     executor
         .poll()
-        .filter(poll -> turn.nowNanos() - poll.sentAt() > overdueNanos)
+        .filter(poll -> context.nowNanos() - poll.sentAt() > overdueNanos)
         .ifPresent(
             poll -> {
               contacts.missed(poll.number());
-              missed(executor, new OrderOutcome.Unanswered("no outcome came"), turn);
+              missed(executor, new OrderOutcome.Unanswered("no outcome came"), context);
             });
   }
 
   /** Takes in that a poll had no answer. */
-  void missed(ExecutorState executor, OrderOutcome outcome, BatchTurn turn) {
+  void missed(ExecutorState executor, OrderOutcome outcome, BatchContext context) {
     if (executor.missedPolls() == 0) {
-      long left = Duration.ofNanos(executor.lease().untilNanos() - turn.nowNanos()).toMillis();
-      turn.note(
+      long left = Duration.ofNanos(executor.lease().untilNanos() - context.nowNanos()).toMillis();
+      context.note(
           BatchLogEvent.EXECUTOR_SILENT,
           executor.incarnation(),
           outcome,
@@ -114,6 +116,6 @@
     boolean idle = executor.runs().isEmpty();
     long repeated = idle ? IDLE_POLL_PAUSE_NANOS : MISSED_POLL_PAUSE_NANOS;
     long pause = executor.missedPolls() == 0 ? 0 : repeated;
-    executor.pollMissed(turn.nowNanos(), pause);
+    executor.pollMissed(context.nowNanos(), pause);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ReportReader.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ReportReader.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.BatchLogEvent;
-import org.fescuehook.logic.batch.BatchTurn;
 import org.fescuehook.logic.batch.executor.OrderOutcome.ActiveRun;
 import org.fescuehook.logic.batch.executor.OrderOutcome.EndedRun;
 import org.fescuehook.logic.batch.state.LiveRun;
@@ -34,15 +34,15 @@
   }
 
   /** Tells that a run that is no longer booked on its executor is gone. */
-  void lose(LiveRun run, String cause, BatchTurn turn) {
-    turn.note(BatchLogEvent.RUN_LOST, run.run(), run.incarnation(), cause);
-    listener.lost(run, cause, turn);
+  void lose(LiveRun run, String cause, BatchContext context) {
+    context.note(BatchLogEvent.RUN_LOST, run.run(), run.incarnation(), cause);
+    listener.lost(run, cause, context);
   }
 
   /** Tells that a run is gone with its executor. */
-  void loseWithExecutor(LiveRun run, CrashEvidence evidence, String cause, BatchTurn turn) {
-    turn.note(BatchLogEvent.RUN_LOST, run.run(), run.incarnation(), cause);
-    listener.lostWithExecutor(run, evidence, turn);
+  void loseWithExecutor(LiveRun run, CrashEvidence evidence, String cause, BatchContext context) {
+    context.note(BatchLogEvent.RUN_LOST, run.run(), run.incarnation(), cause);
+    listener.lostWithExecutor(run, evidence, context);
   }
 
   /**
@@ -50,25 +50,25 @@
    *
    * @return runs that are booked there, and that it would list if they were alive
    */
-  List<LiveRun> take(ExecutorState executor, OrderOutcome.Polled answer, BatchTurn turn) {
+  List<LiveRun> take(ExecutorState executor, OrderOutcome.Polled answer, BatchContext context) {
     long sentAt = executor.poll().orElseThrow().sentAt();
     boolean first = !executor.known();
     if (first || executor.missedPolls() > 0) {
-      turn.note(BatchLogEvent.EXECUTOR_REACHED, executor.incarnation(), answer.active().size());
+      context.note(BatchLogEvent.EXECUTOR_REACHED, executor.incarnation(), answer.active().size());
     }
     if (first) {
-      executor.lease().shutFormerOwnersOut(longestLease, turn.nowNanos());
+      executor.lease().shutFormerOwnersOut(longestLease, context.nowNanos());
     }
-    executor.pollAnswered(turn.nowNanos());
-    executor.lease().read(answer.clockMillis(), turn.nowNanos());
-    takeEnds(executor, answer.ended(), turn);
+    executor.pollAnswered(context.nowNanos());
+    executor.lease().read(answer.clockMillis(), context.nowNanos());
+    takeEnds(executor, answer.ended(), context);
     Set<TaskRun> active = new HashSet<>();
     executor.unknownRunsSeen(false);
     for (ActiveRun run : answer.active()) {
       active.add(run.run());
-      takeActive(executor, run, sentAt, turn);
+      takeActive(executor, run, sentAt, context);
     }
-    pacer.look(executor, answer, turn);
+    pacer.look(executor, answer, context);
     return executor.runs().stream()
         .filter(run -> !active.contains(run.run()))
         // What was ordered before the first answer is there by then, or is fenced off for good.
@@ -76,7 +76,7 @@
         .toList();
   }
 
-  private void takeEnds(ExecutorState executor, List<EndedRun> ends, BatchTurn turn) {
+  private void takeEnds(ExecutorState executor, List<EndedRun> ends, BatchContext context) {
     List<EndedRun> fresh =
         ends.stream().filter(end -> end.number() > executor.ends().seen()).toList();
     if (fresh.isEmpty()) {
@@ -88,39 +88,40 @@
     for (EndedRun end : fresh) {
       Optional<LiveRun> run = executor.run(end.run());
       if (run.isEmpty()) {
-        listener.strayEnded(end, stored, turn);
+        listener.strayEnded(end, stored, context);
         continue;
       }
       run.get().foundOn(executor.incarnation());
       executor.remove(run.get());
-      ExecutorJudge.ended(executor, run.get(), end.end(), turn);
-      listener.ended(run.get(), end, stored, turn);
+      ExecutorJudge.ended(executor, run.get(), end.end(), context);
+      listener.ended(run.get(), end, stored, context);
     }
     stored.release();
   }
 
-  private void takeActive(ExecutorState executor, ActiveRun active, long sentAt, BatchTurn turn) {
+  private void takeActive(
+      ExecutorState executor, ActiveRun active, long sentAt, BatchContext context) {
     Optional<LiveRun> found = executor.run(active.run());
     if (found.isEmpty()) {
       executor.unknownRunsSeen(true);
-      turn.note(BatchLogEvent.RUN_UNKNOWN, active.run(), executor.incarnation());
-      orders.stopUnknown(executor, active.run(), turn);
+      context.note(BatchLogEvent.RUN_UNKNOWN, active.run(), executor.incarnation());
+      orders.stopUnknown(executor, active.run(), context);
       return;
     }
     LiveRun run = found.get();
     run.foundOn(executor.incarnation());
-    run.progressed(active.percent(), turn.nowNanos());
+    run.progressed(active.percent(), context.nowNanos());
     run.stillListed(sentAt, LONGEST_STOP_NANOS);
     listener.saved(run, active.checkpoint());
     boolean inherited = run.stage() == Stage.INHERITED;
     if (inherited || run.stage() == Stage.STARTING) {
-      run.enter(Stage.RUNNING, turn.nowNanos());
+      run.enter(Stage.RUNNING, context.nowNanos());
     }
     if (inherited) {
-      listener.foundRunning(run, turn);
+      listener.foundRunning(run, context);
     }
-    if (ExecutorJudge.standsStill(executor, run, turn.nowNanos())) {
-      listener.stoodStill(run, turn);
+    if (ExecutorJudge.standsStill(executor, run, context.nowNanos())) {
+      listener.stoodStill(run, context);
     }
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/Restarts.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/Restarts.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import org.fescuehook.logic.batch.BatchCommand;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.BatchLogEvent;
-import org.fescuehook.logic.batch.BatchTurn;
 import org.fescuehook.logic.batch.state.LiveRun;
 import org.fescuehook.logic.batch.state.LiveRun.Stage;
 import org.fescuehook.model.fleet.Incarnation;
@@ -51,9 +51,9 @@
    *
    * @return the state of the newest life; what it knows is older than the entry or the same
    */
-  ExecutorState described(ExecutorState executor, Incarnation described, BatchTurn turn) {
+  ExecutorState described(ExecutorState executor, Incarnation described, BatchContext context) {
     if (executor.incarnation().before(described)) {
-      return succeed(executor, described, "entry", turn);
+      return succeed(executor, described, "entry", context);
     }
     executor.datedBy(described.bornMillis());
     return executor;
@@ -64,13 +64,13 @@
    *
    * @return whether it is another one than the poll was meant for
    */
-  boolean answered(ExecutorState executor, OptionalLong bornMillis, BatchTurn turn) {
+  boolean answered(ExecutorState executor, OptionalLong bornMillis, BatchContext context) {
     Incarnation answering = new Incarnation(executor.incarnation().id(), bornMillis);
     boolean toldNothing = executor.known() && executor.incarnation().bornMillis().isEmpty();
     boolean other = answering.differsFrom(executor.incarnation());
     // The clocks of two lives may differ, so the one that answers counts, whichever is greater.
     if (other || (toldNothing && bornMillis.isPresent())) {
-      succeed(executor, answering, "answer", turn);
+      succeed(executor, answering, "answer", context);
       return true;
     }
     executor.datedBy(bornMillis);
@@ -78,25 +78,25 @@
   }
 
   private ExecutorState succeed(
-      ExecutorState former, Incarnation next, String source, BatchTurn turn) {
-    turn.note(
+      ExecutorState former, Incarnation next, String source, BatchContext context) {
+    context.note(
         BatchLogEvent.EXECUTOR_RESTARTED, former.incarnation(), next, source, former.runs().size());
-    turn.count("fescuehook.batch.executors.restarted", "told-by", source);
+    context.count("fescuehook.batch.executors.restarted", "told-by", source);
     ExecutorState executor =
-        former.successor(next, endOf(former, next, turn), orders.markOfNextLife());
-    executor.restarted(turn.nowNanos());
-    executor.lease().mayLastFor(longestLease, turn.nowNanos());
+        former.successor(next, endOf(former, next, context), orders.markOfNextLife());
+    executor.restarted(context.nowNanos());
+    executor.lease().mayLastFor(longestLease, context.nowNanos());
     List<LiveRun> runs = List.copyOf(former.runs());
     runs.stream().filter(run -> run.stage() != Stage.PLACED).forEach(executor::add);
     book.add(executor);
     polls.forget(former);
     pacer.forget(former);
-    turn.add(new BatchCommand.ForgetExecutor(next.id()));
+    context.add(new BatchCommand.ForgetExecutor(next.id()));
     runs.stream()
         .filter(run -> run.stage() == Stage.PLACED)
-        .forEach(run -> reports.lose(run, "its executor was restarted before its start", turn));
+        .forEach(run -> reports.lose(run, "its executor was restarted before its start", context));
     // Until it has been asked, an order to the former life may be carried out there.
-    polls.contact(executor, turn);
+    polls.contact(executor, context);
     return executor;
   }
 
@@ -105,19 +105,19 @@
    * the day may be wrong, but it was over when it no longer answered, and not before its last
    * answer.
    */
-  private static FormerLife endOf(ExecutorState former, Incarnation next, BatchTurn turn) {
+  private static FormerLife endOf(ExecutorState former, Incarnation next, BatchContext context) {
     Optional<FormerLife> unsettled = former.formerLife();
     if (unsettled.isPresent() && !former.known()) {
       return unsettled.get();
     }
-    long latest = former.silentSince().orElse(turn.nowNanos());
-    long age = Math.max(0, turn.wallMillis() - next.bornMillis().orElse(turn.wallMillis()));
-    long began = turn.nowNanos() - Duration.ofMillis(age).toNanos();
+    long latest = former.silentSince().orElse(context.nowNanos());
+    long age = Math.max(0, context.wallMillis() - next.bornMillis().orElse(context.wallMillis()));
+    long began = context.nowNanos() - Duration.ofMillis(age).toNanos();
     long earliest = former.answeredAt().orElse(latest);
     return new FormerLife(
         former.incarnation(),
         Math.min(latest, Math.max(earliest, began)),
         former.profile().leaving(),
-        former.restartedLately(turn.nowNanos()));
+        former.restartedLately(context.nowNanos()));
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/StartSettler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/StartSettler.java
@@ -1,8 +1,8 @@
 package org.fescuehook.logic.batch.executor;
 
 import java.time.Duration;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.BatchLogEvent;
-import org.fescuehook.logic.batch.BatchTurn;
 import org.fescuehook.logic.batch.executor.OrderOutcome.Rejection;
 import org.fescuehook.logic.batch.state.LiveRun;
 import org.fescuehook.logic.batch.state.LiveRun.Stage;
@@ -36,63 +36,66 @@
   }
 
   /** Takes in what became of the order to start a run. */
-  void ended(ExecutorState executor, LiveRun run, OrderOutcome outcome, BatchTurn turn) {
+  void ended(ExecutorState executor, LiveRun run, OrderOutcome outcome, BatchContext context) {
     switch (outcome) {
       case OrderOutcome.Done done -> {
-        long nanos = turn.nowNanos() - run.placedAt();
-        turn.stage("started", nanos);
+        long nanos = context.nowNanos() - run.placedAt();
+        context.stage("started", nanos);
         long millis = Duration.ofNanos(nanos).toMillis();
-        turn.note(BatchLogEvent.RUN_STARTED, run.run(), run.incarnation(), millis);
-        run.enter(Stage.RUNNING, turn.nowNanos());
-        pacer.started(executor, run, turn);
+        context.note(BatchLogEvent.RUN_STARTED, run.run(), run.incarnation(), millis);
+        run.enter(Stage.RUNNING, context.nowNanos());
+        pacer.started(executor, run, context);
       }
-      case OrderOutcome.Rejected(Rejection rejection) -> rejected(executor, run, rejection, turn);
+      case OrderOutcome.Rejected(Rejection rejection) ->
+          rejected(executor, run, rejection, context);
       case OrderOutcome.Unanswered unanswered -> {
-        turn.count("fescuehook.batch.starts.unanswered", "sent", "maybe");
+        context.count("fescuehook.batch.starts.unanswered", "sent", "maybe");
         run.startBecameUncertain();
-        repeatOrGiveUp(executor, run, unanswered.reason(), turn);
+        repeatOrGiveUp(executor, run, unanswered.reason(), context);
       }
       case OrderOutcome.NotSent notSent -> {
-        turn.count("fescuehook.batch.starts.unanswered", "sent", "no");
-        repeatOrGiveUp(executor, run, notSent.reason(), turn);
+        context.count("fescuehook.batch.starts.unanswered", "sent", "no");
+        repeatOrGiveUp(executor, run, notSent.reason(), context);
       }
       case OrderOutcome.Polled polled -> {}
       case OrderOutcome.OtherIncarnation other -> {}
     }
   }
 
-  private void repeatOrGiveUp(ExecutorState executor, LiveRun run, String reason, BatchTurn turn) {
+  private void repeatOrGiveUp(
+      ExecutorState executor, LiveRun run, String reason, BatchContext context) {
     if (run.orders() < MAX_STARTS && !executor.overbooked()) {
-      orders.start(executor, run, turn);
+      orders.start(executor, run, context);
       return;
     }
     if (run.startUncertain()) {
-      listener.startGivenUp(run, turn);
+      listener.startGivenUp(run, context);
       return;
     }
     // None of its orders was sent, so the task may start elsewhere before the lease has expired.
-    executor.rest(UNREACHED_REST, "no connection to it can be made", turn);
+    executor.rest(UNREACHED_REST, "no connection to it can be made", context);
     executor.remove(run);
-    turn.note(
+    context.note(
         BatchLogEvent.RUN_LOST, run.run(), run.incarnation(), "its start was not sent: " + reason);
-    listener.unsent(run, turn);
+    listener.unsent(run, context);
   }
 
-  private void rejected(ExecutorState executor, LiveRun run, Rejection rejection, BatchTurn turn) {
-    turn.count("fescuehook.batch.starts.rejected", "reason", tag(rejection));
+  private void rejected(
+      ExecutorState executor, LiveRun run, Rejection rejection, BatchContext context) {
+    context.count("fescuehook.batch.starts.rejected", "reason", tag(rejection));
     switch (rejection) {
-      case UNHEALTHY -> executor.rest(UNHEALTHY_REST, "it calls itself unhealthy", turn);
-      case NO_ROOM -> executor.rest(NO_ROOM_REST, "it has less room than thought", turn);
+      case UNHEALTHY -> executor.rest(UNHEALTHY_REST, "it calls itself unhealthy", context);
+      case NO_ROOM -> executor.rest(NO_ROOM_REST, "it has less room than thought", context);
       // Its clock is not the one that was read.
       case EXPIRED -> executor.doubt();
       case FENCED, SUPERSEDED, NO_TICKET, OTHER -> {}
     }
     if (run.startUncertain()) {
-      listener.startGivenUp(run, turn);
+      listener.startGivenUp(run, context);
       return;
     }
     executor.remove(run);
-    listener.rejected(run, rejection, turn);
+    listener.rejected(run, rejection, context);
   }
 
   private static String tag(Rejection rejection) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnershipDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnershipDuty.java
@@ -5,11 +5,11 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import org.fescuehook.logic.batch.BatchCommand;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.BatchLogEvent;
-import org.fescuehook.logic.batch.BatchTurn;
 import org.fescuehook.logic.batch.store.AppendOutcome;
 import org.fescuehook.logic.batch.store.KeyedRecord;
-import org.fescuehook.logic.batch.store.Outstanding;
+import org.fescuehook.logic.batch.store.PendingCall;
 import org.fescuehook.logic.batch.store.StreamName;
 import org.fescuehook.logic.batch.store.WriterPosition;
 
@@ -66,7 +66,7 @@
   private OptionalLong doubtedAt = OptionalLong.empty();
   private long sequence;
   private boolean readable;
-  private final Outstanding appending = new Outstanding(Outstanding.APPEND);
+  private final PendingCall appending = new PendingCall(PendingCall.APPEND);
 
   /**
    * What was sent under the present sequence and may have been stored. It is sent again until it
@@ -112,23 +112,23 @@
   }
 
   /** Returns what is known of this VM's way to the store. */
-  public StoreContact contact(BatchTurn turn) {
-    return pace.contact(confirmedAt.orElse(turn.nowNanos()), turn);
+  public StoreReachability contact(BatchContext context) {
+    return pace.contact(confirmedAt.orElse(context.nowNanos()), context);
   }
 
   /** Takes in that this VM runs. The stream is read from the first call on. */
-  public void runs(BatchTurn turn) {
-    pace.runs(turn);
+  public void runs(BatchContext context) {
+    pace.runs(context);
   }
 
   /** Takes in that the stream was read to its end. */
-  public void read(Optional<OwnerRecord> record, long streamEnd, BatchTurn turn) {
+  public void read(Optional<OwnerRecord> record, long streamEnd, BatchContext context) {
     end = OptionalLong.of(Math.max(streamEnd, end.orElse(0)));
     readable = true;
-    if (pace.readLate(turn)) {
-      quietFromNow(false, turn);
+    if (pace.readLate(context)) {
+      quietFromNow(false, context);
     }
-    pace.read(turn);
+    pace.read(context);
     if (record.isEmpty()) {
       return;
     }
@@ -138,32 +138,32 @@
     }
     boolean changed = newest.isEmpty() || newest.get().epoch() != seen.epoch();
     if (!changed && quietSinceHeard) {
-      pace.heard(turn.nowNanos() - quietSince, turn);
+      pace.heard(context.nowNanos() - quietSince, context);
     }
     newest = record;
-    quietFromNow(true, turn);
+    quietFromNow(true, context);
     doubtedAt = OptionalLong.empty();
     if (changed) {
-      turn.note(BatchLogEvent.OWNER_SEEN, seen.vm(), seen.epoch(), seen.kind());
+      context.note(BatchLogEvent.OWNER_SEEN, seen.vm(), seen.epoch(), seen.kind());
     }
     if (epoch.isPresent() && seen.epoch() > epoch.getAsLong()) {
-      lose(turn, "a claim of " + seen.vm());
+      lose(context, "a claim of " + seen.vm());
     }
     boolean ownClaim = seen.kind() == OwnerRecord.Kind.CLAIM && bySelf(seen);
     if (ownClaim && epoch.isEmpty() && !retired) {
-      win(seen.epoch(), turn);
+      win(seen.epoch(), context);
     }
   }
 
   /** Takes in that the stream could not be read: silence counts anew from here. */
-  public void unreadable(BatchTurn turn) {
+  public void unreadable(BatchContext context) {
     readable = false;
-    pace.unreadable(turn);
-    quietFromNow(false, turn);
+    pace.unreadable(context);
+    quietFromNow(false, context);
   }
 
-  private void quietFromNow(boolean heard, BatchTurn turn) {
-    quietSince = turn.nowNanos();
+  private void quietFromNow(boolean heard, BatchContext context) {
+    quietSince = context.nowNanos();
     quietSinceHeard = heard;
   }
 
@@ -179,41 +179,41 @@
    * Takes a peer's word for a newer owner. It matters while this VM cannot read the stream itself;
    * what it reads later counts more.
    */
-  public void hinted(OwnerHint hint, BatchTurn turn) {
+  public void hinted(OwnerHint hint, BatchContext context) {
     long known = Math.max(epoch.orElse(0), newest.map(OwnerRecord::epoch).orElse(0L));
     if (hint.epoch() <= known || hint.vm().equals(self.vm())) {
       return;
     }
     long offset = newest.map(OwnerRecord::offset).orElse(BEFORE_FIRST);
     newest = Optional.of(OwnerRecord.ofPeersWord(hint, offset));
-    quietFromNow(false, turn);
+    quietFromNow(false, context);
     doubtedAt = OptionalLong.empty();
-    turn.note(BatchLogEvent.OWNER_SEEN, hint.vm(), hint.epoch(), "peer's word");
+    context.note(BatchLogEvent.OWNER_SEEN, hint.vm(), hint.epoch(), "peer's word");
     if (epoch.isPresent()) {
-      lose(turn, "a peer knows " + hint.vm() + " at epoch " + hint.epoch());
+      lose(context, "a peer knows " + hint.vm() + " at epoch " + hint.epoch());
     }
   }
 
   /** Takes in that the owner has shown that it does not decide at present. */
-  public void doubted(BatchTurn turn) {
+  public void doubted(BatchContext context) {
     if (epoch.isEmpty()) {
-      doubtedAt = OptionalLong.of(turn.nowNanos());
+      doubtedAt = OptionalLong.of(context.nowNanos());
     }
   }
 
   /** Claims or sends a heartbeat if it is time. */
-  public void step(BatchTurn turn) {
-    if (appending.present(turn) || turn.nowNanos() - nextAppendAt < 0) {
+  public void step(BatchContext context) {
+    if (appending.present(context) || context.nowNanos() - nextAppendAt < 0) {
       return;
     }
     if (epoch.isPresent()) {
       OwnerRecord.Kind wanted =
           retired || yielding ? OwnerRecord.Kind.RELEASE : OwnerRecord.Kind.HEARTBEAT;
-      append(unsettled.orElse(wanted), OptionalLong.empty(), turn);
+      append(unsettled.orElse(wanted), OptionalLong.empty(), context);
       return;
     }
-    if (!retired && end.isPresent() && ownerGone(turn)) {
-      claim(turn);
+    if (!retired && end.isPresent() && ownerGone(context)) {
+      claim(context);
     }
   }
 
@@ -235,14 +235,14 @@
     return OwnershipPace.calmFor(nowNanos - quietSince);
   }
 
-  private boolean ownerGone(BatchTurn turn) {
+  private boolean ownerGone(BatchContext context) {
     if (newest.isEmpty()) {
       return true;
     }
     OwnerRecord owner = newest.get();
     boolean formerStart = owner.vm().equals(self.vm()) && !bySelf(owner);
     boolean yielded =
-        yieldedAt.isPresent() && turn.nowNanos() - yieldedAt.getAsLong() < YIELD_NANOS;
+        yieldedAt.isPresent() && context.nowNanos() - yieldedAt.getAsLong() < YIELD_NANOS;
     boolean displaces =
         readable && ProcessingPower.muchStronger(self.milliCores(), owner.milliCores());
     if (formerStart || (displaces && !yielded)) {
@@ -251,29 +251,29 @@
     boolean released = owner.kind() == OwnerRecord.Kind.RELEASE;
     boolean weaker = ProcessingPower.muchStronger(owner.milliCores(), self.milliCores());
     long patience =
-        (released ? 0 : patienceNanos(turn))
+        (released ? 0 : patienceNanos(context))
             + (weaker ? WEAKER_WAIT_NANOS : 0)
             + (yielded ? YIELD_WAIT_NANOS : 0);
-    return patience == 0 || (turn.nowNanos() - quietSince > patience && !pace.readLate(turn));
+    return patience == 0 || (context.nowNanos() - quietSince > patience && !pace.readLate(context));
   }
 
-  private long patienceNanos(BatchTurn turn) {
+  private long patienceNanos(BatchContext context) {
     boolean doubted =
-        doubtedAt.isPresent() && turn.nowNanos() - doubtedAt.getAsLong() < DOUBT_NANOS;
-    return doubted ? pace.doubtedSilenceNanos(turn) : pace.silenceNanos(turn);
+        doubtedAt.isPresent() && context.nowNanos() - doubtedAt.getAsLong() < DOUBT_NANOS;
+    return doubted ? pace.doubtedSilenceNanos(context) : pace.silenceNanos(context);
   }
 
-  private void claim(BatchTurn turn) {
+  private void claim(BatchContext context) {
     sequence = claimSequence;
     settled();
-    append(OwnerRecord.Kind.CLAIM, end, turn);
+    append(OwnerRecord.Kind.CLAIM, end, context);
   }
 
-  private void append(OwnerRecord.Kind kind, OptionalLong expectedEnd, BatchTurn turn) {
-    appending.begin(turn);
-    sentAt = turn.nowNanos();
+  private void append(OwnerRecord.Kind kind, OptionalLong expectedEnd, BatchContext context) {
+    appending.begin(context);
+    sentAt = context.nowNanos();
     if (unsettled.isEmpty()) {
-      heartbeatSentAt = turn.nowNanos();
+      heartbeatSentAt = context.nowNanos();
     }
     // What is still unsettled had no outcome, or one that leaves it open.
     unsettledUnsure = unsettled.isPresent();
@@ -283,7 +283,7 @@
         new OwnerRecord(
             kind, self.vm(), self.incarnation(), self.address(), appendEpoch, 0, self.milliCores());
     KeyedRecord keyed = new KeyedRecord(OwnerCodec.KEY, Optional.of(OwnerCodec.encode(record)));
-    turn.add(
+    context.add(
         new BatchCommand.Append(
             StreamName.OWNERSHIP,
             new WriterPosition(appendEpoch, sequence),
@@ -292,31 +292,31 @@
   }
 
   /** Takes the outcome of a claim or a heartbeat. */
-  public void answered(WriterPosition position, AppendOutcome outcome, BatchTurn turn) {
+  public void answered(WriterPosition position, AppendOutcome outcome, BatchContext context) {
     appending.end();
     if (outcome.ofTheStore()) {
-      pace.appended(turn.nowNanos() - sentAt, turn);
+      pace.appended(context.nowNanos() - sentAt, context);
     }
     boolean claimed = position.sequence() == claimSequence;
     switch (outcome) {
-      case AppendOutcome.Stored stored -> stored(position, claimed, turn);
+      case AppendOutcome.Stored stored -> stored(position, claimed, context);
       case AppendOutcome.Refused refused -> {
         unsettled = unsettledUnsure ? unsettled : Optional.empty();
-        nextAppendAt = turn.nowNanos() + RETRY_NANOS;
+        nextAppendAt = context.nowNanos() + RETRY_NANOS;
       }
       case AppendOutcome.Unanswered unanswered -> {
         unsettledUnsure = true;
-        nextAppendAt = turn.nowNanos() + (claimed ? pace.claimPauseNanos(turn) : RETRY_NANOS);
+        nextAppendAt = context.nowNanos() + (claimed ? pace.claimPauseNanos(context) : RETRY_NANOS);
       }
-      case AppendOutcome.Fenced fenced -> refusedForGood(position, "a higher epoch", turn);
-      case AppendOutcome.Conflict conflict -> refusedForGood(position, "a later record", turn);
-      case AppendOutcome.OutOfSequence _ -> refusedForGood(position, "another sequence", turn);
+      case AppendOutcome.Fenced fenced -> refusedForGood(position, "a higher epoch", context);
+      case AppendOutcome.Conflict conflict -> refusedForGood(position, "a later record", context);
+      case AppendOutcome.OutOfSequence _ -> refusedForGood(position, "another sequence", context);
     }
   }
 
-  private void stored(WriterPosition position, boolean claimed, BatchTurn turn) {
+  private void stored(WriterPosition position, boolean claimed, BatchContext context) {
     if (claimed && epoch.isEmpty() && !retired) {
-      win(position.epoch(), turn);
+      win(position.epoch(), context);
     }
     if (epoch.isEmpty() || epoch.getAsLong() != position.epoch()) {
       return;
@@ -326,9 +326,9 @@
     confirmedAt = OptionalLong.of(heartbeatSentAt);
     sequence = position.sequence() + 1;
     boolean ending = retired || yielding;
-    nextAppendAt = ending ? turn.nowNanos() : heartbeatSentAt + OwnershipPace.HEARTBEAT_NANOS;
+    nextAppendAt = ending ? context.nowNanos() : heartbeatSentAt + OwnershipPace.HEARTBEAT_NANOS;
     if (released) {
-      lose(turn, retired ? "this VM stops" : "this VM could not begin to decide");
+      lose(context, retired ? "this VM stops" : "this VM could not begin to decide");
     }
   }
 
@@ -337,41 +337,41 @@
     unsettledUnsure = false;
   }
 
-  private void refusedForGood(WriterPosition position, String cause, BatchTurn turn) {
+  private void refusedForGood(WriterPosition position, String cause, BatchContext context) {
     // Another claim has come first; its record is read before this VM may claim again.
-    nextAppendAt = turn.nowNanos() + pace.claimPauseNanos(turn);
-    quietFromNow(false, turn);
+    nextAppendAt = context.nowNanos() + pace.claimPauseNanos(context);
+    quietFromNow(false, context);
     if (epoch.isPresent() && epoch.getAsLong() == position.epoch()) {
-      lose(turn, cause);
+      lose(context, cause);
     }
   }
 
-  private void win(long won, BatchTurn turn) {
+  private void win(long won, BatchContext context) {
     settled();
     epoch = OptionalLong.of(won);
     sequence = claimSequence + 1;
     confirmedAt = OptionalLong.of(heartbeatSentAt);
     // Others have heard nothing since the claim was sent, which a slow store takes long for.
     nextAppendAt = heartbeatSentAt + OwnershipPace.HEARTBEAT_NANOS;
-    turn.note(BatchLogEvent.OWNERSHIP_WON, won);
+    context.note(BatchLogEvent.OWNERSHIP_WON, won);
   }
 
-  private void lose(BatchTurn turn, String cause) {
-    turn.note(BatchLogEvent.OWNERSHIP_LOST, epoch.orElse(0), cause);
+  private void lose(BatchContext context, String cause) {
+    context.note(BatchLogEvent.OWNERSHIP_LOST, epoch.orElse(0), cause);
     if (yielding) {
       yielding = false;
-      yieldedAt = OptionalLong.of(turn.nowNanos());
+      yieldedAt = OptionalLong.of(context.nowNanos());
     }
     settled();
     epoch = OptionalLong.empty();
     confirmedAt = OptionalLong.empty();
-    quietFromNow(false, turn);
+    quietFromNow(false, context);
   }
 
   /** Ownership was lost in another stream, or is given up for a fault. */
-  public void abandon(String cause, BatchTurn turn) {
+  public void abandon(String cause, BatchContext context) {
     if (epoch.isPresent()) {
-      lose(turn, cause);
+      lose(context, cause);
     }
   }
 
@@ -379,18 +379,18 @@
    * Gives ownership up, so that another VM claims at once, and claims later only where none does.
    * Its heartbeats would keep the others from claiming while it decides nothing.
    */
-  public void yield(BatchTurn turn) {
+  public void yield(BatchContext context) {
     if (epoch.isPresent() && !yielding) {
       yielding = true;
-      nextAppendAt = turn.nowNanos();
+      nextAppendAt = context.nowNanos();
     }
   }
 
   /** Gives ownership up for good, so that another VM claims at once. */
-  public void retire(BatchTurn turn) {
+  public void retire(BatchContext context) {
     retired = true;
-    nextAppendAt = turn.nowNanos();
-    step(turn);
+    nextAppendAt = context.nowNanos();
+    step(context);
   }
 
   private boolean bySelf(OwnerRecord record) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnershipPace.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnershipPace.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import java.util.OptionalLong;
-import org.fescuehook.logic.batch.BatchTurn;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.store.RecentTimes;
 
 /**
@@ -76,43 +76,43 @@
   private long lastAppendNanos;
 
   /** Takes in that this VM runs. Reading begins with the first turn. */
-  void runs(BatchTurn turn) {
+  void runs(BatchContext context) {
     if (readAt.isEmpty()) {
-      readAt = OptionalLong.of(turn.nowNanos());
+      readAt = OptionalLong.of(context.nowNanos());
     }
-    long idle = turn.nowNanos() - ranAt.orElse(turn.nowNanos());
+    long idle = context.nowNanos() - ranAt.orElse(context.nowNanos());
     pausedNanos += idle > USUAL_TURN_NANOS ? idle : 0;
-    ranAt = OptionalLong.of(turn.nowNanos());
+    ranAt = OptionalLong.of(context.nowNanos());
   }
 
   /** Takes in a read to the end; the first one of a VM does not wait for a record. */
-  void read(BatchTurn turn) {
+  void read(BatchContext context) {
     // A pause of this VM is no time that the store took.
-    long since = turn.nowNanos() - readAt.orElse(turn.nowNanos()) - pausedNanos;
-    reads.add(Math.max(0, since - (waited ? READ_NANOS : 0)), turn);
-    restart(turn);
+    long since = context.nowNanos() - readAt.orElse(context.nowNanos()) - pausedNanos;
+    reads.add(Math.max(0, since - (waited ? READ_NANOS : 0)), context);
+    restart(context);
   }
 
   /** Takes in that a read has failed, so that nothing is known of how long one takes. */
-  void unreadable(BatchTurn turn) {
-    restart(turn);
+  void unreadable(BatchContext context) {
+    restart(context);
   }
 
-  private void restart(BatchTurn turn) {
-    readAt = OptionalLong.of(turn.nowNanos());
+  private void restart(BatchContext context) {
+    readAt = OptionalLong.of(context.nowNanos());
     pausedNanos = 0;
     waited = true;
   }
 
   /** Takes in how long the store took to answer a claim or a heartbeat of this VM. */
-  void appended(long nanos, BatchTurn turn) {
+  void appended(long nanos, BatchContext context) {
     lastAppendNanos = nanos;
-    appends.add(nanos, turn);
+    appends.add(nanos, context);
   }
 
   /** Takes in how far apart two heartbeats of the owner were read. */
-  void heard(long gapNanos, BatchTurn turn) {
-    gaps.add(gapNanos, turn);
+  void heard(long gapNanos, BatchContext context) {
+    gaps.add(gapNanos, context);
     double weight = gapNanos > usualGapNanos ? LONGER_WEIGHT : SHORTER_WEIGHT;
     usualGapNanos += weight * (gapNanos - usualGapNanos);
   }
@@ -121,12 +121,12 @@
    * Tells whether the next read is late, by more than is usual at present. A silence says nothing
    * then: the owner may have written all the while.
    */
-  boolean readLate(BatchTurn turn) {
+  boolean readLate(BatchContext context) {
     if (readAt.isEmpty()) {
       return false;
     }
-    long slack = Math.max(LEAST_READ_SLACK_NANOS, 2 * reads.longest(turn));
-    return turn.nowNanos() - readAt.getAsLong() > READ_NANOS + slack;
+    long slack = Math.max(LEAST_READ_SLACK_NANOS, 2 * reads.longest(context));
+    return context.nowNanos() - readAt.getAsLong() > READ_NANOS + slack;
   }
 
   /**
@@ -134,16 +134,16 @@
    *
    * @param confirmedAt when the last heartbeat that the store confirmed was sent, monotonic time
    */
-  StoreContact contact(long confirmedAt, BatchTurn turn) {
-    return new StoreContact(confirmedAt, lastAppendNanos, appends.longest(turn));
+  StoreReachability contact(long confirmedAt, BatchContext context) {
+    return new StoreReachability(confirmedAt, lastAppendNanos, appends.longest(context));
   }
 
   /** Returns the silence after which an owner is replaced. */
-  long silenceNanos(BatchTurn turn) {
+  long silenceNanos(BatchContext context) {
     long ofHeartbeats =
         Math.max(
-            SLOW_HEARTBEATS * gaps.longest(turn), Math.round(USUAL_HEARTBEATS * usualGapNanos));
-    long needed = Math.max(ofHeartbeats, heartbeatNanos(turn) + reads.longest(turn));
+            SLOW_HEARTBEATS * gaps.longest(context), Math.round(USUAL_HEARTBEATS * usualGapNanos));
+    long needed = Math.max(ofHeartbeats, heartbeatNanos(context) + reads.longest(context));
     return Math.clamp(needed, LEAST_SILENCE_NANOS, LONGEST_SILENCE_NANOS);
   }
 
@@ -151,17 +151,17 @@
    * Returns the silence after which a doubted owner is replaced. Where this VM's own reads are
    * slow, the store explains the owner's trouble, and a claimant would do no better.
    */
-  long doubtedSilenceNanos(BatchTurn turn) {
-    if (reads.longest(turn) > SLOW_READ_NANOS) {
-      return silenceNanos(turn);
+  long doubtedSilenceNanos(BatchContext context) {
+    if (reads.longest(context) > SLOW_READ_NANOS) {
+      return silenceNanos(context);
     }
-    long needed = Math.max(gaps.longest(turn) + reads.longest(turn), heartbeatNanos(turn));
+    long needed = Math.max(gaps.longest(context) + reads.longest(context), heartbeatNanos(context));
     return Math.clamp(needed, LEAST_DOUBTED_SILENCE_NANOS, LONGEST_SILENCE_NANOS);
   }
 
   /** Returns the pause after a claim that the store did not take. */
-  long claimPauseNanos(BatchTurn turn) {
-    return LEAST_CLAIM_PAUSE_NANOS + 2 * reads.longest(turn);
+  long claimPauseNanos(BatchContext context) {
+    return LEAST_CLAIM_PAUSE_NANOS + 2 * reads.longest(context);
   }
 
   /**
@@ -177,8 +177,8 @@
    * Returns how long a heartbeat takes until it is read: its append waits for its turn and is then
    * worked on, either for about as long as a read takes.
    */
-  private long heartbeatNanos(BatchTurn turn) {
-    long read = reads.longest(turn);
-    return HEARTBEAT_NANOS + Math.max(appends.longest(turn), 2 * read) + read;
+  private long heartbeatNanos(BatchContext context) {
+    long read = reads.longest(context);
+    return HEARTBEAT_NANOS + Math.max(appends.longest(context), 2 * read) + read;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/StoreContact.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/StoreReachability.java
@@ -9,7 +9,7 @@
  * @param lastAppendNanos how long the last heartbeat took
  * @param longestAppendNanos how long its heartbeats have taken lately, at most
  */
-public record StoreContact(long confirmedAt, long lastAppendNanos, long longestAppendNanos) {
+public record StoreReachability(long confirmedAt, long lastAppendNanos, long longestAppendNanos) {
 
   /**
    * Returns the age of the last confirmed heartbeat up to which the store is at hand: one is under
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/PlanDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/PlanDuty.java
@@ -8,15 +8,15 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.BatchLogEvent;
-import org.fescuehook.logic.batch.BatchTurn;
-import org.fescuehook.logic.batch.advice.AdviceDuty;
+import org.fescuehook.logic.batch.advice.AdviceCache;
 import org.fescuehook.logic.batch.executor.ExecutorDuty;
 import org.fescuehook.logic.batch.executor.ExecutorState;
-import org.fescuehook.logic.batch.state.JobDuty;
+import org.fescuehook.logic.batch.state.ActiveJob;
+import org.fescuehook.logic.batch.state.JobLifecycle;
 import org.fescuehook.logic.batch.state.LiveRun;
 import org.fescuehook.logic.batch.state.LiveRun.Stage;
-import org.fescuehook.logic.batch.state.OpenJob;
 import org.fescuehook.logic.batch.state.StepProgress;
 import org.fescuehook.logic.batch.state.TaskProgress;
 import org.fescuehook.model.batch.JobQueue;
@@ -28,15 +28,16 @@
 /** Carries plans out: stores each placement, then orders the start. */
 public final class PlanDuty {
 
-  private final JobDuty jobs;
+  private final JobLifecycle jobs;
   private final ExecutorDuty executors;
-  private final AdviceDuty advice;
+  private final AdviceCache advice;
   private final Planner planner;
   private final List<LiveRun> stored = new ArrayList<>();
   private Map<String, Integer> guaranteedNeed = Map.of();
 
   /** Creates the duty. */
-  public PlanDuty(JobDuty jobs, ExecutorDuty executors, AdviceDuty advice, WorkPreferences work) {
+  public PlanDuty(
+      JobLifecycle jobs, ExecutorDuty executors, AdviceCache advice, WorkPreferences work) {
     this.jobs = jobs;
     this.executors = executors;
     this.advice = advice;
@@ -44,29 +45,29 @@
   }
 
   /** Plans and carries the plan out. */
-  public void step(BatchTurn turn) {
+  public void step(BatchContext context) {
     guaranteedNeed = guaranteedNeed();
-    List<WaitingStep> waiting = waiting(turn);
+    List<WaitingStep> waiting = waiting(context);
     if (waiting.isEmpty()) {
       return;
     }
     List<ExecutorState> usable =
         executors.book().all().stream()
-            .filter(executor -> executor.usable(turn.nowNanos()))
+            .filter(executor -> executor.usable(context.nowNanos()))
             .toList();
-    ask(waiting, usable, turn);
-    Planner.Plan plan = planner.plan(waiting, usable, turn.nowNanos());
+    ask(waiting, usable, context);
+    Planner.Plan plan = planner.plan(waiting, usable, context.nowNanos());
     for (Planner.Displacement stop : plan.stops()) {
       WaitingStep beneficiary = stop.beneficiary();
       String job = beneficiary.step().job().job().id();
       String cause = "job " + job + " needs its place, " + beneficiary.rank();
-      executors.stop(stop.run(), cause, turn);
+      executors.stop(stop.run(), cause, context);
     }
-    start(plan.starts(), turn);
+    start(plan.starts(), context);
   }
 
   /** Asks for advice on the first step that lacks it. */
-  private void ask(List<WaitingStep> waiting, List<ExecutorState> usable, BatchTurn turn) {
+  private void ask(List<WaitingStep> waiting, List<ExecutorState> usable, BatchContext context) {
     advice.forgetEnded();
     List<WaitingStep> advised =
         waiting.stream()
@@ -79,20 +80,20 @@
               .filter(executor -> executor.profile().pool().equals(step.pool()))
               .map(ExecutorState::incarnation)
               .toList();
-      advice.ask(step.step(), pool, turn);
+      advice.ask(step.step(), pool, context);
     }
   }
 
-  private List<WaitingStep> waiting(BatchTurn turn) {
+  private List<WaitingStep> waiting(BatchContext context) {
     List<WaitingStep> waiting = new ArrayList<>();
-    for (OpenJob job : jobs.book().openJobs()) {
+    for (ActiveJob job : jobs.book().openJobs()) {
       if (!job.open()) {
         continue;
       }
       JobQueue queue = jobs.queue(job);
       for (StepProgress step : job.steps()) {
-        if (!step.done() && job.mayRun(step, turn.wallMillis())) {
-          collect(step, queue, waiting, turn);
+        if (!step.done() && job.mayRun(step, context.wallMillis())) {
+          collect(step, queue, waiting, context);
         }
       }
     }
@@ -100,16 +101,18 @@
   }
 
   private void collect(
-      StepProgress step, JobQueue queue, List<WaitingStep> waiting, BatchTurn turn) {
+      StepProgress step, JobQueue queue, List<WaitingStep> waiting, BatchContext context) {
     List<TaskProgress> tasks = step.waiting();
     boolean complete = !step.spec().gang() || tasks.size() == step.spec().count();
     if (tasks.isEmpty() || !complete) {
       return;
     }
     long accepted = step.job().job().acceptedMillis();
-    Timing timing = timing(step, queue, turn);
+    Timing timing = timing(step, queue, context);
     Optional<Set<Incarnation>> permitted =
-        queue.advised() ? Optional.of(advice.permitted(step, turn.nowNanos())) : Optional.empty();
+        queue.advised()
+            ? Optional.of(advice.permitted(step, context.nowNanos()))
+            : Optional.empty();
     for (List<TaskProgress> together : placedTogether(step, tasks)) {
       waiting.add(
           new WaitingStep(
@@ -134,7 +137,7 @@
     return together;
   }
 
-  private static Timing timing(StepProgress step, JobQueue queue, BatchTurn turn) {
+  private static Timing timing(StepProgress step, JobQueue queue, BatchContext context) {
     Submission submission = step.job().job().submission();
     long due = step.job().job().acceptedMillis();
     if (submission.schedule().isPresent()) {
@@ -142,8 +145,8 @@
     }
     long objective = queue.objectiveMillis(step.job().estimatedChainMillis());
     long spare = objective - step.estimatedChainMillis();
-    long waited = Math.max(0, turn.wallMillis() - due);
-    long queued = turn.nowNanos() - step.queuedSince(turn.nowNanos());
+    long waited = Math.max(0, context.wallMillis() - due);
+    long queued = context.nowNanos() - step.queuedSince(context.nowNanos());
     if (step.spec().lasting().isPresent()) {
       return Timing.ofLasting(queued);
     }
@@ -154,7 +157,7 @@
         TimeUnit.MILLISECONDS.toNanos(objective));
   }
 
-  private Rank rank(OpenJob job) {
+  private Rank rank(ActiveJob job) {
     JobQueue queue = jobs.queue(job);
     String organisation = job.job().organisation();
     int guaranteed = jobs.configuration().guaranteedAccelerators(organisation);
@@ -166,7 +169,7 @@
   /** Returns the accelerators that the open jobs of priority 0 need, by organisation. */
   private Map<String, Integer> guaranteedNeed() {
     Map<String, Integer> need = new HashMap<>();
-    for (OpenJob job : jobs.book().openJobs()) {
+    for (ActiveJob job : jobs.book().openJobs()) {
       if (job.open() && jobs.queue(job).priority() == 0) {
         int accelerators =
             job.steps().stream()
@@ -179,8 +182,8 @@
     return need;
   }
 
-  private void start(List<Place> places, BatchTurn turn) {
-    Set<OpenJob> touched = new LinkedHashSet<>();
+  private void start(List<Place> places, BatchContext context) {
+    Set<ActiveJob> touched = new LinkedHashSet<>();
     List<LiveRun> runs = new ArrayList<>();
     Map<StepProgress, Integer> gangRuns = new HashMap<>();
     for (Place place : places) {
@@ -193,15 +196,15 @@
       String checkpoint = gang ? step.gangCheckpoint() : place.task().checkpoint();
       TaskRun name = new TaskRun(step.name(place.task()), number);
       Incarnation executor = place.executor().incarnation();
-      Optional<String> ticket = advice.ticket(step, executor, turn.nowNanos());
-      LiveRun run = LiveRun.placed(name, executor, step, checkpoint, ticket, turn.nowNanos());
-      Timing timing = timing(step, jobs.queue(step.job()), turn);
-      turn.stage("queued", timing.queuedNanos());
+      Optional<String> ticket = advice.ticket(step, executor, context.nowNanos());
+      LiveRun run = LiveRun.placed(name, executor, step, checkpoint, ticket, context.nowNanos());
+      Timing timing = timing(step, jobs.queue(step.job()), context);
+      context.stage("queued", timing.queuedNanos());
       step.begin(place.task(), run);
       place.executor().add(run);
       touched.add(step.job());
       runs.add(run);
-      turn.note(
+      context.note(
           BatchLogEvent.RUN_PLACED,
           name,
           run.incarnation(),
@@ -210,19 +213,19 @@
           TimeUnit.NANOSECONDS.toMillis(timing.waitedNanos()),
           TimeUnit.NANOSECONDS.toMillis(timing.spareNanos()));
     }
-    for (OpenJob job : touched) {
+    for (ActiveJob job : touched) {
       List<LiveRun> own = runs.stream().filter(run -> run.step().job() == job).toList();
       jobs.persist(job, () -> stored.addAll(own));
     }
   }
 
   /** Orders the starts whose placements have been stored since the last call. */
-  public void startStored(BatchTurn turn) {
+  public void startStored(BatchContext context) {
     for (LiveRun run : stored) {
       boolean held =
           executors.book().find(run.executor()).flatMap(state -> state.run(run.run())).isPresent();
       if (held && run.stage() == Stage.PLACED) {
-        executors.start(run, turn);
+        executors.start(run, context);
       }
     }
     stored.clear();
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/Room.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/Room.java
@@ -15,7 +15,7 @@
 import org.fescuehook.logic.batch.state.StepProgress;
 import org.fescuehook.logic.batch.state.TaskProgress;
 import org.fescuehook.model.batch.BatchStep;
-import org.fescuehook.model.batch.Demand;
+import org.fescuehook.model.batch.ResourceVector;
 import org.fescuehook.model.fleet.RackId;
 
 /**
@@ -62,7 +62,8 @@
       boolean nearOnly) {}
 
   /** What decides how many tasks of a step fit into a group. */
-  private record Shape(GroupKey group, Demand demand, boolean serves, boolean toleratesOthers) {}
+  private record Shape(
+      GroupKey group, ResourceVector demand, boolean serves, boolean toleratesOthers) {}
 
   Room(List<Slot> slots) {
     this.slots = slots;
@@ -87,7 +88,9 @@
   }
 
   private static Room of(
-      Collection<ExecutorState> executors, Function<ExecutorState, Demand> room, long nowNanos) {
+      Collection<ExecutorState> executors,
+      Function<ExecutorState, ResourceVector> room,
+      long nowNanos) {
     long suspects = executors.stream().filter(executor -> executor.suspect(nowNanos)).count();
     boolean credible = suspects <= executors.size() * MOST_SUSPECTS;
     List<Slot> slots = new ArrayList<>();
@@ -114,8 +117,8 @@
   }
 
   private static int usableAccelerators(Slot slot) {
-    Demand free = slot.free();
-    Demand whole = slot.executor().profile().capacity();
+    ResourceVector free = slot.free();
+    ResourceVector whole = slot.executor().profile().capacity();
     double share =
         Math.min(
             share(free.milliCores(), whole.milliCores()),
@@ -138,7 +141,7 @@
   }
 
   /** Gives capacity of an executor back. */
-  void give(ExecutorState executor, Demand demand) {
+  void give(ExecutorState executor, ResourceVector demand) {
     fitted.clear();
     change(executor, slot -> slot.give(demand));
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/Slot.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/Slot.java
@@ -7,7 +7,7 @@
 import org.fescuehook.logic.batch.state.StepProgress;
 import org.fescuehook.logic.batch.state.TaskProgress;
 import org.fescuehook.model.batch.BatchStep;
-import org.fescuehook.model.batch.Demand;
+import org.fescuehook.model.batch.ResourceVector;
 import org.fescuehook.model.fleet.Incarnation;
 
 /** Room on one executor while a plan is made. */
@@ -16,7 +16,7 @@
   private final ExecutorState executor;
   private final boolean suspect;
   private final boolean restartedLately;
-  private Demand free;
+  private ResourceVector free;
   private boolean serving;
   private boolean filling;
   private boolean probation;
@@ -28,7 +28,7 @@
    * @param suspect whether runs have lately failed there or hardly progressed
    * @param restartedLately whether it is known to have crashed not long ago
    */
-  Slot(ExecutorState executor, Demand free, boolean suspect, boolean restartedLately) {
+  Slot(ExecutorState executor, ResourceVector free, boolean suspect, boolean restartedLately) {
     this.executor = executor;
     this.free = free;
     this.suspect = suspect;
@@ -52,7 +52,7 @@
     return executor;
   }
 
-  Demand free() {
+  ResourceVector free() {
     return free;
   }
 
@@ -91,7 +91,7 @@
     return step.serves() ? filling : serving;
   }
 
-  void give(Demand demand) {
+  void give(ResourceVector demand) {
     free = free.plus(demand);
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/Change.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/Change.java
@@ -11,7 +11,7 @@
 
   final List<Runnable> committed = new ArrayList<>();
   Supplier<Optional<byte[]>> encoder = Optional::empty;
-  Optional<Consumer<CommitLoss>> lost = Optional.empty();
+  Optional<Consumer<CommitFailure>> lost = Optional.empty();
   long since;
 
   /** Returns the newer change, which also tells those who wait for this one. */
@@ -20,7 +20,7 @@
     return newer;
   }
 
-  void lose(CommitLoss loss) {
+  void lose(CommitFailure loss) {
     lost.ifPresent(waiter -> waiter.accept(loss));
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/Outstanding.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/PendingCall.java
@@ -2,14 +2,14 @@
 
 import java.time.Duration;
 import java.util.OptionalLong;
-import org.fescuehook.logic.batch.BatchTurn;
+import org.fescuehook.logic.batch.BatchContext;
 
 /**
  * Marks that the outcome of a call is waited for, but not without end: an outcome that is lost with
  * a fault of this VM would otherwise stop its duty for good. Each call ends by time limits of its
  * own long before.
  */
-public final class Outstanding {
+public final class PendingCall {
 
   /** For appends; longer than their own limit and the way of the largest. */
   public static final Duration APPEND = RepeatedAppend.LIMIT.plusSeconds(2);
@@ -24,13 +24,13 @@
   private OptionalLong since = OptionalLong.empty();
 
   /** Creates a mark that is not set; it is taken back after the longest wait. */
-  public Outstanding(Duration longest) {
+  public PendingCall(Duration longest) {
     this.longestNanos = longest.toNanos();
   }
 
   /** Begins to wait. */
-  public void begin(BatchTurn turn) {
-    since = OptionalLong.of(turn.nowNanos());
+  public void begin(BatchContext context) {
+    since = OptionalLong.of(context.nowNanos());
   }
 
   /** Ends the wait. */
@@ -39,7 +39,7 @@
   }
 
   /** Tells whether an outcome is waited for and may still come. */
-  public boolean present(BatchTurn turn) {
-    return since.isPresent() && turn.nowNanos() - since.getAsLong() < longestNanos;
+  public boolean present(BatchContext context) {
+    return since.isPresent() && context.nowNanos() - since.getAsLong() < longestNanos;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/RecentTimes.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/RecentTimes.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.Deque;
-import org.fescuehook.logic.batch.BatchTurn;
+import org.fescuehook.logic.batch.BatchContext;
 
 /**
  * Times that were measured lately, of which the longest counts. A store that turns slow shows with
@@ -20,16 +20,16 @@
   private record Measured(long nanos, long at) {}
 
   /** Takes in a time that has just been measured. */
-  public void add(long nanos, BatchTurn turn) {
+  public void add(long nanos, BatchContext context) {
     while (!falling.isEmpty() && falling.getLast().nanos() <= nanos) {
       falling.removeLast();
     }
-    falling.addLast(new Measured(nanos, turn.nowNanos()));
+    falling.addLast(new Measured(nanos, context.nowNanos()));
   }
 
   /** Returns the longest in nanoseconds; zero if none was measured lately. */
-  public long longest(BatchTurn turn) {
-    while (!falling.isEmpty() && turn.nowNanos() - falling.getFirst().at() > KEPT_NANOS) {
+  public long longest(BatchContext context) {
+    while (!falling.isEmpty() && context.nowNanos() - falling.getFirst().at() > KEPT_NANOS) {
       falling.removeFirst();
     }
     return falling.isEmpty() ? 0 : falling.getFirst().nanos();
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/AnswerTimes.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/ResponseTimeEstimator.java
@@ -8,7 +8,7 @@
  * (RFC 6298): a smoothed time and a smoothed deviation. A store that is slow for everybody is thus
  * told from one that has lost an answer.
  */
-public final class AnswerTimes {
+public final class ResponseTimeEstimator {
 
   /** Longest time until an answer counts as late; callers have left long before. */
   private static final Duration LONGEST = Duration.ofSeconds(5);
@@ -34,7 +34,7 @@
   private static final int MOST_GROWTH = 4;
 
   private final Duration shortest;
-  private final Optional<AnswerTimes> simpler;
+  private final Optional<ResponseTimeEstimator> simpler;
   private double smoothedNanos;
   private double deviationNanos;
   private boolean seen;
@@ -44,7 +44,7 @@
    *
    * @param shortest time within which no answer counts as late, also of a store that is quick
    */
-  public AnswerTimes(Duration shortest) {
+  public ResponseTimeEstimator(Duration shortest) {
     this(shortest, Optional.empty());
   }
 
@@ -55,11 +55,11 @@
    * @param shortest time within which no answer counts as late, also of a store that is quick
    * @param simpler what is known of simpler calls
    */
-  public AnswerTimes(Duration shortest, AnswerTimes simpler) {
+  public ResponseTimeEstimator(Duration shortest, ResponseTimeEstimator simpler) {
     this(shortest, Optional.of(simpler));
   }
 
-  private AnswerTimes(Duration shortest, Optional<AnswerTimes> simpler) {
+  private ResponseTimeEstimator(Duration shortest, Optional<ResponseTimeEstimator> simpler) {
     this.shortest = shortest;
     this.simpler = simpler;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/SlowStoreWatch.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/SlowStoreDetector.java
@@ -7,7 +7,7 @@
  * job waits for the append under way and for its own, so a store that takes 0.7 s makes short jobs
  * late by seconds, though nothing fails and nothing is refused.
  */
-public final class SlowStoreWatch {
+public final class SlowStoreDetector {
 
   /**
    * Three of them, which each job goes through, use up the spare time of the shortest urgent jobs.
@@ -20,7 +20,7 @@
   private boolean slow;
 
   /** What an append has shown. */
-  public enum Change {
+  public enum Transition {
     /** The store takes long from here on. */
     SLOWER,
     /** The store is quick again. */
@@ -30,15 +30,15 @@
   }
 
   /** Takes in how long an append took until it was stored. */
-  public Change stored(Duration time) {
+  public Transition stored(Duration time) {
     if (!slow && time.compareTo(SLOW) > 0) {
       slow = true;
-      return Change.SLOWER;
+      return Transition.SLOWER;
     }
     if (slow && time.compareTo(QUICK) < 0) {
       slow = false;
-      return Change.QUICKER;
+      return Transition.QUICKER;
     }
-    return Change.NONE;
+    return Transition.NONE;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/StateWriter.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/StateWriter.java
@@ -13,7 +13,7 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import org.fescuehook.logic.batch.BatchCommand;
-import org.fescuehook.logic.batch.BatchTurn;
+import org.fescuehook.logic.batch.BatchContext;
 
 /**
  * Group commit: what changes while an append is under way goes out together with the next. A change
@@ -63,9 +63,9 @@
   private OptionalLong committedAt = OptionalLong.empty();
 
   /** Creates a writer of an epoch that has not appended anything; time is that of the turn. */
-  public StateWriter(long epoch, BatchTurn turn) {
+  public StateWriter(long epoch, BatchContext context) {
     this.epoch = epoch;
-    this.pausedUntil = turn.nowNanos();
+    this.pausedUntil = context.nowNanos();
   }
 
   /**
@@ -89,12 +89,12 @@
       String key,
       Supplier<Optional<byte[]>> encoder,
       Runnable committed,
-      Consumer<CommitLoss> lost,
-      BatchTurn turn) {
+      Consumer<CommitFailure> lost,
+      BatchContext context) {
     put(key, encoder, committed);
     Change change = waiting.get(key);
     change.lost = Optional.of(lost);
-    change.since = turn.nowNanos();
+    change.since = context.nowNanos();
   }
 
   /**
@@ -125,16 +125,16 @@
   }
 
   /** Sends what waits if its turn has come, or repeats the oldest append when it is time. */
-  public void flush(BatchTurn turn) {
-    if (turn.nowNanos() - pausedUntil < 0) {
+  public void flush(BatchContext context) {
+    if (context.nowNanos() - pausedUntil < 0) {
       return;
     }
-    if (!sent.isEmpty() && !sent.getFirst().underWay.present(turn)) {
-      repeat(sent.getFirst(), turn);
+    if (!sent.isEmpty() && !sent.getFirst().underWay.present(context)) {
+      repeat(sent.getFirst(), context);
       return;
     }
-    if (!waiting.isEmpty() && (sent.isEmpty() || mayGoBeside(turn))) {
-      sendNext(turn);
+    if (!waiting.isEmpty() && (sent.isEmpty() || mayGoBeside(context))) {
+      sendNext(context);
     }
   }
 
@@ -142,28 +142,28 @@
    * Tells whether an append may go out beside those under way. Not before one of the epoch is
    * stored, as an epoch may begin at any sequence, and not after one that has to be repeated.
    */
-  private boolean mayGoBeside(BatchTurn turn) {
+  private boolean mayGoBeside(BatchContext context) {
     boolean steady = storedAt.isPresent() && troubleSince.isEmpty();
     if (!steady || sent.size() == MOST_UNDER_WAY) {
       return false;
     }
     long apart = Math.max(BESIDE_NANOS, lastTookNanos / BESIDE_PART);
-    boolean allUnderWay = sent.stream().allMatch(one -> one.underWay.present(turn));
-    return allUnderWay && turn.nowNanos() - sent.getLast().since >= apart;
+    boolean allUnderWay = sent.stream().allMatch(one -> one.underWay.present(context));
+    return allUnderWay && context.nowNanos() - sent.getLast().since >= apart;
   }
 
-  private void sendNext(BatchTurn turn) {
-    Sent next = new Sent(new WriterPosition(epoch, nextSequence), turn.nowNanos());
+  private void sendNext(BatchContext context) {
+    Sent next = new Sent(new WriterPosition(epoch, nextSequence), context.nowNanos());
     nextSequence++;
     fill(next);
     sent.addLast(next);
-    send(next, turn);
+    send(next, context);
   }
 
-  private void repeat(Sent oldest, BatchTurn turn) {
+  private void repeat(Sent oldest, BatchContext context) {
     // It may have been taken if its outcome was lost.
     oldest.certain = oldest.certain && !oldest.unanswered;
-    send(oldest, turn);
+    send(oldest, context);
   }
 
   /** Tells whether nothing waits and nothing is on its way. */
@@ -172,35 +172,35 @@
   }
 
   /** Gives up refusable changes that wait while the store is in trouble. */
-  public void expire(BatchTurn turn) {
-    if (!storeAway(turn)) {
+  public void expire(BatchContext context) {
+    if (!storeAway(context)) {
       return;
     }
-    List<Consumer<CommitLoss>> given = new ArrayList<>();
+    List<Consumer<CommitFailure>> given = new ArrayList<>();
     Iterator<Change> changes = waiting.values().iterator();
     while (changes.hasNext()) {
       Change change = changes.next();
-      boolean old = turn.nowNanos() - change.since > patienceNanos(turn);
+      boolean old = context.nowNanos() - change.since > patienceNanos(context);
       if (old && change.lost.isPresent()) {
         given.add(change.lost.get());
         changes.remove();
       }
     }
-    given.forEach(lost -> lost.accept(CommitLoss.NOT_STORED));
+    given.forEach(lost -> lost.accept(CommitFailure.NOT_STORED));
   }
 
   /** Tells whether the store has taken nothing for a while although asked. */
-  public boolean storeAway(BatchTurn turn) {
-    long patience = patienceNanos(turn);
-    boolean unanswered = !sent.isEmpty() && waitedNanos(turn) > patience;
+  public boolean storeAway(BatchContext context) {
+    long patience = patienceNanos(context);
+    boolean unanswered = !sent.isEmpty() && waitedNanos(context) > patience;
     boolean refusing =
-        troubleSince.isPresent() && turn.nowNanos() - troubleSince.getAsLong() > patience;
+        troubleSince.isPresent() && context.nowNanos() - troubleSince.getAsLong() > patience;
     return unanswered || refusing;
   }
 
   /** An append that waits for another takes twice as long as one alone. */
-  private long patienceNanos(BatchTurn turn) {
-    long append = Math.max(appends.longest(turn), otherStreamNanos);
+  private long patienceNanos(BatchContext context) {
+    long append = Math.max(appends.longest(context), otherStreamNanos);
     return Math.max(LEAST_PATIENCE_NANOS, 2 * append);
   }
 
@@ -214,21 +214,21 @@
    *
    * @param append how long one append takes, in nanoseconds
    */
-  public long storedInNanos(long append, BatchTurn turn) {
+  public long storedInNanos(long append, BatchContext context) {
     if (sent.isEmpty()) {
       return append;
     }
     boolean full = sent.size() == MOST_UNDER_WAY;
     Sent awaited = full ? sent.getFirst() : sent.getLast();
     long turnAfter = full ? append : append / BESIDE_PART;
-    return append + Math.max(0, turnAfter - (turn.nowNanos() - awaited.since));
+    return append + Math.max(0, turnAfter - (context.nowNanos() - awaited.since));
   }
 
   /** Returns how long the oldest append has been the one that all others wait for. */
-  private long waitedNanos(BatchTurn turn) {
+  private long waitedNanos(BatchContext context) {
     long since = sent.getFirst().since;
     boolean behindAnother = committedAt.isPresent() && committedAt.getAsLong() - since > 0;
-    return turn.nowNanos() - (behindAnother ? committedAt.getAsLong() : since);
+    return context.nowNanos() - (behindAnother ? committedAt.getAsLong() : since);
   }
 
   /**
@@ -248,7 +248,7 @@
   }
 
   /** Takes the outcome of an append; false if ownership is lost by it. */
-  public boolean answered(WriterPosition position, AppendOutcome outcome, BatchTurn turn) {
+  public boolean answered(WriterPosition position, AppendOutcome outcome, BatchContext context) {
     Optional<Sent> found =
         sent.stream().filter(current -> current.position.equals(position)).findFirst();
     if (found.isEmpty()) {
@@ -258,40 +258,42 @@
     current.outcomeCame();
     return switch (outcome) {
       case AppendOutcome.Stored stored -> {
-        commitUpTo(current, turn);
+        commitUpTo(current, context);
         yield true;
       }
       case AppendOutcome.Refused refused -> {
-        pause(turn);
+        pause(context);
         takeBack();
         yield true;
       }
       case AppendOutcome.Unanswered unanswered -> {
         current.certain = false;
-        pause(turn);
+        pause(context);
         yield true;
       }
-      case AppendOutcome.OutOfSequence(long expected) -> cameBeforeItsTurn(current, expected, turn);
+      case AppendOutcome.OutOfSequence(long expected) ->
+          cameBeforeItsTurn(current, expected, context);
       case AppendOutcome.Fenced fenced -> false;
       case AppendOutcome.Conflict conflict -> false;
     };
   }
 
   /** One that overtook another did nothing and goes out again; else the epoch is another's. */
-  private boolean cameBeforeItsTurn(Sent current, long expected, BatchTurn turn) {
+  private boolean cameBeforeItsTurn(Sent current, long expected, BatchContext context) {
     boolean overtook = storedAt.isPresent() && expected < current.position.sequence();
     if (overtook && current == sent.getFirst()) {
-      pause(turn);
+      pause(context);
     }
     return overtook;
   }
 
   /** Gives up everything that is not known as stored; ownership is lost. */
   public void close() {
-    waiting.values().forEach(change -> change.lose(CommitLoss.NOT_STORED));
+    waiting.values().forEach(change -> change.lose(CommitFailure.NOT_STORED));
     waiting.clear();
     for (Sent current : sent) {
-      CommitLoss loss = current.surelyNotStored() ? CommitLoss.NOT_STORED : CommitLoss.UNKNOWN;
+      CommitFailure loss =
+          current.surelyNotStored() ? CommitFailure.NOT_STORED : CommitFailure.UNKNOWN;
       current.changes.values().forEach(change -> change.lose(loss));
     }
     sent.clear();
@@ -310,25 +312,25 @@
     }
   }
 
-  private void send(Sent current, BatchTurn turn) {
-    current.underWay.begin(turn);
+  private void send(Sent current, BatchContext context) {
+    current.underWay.begin(context);
     if (!current.unanswered) {
       // Otherwise an outcome that still comes may be that of the send before.
-      current.sentAt = turn.nowNanos();
+      current.sentAt = context.nowNanos();
     }
     current.unanswered = true;
-    turn.add(
+    context.add(
         new BatchCommand.Append(
             StreamName.STATE, current.position, OptionalLong.empty(), current.records));
   }
 
   /** What one stores, all before it have stored too. */
-  private void commitUpTo(Sent last, BatchTurn turn) {
+  private void commitUpTo(Sent last, BatchContext context) {
     troubleSince = OptionalLong.empty();
     storedAt = OptionalLong.of(last.sentAt);
-    committedAt = OptionalLong.of(turn.nowNanos());
-    lastTookNanos = turn.nowNanos() - last.sentAt;
-    appends.add(lastTookNanos, turn);
+    committedAt = OptionalLong.of(context.nowNanos());
+    lastTookNanos = context.nowNanos() - last.sentAt;
+    appends.add(lastTookNanos, context);
     boolean more = true;
     while (more) {
       Sent stored = sent.removeFirst();
@@ -352,10 +354,10 @@
     newer.forEach((key, change) -> waiting.merge(key, change, Change::followedBy));
   }
 
-  private void pause(BatchTurn turn) {
-    pausedUntil = turn.nowNanos() + RETRY_PAUSE_NANOS;
+  private void pause(BatchContext context) {
+    pausedUntil = context.nowNanos() + RETRY_PAUSE_NANOS;
     if (troubleSince.isEmpty()) {
-      troubleSince = OptionalLong.of(turn.nowNanos());
+      troubleSince = OptionalLong.of(context.nowNanos());
     }
   }
 
@@ -365,7 +367,7 @@
     private final long since;
     private final List<KeyedRecord> records = new ArrayList<>();
     private final Map<String, Change> changes = new LinkedHashMap<>();
-    private final Outstanding underWay = new Outstanding(Outstanding.APPEND);
+    private final PendingCall underWay = new PendingCall(PendingCall.APPEND);
 
     private long sentAt;
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ClaimHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ClaimHandler.java
@@ -39,7 +39,7 @@
   private final OpenRequests requests;
   private final ClaimRegistry registry;
   private final ClaimBatcher batcher;
-  private final OwnOutcomes localOutcomes;
+  private final LocalOutcomes localOutcomes;
   private final Consumer<OpenRequest> onClaimWon;
   private final Consumer<DispatchCommand> out;
   private final Map<String, OpenRequest> awaitingClaim = new HashMap<>();
@@ -59,7 +59,7 @@
       OpenRequests requests,
       ClaimRegistry registry,
       ClaimBatcher batcher,
-      OwnOutcomes localOutcomes,
+      LocalOutcomes localOutcomes,
       Consumer<OpenRequest> onClaimWon,
       Consumer<DispatchCommand> out) {
     this.vm = vm.value();
@@ -76,7 +76,7 @@
     return key(request.facts);
   }
 
-  private static RequestKey key(RequestFacts facts) {
+  private static RequestKey key(RequestAttributes facts) {
     return RequestKey.newBuilder()
         .setOrganisation(facts.organisation().value())
         .setRequestId(facts.requestId().orElseThrow())
@@ -84,7 +84,7 @@
   }
 
   /** Returns whether the request's id is claimed. */
-  boolean isClaimed(RequestFacts facts) {
+  boolean isClaimed(RequestAttributes facts) {
     return registry.find(key(facts)).isPresent();
   }
 
@@ -230,7 +230,7 @@
   }
 
   /** Records the answer to a claimed request. */
-  void answered(OpenRequest request, DispatchEnd.Answered answered) {
+  void answered(OpenRequest request, DispatchResult.Answered answered) {
     if (!request.claimWon) {
       return;
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/DispatchCore.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/DispatchCore.java
@@ -47,7 +47,7 @@
       IdentityPreferences identity,
       String incarnation,
       RequestPreferences preferences,
-      OwnOutcomes localOutcomes,
+      LocalOutcomes localOutcomes,
       RandomGenerator random,
       Consumer<DispatchCommand> out) {
     ClaimRegistry registry = new ClaimRegistry(preferences.claimWindow().toMillis());
@@ -107,7 +107,7 @@
     claims.beginAppend(now);
   }
 
-  private void arrived(long ticket, RequestFacts facts) {
+  private void arrived(long ticket, RequestAttributes facts) {
     // A request with a claimed id is answered from the claim even under overload or before this VM
     // is ready: rejecting it as not run would be wrong, as the id's first request may have run.
     boolean alreadyClaimed = facts.claimed() && claims.isClaimed(facts);
@@ -124,7 +124,7 @@
     slots.enqueue(request, now);
   }
 
-  private Optional<RefusalReason> refusal(RequestFacts facts) {
+  private Optional<RefusalReason> refusal(RequestAttributes facts) {
     if (!ready) {
       return Optional.of(whyNotReady);
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/DispatchEnd.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/DispatchResult.java
@@ -1,7 +1,7 @@
 package org.fescuehook.logic.dispatch;
 
 /** Result of one dispatch of a request to an executor. */
-public sealed interface DispatchEnd {
+public sealed interface DispatchResult {
 
   /**
    * A complete answer was received.
@@ -11,13 +11,13 @@
    * @param kept whether {@code body} is the complete body
    */
   record Answered(int status, String contentType, byte[] body, boolean kept)
-      implements DispatchEnd {}
+      implements DispatchResult {}
 
   /** No byte of the request was written to a connection. */
-  record NotSent(NotSentCause cause) implements DispatchEnd {}
+  record NotSent(NotSentCause cause) implements DispatchResult {}
 
   /** The executor answered that it did not run the request. */
-  record RefusedNotRun() implements DispatchEnd {}
+  record RefusedNotRun() implements DispatchResult {}
 
   /**
    * Part of the request may have been written, and no complete answer was received.
@@ -26,7 +26,7 @@
    * @param freshConnection whether the connection was opened for this request
    */
   record Failed(FailureKind kind, boolean answerStarted, boolean freshConnection)
-      implements DispatchEnd {}
+      implements DispatchResult {}
 
   /** Why no byte of the request was written. */
   enum NotSentCause {
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/HealthMonitor.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/HealthMonitor.java
@@ -2,8 +2,8 @@
 
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.fescuehook.logic.dispatch.DispatchEnd.FailureKind;
-import org.fescuehook.logic.dispatch.DispatchEnd.NotSentCause;
+import org.fescuehook.logic.dispatch.DispatchResult.FailureKind;
+import org.fescuehook.logic.dispatch.DispatchResult.NotSentCause;
 import org.fescuehook.model.fleet.ExecutorId;
 
 /**
@@ -21,25 +21,26 @@
   }
 
   /** Records how a dispatch ended. */
-  void dispatchEnded(ExecutorId executor, DispatchEnd end, long nowMillis) {
+  void dispatchEnded(ExecutorId executor, DispatchResult end, long nowMillis) {
     Optional<ExecutorHealth> health = executors.health(executor);
     if (health.isEmpty()) {
       return;
     }
     switch (end) {
-      case DispatchEnd.Answered _ -> health.get().succeeded(nowMillis);
-      case DispatchEnd.RefusedNotRun _ -> health.get().pause(nowMillis);
-      case DispatchEnd.NotSent notSent -> {
+      case DispatchResult.Answered _ -> health.get().succeeded(nowMillis);
+      case DispatchResult.RefusedNotRun _ -> health.get().pause(nowMillis);
+      case DispatchResult.NotSent notSent -> {
         if (notSent.cause() == NotSentCause.CONNECT_FAILED && health.get().failed()) {
           eject(executor, health.get(), nowMillis);
         }
       }
-      case DispatchEnd.Failed failed -> dispatchFailed(executor, health.get(), failed, nowMillis);
+      case DispatchResult.Failed failed ->
+          dispatchFailed(executor, health.get(), failed, nowMillis);
     }
   }
 
   private void dispatchFailed(
-      ExecutorId executor, ExecutorHealth health, DispatchEnd.Failed failed, long nowMillis) {
+      ExecutorId executor, ExecutorHealth health, DispatchResult.Failed failed, long nowMillis) {
     boolean ejectable = health.failed();
     if (failed.kind() == FailureKind.BAD_ANSWER) {
       if (ejectable) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/OwnOutcomes.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/LocalOutcomes.java
@@ -12,7 +12,7 @@
  * Outcomes of the request ids that this VM claimed. Thread-safe, because other threads look them up
  * for peers.
  */
-public final class OwnOutcomes {
+public final class LocalOutcomes {
   private static final int MAX_RECORDED = 2048;
 
   private record LocalClaim(String token, Optional<RequestOutcome> outcome) {}
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/RequestFacts.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/RequestAttributes.java
@@ -13,7 +13,7 @@
  * @param repeatable whether it is idempotent, so that it may be run more than once
  * @param deadlineMillis deadline of the caller, as monotonic time
  */
-public record RequestFacts(
+public record RequestAttributes(
     OrganisationId organisation,
     Optional<String> requestId,
     RequestDigest digest,
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/SlotDispatcher.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/SlotDispatcher.java
@@ -5,8 +5,8 @@
 import java.util.OptionalLong;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
-import org.fescuehook.logic.dispatch.DispatchEnd.FailureKind;
-import org.fescuehook.logic.dispatch.DispatchEnd.NotSentCause;
+import org.fescuehook.logic.dispatch.DispatchResult.FailureKind;
+import org.fescuehook.logic.dispatch.DispatchResult.NotSentCause;
 import org.fescuehook.model.fleet.ExecutorId;
 import org.fescuehook.model.organisation.OrganisationId;
 import org.fescuehook.model.preferences.RequestPreferences;
@@ -63,7 +63,7 @@
    * Returns why a new request is rejected on arrival because it would not be dispatched before its
    * deadline; empty if it is accepted.
    */
-  Optional<RefusalReason> refusalOnArrival(RequestFacts facts, long nowMillis) {
+  Optional<RefusalReason> refusalOnArrival(RequestAttributes facts, long nowMillis) {
     FairQueue queue = queue(facts);
     if (queue.size() >= preferences.queueLength()) {
       return Optional.of(RefusalReason.QUEUE_FULL);
@@ -80,7 +80,7 @@
     return late ? Optional.of(RefusalReason.NO_EXECUTOR) : Optional.empty();
   }
 
-  private FairQueue queue(RequestFacts facts) {
+  private FairQueue queue(RequestAttributes facts) {
     return facts.urgent() ? urgent : normal;
   }
 
@@ -157,26 +157,26 @@
   }
 
   /** Handles the end of a dispatch. */
-  void dispatchEnded(OpenRequest request, DispatchEnd end, long tookMillis, long nowMillis) {
+  void dispatchEnded(OpenRequest request, DispatchResult end, long tookMillis, long nowMillis) {
     ExecutorId executor = request.executor.orElseThrow();
     executors.release(executor);
     request.executor = Optional.empty();
     health.dispatchEnded(executor, end, nowMillis);
     switch (end) {
-      case DispatchEnd.Answered answered -> {
+      case DispatchResult.Answered answered -> {
         serviceTime.addSample(tookMillis);
         claims.answered(request, answered);
         openRequests.finish(request);
       }
-      case DispatchEnd.NotSent notSent -> notSent(request, executor, notSent.cause(), nowMillis);
-      case DispatchEnd.RefusedNotRun() ->
+      case DispatchResult.NotSent notSent -> notSent(request, executor, notSent.cause(), nowMillis);
+      case DispatchResult.RefusedNotRun() ->
           retry(
               request,
               executor,
               RetryReason.REFUSED_NOT_RUN,
               RefusalReason.EXECUTORS_REFUSED,
               nowMillis);
-      case DispatchEnd.Failed failed -> failed(request, executor, failed, nowMillis);
+      case DispatchResult.Failed failed -> failed(request, executor, failed, nowMillis);
     }
     dispatchWaiting(nowMillis);
   }
@@ -200,7 +200,7 @@
   }
 
   private void failed(
-      OpenRequest request, ExecutorId executor, DispatchEnd.Failed failed, long nowMillis) {
+      OpenRequest request, ExecutorId executor, DispatchResult.Failed failed, long nowMillis) {
     request.mayHaveRun = true;
     if (failed.answerStarted()) {
       // The code that passes the answer on closes the caller's connection.
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/BorrowingJobPlanner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/BorrowingJobPlanner.java
@@ -19,7 +19,7 @@
 
   private final PlanState state;
   private final GangPlacer placer;
-  private final PolicyParts parts;
+  private final PolicyFeatures parts;
   private final StopFactory stopFactory;
   private final VictimRules victimRules;
   private final GuaranteedJobPlanner guaranteedPlanner;
@@ -32,7 +32,7 @@
   BorrowingJobPlanner(
       PlanState state,
       GangPlacer placer,
-      PolicyParts parts,
+      PolicyFeatures parts,
       JobOrder order,
       GuaranteedJobPlanner guaranteedPlanner,
       QuotaEnforcer quotaEnforcer) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/Candidate.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/Candidate.java
@@ -1,7 +1,7 @@
 package org.fescuehook.logic.scheduling;
 
 import org.fescuehook.logic.rule.RuleMatcher;
-import org.fescuehook.logic.scheduling.Scheduler.Waiting;
+import org.fescuehook.logic.scheduling.Scheduler.WaitingJob;
 import org.fescuehook.model.job.Job;
 import org.fescuehook.model.rule.Verdict;
 
@@ -16,7 +16,7 @@
  *     first
  */
 record Candidate(
-    Waiting waiting,
+    WaitingJob waiting,
     RuleMatcher.Match match,
     boolean overdue,
     double remainingSeconds,
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/WorkerJudge.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/FaultyWorkerDetector.java
@@ -13,7 +13,7 @@
  * Detects faulty workers: those on which jobs fail that run successfully on other workers. A job
  * that fails on every worker is no evidence against any of them.
  */
-public final class WorkerJudge {
+public final class FaultyWorkerDetector {
 
   private static final int MIN_JOBS = 2;
   private static final long MIN_SURVIVAL_SECONDS = 60;
@@ -28,14 +28,14 @@
    *     again, on probation
    * @param evidence text that names the jobs that ran successfully on other workers
    */
-  public record Judgement(WorkerId worker, long untilMillis, String evidence) {}
+  public record Quarantine(WorkerId worker, long untilMillis, String evidence) {}
 
   /**
    * Returns the workers to quarantine now, in the order of their names. Workers that are already in
    * quarantine are skipped.
    */
-  public List<Judgement> judge(Scheduler.View view) {
-    List<Judgement> judgements = new ArrayList<>();
+  public List<Quarantine> judge(Scheduler.View view) {
+    List<Quarantine> judgements = new ArrayList<>();
     Map<WorkerId, WorkerRecord> records = new TreeMap<>(view.history().workers());
     records.forEach(
         (worker, record) -> {
@@ -58,10 +58,10 @@
     return record.quarantines() > 0 ? 1 : MIN_JOBS;
   }
 
-  private static Judgement judgement(
+  private static Quarantine judgement(
       WorkerId worker, WorkerRecord record, SortedSet<JobId> failedJobs, long nowMillis) {
     long lengthMillis = FIRST_QUARANTINE_MILLIS << Math.min(MAX_DOUBLINGS, record.quarantines());
-    return new Judgement(
+    return new Quarantine(
         worker, nowMillis + lengthMillis, "jobs that ran elsewhere: " + failedJobs);
   }
 
@@ -79,7 +79,7 @@
   private static boolean survivesElsewhere(
       WorkerRecord.Failure failure, WorkerId worker, Scheduler.View view) {
     long neededSeconds = Math.max(MIN_SURVIVAL_SECONDS, SURVIVAL_FACTOR * failure.ranSeconds());
-    for (Scheduler.Running r : view.running()) {
+    for (Scheduler.RunningAttempt r : view.running()) {
       if (!r.job().id().equals(failure.job())) {
         continue;
       }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GuaranteeScheduler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GuaranteeScheduler.java
@@ -18,17 +18,17 @@
  */
 public final class GuaranteeScheduler implements Scheduler {
 
-  private final PolicyParts parts;
+  private final PolicyFeatures parts;
   private final Set<AttemptId> stoppedForUrgentJobs = new HashSet<>();
   private Optional<DeclarationCache> cache = Optional.empty();
 
   /** Creates the policy with all its features. */
   public GuaranteeScheduler() {
-    this(PolicyParts.ALL);
+    this(PolicyFeatures.ALL);
   }
 
   /** Creates the policy with the given features. */
-  public GuaranteeScheduler(PolicyParts parts) {
+  public GuaranteeScheduler(PolicyFeatures parts) {
     this.parts = parts;
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GuaranteedJobPlanner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GuaranteedJobPlanner.java
@@ -20,7 +20,7 @@
 
   private final PlanState state;
   private final GangPlacer placer;
-  private final PolicyParts parts;
+  private final PolicyFeatures parts;
   private final StopFactory stopFactory;
   private final QuotaEnforcer quotaEnforcer;
   private final Set<Demand> notStartable = new HashSet<>();
@@ -28,7 +28,7 @@
   private final Set<Shape> notBorrowable = new HashSet<>();
 
   GuaranteedJobPlanner(
-      PlanState state, GangPlacer placer, PolicyParts parts, QuotaEnforcer quotaEnforcer) {
+      PlanState state, GangPlacer placer, PolicyFeatures parts, QuotaEnforcer quotaEnforcer) {
     this.quotaEnforcer = quotaEnforcer;
     this.state = state;
     this.placer = placer;
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/PlacedAttempt.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/PlacedAttempt.java
@@ -1,6 +1,6 @@
 package org.fescuehook.logic.scheduling;
 
-import org.fescuehook.logic.scheduling.Scheduler.Running;
+import org.fescuehook.logic.scheduling.Scheduler.RunningAttempt;
 
 /**
  * A live attempt with the data that a plan needs about it.
@@ -10,7 +10,8 @@
  * @param guaranteed whether its organisation's guarantees cover it
  * @param remainingSeconds expected time until it ends
  */
-record PlacedAttempt(Running running, int[] workers, boolean guaranteed, double remainingSeconds) {
+record PlacedAttempt(
+    RunningAttempt running, int[] workers, boolean guaranteed, double remainingSeconds) {
 
   private static final double RESTART_SECONDS = 60;
   private static final double CORE_WEIGHT = 0.01;
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/PlanState.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/PlanState.java
@@ -10,12 +10,12 @@
 import java.util.Set;
 import org.fescuehook.logic.scheduling.Scheduler.Explanation;
 import org.fescuehook.logic.scheduling.Scheduler.Plan;
-import org.fescuehook.logic.scheduling.Scheduler.Running;
+import org.fescuehook.logic.scheduling.Scheduler.RunningAttempt;
 import org.fescuehook.logic.scheduling.Scheduler.Start;
 import org.fescuehook.logic.scheduling.Scheduler.Stop;
 import org.fescuehook.logic.scheduling.Scheduler.StopCause;
 import org.fescuehook.logic.scheduling.Scheduler.View;
-import org.fescuehook.logic.scheduling.Scheduler.Waiting;
+import org.fescuehook.logic.scheduling.Scheduler.WaitingJob;
 import org.fescuehook.model.fleet.Capacity;
 import org.fescuehook.model.fleet.WorkerId;
 import org.fescuehook.model.job.AttemptId;
@@ -103,7 +103,7 @@
             });
   }
 
-  private void addAttempt(Running running) {
+  private void addAttempt(RunningAttempt running) {
     Job job = running.job();
     int[] workers = index.numbers(running.placement().members());
     boolean guaranteed = !running.borrowed() && guarantees.charge(job, workers);
@@ -226,7 +226,7 @@
    * Returns, by worker number, whether a job must not be placed on the worker: true for unusable
    * workers and, unless the job fits nowhere else, for those on which it failed.
    */
-  boolean[] avoid(Waiting waiting) {
+  boolean[] avoid(WaitingJob waiting) {
     if (waiting.avoid().isEmpty()) {
       return unusable;
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/PolicyParts.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/PolicyFeatures.java
@@ -16,7 +16,7 @@
  * @param ageing puts jobs whose wait is near or beyond the declared maximum before all others that
  *     are not urgent
  */
-public record PolicyParts(
+public record PolicyFeatures(
     boolean reclaim,
     boolean avoidReserved,
     RunTimeCorrection correction,
@@ -28,54 +28,54 @@
     boolean ageing) {
 
   /** All features. */
-  public static final PolicyParts ALL =
-      new PolicyParts(true, true, RunTimeCorrection.MEAN, true, true, true, true, true, true);
+  public static final PolicyFeatures ALL =
+      new PolicyFeatures(true, true, RunTimeCorrection.MEAN, true, true, true, true, true, true);
 
   /** Returns a copy with the given value of {@code reclaim}. */
-  public PolicyParts withReclaim(boolean value) {
-    return new PolicyParts(
+  public PolicyFeatures withReclaim(boolean value) {
+    return new PolicyFeatures(
         value, avoidReserved, correction, reservations, ordering, fairness, packing, moves, ageing);
   }
 
   /** Returns a copy with the given value of {@code avoidReserved}. */
-  public PolicyParts withAvoidReserved(boolean value) {
-    return new PolicyParts(
+  public PolicyFeatures withAvoidReserved(boolean value) {
+    return new PolicyFeatures(
         reclaim, value, correction, reservations, ordering, fairness, packing, moves, ageing);
   }
 
   /** Returns a copy with the given value of {@code correction}. */
-  public PolicyParts withCorrection(RunTimeCorrection value) {
-    return new PolicyParts(
+  public PolicyFeatures withCorrection(RunTimeCorrection value) {
+    return new PolicyFeatures(
         reclaim, avoidReserved, value, reservations, ordering, fairness, packing, moves, ageing);
   }
 
   /** Returns a copy with the given value of {@code reservations}. */
-  public PolicyParts withReservations(boolean value) {
-    return new PolicyParts(
+  public PolicyFeatures withReservations(boolean value) {
+    return new PolicyFeatures(
         reclaim, avoidReserved, correction, value, ordering, fairness, packing, moves, ageing);
   }
 
   /** Returns a copy with the given value of {@code ordering}. */
-  public PolicyParts withOrdering(boolean value) {
-    return new PolicyParts(
+  public PolicyFeatures withOrdering(boolean value) {
+    return new PolicyFeatures(
         reclaim, avoidReserved, correction, reservations, value, fairness, packing, moves, ageing);
   }
 
   /** Returns a copy with the given value of {@code fairness}. */
-  public PolicyParts withFairness(boolean value) {
-    return new PolicyParts(
+  public PolicyFeatures withFairness(boolean value) {
+    return new PolicyFeatures(
         reclaim, avoidReserved, correction, reservations, ordering, value, packing, moves, ageing);
   }
 
   /** Returns a copy with the given value of {@code packing}. */
-  public PolicyParts withPacking(boolean value) {
-    return new PolicyParts(
+  public PolicyFeatures withPacking(boolean value) {
+    return new PolicyFeatures(
         reclaim, avoidReserved, correction, reservations, ordering, fairness, value, moves, ageing);
   }
 
   /** Returns a copy with the given value of {@code moves}. */
-  public PolicyParts withMoves(boolean value) {
-    return new PolicyParts(
+  public PolicyFeatures withMoves(boolean value) {
+    return new PolicyFeatures(
         reclaim,
         avoidReserved,
         correction,
@@ -88,8 +88,8 @@
   }
 
   /** Returns a copy with the given value of {@code ageing}. */
-  public PolicyParts withAgeing(boolean value) {
-    return new PolicyParts(
+  public PolicyFeatures withAgeing(boolean value) {
+    return new PolicyFeatures(
         reclaim,
         avoidReserved,
         correction,
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/Scheduler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/Scheduler.java
@@ -34,8 +34,8 @@
   record View(
       long nowMillis,
       Declarations declarations,
-      List<Waiting> waiting,
-      List<Running> running,
+      List<WaitingJob> waiting,
+      List<RunningAttempt> running,
       Set<WorkerId> unusable,
       History history) {}
 
@@ -47,7 +47,7 @@
    * @param ranSeconds run time saved in the job's last checkpoint
    * @param avoid workers on which an attempt of it failed
    */
-  record Waiting(Job job, int failures, long ranSeconds, Set<WorkerId> avoid) {}
+  record WaitingJob(Job job, int failures, long ranSeconds, Set<WorkerId> avoid) {}
 
   /**
    * A live attempt.
@@ -60,7 +60,7 @@
    * @param keptSeconds run time of earlier attempts that checkpoints saved
    * @param stopping whether it has already been ordered to stop
    */
-  record Running(
+  record RunningAttempt(
       Job job,
       AttemptId attempt,
       Placement placement,
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/StopFactory.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/StopFactory.java
@@ -1,6 +1,6 @@
 package org.fescuehook.logic.scheduling;
 
-import org.fescuehook.logic.scheduling.Scheduler.Running;
+import org.fescuehook.logic.scheduling.Scheduler.RunningAttempt;
 import org.fescuehook.logic.scheduling.Scheduler.Stop;
 import org.fescuehook.logic.scheduling.Scheduler.StopCause;
 import org.fescuehook.model.configuration.PolicyPreferences;
@@ -25,7 +25,7 @@
   }
 
   /** Returns the stop of an attempt that frees its resources for a job. */
-  Stop create(Running victim, StopCause cause, Job beneficiary) {
+  Stop create(RunningAttempt victim, StopCause cause, Job beneficiary) {
     long noticeMillis = victim.job().checkpointable() ? noticeMillis(cause) : 0;
     return new Stop(victim.attempt(), cause, noticeMillis > 0, noticeMillis, beneficiary.id());
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/VictimRules.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/VictimRules.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.fescuehook.logic.scheduling.Scheduler.Running;
+import org.fescuehook.logic.scheduling.Scheduler.RunningAttempt;
 import org.fescuehook.logic.scheduling.VictimSelector.Selection;
 import org.fescuehook.logic.scheduling.VictimSelector.Victim;
 import org.fescuehook.model.job.Job;
@@ -54,7 +54,7 @@
     List<Victim> victims = new ArrayList<>();
     long now = state.view().nowMillis();
     for (PlacedAttempt a : state.attempts()) {
-      Running r = a.running();
+      RunningAttempt r = a.running();
       if (a.guaranteed() || state.isStopped(a) || r.job().urgent() || wasOverdue(r)) {
         continue;
       }
@@ -78,7 +78,7 @@
     return sum;
   }
 
-  private boolean wasOverdue(Running running) {
+  private boolean wasOverdue(RunningAttempt running) {
     long waited = running.startedMillis() - running.job().submittedMillis();
     return JobOrder.isOverdue(waited, state.view());
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/FormerRoom.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/FormerRoom.java
@@ -13,7 +13,7 @@
 import org.fescuehook.logic.batch.state.StepProgress;
 import org.fescuehook.logic.batch.state.TaskProgress;
 import org.fescuehook.model.batch.BatchStep;
-import org.fescuehook.model.batch.Demand;
+import org.fescuehook.model.batch.ResourceVector;
 import org.fescuehook.model.fleet.RackId;
 
 /** Free capacity of the usable executors while a plan is made. */
@@ -43,7 +43,9 @@
   }
 
   private static FormerRoom of(
-      Collection<ExecutorState> executors, Function<ExecutorState, Demand> room, long nowNanos) {
+      Collection<ExecutorState> executors,
+      Function<ExecutorState, ResourceVector> room,
+      long nowNanos) {
     long suspects = executors.stream().filter(executor -> executor.suspect(nowNanos)).count();
     boolean credible = suspects <= executors.size() * MOST_SUSPECTS;
     List<FormerSlot> slots = new ArrayList<>();
@@ -63,8 +65,8 @@
   }
 
   private static int usableAccelerators(FormerSlot slot) {
-    Demand free = slot.free();
-    Demand whole = slot.executor().profile().capacity();
+    ResourceVector free = slot.free();
+    ResourceVector whole = slot.executor().profile().capacity();
     double share =
         Math.min(
             share(free.milliCores(), whole.milliCores()),
@@ -74,11 +76,11 @@
 
   /** Tells whether more than half of what the other room has is here, of accelerators and cores. */
   boolean overHalfOf(FormerRoom whole) {
-    return 2 * sum(Demand::accelerators) > whole.sum(Demand::accelerators)
-        && 2 * sum(Demand::milliCores) > whole.sum(Demand::milliCores);
+    return 2 * sum(ResourceVector::accelerators) > whole.sum(ResourceVector::accelerators)
+        && 2 * sum(ResourceVector::milliCores) > whole.sum(ResourceVector::milliCores);
   }
 
-  private long sum(ToIntFunction<Demand> resource) {
+  private long sum(ToIntFunction<ResourceVector> resource) {
     return slots.stream().mapToLong(slot -> resource.applyAsInt(slot.free())).sum();
   }
 
@@ -92,7 +94,7 @@
   }
 
   /** Gives capacity of an executor back. */
-  void give(ExecutorState executor, Demand demand) {
+  void give(ExecutorState executor, ResourceVector demand) {
     slot(executor).ifPresent(slot -> slot.give(demand));
   }
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/FormerSlot.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/FormerSlot.java
@@ -3,7 +3,7 @@
 import org.fescuehook.logic.batch.executor.ExecutorState;
 import org.fescuehook.logic.batch.state.StepProgress;
 import org.fescuehook.model.batch.BatchStep;
-import org.fescuehook.model.batch.Demand;
+import org.fescuehook.model.batch.ResourceVector;
 import org.fescuehook.model.fleet.Incarnation;
 
 /** FormerRoom on one executor while a plan is made. */
@@ -11,7 +11,7 @@
 
   private final ExecutorState executor;
   private final boolean suspect;
-  private Demand free;
+  private ResourceVector free;
   private boolean serving;
   private boolean filling;
 
@@ -20,7 +20,7 @@
    *
    * @param suspect whether runs have lately failed there or hardly progressed
    */
-  FormerSlot(ExecutorState executor, Demand free, boolean suspect) {
+  FormerSlot(ExecutorState executor, ResourceVector free, boolean suspect) {
     this.executor = executor;
     this.free = free;
     this.suspect = suspect;
@@ -34,7 +34,7 @@
     return executor;
   }
 
-  Demand free() {
+  ResourceVector free() {
     return free;
   }
 
@@ -55,7 +55,7 @@
     return step.serves() ? filling : serving;
   }
 
-  void give(Demand demand) {
+  void give(ResourceVector demand) {
     free = free.plus(demand);
   }
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/scheduling/PlanAuditor.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/scheduling/PlanAuditor.java
@@ -9,11 +9,11 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import org.fescuehook.logic.scheduling.Scheduler.Plan;
-import org.fescuehook.logic.scheduling.Scheduler.Running;
+import org.fescuehook.logic.scheduling.Scheduler.RunningAttempt;
 import org.fescuehook.logic.scheduling.Scheduler.Start;
 import org.fescuehook.logic.scheduling.Scheduler.Stop;
 import org.fescuehook.logic.scheduling.Scheduler.View;
-import org.fescuehook.logic.scheduling.Scheduler.Waiting;
+import org.fescuehook.logic.scheduling.Scheduler.WaitingJob;
 import org.fescuehook.logic.trace.ReplayListener;
 import org.fescuehook.model.configuration.Declarations;
 import org.fescuehook.model.fleet.Capacity;
@@ -52,13 +52,13 @@
   }
 
   private void checkStarts(View view, Plan plan) {
-    Map<JobId, Waiting> waiting = new HashMap<>();
+    Map<JobId, WaitingJob> waiting = new HashMap<>();
     view.waiting().forEach(w -> waiting.put(w.job().id(), w));
     Map<WorkerId, Worker> workers = workers(view);
     Map<WorkerId, Capacity> used = new HashMap<>();
     view.running().forEach(r -> add(used, r.job(), r.placement().members()));
     for (Start s : plan.starts()) {
-      Waiting w = waiting.remove(s.job());
+      WaitingJob w = waiting.remove(s.job());
       if (w == null) {
         addViolation(view, s.job() + " started although it is not waiting, or started twice");
         continue;
@@ -74,7 +74,7 @@
         });
   }
 
-  private void checkPlacement(View view, Waiting w, Start s, Map<WorkerId, Worker> workers) {
+  private void checkPlacement(View view, WaitingJob w, Start s, Map<WorkerId, Worker> workers) {
     List<WorkerId> members = s.placement().members();
     if (members.size() != w.job().shape().members()) {
       addViolation(view, s.job() + " starts with only some of its members");
@@ -95,7 +95,7 @@
     }
   }
 
-  private static boolean fitsElsewhere(View view, Waiting w) {
+  private static boolean fitsElsewhere(View view, WaitingJob w) {
     Set<WorkerId> excluded = new HashSet<>(view.unusable());
     excluded.addAll(w.avoid());
     Declarations remaining = withoutWorkers(view.declarations(), excluded);
@@ -105,10 +105,10 @@
   }
 
   private void checkStops(View view, Plan plan) {
-    Map<AttemptId, Running> running = new HashMap<>();
+    Map<AttemptId, RunningAttempt> running = new HashMap<>();
     view.running().forEach(r -> running.put(r.attempt(), r));
     for (Stop s : plan.stops()) {
-      Running r = running.remove(s.attempt());
+      RunningAttempt r = running.remove(s.attempt());
       if (r == null || r.stopping()) {
         addViolation(
             view, s.attempt() + " is stopped although it is not running, or stopped twice");
@@ -118,7 +118,7 @@
 
   private void checkReasons(View view, Plan plan) {
     Set<JobId> started = plan.starts().stream().map(Start::job).collect(Collectors.toSet());
-    for (Waiting w : view.waiting()) {
+    for (WaitingJob w : view.waiting()) {
       if (!started.contains(w.job().id()) && !plan.reasons().containsKey(w.job().id())) {
         addViolation(view, w.job().id() + " waits without a reason");
       }
@@ -133,10 +133,10 @@
     if (!guaranteesAreFeasible(view)) {
       return;
     }
-    List<Running> running = after(view, plan);
+    List<RunningAttempt> running = after(view, plan);
     Set<OrganisationId> organisationsWithAttempts = new HashSet<>();
     running.forEach(r -> organisationsWithAttempts.add(r.job().organisation()));
-    List<Waiting> claims = claims(view, organisationsWithAttempts);
+    List<WaitingJob> claims = claims(view, organisationsWithAttempts);
     if (claims.isEmpty()) {
       return;
     }
@@ -145,9 +145,9 @@
     Plan firstPlan = scheduler.plan(firstView);
     Set<JobId> startedClaims =
         firstPlan.starts().stream().map(Start::job).collect(Collectors.toSet());
-    List<Running> stillRunning = after(firstView, firstPlan);
-    stillRunning.removeIf(Running::stopping);
-    List<Waiting> remainingClaims = new ArrayList<>(claims);
+    List<RunningAttempt> stillRunning = after(firstView, firstPlan);
+    stillRunning.removeIf(RunningAttempt::stopping);
+    List<WaitingJob> remainingClaims = new ArrayList<>(claims);
     remainingClaims.removeIf(w -> startedClaims.contains(w.job().id()));
     Plan secondPlan = scheduler.plan(with(view, remainingClaims, stillRunning));
     if (secondPlan.starts().size() != remainingClaims.size()) {
@@ -168,18 +168,18 @@
     return new Declarations(d.organisations(), d.guarantees(), d.rules(), fleet, d.policy());
   }
 
-  private static View with(View view, List<Waiting> waiting, List<Running> running) {
+  private static View with(View view, List<WaitingJob> waiting, List<RunningAttempt> running) {
     return new View(
         view.nowMillis(), view.declarations(), waiting, running, view.unusable(), view.history());
   }
 
-  private static List<Running> after(View view, Plan plan) {
+  private static List<RunningAttempt> after(View view, Plan plan) {
     Set<AttemptId> stopped = plan.stops().stream().map(Stop::attempt).collect(Collectors.toSet());
-    List<Running> running = new ArrayList<>();
-    for (Running r : view.running()) {
+    List<RunningAttempt> running = new ArrayList<>();
+    for (RunningAttempt r : view.running()) {
       boolean stopping = r.stopping() || stopped.contains(r.attempt());
       running.add(
-          new Running(
+          new RunningAttempt(
               r.job(),
               r.attempt(),
               r.placement(),
@@ -194,13 +194,14 @@
       AttemptId attempt = new AttemptId(s.job(), 99);
       Job job = jobs.get(s.job());
       running.add(
-          new Running(job, attempt, s.placement(), s.borrowed(), view.nowMillis(), 0, false));
+          new RunningAttempt(
+              job, attempt, s.placement(), s.borrowed(), view.nowMillis(), 0, false));
     }
     return running;
   }
 
-  private static List<Waiting> claims(View view, Set<OrganisationId> organisationsWithAttempts) {
-    List<Waiting> claims = new ArrayList<>();
+  private static List<WaitingJob> claims(View view, Set<OrganisationId> organisationsWithAttempts) {
+    List<WaitingJob> claims = new ArrayList<>();
     for (GuaranteedShape g : view.declarations().guarantees()) {
       for (int i = 0; i < g.count() && !organisationsWithAttempts.contains(g.organisation()); i++) {
         Job job =
@@ -214,7 +215,7 @@
                 60,
                 view.nowMillis(),
                 "test");
-        claims.add(new Waiting(job, 0, 0, Set.of()));
+        claims.add(new WaitingJob(job, 0, 0, Set.of()));
       }
     }
     return claims;
