--- a/fescuehook/src/main/java/org/fescuehook/logic/control/planning/PlanDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/planning/PlanDuty.java
@@ -60,7 +60,7 @@
     Scheduler.View view = ViewBuilder.build(state, declarations, unavailable, turn.wallMillis());
     try {
       decide(scheduler.plan(view), state, turn);
-      judge.judge(view).forEach(judgement -> quarantine(judgement, state, turn));
+      judge.detect(view).forEach(judgement -> quarantine(judgement, state, turn));
     } catch (RuntimeException e) {
       // A fault of the policy must not keep the leases of running gangs from being renewed.
       turn.note(ControlLogEvent.PLAN_FAILED, e.toString());
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/AdmissionChecker.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/AdmissionChecker.java
@@ -34,7 +34,8 @@
       return new Admission.Denied(
           RefusalReason.UNKNOWN_ORGANISATION, "no organisation " + job.organisation());
     }
-    Optional<String> never = feasibility.whyNever(declarations, job.organisation(), job.shape());
+    Optional<String> never =
+        feasibility.infeasibilityReason(declarations, job.organisation(), job.shape());
     if (never.isPresent()) {
       return new Admission.Denied(RefusalReason.NEVER_RUNNABLE, never.get());
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ClaimHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ClaimHandler.java
@@ -73,19 +73,19 @@
   }
 
   private static RequestKey key(OpenRequest request) {
-    return key(request.facts);
+    return key(request.attributes);
   }
 
-  private static RequestKey key(RequestAttributes facts) {
+  private static RequestKey key(RequestAttributes attributes) {
     return RequestKey.newBuilder()
-        .setOrganisation(facts.organisation().value())
-        .setRequestId(facts.requestId().orElseThrow())
+        .setOrganisation(attributes.organisation().value())
+        .setRequestId(attributes.requestId().orElseThrow())
         .build();
   }
 
   /** Returns whether the request's id is claimed. */
-  boolean isClaimed(RequestAttributes facts) {
-    return registry.find(key(facts)).isPresent();
+  boolean isClaimed(RequestAttributes attributes) {
+    return registry.find(key(attributes)).isPresent();
   }
 
   /**
@@ -113,7 +113,7 @@
         RequestClaim.newBuilder()
             .setKey(key(request))
             .setToken(token)
-            .setDigest(request.facts.digest().value())
+            .setDigest(request.attributes.digest().value())
             .build();
     if (registry.isFull() || !batcher.claim(claim)) {
       requests.refuse(request, RefusalReason.QUEUE_FULL, "too many request ids are kept");
@@ -155,7 +155,7 @@
   }
 
   private void follow(OpenRequest request, ClaimRegistry.Claim claim) {
-    if (!claim.digest().equals(request.facts.digest())) {
+    if (!claim.digest().equals(request.attributes.digest())) {
       requests.refuse(
           request, RefusalReason.REQUEST_ID_REUSED, "the id belongs to another request");
       return;
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ClaimRegistry.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ClaimRegistry.java
@@ -38,8 +38,8 @@
       return new Claim(writer, incarnation, token, digest, millis, outcome);
     }
 
-    private Claim withOutcome(RequestOutcome resolved) {
-      return new Claim(writer, incarnation, token, digest, appendedMillis, Optional.of(resolved));
+    private Claim withOutcome(RequestOutcome newOutcome) {
+      return new Claim(writer, incarnation, token, digest, appendedMillis, Optional.of(newOutcome));
     }
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/DispatchCore.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/DispatchCore.java
@@ -79,13 +79,13 @@
   public void handle(DispatchEvent event, long nowMillis) {
     now = nowMillis;
     switch (event) {
-      case DispatchEvent.Arrived arrived -> arrived(arrived.ticket(), arrived.facts());
+      case DispatchEvent.Arrived arrived -> arrived(arrived.ticket(), arrived.attributes());
       case DispatchEvent.Cancelled cancelled -> cancelled(cancelled.ticket());
       case DispatchEvent.DispatchEnded ended ->
           requests
               .find(ended.ticket())
               .ifPresent(
-                  request -> slots.dispatchEnded(request, ended.end(), ended.tookMillis(), now));
+                  request -> slots.dispatchEnded(request, ended.result(), ended.tookMillis(), now));
       case DispatchEvent.PathSuspected suspected -> slots.pathSuspected(suspected.executor());
       case DispatchEvent.PathChecked checked ->
           slots.pathChecked(checked.executor(), checked.reachable(), now);
@@ -107,24 +107,24 @@
     claims.beginAppend(now);
   }
 
-  private void arrived(long ticket, RequestAttributes facts) {
+  private void arrived(long ticket, RequestAttributes attributes) {
     // A request with a claimed id is answered from the claim even under overload or before this VM
     // is ready: rejecting it as not run would be wrong, as the id's first request may have run.
-    boolean alreadyClaimed = facts.claimed() && claims.isClaimed(facts);
-    Optional<RefusalReason> refusal = refusal(facts);
+    boolean alreadyClaimed = attributes.needsClaim() && claims.isClaimed(attributes);
+    Optional<RefusalReason> refusal = refusal(attributes);
     if (refusal.isPresent() && !alreadyClaimed) {
       requests.refuseUnaccepted(ticket, refusal.get(), detail(refusal.get()));
       return;
     }
-    OpenRequest request = requests.add(ticket, facts);
-    if (facts.claimed()) {
+    OpenRequest request = requests.add(ticket, attributes);
+    if (attributes.needsClaim()) {
       claims.accept(request, stream.claimRefusal());
       return;
     }
     slots.enqueue(request, now);
   }
 
-  private Optional<RefusalReason> refusal(RequestAttributes facts) {
+  private Optional<RefusalReason> refusal(RequestAttributes attributes) {
     if (!ready) {
       return Optional.of(whyNotReady);
     }
@@ -132,17 +132,17 @@
       return Optional.of(RefusalReason.NOT_READY);
     }
     Optional<Organisation> organisation =
-        Optional.ofNullable(organisations.get(facts.organisation()));
+        Optional.ofNullable(organisations.get(attributes.organisation()));
     if (organisation.isEmpty()) {
       return Optional.of(RefusalReason.UNKNOWN_ORGANISATION);
     }
-    if (facts.deadlineMillis() <= now) {
+    if (attributes.deadlineMillis() <= now) {
       return Optional.of(RefusalReason.DEADLINE_BEFORE_DISPATCH);
     }
-    if (requests.inFlight(facts.organisation()) >= organisation.get().requestShare()) {
+    if (requests.inFlight(attributes.organisation()) >= organisation.get().requestShare()) {
       return Optional.of(RefusalReason.ORGANISATION_SHARE);
     }
-    return slots.refusalOnArrival(facts, now);
+    return slots.refusalOnArrival(attributes, now);
   }
 
   private static String detail(RefusalReason reason) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/DispatchEvent.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/DispatchEvent.java
@@ -10,17 +10,18 @@
 import org.fescuehook.wire.OutcomeReply;
 import org.fescuehook.wire.SlotShares;
 
-/** An event that the dispatch core handles. */
+/** An event that the dispatch core handles. A ticket identifies a request within this process. */
 public sealed interface DispatchEvent {
 
   /** A caller's request arrived completely. */
-  record Arrived(long ticket, RequestAttributes facts) implements DispatchEvent {}
+  record Arrived(long ticket, RequestAttributes attributes) implements DispatchEvent {}
 
   /** The caller of a request is gone. */
   record Cancelled(long ticket) implements DispatchEvent {}
 
   /** A dispatch ended. */
-  record DispatchEnded(long ticket, DispatchResult end, long tookMillis) implements DispatchEvent {}
+  record DispatchEnded(long ticket, DispatchResult result, long tookMillis)
+      implements DispatchEvent {}
 
   /** A pooled connection to an executor made no progress. */
   record PathSuspected(ExecutorId executor) implements DispatchEvent {}
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ExecutorTable.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ExecutorTable.java
@@ -74,10 +74,10 @@
   }
 
   private void announce(ExecutorId id, Entry entry, long nowMillis, long settleMillis) {
-    Optional<SlotShare> ownShares = Optional.ofNullable(shares.get(id));
-    entry.slotShare.announce(ownShares.map(s -> s.getSlots()).orElse(0), nowMillis, settleMillis);
+    Optional<SlotShare> ownShare = Optional.ofNullable(shares.get(id));
+    entry.slotShare.announce(ownShare.map(s -> s.getSlots()).orElse(0), nowMillis, settleMillis);
     entry.connectionShare.announce(
-        ownShares.map(s -> s.getConnections()).orElse(0), nowMillis, settleMillis);
+        ownShare.map(s -> s.getConnections()).orElse(0), nowMillis, settleMillis);
   }
 
   /** Returns whether shares have been announced. */
@@ -140,9 +140,9 @@
    */
   private double score(ExecutorId id, Entry entry, int slots) {
     double load = (double) entry.inUse / slots;
-    boolean ownShares = entry.declared.orElseThrow().domain().equals(domain);
+    boolean sameDomain = entry.declared.orElseThrow().domain().equals(domain);
     double spread = Math.floorMod(id.hashCode() * 31 + rotation * 0x9E3779B9, 1024) / 1e6;
-    return load + (ownShares ? 0 : OTHER_DOMAIN_PENALTY) + spread;
+    return load + (sameDomain ? 0 : OTHER_DOMAIN_PENALTY) + spread;
   }
 
   private int usableSlots(ExecutorId id, Entry entry, long nowMillis) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/HealthMonitor.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/HealthMonitor.java
@@ -21,12 +21,12 @@
   }
 
   /** Records how a dispatch ended. */
-  void dispatchEnded(ExecutorId executor, DispatchResult end, long nowMillis) {
+  void dispatchEnded(ExecutorId executor, DispatchResult result, long nowMillis) {
     Optional<ExecutorHealth> health = executors.health(executor);
     if (health.isEmpty()) {
       return;
     }
-    switch (end) {
+    switch (result) {
       case DispatchResult.Answered _ -> health.get().succeeded(nowMillis);
       case DispatchResult.RefusedNotRun _ -> health.get().pause(nowMillis);
       case DispatchResult.NotSent notSent -> {
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/OpenRequest.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/OpenRequest.java
@@ -22,7 +22,7 @@
   }
 
   final long ticket;
-  final RequestAttributes facts;
+  final RequestAttributes attributes;
   final List<ExecutorId> tried = new ArrayList<>(0);
   State state = State.QUEUED;
   Optional<ExecutorId> executor = Optional.empty();
@@ -35,8 +35,8 @@
   // Set once any byte may have reached an executor, unless it reported not having run the request.
   boolean mayHaveRun;
 
-  OpenRequest(long ticket, RequestAttributes facts) {
+  OpenRequest(long ticket, RequestAttributes attributes) {
     this.ticket = ticket;
-    this.facts = facts;
+    this.attributes = attributes;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/OpenRequests.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/OpenRequests.java
@@ -34,10 +34,10 @@
     this.random = random;
   }
 
-  OpenRequest add(long ticket, RequestAttributes facts) {
-    OpenRequest request = new OpenRequest(ticket, facts);
+  OpenRequest add(long ticket, RequestAttributes attributes) {
+    OpenRequest request = new OpenRequest(ticket, attributes);
     open.put(ticket, request);
-    inFlight.merge(facts.organisation(), 1, Integer::sum);
+    inFlight.merge(attributes.organisation(), 1, Integer::sum);
     return request;
   }
 
@@ -57,7 +57,7 @@
   List<OpenRequest> expired(long nowMillis) {
     List<OpenRequest> expired = new ArrayList<>();
     for (OpenRequest request : open.values()) {
-      boolean isExpired = request.facts.deadlineMillis() <= nowMillis;
+      boolean isExpired = request.attributes.deadlineMillis() <= nowMillis;
       if (isExpired && request.state != OpenRequest.State.SENT) {
         expired.add(request);
       }
@@ -112,9 +112,9 @@
 
   private void remove(OpenRequest request) {
     open.remove(request.ticket);
-    if (request.facts.claimed()) {
+    if (request.attributes.needsClaim()) {
       onClosed.accept(request);
     }
-    inFlight.computeIfPresent(request.facts.organisation(), (id, n) -> n == 1 ? null : n - 1);
+    inFlight.computeIfPresent(request.attributes.organisation(), (id, n) -> n == 1 ? null : n - 1);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/RequestAttributes.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/RequestAttributes.java
@@ -22,7 +22,7 @@
     long deadlineMillis) {
 
   /** Returns whether the request's id must be claimed in the log before it is dispatched. */
-  public boolean claimed() {
+  public boolean needsClaim() {
     return requestId.isPresent() && !repeatable;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/SlotDispatcher.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/SlotDispatcher.java
@@ -60,11 +60,11 @@
   }
 
   /**
-   * Returns why a new request is rejected on arrival because it would not be dispatched before its
-   * deadline; empty if it is accepted.
+   * Returns why a new request is rejected on arrival because its queue is full or no slot is
+   * expected to be free before its deadline; empty if it is accepted.
    */
-  Optional<RefusalReason> refusalOnArrival(RequestAttributes facts, long nowMillis) {
-    FairQueue queue = queue(facts);
+  Optional<RefusalReason> refusalOnArrival(RequestAttributes attributes, long nowMillis) {
+    FairQueue queue = queue(attributes);
     if (queue.size() >= preferences.queueLength()) {
       return Optional.of(RefusalReason.QUEUE_FULL);
     }
@@ -72,16 +72,17 @@
     if (slots == 0) {
       return Optional.of(RefusalReason.NO_EXECUTOR);
     }
-    if (executors.hasFreeSlot(facts.urgent(), nowMillis)) {
+    if (executors.hasFreeSlot(attributes.urgent(), nowMillis)) {
       return Optional.empty();
     }
-    double ends = queue.requestsAhead(facts.organisation()) + 1;
-    boolean late = nowMillis + serviceTime.expectedMillis(ends, slots) > facts.deadlineMillis();
-    return late ? Optional.of(RefusalReason.NO_EXECUTOR) : Optional.empty();
+    double requestsToEnd = queue.requestsAhead(attributes.organisation()) + 1;
+    boolean tooLate =
+        nowMillis + serviceTime.expectedMillis(requestsToEnd, slots) > attributes.deadlineMillis();
+    return tooLate ? Optional.of(RefusalReason.NO_EXECUTOR) : Optional.empty();
   }
 
-  private FairQueue queue(RequestAttributes facts) {
-    return facts.urgent() ? urgent : normal;
+  private FairQueue queue(RequestAttributes attributes) {
+    return attributes.urgent() ? urgent : normal;
   }
 
   /** Queues a request that may be dispatched. */
@@ -90,7 +91,7 @@
       budget.requestAccepted(nowMillis);
     }
     request.state = OpenRequest.State.QUEUED;
-    if (!queue(request.facts).add(request.facts.organisation(), request.ticket)) {
+    if (!queue(request.attributes).add(request.attributes.organisation(), request.ticket)) {
       openRequests.refuse(request, RefusalReason.QUEUE_FULL, "too many requests wait for a slot");
       return;
     }
@@ -99,7 +100,7 @@
 
   /** Removes a request from its queue. */
   void remove(OpenRequest request) {
-    queue(request.facts).remove(request.facts.organisation(), request.ticket);
+    queue(request.attributes).remove(request.attributes.organisation(), request.ticket);
   }
 
   /** Dispatches as many waiting requests as there are free slots, urgent ones first. */
@@ -123,7 +124,7 @@
     if (request.isEmpty() || request.get().state != OpenRequest.State.QUEUED) {
       return false;
     }
-    if (request.get().facts.deadlineMillis() > nowMillis) {
+    if (request.get().attributes.deadlineMillis() > nowMillis) {
       return true;
     }
     openRequests.refuse(
@@ -132,7 +133,7 @@
   }
 
   private void dispatch(OpenRequest request, long nowMillis) {
-    boolean isUrgent = request.facts.urgent();
+    boolean isUrgent = request.attributes.urgent();
     Optional<ExecutorId> chosen = executors.acquire(isUrgent, request.tried, nowMillis);
     if (chosen.isEmpty()) {
       // Only executors that this request already tried have a free slot; retries later, when
@@ -150,19 +151,19 @@
 
   /** Returns half of the time until the deadline, so that the other half remains for a retry. */
   private long progressMillis(OpenRequest request, long nowMillis) {
-    if (!request.facts.repeatable() || request.dispatches >= preferences.maxTries()) {
+    if (!request.attributes.repeatable() || request.dispatches >= preferences.maxTries()) {
       return 0;
     }
-    return Math.max(1, (request.facts.deadlineMillis() - nowMillis) / 2);
+    return Math.max(1, (request.attributes.deadlineMillis() - nowMillis) / 2);
   }
 
   /** Handles the end of a dispatch. */
-  void dispatchEnded(OpenRequest request, DispatchResult end, long tookMillis, long nowMillis) {
+  void dispatchEnded(OpenRequest request, DispatchResult result, long tookMillis, long nowMillis) {
     ExecutorId executor = request.executor.orElseThrow();
     executors.release(executor);
     request.executor = Optional.empty();
-    health.dispatchEnded(executor, end, nowMillis);
-    switch (end) {
+    health.dispatchEnded(executor, result, nowMillis);
+    switch (result) {
       case DispatchResult.Answered answered -> {
         serviceTime.addSample(tookMillis);
         claims.answered(request, answered);
@@ -208,7 +209,7 @@
       return;
     }
     RefusalReason refusal = refusal(failed.kind());
-    if (!request.facts.repeatable() || failed.kind() == FailureKind.DEADLINE) {
+    if (!request.attributes.repeatable() || failed.kind() == FailureKind.DEADLINE) {
       openRequests.refuse(request, refusal, "at executor " + executor);
       return;
     }
@@ -259,8 +260,8 @@
 
   private void backOff(OpenRequest request, long nowMillis) {
     request.state = OpenRequest.State.BACKING_OFF;
-    long waitMillis = Math.max(1, backoff.delayMillis(request.dispatches));
-    delayedTasks.schedule(nowMillis, waitMillis, () -> resume(request, nowMillis + waitMillis));
+    long delayMillis = Math.max(1, backoff.delayMillis(request.dispatches));
+    delayedTasks.schedule(nowMillis, delayMillis, () -> resume(request, nowMillis + delayMillis));
   }
 
   private void resume(OpenRequest request, long nowMillis) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/FaultyWorkerDetector.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/FaultyWorkerDetector.java
@@ -34,8 +34,8 @@
    * Returns the workers to quarantine now, in the order of their names. Workers that are already in
    * quarantine are skipped.
    */
-  public List<Quarantine> judge(Scheduler.View view) {
-    List<Quarantine> judgements = new ArrayList<>();
+  public List<Quarantine> detect(Scheduler.View view) {
+    List<Quarantine> quarantines = new ArrayList<>();
     Map<WorkerId, WorkerRecord> records = new TreeMap<>(view.history().workers());
     records.forEach(
         (worker, record) -> {
@@ -44,10 +44,10 @@
           }
           SortedSet<JobId> failedJobs = evidence(worker, record, view);
           if (failedJobs.size() >= requiredJobs(record)) {
-            judgements.add(judgement(worker, record, failedJobs, view.nowMillis()));
+            quarantines.add(quarantine(worker, record, failedJobs, view.nowMillis()));
           }
         });
-    return judgements;
+    return quarantines;
   }
 
   /**
@@ -58,11 +58,11 @@
     return record.quarantines() > 0 ? 1 : MIN_JOBS;
   }
 
-  private static Quarantine judgement(
+  private static Quarantine quarantine(
       WorkerId worker, WorkerRecord record, SortedSet<JobId> failedJobs, long nowMillis) {
-    long lengthMillis = FIRST_QUARANTINE_MILLIS << Math.min(MAX_DOUBLINGS, record.quarantines());
+    long durationMillis = FIRST_QUARANTINE_MILLIS << Math.min(MAX_DOUBLINGS, record.quarantines());
     return new Quarantine(
-        worker, nowMillis + lengthMillis, "jobs that ran elsewhere: " + failedJobs);
+        worker, nowMillis + durationMillis, "jobs that ran elsewhere: " + failedJobs);
   }
 
   private static SortedSet<JobId> evidence(
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/FeasibilityChecker.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/FeasibilityChecker.java
@@ -20,9 +20,9 @@
    * @param organisation the job's organisation
    * @param shape the job's resource requirements
    */
-  public Optional<String> whyNever(
+  public Optional<String> infeasibilityReason(
       Declarations declarations, OrganisationId organisation, Shape shape) {
-    Optional<String> quota = whyAboveQuota(declarations, organisation, shape);
+    Optional<String> quota = quotaExcessReason(declarations, organisation, shape);
     if (quota.isPresent()) {
       return quota;
     }
@@ -49,7 +49,7 @@
    * Returns the names of the guarantees that do not fit on the declared fleet together with the
    * others; empty if all guarantees fit at the same time.
    */
-  public List<String> unkeepableGuarantees(Declarations declarations) {
+  public List<String> infeasibleGuarantees(Declarations declarations) {
     FleetIndex index = new FleetIndex(declarations.fleet());
     ReservedPlacements placements = ReservedPlacements.find(index, declarations.guarantees());
     List<String> names = new ArrayList<>();
@@ -66,7 +66,7 @@
     return names;
   }
 
-  private static Optional<String> whyAboveQuota(
+  private static Optional<String> quotaExcessReason(
       Declarations declarations, OrganisationId organisation, Shape shape) {
     for (Organisation o : declarations.organisations()) {
       if (o.id().equals(organisation) && shape.accelerators() > o.quotaAccelerators()) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/History.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/History.java
@@ -84,7 +84,8 @@
   private Map<WorkerId, WorkerRecord> workersAfterFinish(EndedAttempt ended) {
     Map<WorkerId, WorkerRecord> next = new HashMap<>(workers);
     ended.placement().members().forEach(next::remove);
-    next.replaceAll((id, r) -> r.blames(ended.job().id()) ? r.confirming(ended.job().id()) : r);
+    next.replaceAll(
+        (id, r) -> r.hasFailureOf(ended.job().id()) ? r.withConfirmedFailure(ended.job().id()) : r);
     return next;
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/WorkerRecord.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/WorkerRecord.java
@@ -50,7 +50,7 @@
   /**
    * Returns a copy in which a job's failure is confirmed because the job finished on other workers.
    */
-  WorkerRecord confirming(JobId job) {
+  WorkerRecord withConfirmedFailure(JobId job) {
     List<Failure> kept = new ArrayList<>();
     for (Failure f : failures) {
       boolean confirmed = f.confirmed() || f.job().equals(job);
@@ -65,7 +65,7 @@
   }
 
   /** Returns whether a job's failure is attributed to this worker. */
-  boolean blames(JobId job) {
+  boolean hasFailureOf(JobId job) {
     return failures.stream().anyMatch(f -> f.job().equals(job));
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/Replayer.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/Replayer.java
@@ -124,7 +124,9 @@
     var declarations = trace.declarations();
     Verdict verdict = matcher.match(declarations.rules(), job.job, nowMillis, load()).verdict();
     boolean never =
-        feasibility.whyNever(declarations, job.job.organisation(), job.job.shape()).isPresent();
+        feasibility
+            .infeasibilityReason(declarations, job.job.organisation(), job.job.shape())
+            .isPresent();
     if (never || verdict instanceof Verdict.Refuse) {
       finish(job, JobOutcome.End.REFUSED);
       return;
@@ -173,7 +175,7 @@
     listener.decided(view, plan);
     plan.stops().forEach(this::stop);
     plan.starts().forEach(this::start);
-    judge.ifPresent(j -> j.judge(view).forEach(this::quarantine));
+    judge.ifPresent(j -> j.detect(view).forEach(this::quarantine));
     if (!waiting.isEmpty() && !tickPending) {
       tickPending = true;
       at(nowMillis + TICK_MILLIS, () -> tickPending = false);
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/CommandPerformer.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/CommandPerformer.java
@@ -137,7 +137,7 @@
             TimeUnit.MILLISECONDS.toNanos(pass.facts().deadlineMillis()),
             send.progressMillis(),
             false,
-            pass.facts().claimed() ? KEPT_BYTES : 0);
+            pass.facts().needsClaim() ? KEPT_BYTES : 0);
     PassingListener listener =
         new PassingListener(
             exchange.caller(),
--- a/fescuehook/src/test/java/org/fescuehook/logic/dispatch/AtMostOnceProperties.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/dispatch/AtMostOnceProperties.java
@@ -37,17 +37,17 @@
 
   /** A VM with what it commanded and has not heard the end of. */
   private static final class Vm {
-    final DispatchFixture core;
-    final LocalOutcomes own;
+    final DispatchFixture fixture;
+    final LocalOutcomes localOutcomes;
     final List<DispatchCommand.Append> appends = new ArrayList<>();
     final List<DispatchCommand.Send> sends = new ArrayList<>();
     final List<DispatchCommand.FetchOutcome> fetches = new ArrayList<>();
     int seen;
     int read;
 
-    Vm(DispatchFixture core) {
-      this.core = core;
-      this.own = core.own;
+    Vm(DispatchFixture fixture) {
+      this.fixture = fixture;
+      this.localOutcomes = fixture.localOutcomes;
     }
   }
 
@@ -73,10 +73,10 @@
 
     private void start(int i) {
       incarnations++;
-      DispatchFixture core =
+      DispatchFixture fixture =
           new DispatchFixture("vm-" + i, "inc-" + incarnations, random.nextLong());
-      core.makeReady(3, 4);
-      vms[i] = new Vm(core);
+      fixture.makeReady(3, 4);
+      vms[i] = new Vm(fixture);
     }
 
     void step() {
@@ -88,7 +88,7 @@
         case 6, 7, 8 -> read(vm);
         case 9, 10 -> endDispatch(vm);
         case 11 -> fetch(vm);
-        case 12, 13 -> vm.core.pass(random.nextInt(400));
+        case 12, 13 -> vm.fixture.advanceTime(random.nextInt(400));
         case 14 -> late();
         default -> fault(i, vm);
       }
@@ -101,7 +101,7 @@
       long ticket = ++tickets;
       String key = "k" + random.nextInt(KEYS);
       keyOf.put(ticket, key);
-      vm.core.arrive(ticket, vm.core.withId(key, key));
+      vm.fixture.arrive(ticket, vm.fixture.withId(key, key));
     }
 
     private void append(Vm vm) {
@@ -127,7 +127,7 @@
               yield new AppendResult.Appended(log.size() - 1);
             }
           };
-      vm.core.handle(new DispatchEvent.AppendEnded(append.append(), result));
+      vm.fixture.handle(new DispatchEvent.AppendEnded(append.append(), result));
     }
 
     private void late() {
@@ -140,7 +140,7 @@
       int until = Math.min(log.size(), vm.read + 1 + random.nextInt(5));
       for (; vm.read < until; vm.read++) {
         LogRecord record = new LogRecord(vm.read, 1_700_000_000_000L + vm.read, log.get(vm.read));
-        vm.core.handle(new DispatchEvent.RecordRead(record));
+        vm.fixture.handle(new DispatchEvent.RecordRead(record));
       }
     }
 
@@ -167,7 +167,7 @@
         runs.merge(keyOf.get(send.ticket()), -1, Integer::sum);
         runsOfTicket.merge(send.ticket(), -1, Integer::sum);
       }
-      vm.core.end(send.ticket(), end);
+      vm.fixture.endDispatch(send.ticket(), end);
     }
 
     private void fetch(Vm vm) {
@@ -177,11 +177,11 @@
       DispatchCommand.FetchOutcome fetch = vm.fetches.removeFirst();
       Optional<OutcomeReply> reply = Optional.empty();
       for (Vm peer : vms) {
-        if (peer.core.vm.equals(fetch.claimant().value()) && random.nextInt(4) > 0) {
-          reply = peer.own.find(fetch.key());
+        if (peer.fixture.vm.equals(fetch.claimant().value()) && random.nextInt(4) > 0) {
+          reply = peer.localOutcomes.find(fetch.key());
         }
       }
-      vm.core.handle(new DispatchEvent.OutcomeFetched(fetch.ticket(), reply));
+      vm.fixture.handle(new DispatchEvent.OutcomeFetched(fetch.ticket(), reply));
     }
 
     private void fault(int i, Vm vm) {
@@ -192,16 +192,16 @@
         start(i);
         return;
       }
-      vm.core.handle(new DispatchEvent.LogReachable(random.nextBoolean()));
+      vm.fixture.handle(new DispatchEvent.LogReachable(random.nextBoolean()));
       if (random.nextBoolean() && tickets > 0) {
-        vm.core.handle(new DispatchEvent.Cancelled(1 + random.nextLong(tickets)));
+        vm.fixture.handle(new DispatchEvent.Cancelled(1 + random.nextLong(tickets)));
       }
     }
 
     /** Takes what a VM commanded since the last look; a send counts as a run until it is denied. */
     private void collect(Vm vm) {
-      for (; vm.seen < vm.core.commands.size(); vm.seen++) {
-        switch (vm.core.commands.get(vm.seen)) {
+      for (; vm.seen < vm.fixture.commands.size(); vm.seen++) {
+        switch (vm.fixture.commands.get(vm.seen)) {
           case DispatchCommand.Append append -> vm.appends.add(append);
           case DispatchCommand.FetchOutcome fetch -> vm.fetches.add(fetch);
           case DispatchCommand.Send send -> {
@@ -223,7 +223,7 @@
 
     private void checkAnswers(Vm vm) {
       for (DispatchCommand.AnswerRecorded answer :
-          vm.core.all(DispatchCommand.AnswerRecorded.class)) {
+          vm.fixture.all(DispatchCommand.AnswerRecorded.class)) {
         Set<String> given = answers.getOrDefault(keyOf.get(answer.ticket()), Set.of());
         assertTrue(
             given.contains(new String(answer.body(), StandardCharsets.UTF_8)),
--- a/fescuehook/src/test/java/org/fescuehook/logic/dispatch/ClaimHandlerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/dispatch/ClaimHandlerTest.java
@@ -20,7 +20,7 @@
   private static final long T = 1_700_000_000_000L;
   private static final long HOUR = 3_600_000;
 
-  private final DispatchFixture core = DispatchFixture.ready(3, 4);
+  private final DispatchFixture fixture = DispatchFixture.ready(3, 4);
 
   private static RequestKey key(String id) {
     return RequestKey.newBuilder().setOrganisation("a").setRequestId(id).build();
@@ -35,7 +35,7 @@
         RequestClaim.newBuilder()
             .setKey(key(id))
             .setToken("t-" + writer)
-            .setDigest(core.withId(id, content).digest().value())
+            .setDigest(fixture.withId(id, content).digest().value())
             .build();
     return record(writer).addClaims(claim).build();
   }
@@ -52,185 +52,186 @@
   }
 
   private void fetched(long ticket, Optional<OutcomeReply> reply) {
-    core.handle(new DispatchEvent.OutcomeFetched(ticket, reply));
+    fixture.handle(new DispatchEvent.OutcomeFetched(ticket, reply));
   }
 
   @Test
   void dispatchesOnlyAfterReadingItsOwnClaimBack() {
-    core.arrive(1, core.withId("x", "c"));
-    core.handle(new DispatchEvent.AppendEnded(1, new AppendResult.Appended(0)));
-    core.pass(50);
-    assertEquals(List.of(), core.sentTickets());
+    fixture.arrive(1, fixture.withId("x", "c"));
+    fixture.handle(new DispatchEvent.AppendEnded(1, new AppendResult.Appended(0)));
+    fixture.advanceTime(50);
+    assertEquals(List.of(), fixture.sentTickets());
 
-    core.readRecord(0, T, core.last(DispatchCommand.Append.class).orElseThrow().record());
-    assertEquals(List.of(1L), core.sentTickets());
+    fixture.readRecord(0, T, fixture.last(DispatchCommand.Append.class).orElseThrow().record());
+    assertEquals(List.of(1L), fixture.sentTickets());
   }
 
   @Test
   void doesNotDispatchWhenAnEarlierClaimIsInTheLog() {
-    core.arrive(1, core.withId("x", "c"));
-    core.readRecord(0, T, claimOf("vm-2", "x", "c"));
-    core.appendAndRead(1, T);
+    fixture.arrive(1, fixture.withId("x", "c"));
+    fixture.readRecord(0, T, claimOf("vm-2", "x", "c"));
+    fixture.appendAndRead(1, T);
 
-    assertEquals(List.of(), core.sentTickets());
+    assertEquals(List.of(), fixture.sentTickets());
     assertEquals(
-        "vm-2", core.last(DispatchCommand.FetchOutcome.class).orElseThrow().claimant().value());
+        "vm-2", fixture.last(DispatchCommand.FetchOutcome.class).orElseThrow().claimant().value());
   }
 
   @Test
   void answersADuplicateWithTheOutcomeInTheLog() {
-    core.readRecord(0, T, claimOf("vm-2", "x", "c"));
-    core.arrive(1, core.withId("x", "c"));
-    core.readRecord(1, T, record("vm-2").addOutcomes(outcomeOf("vm-2", "x")).build());
+    fixture.readRecord(0, T, claimOf("vm-2", "x", "c"));
+    fixture.arrive(1, fixture.withId("x", "c"));
+    fixture.readRecord(1, T, record("vm-2").addOutcomes(outcomeOf("vm-2", "x")).build());
 
     DispatchCommand.AnswerRecorded answer =
-        core.last(DispatchCommand.AnswerRecorded.class).orElseThrow();
+        fixture.last(DispatchCommand.AnswerRecorded.class).orElseThrow();
     assertEquals(
         "201 theirs", answer.status() + " " + new String(answer.body(), StandardCharsets.UTF_8));
   }
 
   @Test
   void answersADuplicateWithWhatTheClaimantSays() {
-    core.readRecord(0, T, claimOf("vm-2", "x", "c"));
-    core.arrive(1, core.withId("x", "c"));
+    fixture.readRecord(0, T, claimOf("vm-2", "x", "c"));
+    fixture.arrive(1, fixture.withId("x", "c"));
     fetched(1, Optional.of(OutcomeReply.newBuilder().setInProgress(true).build()));
-    core.pass(ClaimHandler.FETCH_RETRY_MILLIS);
-    assertEquals(2, core.all(DispatchCommand.FetchOutcome.class).size());
+    fixture.advanceTime(ClaimHandler.FETCH_RETRY_MILLIS);
+    assertEquals(2, fixture.all(DispatchCommand.FetchOutcome.class).size());
     fetched(1, Optional.of(OutcomeReply.newBuilder().setOutcome(outcomeOf("vm-2", "x")).build()));
-    assertEquals(201, core.last(DispatchCommand.AnswerRecorded.class).orElseThrow().status());
+    assertEquals(201, fixture.last(DispatchCommand.AnswerRecorded.class).orElseThrow().status());
   }
 
   @Test
   void takesNoOutcomeOfAnotherClaimFromTheClaimant() {
-    core.readRecord(0, T, claimOf("vm-2", "x", "c"));
-    core.arrive(1, core.withId("x", "c"));
+    fixture.readRecord(0, T, claimOf("vm-2", "x", "c"));
+    fixture.arrive(1, fixture.withId("x", "c"));
     fetched(1, Optional.of(OutcomeReply.newBuilder().setOutcome(outcomeOf("vm-3", "x")).build()));
-    assertEquals(List.of(), core.all(DispatchCommand.AnswerRecorded.class));
+    assertEquals(List.of(), fixture.all(DispatchCommand.AnswerRecorded.class));
   }
 
   @Test
   void saysUnknownWhenTheClaimantGivesNoAnswer() {
-    core.readRecord(0, T, claimOf("vm-2", "x", "c"));
-    core.arrive(1, core.withId("x", "c"));
+    fixture.readRecord(0, T, claimOf("vm-2", "x", "c"));
+    fixture.arrive(1, fixture.withId("x", "c"));
     for (int i = 0; i < ClaimHandler.MAX_FETCHES; i++) {
       fetched(1, Optional.empty());
-      core.pass(ClaimHandler.FETCH_RETRY_MILLIS);
+      fixture.advanceTime(ClaimHandler.FETCH_RETRY_MILLIS);
     }
-    assertEquals(Optional.of(RefusalReason.OUTCOME_UNKNOWN), core.refusalOf(1));
+    assertEquals(Optional.of(RefusalReason.OUTCOME_UNKNOWN), fixture.refusalOf(1));
   }
 
   @Test
   void answersLocalDuplicatesWithOneDispatch() {
-    core.arrive(1, core.withId("x", "c"));
-    core.arrive(2, core.withId("x", "c"));
-    core.appendAndRead(0, T);
-    core.pass(50);
-    core.appendAndRead(1, T);
-    core.arrive(3, core.withId("x", "c"));
-    core.end(1, DispatchFixture.answered("mine"));
-
-    assertEquals(List.of(1L), core.sentTickets());
-    List<DispatchCommand.AnswerRecorded> answers = core.all(DispatchCommand.AnswerRecorded.class);
+    fixture.arrive(1, fixture.withId("x", "c"));
+    fixture.arrive(2, fixture.withId("x", "c"));
+    fixture.appendAndRead(0, T);
+    fixture.advanceTime(50);
+    fixture.appendAndRead(1, T);
+    fixture.arrive(3, fixture.withId("x", "c"));
+    fixture.endDispatch(1, DispatchFixture.answered("mine"));
+
+    assertEquals(List.of(1L), fixture.sentTickets());
+    List<DispatchCommand.AnswerRecorded> answers =
+        fixture.all(DispatchCommand.AnswerRecorded.class);
     assertEquals(List.of(2L, 3L), answers.stream().map(a -> a.ticket()).sorted().toList());
     assertArrayEquals("mine".getBytes(StandardCharsets.UTF_8), answers.getFirst().body());
   }
 
   @Test
   void refusesOtherContentUnderTheSameId() {
-    core.readRecord(0, T, claimOf("vm-2", "x", "c"));
-    core.arrive(1, core.withId("x", "other"));
-    assertEquals(Optional.of(RefusalReason.REQUEST_ID_REUSED), core.refusalOf(1));
+    fixture.readRecord(0, T, claimOf("vm-2", "x", "c"));
+    fixture.arrive(1, fixture.withId("x", "other"));
+    assertEquals(Optional.of(RefusalReason.REQUEST_ID_REUSED), fixture.refusalOf(1));
   }
 
   @Test
   void releasesTheIdOfARequestThatSurelyDidNotRun() {
-    core.arrive(1, core.withId("x", "c"));
-    core.appendAndRead(0, T);
-    core.end(1, new DispatchResult.NotSent(DispatchResult.NotSentCause.DEADLINE));
-    core.pass(50);
-    RequestRecord release = core.last(DispatchCommand.Append.class).orElseThrow().record();
+    fixture.arrive(1, fixture.withId("x", "c"));
+    fixture.appendAndRead(0, T);
+    fixture.endDispatch(1, new DispatchResult.NotSent(DispatchResult.NotSentCause.DEADLINE));
+    fixture.advanceTime(50);
+    RequestRecord release = fixture.last(DispatchCommand.Append.class).orElseThrow().record();
     assertEquals(key("x"), release.getReleases(0).getKey());
 
-    core.appendAndRead(1, T);
-    core.arrive(2, core.withId("x", "c"));
-    core.pass(50);
-    core.appendAndRead(2, T);
-    assertEquals(List.of(1L, 2L), core.sentTickets());
+    fixture.appendAndRead(1, T);
+    fixture.arrive(2, fixture.withId("x", "c"));
+    fixture.advanceTime(50);
+    fixture.appendAndRead(2, T);
+    assertEquals(List.of(1L, 2L), fixture.sentTickets());
   }
 
   @Test
   void recordsALostConnectionAsUnknownAndNeverDispatchesTheIdAgain() {
-    core.arrive(1, core.withId("x", "c"));
-    core.appendAndRead(0, T);
-    core.end(1, DispatchFixture.lost());
-    core.pass(50);
-    core.appendAndRead(1, T);
-    core.arrive(2, core.withId("x", "c"));
-
-    assertEquals(List.of(1L), core.sentTickets());
-    assertEquals(Optional.of(RefusalReason.OUTCOME_UNKNOWN), core.refusalOf(2));
+    fixture.arrive(1, fixture.withId("x", "c"));
+    fixture.appendAndRead(0, T);
+    fixture.endDispatch(1, DispatchFixture.connectionLost());
+    fixture.advanceTime(50);
+    fixture.appendAndRead(1, T);
+    fixture.arrive(2, fixture.withId("x", "c"));
+
+    assertEquals(List.of(1L), fixture.sentTickets());
+    assertEquals(Optional.of(RefusalReason.OUTCOME_UNKNOWN), fixture.refusalOf(2));
   }
 
   @Test
   void dispatchesOnceWhenTheReplyToItsAppendIsLost() {
-    core.arrive(1, core.withId("x", "c"));
-    RequestRecord claim = core.last(DispatchCommand.Append.class).orElseThrow().record();
-    core.handle(new DispatchEvent.AppendEnded(1, new AppendResult.Unknown("no reply")));
-    core.readRecord(0, T, claim);
-    core.readRecord(1, T, claim);
-    assertEquals(List.of(1L), core.sentTickets());
+    fixture.arrive(1, fixture.withId("x", "c"));
+    RequestRecord claim = fixture.last(DispatchCommand.Append.class).orElseThrow().record();
+    fixture.handle(new DispatchEvent.AppendEnded(1, new AppendResult.Unknown("no reply")));
+    fixture.readRecord(0, T, claim);
+    fixture.readRecord(1, T, claim);
+    assertEquals(List.of(1L), fixture.sentTickets());
   }
 
   @Test
   void releasesAClaimThatTurnsUpAfterItsRequestWasRefused() {
-    core.arrive(1, core.withId("x", "c"));
-    RequestRecord claim = core.last(DispatchCommand.Append.class).orElseThrow().record();
-    core.handle(new DispatchEvent.AppendEnded(1, new AppendResult.Unknown("no reply")));
-    core.handle(new DispatchEvent.LogReachable(false));
-    assertEquals(Optional.of(RefusalReason.LOG_UNAVAILABLE), core.refusalOf(1));
-
-    core.handle(new DispatchEvent.LogReachable(true));
-    core.readRecord(0, T, claim);
-    core.pass(1_000);
-    assertEquals(List.of(), core.sentTickets());
+    fixture.arrive(1, fixture.withId("x", "c"));
+    RequestRecord claim = fixture.last(DispatchCommand.Append.class).orElseThrow().record();
+    fixture.handle(new DispatchEvent.AppendEnded(1, new AppendResult.Unknown("no reply")));
+    fixture.handle(new DispatchEvent.LogReachable(false));
+    assertEquals(Optional.of(RefusalReason.LOG_UNAVAILABLE), fixture.refusalOf(1));
+
+    fixture.handle(new DispatchEvent.LogReachable(true));
+    fixture.readRecord(0, T, claim);
+    fixture.advanceTime(1_000);
+    assertEquals(List.of(), fixture.sentTickets());
     assertEquals(
-        1, core.last(DispatchCommand.Append.class).orElseThrow().record().getReleasesCount());
+        1, fixture.last(DispatchCommand.Append.class).orElseThrow().record().getReleasesCount());
   }
 
   @Test
   void refusesIdsWhileTheLogIsDownButTellsWhatItKnows() {
-    core.readRecord(0, T, claimOf("vm-2", "x", "c"));
-    core.readRecord(1, T, record("vm-2").addOutcomes(outcomeOf("vm-2", "x")).build());
-    core.handle(new DispatchEvent.LogReachable(false));
-    core.arrive(1, core.withId("x", "c"));
-    core.arrive(2, core.withId("y", "c"));
-    core.arrive(3, core.facts("a", false, false));
-
-    assertEquals(201, core.last(DispatchCommand.AnswerRecorded.class).orElseThrow().status());
-    assertEquals(Optional.of(RefusalReason.LOG_UNAVAILABLE), core.refusalOf(2));
-    assertEquals(List.of(3L), core.sentTickets());
+    fixture.readRecord(0, T, claimOf("vm-2", "x", "c"));
+    fixture.readRecord(1, T, record("vm-2").addOutcomes(outcomeOf("vm-2", "x")).build());
+    fixture.handle(new DispatchEvent.LogReachable(false));
+    fixture.arrive(1, fixture.withId("x", "c"));
+    fixture.arrive(2, fixture.withId("y", "c"));
+    fixture.arrive(3, fixture.attributes("a", false, false));
+
+    assertEquals(201, fixture.last(DispatchCommand.AnswerRecorded.class).orElseThrow().status());
+    assertEquals(Optional.of(RefusalReason.LOG_UNAVAILABLE), fixture.refusalOf(2));
+    assertEquals(List.of(3L), fixture.sentTickets());
   }
 
   @Test
   void tellsAnOutcomeThatItKnowsAlsoWhenItTakesNoRequests() {
-    core.readRecord(0, T, claimOf("vm-2", "x", "c"));
-    core.readRecord(1, T, record("vm-2").addOutcomes(outcomeOf("vm-2", "x")).build());
-    core.handle(new DispatchEvent.Ready(false, RefusalReason.DRAINING));
-    core.arrive(1, core.withId("x", "c"));
-    assertEquals(Optional.empty(), core.refusalOf(1));
+    fixture.readRecord(0, T, claimOf("vm-2", "x", "c"));
+    fixture.readRecord(1, T, record("vm-2").addOutcomes(outcomeOf("vm-2", "x")).build());
+    fixture.handle(new DispatchEvent.Ready(false, RefusalReason.DRAINING));
+    fixture.arrive(1, fixture.withId("x", "c"));
+    assertEquals(Optional.empty(), fixture.refusalOf(1));
   }
 
   @Test
   void sharesOneAppendBetweenAllClaimsThatWait() {
     for (int i = 1; i <= 40; i++) {
-      core.arrive(i, core.withId("x" + i, "c"));
+      fixture.arrive(i, fixture.withId("x" + i, "c"));
     }
-    core.appendAndRead(0, T);
-    core.pass(50);
-    core.appendAndRead(1, T);
-    assertEquals(2, core.all(DispatchCommand.Append.class).size());
+    fixture.appendAndRead(0, T);
+    fixture.advanceTime(50);
+    fixture.appendAndRead(1, T);
+    assertEquals(2, fixture.all(DispatchCommand.Append.class).size());
     assertEquals(
-        39, core.last(DispatchCommand.Append.class).orElseThrow().record().getClaimsCount());
+        39, fixture.last(DispatchCommand.Append.class).orElseThrow().record().getClaimsCount());
   }
 
   @Test
@@ -250,36 +251,36 @@
 
   @Test
   void letsAClaimExpireByTheLogsTime() {
-    core.readRecord(0, T, claimOf("vm-2", "x", "c"));
-    core.readRecord(1, T + HOUR - 1, claimOf("vm-3", "x", "c"));
-    core.readRecord(2, T + HOUR - 1 + HOUR, claimOf("vm-4", "x", "c"));
-    core.arrive(1, core.withId("x", "c"));
+    fixture.readRecord(0, T, claimOf("vm-2", "x", "c"));
+    fixture.readRecord(1, T + HOUR - 1, claimOf("vm-3", "x", "c"));
+    fixture.readRecord(2, T + HOUR - 1 + HOUR, claimOf("vm-4", "x", "c"));
+    fixture.arrive(1, fixture.withId("x", "c"));
     assertEquals(
-        "vm-4", core.last(DispatchCommand.FetchOutcome.class).orElseThrow().claimant().value());
+        "vm-4", fixture.last(DispatchCommand.FetchOutcome.class).orElseThrow().claimant().value());
   }
 
   @Test
   void refusesIdsWhenRecordsVanishedUnread() {
-    core.readRecord(0, T, claimOf("vm-2", "x", "c"));
-    core.readRecord(5, T, claimOf("vm-2", "y", "c"));
-    core.arrive(1, core.withId("z", "c"));
-    assertEquals(Optional.of(RefusalReason.NOT_READY), core.refusalOf(1));
-
-    core.readRecord(6, T + HOUR, record("vm-2").build());
-    core.arrive(2, core.withId("z", "c"));
-    assertEquals(Optional.empty(), core.refusalOf(2));
+    fixture.readRecord(0, T, claimOf("vm-2", "x", "c"));
+    fixture.readRecord(5, T, claimOf("vm-2", "y", "c"));
+    fixture.arrive(1, fixture.withId("z", "c"));
+    assertEquals(Optional.of(RefusalReason.NOT_READY), fixture.refusalOf(1));
+
+    fixture.readRecord(6, T + HOUR, record("vm-2").build());
+    fixture.arrive(2, fixture.withId("z", "c"));
+    assertEquals(Optional.empty(), fixture.refusalOf(2));
   }
 
   @Test
   void skipsCorruptRecordsAndRefusesIdsAfterOneOfANewerVersion() {
-    core.handle(
+    fixture.handle(
         new DispatchEvent.RecordRead(
             new org.fescuehook.model.log.LogRecord(0, T, new byte[] {1, 2, 3})));
-    core.arrive(1, core.withId("x", "c"));
-    assertEquals(Optional.empty(), core.refusalOf(1));
-    core.readRecord(1, T, RequestRecord.newBuilder().setVersion(9).setWriter("vm-9").build());
-    core.arrive(2, core.withId("y", "c"));
-    assertEquals(Optional.of(RefusalReason.NOT_READY), core.refusalOf(2));
+    fixture.arrive(1, fixture.withId("x", "c"));
+    assertEquals(Optional.empty(), fixture.refusalOf(1));
+    fixture.readRecord(1, T, RequestRecord.newBuilder().setVersion(9).setWriter("vm-9").build());
+    fixture.arrive(2, fixture.withId("y", "c"));
+    assertEquals(Optional.of(RefusalReason.NOT_READY), fixture.refusalOf(2));
   }
 
   @Test
--- a/fescuehook/src/test/java/org/fescuehook/logic/dispatch/DispatchFixture.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/dispatch/DispatchFixture.java
@@ -47,7 +47,7 @@
 
   final List<DispatchCommand> commands = new ArrayList<>();
   final DispatchCore core;
-  final LocalOutcomes own = new LocalOutcomes();
+  final LocalOutcomes localOutcomes = new LocalOutcomes();
   final String vm;
   long now = 1_000_000;
   private int slots = 4;
@@ -59,7 +59,7 @@
             new IdentityPreferences(new VmId(vm), new FailureDomain("d1")),
             incarnation,
             PREFERENCES,
-            own,
+            localOutcomes,
             new Random(seed),
             commands::add);
   }
@@ -118,14 +118,14 @@
   }
 
   /** Lets time pass, with ticks. */
-  void pass(long millis) {
-    for (long end = now + millis; now < end; ) {
-      now = Math.min(end, now + 5);
+  void advanceTime(long millis) {
+    for (long result = now + millis; now < result; ) {
+      now = Math.min(result, now + 5);
       handle(new DispatchEvent.Tick());
     }
   }
 
-  RequestAttributes facts(String organisation, boolean urgent, boolean repeatable) {
+  RequestAttributes attributes(String organisation, boolean urgent, boolean repeatable) {
     return new RequestAttributes(
         new OrganisationId(organisation),
         Optional.empty(),
@@ -145,16 +145,16 @@
         now + 10_000);
   }
 
-  void arrive(long ticket, RequestAttributes facts) {
-    handle(new DispatchEvent.Arrived(ticket, facts));
+  void arrive(long ticket, RequestAttributes attributes) {
+    handle(new DispatchEvent.Arrived(ticket, attributes));
   }
 
-  void end(long ticket, DispatchResult end) {
-    handle(new DispatchEvent.DispatchEnded(ticket, end, 5));
+  void endDispatch(long ticket, DispatchResult result) {
+    handle(new DispatchEvent.DispatchEnded(ticket, result, 5));
   }
 
   void answer(long ticket) {
-    end(ticket, answered("done"));
+    endDispatch(ticket, answered("done"));
   }
 
   static DispatchResult answered(String body) {
@@ -162,7 +162,7 @@
         200, "text/plain", body.getBytes(StandardCharsets.UTF_8), true);
   }
 
-  static DispatchResult lost() {
+  static DispatchResult connectionLost() {
     return new DispatchResult.Failed(DispatchResult.FailureKind.CONNECTION_LOST, false, true);
   }
 
@@ -178,12 +178,12 @@
     readRecord(offset, appendedMillis, append.record());
   }
 
-  void leave(String... executors) {
-    Set<ExecutorId> leaving = new java.util.HashSet<>();
+  void setLeaving(String... executors) {
+    Set<ExecutorId> leavingIds = new java.util.HashSet<>();
     for (String executor : executors) {
-      leaving.add(new ExecutorId(executor));
+      leavingIds.add(new ExecutorId(executor));
     }
-    handle(new DispatchEvent.Leaving(leaving));
+    handle(new DispatchEvent.Leaving(leavingIds));
   }
 
   <T extends DispatchCommand> List<T> all(Class<T> type) {
--- a/fescuehook/src/test/java/org/fescuehook/logic/dispatch/SlotDispatcherTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/dispatch/SlotDispatcherTest.java
@@ -21,24 +21,24 @@
 
   @Test
   void sendsANonRepeatableRequestOnceWhenItsConnectionIsLost() {
-    DispatchFixture core = DispatchFixture.ready(3, 4);
-    core.arrive(1, core.facts("a", false, false));
-    core.end(1, DispatchFixture.lost());
-    core.pass(9_000);
+    DispatchFixture fixture = DispatchFixture.ready(3, 4);
+    fixture.arrive(1, fixture.attributes("a", false, false));
+    fixture.endDispatch(1, DispatchFixture.connectionLost());
+    fixture.advanceTime(9_000);
 
-    assertEquals(1, core.executorsOf(1).size());
-    assertEquals(Optional.of(RefusalReason.CONNECTION_LOST), core.refusalOf(1));
+    assertEquals(1, fixture.executorsOf(1).size());
+    assertEquals(Optional.of(RefusalReason.CONNECTION_LOST), fixture.refusalOf(1));
   }
 
   @Test
   void sendsANonRepeatableRequestElsewhereWhenItSurelyDidNotRun() {
     for (DispatchResult end : List.of(NOT_RUN, UNREACHABLE)) {
-      DispatchFixture core = DispatchFixture.ready(3, 4);
-      core.arrive(1, core.facts("a", false, false));
-      core.end(1, end);
-      core.pass(1_000);
+      DispatchFixture fixture = DispatchFixture.ready(3, 4);
+      fixture.arrive(1, fixture.attributes("a", false, false));
+      fixture.endDispatch(1, end);
+      fixture.advanceTime(1_000);
 
-      List<String> executors = core.executorsOf(1);
+      List<String> executors = fixture.executorsOf(1);
       assertEquals(2, executors.size());
       assertNotEquals(executors.get(0), executors.get(1));
     }
@@ -46,82 +46,84 @@
 
   @Test
   void neverSaysNotRunAfterADispatchThatMayHaveRun() {
-    DispatchFixture core = DispatchFixture.ready(3, 4);
-    core.arrive(1, core.facts("a", false, true));
-    core.end(1, DispatchFixture.lost());
-    core.pass(1_000);
-    core.end(1, NOT_RUN);
-    core.pass(1_000);
-    core.end(1, NOT_RUN);
+    DispatchFixture fixture = DispatchFixture.ready(3, 4);
+    fixture.arrive(1, fixture.attributes("a", false, true));
+    fixture.endDispatch(1, DispatchFixture.connectionLost());
+    fixture.advanceTime(1_000);
+    fixture.endDispatch(1, NOT_RUN);
+    fixture.advanceTime(1_000);
+    fixture.endDispatch(1, NOT_RUN);
 
-    assertEquals(3, core.executorsOf(1).size());
-    assertEquals(ExecutionStatus.UNKNOWN, core.refusalOf(1).orElseThrow().ran());
+    assertEquals(3, fixture.executorsOf(1).size());
+    assertEquals(ExecutionStatus.UNKNOWN, fixture.refusalOf(1).orElseThrow().ran());
   }
 
   @Test
   void keepsRetriesWithinTheBudgetsShareOfLiveRequests() {
-    DispatchFixture core = DispatchFixture.ready(3, 8);
+    DispatchFixture fixture = DispatchFixture.ready(3, 8);
     for (int i = 1; i <= 1_000; i++) {
-      core.arrive(i, core.facts("a", false, true));
-      core.end(i, DispatchFixture.lost());
-      core.pass(5);
-      if (core.refusalOf(i).isEmpty()) {
-        core.pass(20);
-        core.answer(i);
+      fixture.arrive(i, fixture.attributes("a", false, true));
+      fixture.endDispatch(i, DispatchFixture.connectionLost());
+      fixture.advanceTime(5);
+      if (fixture.refusalOf(i).isEmpty()) {
+        fixture.advanceTime(20);
+        fixture.answer(i);
       }
     }
     // All within the ten seconds of the window.
-    assertTrue(core.now - 1_000_000 < 10_000);
-    assertEquals(100 + RetryBudget.MIN_RETRIES, core.all(DispatchCommand.CountRetry.class).size());
-    assertTrue(core.count("fescuehook.requests.retries.over.budget") > 0);
+    assertTrue(fixture.now - 1_000_000 < 10_000);
+    assertEquals(
+        100 + RetryBudget.MIN_RETRIES, fixture.all(DispatchCommand.CountRetry.class).size());
+    assertTrue(fixture.count("fescuehook.requests.retries.over.budget") > 0);
   }
 
   @Test
   void sendsNothingNewToALeavingExecutor() {
-    DispatchFixture core = DispatchFixture.ready(2, 4);
-    core.leave("e0");
+    DispatchFixture fixture = DispatchFixture.ready(2, 4);
+    fixture.setLeaving("e0");
     for (int i = 1; i <= 4; i++) {
-      core.arrive(i, core.facts("a", true, false));
+      fixture.arrive(i, fixture.attributes("a", true, false));
     }
-    assertEquals(4, core.sentTickets().size());
-    core.all(DispatchCommand.Send.class)
+    assertEquals(4, fixture.sentTickets().size());
+    fixture
+        .all(DispatchCommand.Send.class)
         .forEach(send -> assertEquals("e1", send.executor().value()));
   }
 
   @Test
   void lowersAShareAtOnceAndRaisesItAfterItsSettlingTime() {
-    DispatchFixture core = DispatchFixture.ready(1, 4);
-    core.handle(new DispatchEvent.Shared(core.shares(1, 1, 3_000)));
-    core.arrive(1, core.facts("a", true, false));
-    core.arrive(2, core.facts("a", true, false));
-    assertEquals(List.of(1L), core.sentTickets());
+    DispatchFixture fixture = DispatchFixture.ready(1, 4);
+    fixture.handle(new DispatchEvent.Shared(fixture.shares(1, 1, 3_000)));
+    fixture.arrive(1, fixture.attributes("a", true, false));
+    fixture.arrive(2, fixture.attributes("a", true, false));
+    assertEquals(List.of(1L), fixture.sentTickets());
 
-    core.handle(new DispatchEvent.Shared(core.shares(1, 4, 3_000)));
-    core.pass(2_995);
-    assertEquals(List.of(1L), core.sentTickets());
-    core.pass(10);
-    assertEquals(List.of(1L, 2L), core.sentTickets());
+    fixture.handle(new DispatchEvent.Shared(fixture.shares(1, 4, 3_000)));
+    fixture.advanceTime(2_995);
+    assertEquals(List.of(1L), fixture.sentTickets());
+    fixture.advanceTime(10);
+    assertEquals(List.of(1L, 2L), fixture.sentTickets());
   }
 
   @Test
   void keepsSlotsForUrgentRequestsUnderAFloodOfOthers() {
-    DispatchFixture core = DispatchFixture.ready(2, 4);
+    DispatchFixture fixture = DispatchFixture.ready(2, 4);
     for (int i = 1; i <= 20; i++) {
-      core.arrive(i, core.facts("a", false, false));
+      fixture.arrive(i, fixture.attributes("a", false, false));
     }
-    assertEquals(7, core.sentTickets().size());
-    core.arrive(100, core.facts("b", true, false));
-    assertEquals(100L, core.sentTickets().getLast());
+    assertEquals(7, fixture.sentTickets().size());
+    fixture.arrive(100, fixture.attributes("b", true, false));
+    assertEquals(100L, fixture.sentTickets().getLast());
   }
 
   @Test
   void sendsWaitingUrgentRequestsBeforeOthers() {
-    DispatchFixture core = DispatchFixture.ready(1, 1);
-    core.arrive(1, core.facts("a", false, false));
-    core.arrive(2, core.facts("a", false, false));
-    core.arrive(3, core.facts("a", true, false));
-    core.answer(1);
-    assertEquals(List.of(1L, 3L), core.sentTickets());
+    DispatchFixture fixture = DispatchFixture.ready(1, 1);
+    fixture.arrive(1, fixture.attributes("a", false, false));
+    fixture.arrive(2, fixture.attributes("a", false, false));
+    fixture.arrive(3, fixture.attributes("a", true, false));
+    fixture.answer(1);
+    assertEquals(List.of(1L, 3L), fixture.sentTickets());
   }
 
   @Test
@@ -141,88 +143,89 @@
 
   @Test
   void refusesAnOrganisationBeyondItsShare() {
-    DispatchFixture core = DispatchFixture.ready(2, 4);
+    DispatchFixture fixture = DispatchFixture.ready(2, 4);
     for (int i = 1; i <= 41; i++) {
-      core.arrive(i, core.facts("a", false, false));
+      fixture.arrive(i, fixture.attributes("a", false, false));
     }
-    core.arrive(42, core.facts("b", false, false));
-    assertEquals(Optional.of(RefusalReason.ORGANISATION_SHARE), core.refusalOf(41));
-    assertEquals(Optional.empty(), core.refusalOf(42));
+    fixture.arrive(42, fixture.attributes("b", false, false));
+    assertEquals(Optional.of(RefusalReason.ORGANISATION_SHARE), fixture.refusalOf(41));
+    assertEquals(Optional.empty(), fixture.refusalOf(42));
   }
 
   @Test
   void refusesAtOnceWhatCannotMakeItsDeadline() {
-    DispatchFixture core = DispatchFixture.ready(1, 1);
+    DispatchFixture fixture = DispatchFixture.ready(1, 1);
     for (int i = 1; i <= 50; i++) {
-      core.arrive(i, core.facts("a", true, false));
-      core.handle(new DispatchEvent.DispatchEnded(i, DispatchFixture.answered(""), 4_000));
+      fixture.arrive(i, fixture.attributes("a", true, false));
+      fixture.handle(new DispatchEvent.DispatchEnded(i, DispatchFixture.answered(""), 4_000));
     }
     for (int i = 101; i <= 104; i++) {
-      core.arrive(i, core.facts("a", true, false));
+      fixture.arrive(i, fixture.attributes("a", true, false));
     }
-    assertEquals(Optional.empty(), core.refusalOf(103));
-    assertEquals(Optional.of(RefusalReason.NO_EXECUTOR), core.refusalOf(104));
+    assertEquals(Optional.empty(), fixture.refusalOf(103));
+    assertEquals(Optional.of(RefusalReason.NO_EXECUTOR), fixture.refusalOf(104));
   }
 
   @Test
   void answersARequestWhoseDeadlinePassesInTheQueue() {
-    DispatchFixture core = DispatchFixture.ready(1, 1);
-    core.arrive(1, core.facts("a", false, false));
-    core.arrive(2, core.facts("a", false, false));
-    core.pass(10_005);
-    assertEquals(Optional.of(RefusalReason.DEADLINE_BEFORE_DISPATCH), core.refusalOf(2));
-    assertEquals(Optional.empty(), core.refusalOf(1));
+    DispatchFixture fixture = DispatchFixture.ready(1, 1);
+    fixture.arrive(1, fixture.attributes("a", false, false));
+    fixture.arrive(2, fixture.attributes("a", false, false));
+    fixture.advanceTime(10_005);
+    assertEquals(Optional.of(RefusalReason.DEADLINE_BEFORE_DISPATCH), fixture.refusalOf(2));
+    assertEquals(Optional.empty(), fixture.refusalOf(1));
   }
 
   @Test
   void ejectsUnreachableExecutorsButNeverMoreThanHalf() {
-    DispatchFixture core = DispatchFixture.ready(4, 8);
+    DispatchFixture fixture = DispatchFixture.ready(4, 8);
     for (int i = 1; i <= 30; i++) {
-      core.arrive(i, core.facts("b", true, false));
-      for (int ended = 0; core.refusalOf(i).isEmpty(); core.pass(20)) {
-        if (core.executorsOf(i).size() > ended) {
+      fixture.arrive(i, fixture.attributes("b", true, false));
+      for (int ended = 0; fixture.refusalOf(i).isEmpty(); fixture.advanceTime(20)) {
+        if (fixture.executorsOf(i).size() > ended) {
           ended++;
-          core.end(i, UNREACHABLE);
+          fixture.endDispatch(i, UNREACHABLE);
         }
       }
     }
     HashSet<String> last = new HashSet<>();
-    core.all(DispatchCommand.Send.class).reversed().stream()
+    fixture.all(DispatchCommand.Send.class).reversed().stream()
         .limit(10)
         .forEach(send -> last.add(send.executor().value()));
     assertEquals(2, last.size());
-    assertTrue(core.count("fescuehook.executors.ejections.capped") > 0);
+    assertTrue(fixture.count("fescuehook.executors.ejections.capped") > 0);
   }
 
   @Test
   void takesADeadPathForNoDeadExecutor() {
-    DispatchFixture core = DispatchFixture.ready(2, 4);
-    core.arrive(1, core.facts("a", true, false));
-    String executor = core.executorsOf(1).getFirst();
-    core.end(
+    DispatchFixture fixture = DispatchFixture.ready(2, 4);
+    fixture.arrive(1, fixture.attributes("a", true, false));
+    String executor = fixture.executorsOf(1).getFirst();
+    fixture.endDispatch(
         1, new DispatchResult.Failed(DispatchResult.FailureKind.CONNECTION_LOST, false, false));
-    DispatchCommand.CheckPath check = core.last(DispatchCommand.CheckPath.class).orElseThrow();
+    DispatchCommand.CheckPath check = fixture.last(DispatchCommand.CheckPath.class).orElseThrow();
     assertEquals(executor, check.executor().value());
 
-    core.handle(new DispatchEvent.PathChecked(check.executor(), true));
-    assertEquals(0, core.count("fescuehook.executors.ejections"));
+    fixture.handle(new DispatchEvent.PathChecked(check.executor(), true));
+    assertEquals(0, fixture.count("fescuehook.executors.ejections"));
     assertEquals(
-        executor, core.last(DispatchCommand.CloseIdle.class).orElseThrow().executor().value());
+        executor, fixture.last(DispatchCommand.CloseIdle.class).orElseThrow().executor().value());
   }
 
   @Test
   void takesAPathWithoutAFreshConnectionForADeadExecutor() {
-    DispatchFixture core = DispatchFixture.ready(2, 4);
-    core.arrive(1, core.facts("a", true, false));
-    core.end(
+    DispatchFixture fixture = DispatchFixture.ready(2, 4);
+    fixture.arrive(1, fixture.attributes("a", true, false));
+    fixture.endDispatch(
         1, new DispatchResult.Failed(DispatchResult.FailureKind.CONNECTION_LOST, false, false));
-    DispatchCommand.CheckPath check = core.last(DispatchCommand.CheckPath.class).orElseThrow();
-    core.handle(new DispatchEvent.PathChecked(check.executor(), false));
+    DispatchCommand.CheckPath check = fixture.last(DispatchCommand.CheckPath.class).orElseThrow();
+    fixture.handle(new DispatchEvent.PathChecked(check.executor(), false));
     for (int i = 2; i <= 5; i++) {
-      core.arrive(i, core.facts("a", true, false));
+      fixture.arrive(i, fixture.attributes("a", true, false));
     }
     Map<String, Long> sent = new HashMap<>();
-    core.all(DispatchCommand.Send.class)
+    fixture
+        .all(DispatchCommand.Send.class)
         .forEach(send -> sent.merge(send.executor().value(), 1L, Long::sum));
     assertEquals(1, sent.get(check.executor().value()));
   }
@@ -240,10 +243,10 @@
 
   @Test
   void refusesBeforeTheFirstSharesArrive() {
-    DispatchFixture core = new DispatchFixture("vm-1", "inc-1", 7);
-    core.handle(new DispatchEvent.Configured(DispatchFixture.configuration(1)));
-    core.handle(new DispatchEvent.Ready(true, RefusalReason.NOT_READY));
-    core.arrive(1, core.facts("a", false, false));
-    assertEquals(Optional.of(RefusalReason.NOT_READY), core.refusalOf(1));
+    DispatchFixture fixture = new DispatchFixture("vm-1", "inc-1", 7);
+    fixture.handle(new DispatchEvent.Configured(DispatchFixture.configuration(1)));
+    fixture.handle(new DispatchEvent.Ready(true, RefusalReason.NOT_READY));
+    fixture.arrive(1, fixture.attributes("a", false, false));
+    assertEquals(Optional.of(RefusalReason.NOT_READY), fixture.refusalOf(1));
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/dispatch/UrgentUnderOverloadTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/dispatch/UrgentUnderOverloadTest.java
@@ -36,36 +36,36 @@
 
   /** Returns the times from arrival to answer, sorted. */
   private static List<Long> urgentMillis(boolean flood) {
-    DispatchFixture core = DispatchFixture.ready(EXECUTORS, 1);
+    DispatchFixture fixture = DispatchFixture.ready(EXECUTORS, 1);
     PriorityQueue<End> ends = new PriorityQueue<>((a, b) -> Long.compare(a.atMillis, b.atMillis));
     Map<Long, Long> urgentSince = new HashMap<>();
     List<Long> took = new ArrayList<>();
     long tickets = 0;
     int longInFlight = 0;
-    for (long from = core.now; core.now < from + RUN_MILLIS; core.now++) {
-      core.handle(new DispatchEvent.Tick());
-      while (!ends.isEmpty() && ends.peek().atMillis <= core.now) {
+    for (long from = fixture.now; fixture.now < from + RUN_MILLIS; fixture.now++) {
+      fixture.handle(new DispatchEvent.Tick());
+      while (!ends.isEmpty() && ends.peek().atMillis <= fixture.now) {
         long ticket = ends.poll().ticket;
         if (urgentSince.containsKey(ticket)) {
-          took.add(core.now - urgentSince.get(ticket));
+          took.add(fixture.now - urgentSince.get(ticket));
         } else {
           longInFlight--;
         }
-        core.answer(ticket);
+        fixture.answer(ticket);
       }
       while (flood && longInFlight < FLOOD_IN_FLIGHT) {
         longInFlight++;
-        core.arrive(++tickets, core.facts("a", false, false));
+        fixture.arrive(++tickets, fixture.attributes("a", false, false));
       }
-      if ((core.now - from) % URGENT_EVERY_MILLIS == 0) {
-        urgentSince.put(++tickets, core.now);
-        core.arrive(tickets, core.facts("b", true, false));
+      if ((fixture.now - from) % URGENT_EVERY_MILLIS == 0) {
+        urgentSince.put(++tickets, fixture.now);
+        fixture.arrive(tickets, fixture.attributes("b", true, false));
       }
-      for (DispatchCommand.Send send : core.all(DispatchCommand.Send.class)) {
+      for (DispatchCommand.Send send : fixture.all(DispatchCommand.Send.class)) {
         long service = urgentSince.containsKey(send.ticket()) ? URGENT_MILLIS : LONG_MILLIS;
-        ends.add(new End(core.now + service, send.ticket()));
+        ends.add(new End(fixture.now + service, send.ticket()));
       }
-      core.commands.clear();
+      fixture.commands.clear();
     }
     took.sort(null);
     return took;
--- a/fescuehook/src/test/java/org/fescuehook/logic/scheduling/FaultyWorkerDetectorTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/scheduling/FaultyWorkerDetectorTest.java
@@ -25,7 +25,7 @@
   private static final WorkerId OTHER = new WorkerId("other");
   private static final long NOW = 1_000_000;
 
-  private final FaultyWorkerDetector judge = new FaultyWorkerDetector();
+  private final FaultyWorkerDetector detector = new FaultyWorkerDetector();
   private final List<Scheduler.RunningAttempt> running = new ArrayList<>();
 
   @Test
@@ -75,14 +75,14 @@
     History history = failed(History.EMPTY.afterQuarantine(FAULTY, NOW), "a", FAULTY);
     running.add(running("a", OTHER, 60));
 
-    List<FaultyWorkerDetector.Quarantine> judgements = judge.judge(view(history));
+    List<FaultyWorkerDetector.Quarantine> quarantines = detector.detect(view(history));
 
-    assertEquals(1, judgements.size());
-    assertEquals(NOW + 1_200_000, judgements.getFirst().untilMillis());
+    assertEquals(1, quarantines.size());
+    assertEquals(NOW + 1_200_000, quarantines.getFirst().untilMillis());
   }
 
   private List<WorkerId> quarantinedWorkers(History history) {
-    return judge.judge(view(history)).stream()
+    return detector.detect(view(history)).stream()
         .map(FaultyWorkerDetector.Quarantine::worker)
         .toList();
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/scheduling/FeasibilityCheckerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/scheduling/FeasibilityCheckerTest.java
@@ -28,21 +28,18 @@
 
   @Test
   void acceptsAShapeThatFitsTheEmptyFleet() {
-    assertEquals(Optional.empty(), infeasibility(shape(2, 4, 1)));
+    assertEquals(Optional.empty(), reason(shape(2, 4, 1)));
   }
 
   @Test
   void namesTheReasonWhyAShapeCanNeverRun() {
     assertEquals(
-        Optional.of("no declared worker is large enough for one member"),
-        infeasibility(shape(1, 5, 0)));
-    assertEquals(Optional.of("no 1 declared racks hold 3 members"), infeasibility(shape(3, 4, 1)));
+        Optional.of("no declared worker is large enough for one member"), reason(shape(1, 5, 0)));
+    assertEquals(Optional.of("no 1 declared racks hold 3 members"), reason(shape(3, 4, 1)));
     assertEquals(
-        Optional.of("the declared fleet holds fewer than 9 members"),
-        infeasibility(shape(9, 2, 0)));
+        Optional.of("the declared fleet holds fewer than 9 members"), reason(shape(9, 2, 0)));
     assertEquals(
-        Optional.of("needs 20 accelerators; the quota of bio is 18"),
-        infeasibility(shape(10, 2, 0)));
+        Optional.of("needs 20 accelerators; the quota of bio is 18"), reason(shape(10, 2, 0)));
   }
 
   @Test
@@ -50,13 +47,13 @@
     GuaranteedShape rackWide = new GuaranteedShape("racks", BIO, shape(2, 4, 1), 2);
     GuaranteedShape more = new GuaranteedShape("more", BIO, shape(1, 1, 0), 1);
 
-    assertEquals(List.of(), checker.unkeepableGuarantees(declarations(List.of(rackWide))));
+    assertEquals(List.of(), checker.infeasibleGuarantees(declarations(List.of(rackWide))));
     assertEquals(
-        List.of("more"), checker.unkeepableGuarantees(declarations(List.of(rackWide, more))));
+        List.of("more"), checker.infeasibleGuarantees(declarations(List.of(rackWide, more))));
   }
 
-  private Optional<String> infeasibility(Shape shape) {
-    return checker.whyNever(declarations(List.of()), BIO, shape);
+  private Optional<String> reason(Shape shape) {
+    return checker.infeasibilityReason(declarations(List.of()), BIO, shape);
   }
 
   private static Shape shape(int members, int accelerators, int maxRacks) {
--- a/fescuehook/src/test/java/org/fescuehook/logic/scheduling/PlanAuditor.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/scheduling/PlanAuditor.java
@@ -100,7 +100,7 @@
     excluded.addAll(w.avoid());
     Declarations remaining = withoutWorkers(view.declarations(), excluded);
     return new FeasibilityChecker()
-        .whyNever(remaining, w.job().organisation(), w.job().shape())
+        .infeasibilityReason(remaining, w.job().organisation(), w.job().shape())
         .isEmpty();
   }
 
@@ -158,7 +158,7 @@
 
   private static boolean guaranteesAreFeasible(View view) {
     Declarations usable = withoutWorkers(view.declarations(), view.unusable());
-    return new FeasibilityChecker().unkeepableGuarantees(usable).isEmpty();
+    return new FeasibilityChecker().infeasibleGuarantees(usable).isEmpty();
   }
 
   private static Declarations withoutWorkers(Declarations d, Set<WorkerId> removed) {
--- a/fescuehook/src/test/java/org/fescuehook/logic/scheduling/RandomTrace.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/scheduling/RandomTrace.java
@@ -95,7 +95,7 @@
       List<GuaranteedShape> extended = new ArrayList<>(kept);
       extended.add(next);
       Declarations candidate = new Declarations(organisations, extended, List.of(), fleet, policy);
-      if (new FeasibilityChecker().unkeepableGuarantees(candidate).isEmpty()) {
+      if (new FeasibilityChecker().infeasibleGuarantees(candidate).isEmpty()) {
         kept.add(next);
         declarations = candidate;
       }
