--- a/fescuehook/src/test/java/org/fescuehook/logic/dispatch/AtMostOnceProperties.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/dispatch/AtMostOnceProperties.java
@@ -21,29 +21,32 @@
 import org.fescuehook.model.request.ExecutionStatus;
 import org.fescuehook.wire.OutcomeReply;
 
-/** Random histories of three entry VMs on one log, with faults in pairs and more. */
+/**
+ * Runs random sequences of events on three entry VMs that share one log, with several faults at a
+ * time: lost, late and repeated appends, lost connections, restarts and an unreachable log.
+ */
 class AtMostOnceProperties {
   private static final int STEPS = 600;
   private static final int KEYS = 4;
 
   @Property(tries = 400, seed = "20261202")
-  void runsAnIdAtMostOnceAndNeverSaysNotRunOfARun(@ForAll long seed) {
-    History history = new History(new Random(seed));
+  void runsEachIdAtMostOnceAndNeverReportsARunRequestAsNotRun(@ForAll long seed) {
+    Simulation simulation = new Simulation(new Random(seed));
     for (int i = 0; i < STEPS; i++) {
-      history.step();
+      simulation.step();
     }
-    history.check();
+    simulation.check();
   }
 
-  /** A VM with what it commanded and has not heard the end of. */
+  /** A VM with its commands whose results it has not received yet. */
   private static final class Vm {
     final DispatchFixture fixture;
     final LocalOutcomes localOutcomes;
     final List<DispatchCommand.Append> appends = new ArrayList<>();
     final List<DispatchCommand.Send> sends = new ArrayList<>();
     final List<DispatchCommand.FetchOutcome> fetches = new ArrayList<>();
-    int seen;
-    int read;
+    int handledCommands;
+    int readRecords;
 
     Vm(DispatchFixture fixture) {
       this.fixture = fixture;
@@ -51,20 +54,20 @@
     }
   }
 
-  private static final class History {
+  private static final class Simulation {
     final Random random;
     final List<byte[]> log = new ArrayList<>();
-    final List<byte[]> delayed = new ArrayList<>();
+    final List<byte[]> delayedAppends = new ArrayList<>();
     final Vm[] vms = new Vm[3];
-    final Map<Long, String> keyOf = new HashMap<>();
-    // Runs of each key, as the executors would note them.
-    final Map<String, Integer> runs = new HashMap<>();
-    final Map<Long, Integer> runsOfTicket = new HashMap<>();
-    final Map<String, Set<String>> answers = new HashMap<>();
+    final Map<Long, String> keyByTicket = new HashMap<>();
+    // Number of runs of each key, as executors would count them.
+    final Map<String, Integer> runsByKey = new HashMap<>();
+    final Map<Long, Integer> runsByTicket = new HashMap<>();
+    final Map<String, Set<String>> answersByKey = new HashMap<>();
     int incarnations;
     long tickets;
 
-    History(Random random) {
+    Simulation(Random random) {
       this.random = random;
       for (int i = 0; i < vms.length; i++) {
         start(i);
@@ -89,18 +92,18 @@
         case 9, 10 -> endDispatch(vm);
         case 11 -> fetch(vm);
         case 12, 13 -> vm.fixture.advanceTime(random.nextInt(400));
-        case 14 -> late();
-        default -> fault(i, vm);
+        case 14 -> applyDelayedAppend();
+        default -> injectFault(i, vm);
       }
       for (Vm each : vms) {
-        collect(each);
+        handleCommands(each);
       }
     }
 
     private void arrive(Vm vm) {
       long ticket = ++tickets;
       String key = "k" + random.nextInt(KEYS);
-      keyOf.put(ticket, key);
+      keyByTicket.put(ticket, key);
       vm.fixture.arrive(ticket, vm.fixture.withId(key, key));
     }
 
@@ -114,7 +117,7 @@
           switch (random.nextInt(6)) {
             case 0 -> new AppendResult.NotAppended("refused");
             case 1 -> {
-              delayed.add(data);
+              delayedAppends.add(data);
               yield new AppendResult.Unknown("lost, takes effect later");
             }
             case 2 -> {
@@ -130,16 +133,18 @@
       vm.fixture.handle(new DispatchEvent.AppendEnded(append.append(), result));
     }
 
-    private void late() {
-      if (!delayed.isEmpty()) {
-        log.add(delayed.remove(random.nextInt(delayed.size())));
+    private void applyDelayedAppend() {
+      if (!delayedAppends.isEmpty()) {
+        log.add(delayedAppends.remove(random.nextInt(delayedAppends.size())));
       }
     }
 
     private void read(Vm vm) {
-      int until = Math.min(log.size(), vm.read + 1 + random.nextInt(5));
-      for (; vm.read < until; vm.read++) {
-        LogRecord record = new LogRecord(vm.read, 1_700_000_000_000L + vm.read, log.get(vm.read));
+      int until = Math.min(log.size(), vm.readRecords + 1 + random.nextInt(5));
+      for (; vm.readRecords < until; vm.readRecords++) {
+        LogRecord record =
+            new LogRecord(
+                vm.readRecords, 1_700_000_000_000L + vm.readRecords, log.get(vm.readRecords));
         vm.fixture.handle(new DispatchEvent.RecordRead(record));
       }
     }
@@ -149,7 +154,7 @@
         return;
       }
       DispatchCommand.Send send = vm.sends.removeFirst();
-      DispatchResult end =
+      DispatchResult result =
           switch (random.nextInt(6)) {
             case 0 -> new DispatchResult.RefusedNotRun();
             case 1 -> new DispatchResult.NotSent(NotSentCause.CONNECT_FAILED);
@@ -157,17 +162,18 @@
             case 3 -> new DispatchResult.Failed(FailureKind.DEADLINE, random.nextBoolean(), true);
             default -> DispatchFixture.answered(send.token());
           };
-      if (end instanceof DispatchResult.Answered) {
-        String key = keyOf.get(send.ticket());
-        answers.computeIfAbsent(key, k -> new HashSet<>()).add(send.token());
-      }
-      boolean surelyNot =
-          end instanceof DispatchResult.RefusedNotRun || end instanceof DispatchResult.NotSent;
-      if (surelyNot) {
-        runs.merge(keyOf.get(send.ticket()), -1, Integer::sum);
-        runsOfTicket.merge(send.ticket(), -1, Integer::sum);
-      }
-      vm.fixture.endDispatch(send.ticket(), end);
+      if (result instanceof DispatchResult.Answered) {
+        String key = keyByTicket.get(send.ticket());
+        answersByKey.computeIfAbsent(key, k -> new HashSet<>()).add(send.token());
+      }
+      boolean certainlyNotRun =
+          result instanceof DispatchResult.RefusedNotRun
+              || result instanceof DispatchResult.NotSent;
+      if (certainlyNotRun) {
+        runsByKey.merge(keyByTicket.get(send.ticket()), -1, Integer::sum);
+        runsByTicket.merge(send.ticket(), -1, Integer::sum);
+      }
+      vm.fixture.endDispatch(send.ticket(), result);
     }
 
     private void fetch(Vm vm) {
@@ -184,10 +190,11 @@
       vm.fixture.handle(new DispatchEvent.OutcomeFetched(fetch.ticket(), reply));
     }
 
-    private void fault(int i, Vm vm) {
+    private void injectFault(int i, Vm vm) {
       if (random.nextInt(4) == 0) {
-        // What it had sent may run all the same; its records in flight may still arrive.
-        vm.appends.forEach(append -> delayed.add(append.record().toByteArray()));
+        // Requests that it dispatched may still run, and its appends in flight may still take
+        // effect.
+        vm.appends.forEach(append -> delayedAppends.add(append.record().toByteArray()));
         checkAnswers(vm);
         start(i);
         return;
@@ -198,22 +205,24 @@
       }
     }
 
-    /** Takes what a VM commanded since the last look; a send counts as a run until it is denied. */
-    private void collect(Vm vm) {
-      for (; vm.seen < vm.fixture.commands.size(); vm.seen++) {
-        switch (vm.fixture.commands.get(vm.seen)) {
+    /**
+     * Handles the new commands of a VM. A dispatch counts as a run until the executor denies it.
+     */
+    private void handleCommands(Vm vm) {
+      for (; vm.handledCommands < vm.fixture.commands.size(); vm.handledCommands++) {
+        switch (vm.fixture.commands.get(vm.handledCommands)) {
           case DispatchCommand.Append append -> vm.appends.add(append);
           case DispatchCommand.FetchOutcome fetch -> vm.fetches.add(fetch);
           case DispatchCommand.Send send -> {
             vm.sends.add(send);
-            int all = runs.merge(keyOf.get(send.ticket()), 1, Integer::sum);
-            runsOfTicket.merge(send.ticket(), 1, Integer::sum);
-            assertTrue(all <= 1, () -> "run twice: " + keyOf.get(send.ticket()));
+            int runsOfKey = runsByKey.merge(keyByTicket.get(send.ticket()), 1, Integer::sum);
+            runsByTicket.merge(send.ticket(), 1, Integer::sum);
+            assertTrue(runsOfKey <= 1, () -> "run twice: " + keyByTicket.get(send.ticket()));
           }
           case DispatchCommand.Refuse refuse -> {
-            boolean ran = runsOfTicket.getOrDefault(refuse.ticket(), 0) > 0;
+            boolean ran = runsByTicket.getOrDefault(refuse.ticket(), 0) > 0;
             if (refuse.reason().ran() == ExecutionStatus.NO) {
-              assertEquals(false, ran, () -> "said not run, but was: " + refuse);
+              assertEquals(false, ran, () -> "reported as not run, but was: " + refuse);
             }
           }
           default -> {}
@@ -224,10 +233,11 @@
     private void checkAnswers(Vm vm) {
       for (DispatchCommand.AnswerRecorded answer :
           vm.fixture.all(DispatchCommand.AnswerRecorded.class)) {
-        Set<String> given = answers.getOrDefault(keyOf.get(answer.ticket()), Set.of());
+        Set<String> expected =
+            answersByKey.getOrDefault(keyByTicket.get(answer.ticket()), Set.of());
         assertTrue(
-            given.contains(new String(answer.body(), StandardCharsets.UTF_8)),
-            () -> "foreign answer " + answer);
+            expected.contains(new String(answer.body(), StandardCharsets.UTF_8)),
+            () -> "answer of another request: " + answer);
       }
     }
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/dispatch/ClaimHandlerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/dispatch/ClaimHandlerTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Test;
 
 class ClaimHandlerTest {
-  private static final long T = 1_700_000_000_000L;
-  private static final long HOUR = 3_600_000;
+  private static final long LOG_MILLIS = 1_700_000_000_000L;
+  private static final long HOUR_MILLIS = 3_600_000;
 
   private final DispatchFixture fixture = DispatchFixture.ready(3, 4);
 
@@ -62,15 +62,16 @@
     fixture.advanceTime(50);
     assertEquals(List.of(), fixture.sentTickets());
 
-    fixture.readRecord(0, T, fixture.last(DispatchCommand.Append.class).orElseThrow().record());
+    fixture.readRecord(
+        0, LOG_MILLIS, fixture.last(DispatchCommand.Append.class).orElseThrow().record());
     assertEquals(List.of(1L), fixture.sentTickets());
   }
 
   @Test
   void doesNotDispatchWhenAnEarlierClaimIsInTheLog() {
     fixture.arrive(1, fixture.withId("x", "c"));
-    fixture.readRecord(0, T, claimOf("vm-2", "x", "c"));
-    fixture.appendAndRead(1, T);
+    fixture.readRecord(0, LOG_MILLIS, claimOf("vm-2", "x", "c"));
+    fixture.appendAndRead(1, LOG_MILLIS);
 
     assertEquals(List.of(), fixture.sentTickets());
     assertEquals(
@@ -79,9 +80,9 @@
 
   @Test
   void answersADuplicateWithTheOutcomeInTheLog() {
-    fixture.readRecord(0, T, claimOf("vm-2", "x", "c"));
+    fixture.readRecord(0, LOG_MILLIS, claimOf("vm-2", "x", "c"));
     fixture.arrive(1, fixture.withId("x", "c"));
-    fixture.readRecord(1, T, record("vm-2").addOutcomes(outcomeOf("vm-2", "x")).build());
+    fixture.readRecord(1, LOG_MILLIS, record("vm-2").addOutcomes(outcomeOf("vm-2", "x")).build());
 
     DispatchCommand.AnswerRecorded answer =
         fixture.last(DispatchCommand.AnswerRecorded.class).orElseThrow();
@@ -90,8 +91,8 @@
   }
 
   @Test
-  void answersADuplicateWithWhatTheClaimantSays() {
-    fixture.readRecord(0, T, claimOf("vm-2", "x", "c"));
+  void answersADuplicateWithTheOutcomeFromTheClaimant() {
+    fixture.readRecord(0, LOG_MILLIS, claimOf("vm-2", "x", "c"));
     fixture.arrive(1, fixture.withId("x", "c"));
     fetched(1, Optional.of(OutcomeReply.newBuilder().setInProgress(true).build()));
     fixture.advanceTime(ClaimHandler.FETCH_RETRY_MILLIS);
@@ -101,16 +102,16 @@
   }
 
   @Test
-  void takesNoOutcomeOfAnotherClaimFromTheClaimant() {
-    fixture.readRecord(0, T, claimOf("vm-2", "x", "c"));
+  void ignoresAnOutcomeOfAnotherClaimFromTheClaimant() {
+    fixture.readRecord(0, LOG_MILLIS, claimOf("vm-2", "x", "c"));
     fixture.arrive(1, fixture.withId("x", "c"));
     fetched(1, Optional.of(OutcomeReply.newBuilder().setOutcome(outcomeOf("vm-3", "x")).build()));
     assertEquals(List.of(), fixture.all(DispatchCommand.AnswerRecorded.class));
   }
 
   @Test
-  void saysUnknownWhenTheClaimantGivesNoAnswer() {
-    fixture.readRecord(0, T, claimOf("vm-2", "x", "c"));
+  void reportsTheOutcomeAsUnknownWhenTheClaimantDoesNotReply() {
+    fixture.readRecord(0, LOG_MILLIS, claimOf("vm-2", "x", "c"));
     fixture.arrive(1, fixture.withId("x", "c"));
     for (int i = 0; i < ClaimHandler.MAX_FETCHES; i++) {
       fetched(1, Optional.empty());
@@ -123,9 +124,9 @@
   void answersLocalDuplicatesWithOneDispatch() {
     fixture.arrive(1, fixture.withId("x", "c"));
     fixture.arrive(2, fixture.withId("x", "c"));
-    fixture.appendAndRead(0, T);
+    fixture.appendAndRead(0, LOG_MILLIS);
     fixture.advanceTime(50);
-    fixture.appendAndRead(1, T);
+    fixture.appendAndRead(1, LOG_MILLIS);
     fixture.arrive(3, fixture.withId("x", "c"));
     fixture.endDispatch(1, DispatchFixture.answered("mine"));
 
@@ -137,35 +138,35 @@
   }
 
   @Test
-  void refusesOtherContentUnderTheSameId() {
-    fixture.readRecord(0, T, claimOf("vm-2", "x", "c"));
+  void rejectsAnotherRequestWithTheSameId() {
+    fixture.readRecord(0, LOG_MILLIS, claimOf("vm-2", "x", "c"));
     fixture.arrive(1, fixture.withId("x", "other"));
     assertEquals(Optional.of(RefusalReason.REQUEST_ID_REUSED), fixture.refusalOf(1));
   }
 
   @Test
-  void releasesTheIdOfARequestThatSurelyDidNotRun() {
+  void releasesTheIdOfARequestThatCertainlyDidNotRun() {
     fixture.arrive(1, fixture.withId("x", "c"));
-    fixture.appendAndRead(0, T);
+    fixture.appendAndRead(0, LOG_MILLIS);
     fixture.endDispatch(1, new DispatchResult.NotSent(DispatchResult.NotSentCause.DEADLINE));
     fixture.advanceTime(50);
     RequestRecord release = fixture.last(DispatchCommand.Append.class).orElseThrow().record();
     assertEquals(key("x"), release.getReleases(0).getKey());
 
-    fixture.appendAndRead(1, T);
+    fixture.appendAndRead(1, LOG_MILLIS);
     fixture.arrive(2, fixture.withId("x", "c"));
     fixture.advanceTime(50);
-    fixture.appendAndRead(2, T);
+    fixture.appendAndRead(2, LOG_MILLIS);
     assertEquals(List.of(1L, 2L), fixture.sentTickets());
   }
 
   @Test
-  void recordsALostConnectionAsUnknownAndNeverDispatchesTheIdAgain() {
+  void recordsTheOutcomeAsUnknownAfterALostConnectionAndNeverDispatchesTheIdAgain() {
     fixture.arrive(1, fixture.withId("x", "c"));
-    fixture.appendAndRead(0, T);
+    fixture.appendAndRead(0, LOG_MILLIS);
     fixture.endDispatch(1, DispatchFixture.connectionLost());
     fixture.advanceTime(50);
-    fixture.appendAndRead(1, T);
+    fixture.appendAndRead(1, LOG_MILLIS);
     fixture.arrive(2, fixture.withId("x", "c"));
 
     assertEquals(List.of(1L), fixture.sentTickets());
@@ -173,17 +174,17 @@
   }
 
   @Test
-  void dispatchesOnceWhenTheReplyToItsAppendIsLost() {
+  void dispatchesOnceWhenTheReplyToTheAppendIsLost() {
     fixture.arrive(1, fixture.withId("x", "c"));
     RequestRecord claim = fixture.last(DispatchCommand.Append.class).orElseThrow().record();
     fixture.handle(new DispatchEvent.AppendEnded(1, new AppendResult.Unknown("no reply")));
-    fixture.readRecord(0, T, claim);
-    fixture.readRecord(1, T, claim);
+    fixture.readRecord(0, LOG_MILLIS, claim);
+    fixture.readRecord(1, LOG_MILLIS, claim);
     assertEquals(List.of(1L), fixture.sentTickets());
   }
 
   @Test
-  void releasesAClaimThatTurnsUpAfterItsRequestWasRefused() {
+  void releasesAClaimThatAppearsAfterItsRequestWasRejected() {
     fixture.arrive(1, fixture.withId("x", "c"));
     RequestRecord claim = fixture.last(DispatchCommand.Append.class).orElseThrow().record();
     fixture.handle(new DispatchEvent.AppendEnded(1, new AppendResult.Unknown("no reply")));
@@ -191,7 +192,7 @@
     assertEquals(Optional.of(RefusalReason.LOG_UNAVAILABLE), fixture.refusalOf(1));
 
     fixture.handle(new DispatchEvent.LogReachable(true));
-    fixture.readRecord(0, T, claim);
+    fixture.readRecord(0, LOG_MILLIS, claim);
     fixture.advanceTime(1_000);
     assertEquals(List.of(), fixture.sentTickets());
     assertEquals(
@@ -199,9 +200,9 @@
   }
 
   @Test
-  void refusesIdsWhileTheLogIsDownButTellsWhatItKnows() {
-    fixture.readRecord(0, T, claimOf("vm-2", "x", "c"));
-    fixture.readRecord(1, T, record("vm-2").addOutcomes(outcomeOf("vm-2", "x")).build());
+  void rejectsNewIdsWhileTheLogIsUnreachableButReportsKnownOutcomes() {
+    fixture.readRecord(0, LOG_MILLIS, claimOf("vm-2", "x", "c"));
+    fixture.readRecord(1, LOG_MILLIS, record("vm-2").addOutcomes(outcomeOf("vm-2", "x")).build());
     fixture.handle(new DispatchEvent.LogReachable(false));
     fixture.arrive(1, fixture.withId("x", "c"));
     fixture.arrive(2, fixture.withId("y", "c"));
@@ -213,29 +214,29 @@
   }
 
   @Test
-  void tellsAnOutcomeThatItKnowsAlsoWhenItTakesNoRequests() {
-    fixture.readRecord(0, T, claimOf("vm-2", "x", "c"));
-    fixture.readRecord(1, T, record("vm-2").addOutcomes(outcomeOf("vm-2", "x")).build());
+  void reportsAKnownOutcomeEvenWhileDraining() {
+    fixture.readRecord(0, LOG_MILLIS, claimOf("vm-2", "x", "c"));
+    fixture.readRecord(1, LOG_MILLIS, record("vm-2").addOutcomes(outcomeOf("vm-2", "x")).build());
     fixture.handle(new DispatchEvent.Ready(false, RefusalReason.DRAINING));
     fixture.arrive(1, fixture.withId("x", "c"));
     assertEquals(Optional.empty(), fixture.refusalOf(1));
   }
 
   @Test
-  void sharesOneAppendBetweenAllClaimsThatWait() {
+  void appendsAllWaitingClaimsTogether() {
     for (int i = 1; i <= 40; i++) {
       fixture.arrive(i, fixture.withId("x" + i, "c"));
     }
-    fixture.appendAndRead(0, T);
+    fixture.appendAndRead(0, LOG_MILLIS);
     fixture.advanceTime(50);
-    fixture.appendAndRead(1, T);
+    fixture.appendAndRead(1, LOG_MILLIS);
     assertEquals(2, fixture.all(DispatchCommand.Append.class).size());
     assertEquals(
         39, fixture.last(DispatchCommand.Append.class).orElseThrow().record().getClaimsCount());
   }
 
   @Test
-  void boundsAppendsToThisVmsPartOfWhatTheLogTakes() {
+  void limitsAppendsToThisVmsShareOfTheRate() {
     ClaimBatcher batcher = new ClaimBatcher("vm-1", "inc-1");
     batcher.setVmCount(7);
     int appends = 0;
@@ -250,52 +251,53 @@
   }
 
   @Test
-  void letsAClaimExpireByTheLogsTime() {
-    fixture.readRecord(0, T, claimOf("vm-2", "x", "c"));
-    fixture.readRecord(1, T + HOUR - 1, claimOf("vm-3", "x", "c"));
-    fixture.readRecord(2, T + HOUR - 1 + HOUR, claimOf("vm-4", "x", "c"));
+  void expiresClaimsByTheTimeStampsOfTheLog() {
+    fixture.readRecord(0, LOG_MILLIS, claimOf("vm-2", "x", "c"));
+    fixture.readRecord(1, LOG_MILLIS + HOUR_MILLIS - 1, claimOf("vm-3", "x", "c"));
+    fixture.readRecord(2, LOG_MILLIS + HOUR_MILLIS - 1 + HOUR_MILLIS, claimOf("vm-4", "x", "c"));
     fixture.arrive(1, fixture.withId("x", "c"));
     assertEquals(
         "vm-4", fixture.last(DispatchCommand.FetchOutcome.class).orElseThrow().claimant().value());
   }
 
   @Test
-  void refusesIdsWhenRecordsVanishedUnread() {
-    fixture.readRecord(0, T, claimOf("vm-2", "x", "c"));
-    fixture.readRecord(5, T, claimOf("vm-2", "y", "c"));
+  void rejectsNewIdsAfterRecordsWereDeletedUnread() {
+    fixture.readRecord(0, LOG_MILLIS, claimOf("vm-2", "x", "c"));
+    fixture.readRecord(5, LOG_MILLIS, claimOf("vm-2", "y", "c"));
     fixture.arrive(1, fixture.withId("z", "c"));
     assertEquals(Optional.of(RefusalReason.NOT_READY), fixture.refusalOf(1));
 
-    fixture.readRecord(6, T + HOUR, record("vm-2").build());
+    fixture.readRecord(6, LOG_MILLIS + HOUR_MILLIS, record("vm-2").build());
     fixture.arrive(2, fixture.withId("z", "c"));
     assertEquals(Optional.empty(), fixture.refusalOf(2));
   }
 
   @Test
-  void skipsCorruptRecordsAndRefusesIdsAfterOneOfANewerVersion() {
+  void skipsCorruptRecordsAndRejectsNewIdsAfterARecordOfANewerVersion() {
     fixture.handle(
         new DispatchEvent.RecordRead(
-            new org.fescuehook.model.log.LogRecord(0, T, new byte[] {1, 2, 3})));
+            new org.fescuehook.model.log.LogRecord(0, LOG_MILLIS, new byte[] {1, 2, 3})));
     fixture.arrive(1, fixture.withId("x", "c"));
     assertEquals(Optional.empty(), fixture.refusalOf(1));
-    fixture.readRecord(1, T, RequestRecord.newBuilder().setVersion(9).setWriter("vm-9").build());
+    fixture.readRecord(
+        1, LOG_MILLIS, RequestRecord.newBuilder().setVersion(9).setWriter("vm-9").build());
     fixture.arrive(2, fixture.withId("y", "c"));
     assertEquals(Optional.of(RefusalReason.NOT_READY), fixture.refusalOf(2));
   }
 
   @Test
-  void dropsTheOldestAnswersFirstWhenTheyTakeTooMuchRoom() {
-    ClaimRegistry registry = new ClaimRegistry(HOUR);
+  void dropsTheOldestAnswersFirstWhenTheyExceedTheMaximumSize() {
+    ClaimRegistry registry = new ClaimRegistry(HOUR_MILLIS);
     ClaimRegistry.Listener ignoring = new IgnoringListener();
     byte[] body = new byte[4096];
-    int over = ClaimRegistry.MAX_BODY_BYTES / body.length + 1;
-    for (int i = 0; i < over; i++) {
-      registry.apply(claimOf("vm-2", "x" + i, "c"), T, ignoring);
+    int count = ClaimRegistry.MAX_BODY_BYTES / body.length + 1;
+    for (int i = 0; i < count; i++) {
+      registry.apply(claimOf("vm-2", "x" + i, "c"), LOG_MILLIS, ignoring);
       RequestOutcome outcome =
           outcomeOf("vm-2", "x" + i).toBuilder()
               .setBody(com.google.protobuf.ByteString.copyFrom(body))
               .build();
-      registry.apply(record("vm-2").addOutcomes(outcome).build(), T, ignoring);
+      registry.apply(record("vm-2").addOutcomes(outcome).build(), LOG_MILLIS, ignoring);
     }
     RequestOutcome first = registry.find(key("x0")).orElseThrow().outcome().orElseThrow();
     RequestOutcome second = registry.find(key("x1")).orElseThrow().outcome().orElseThrow();
@@ -304,12 +306,12 @@
   }
 
   @Test
-  void aClaimThatLostKeepsItsIdTakenForAnotherWindow() {
-    ClaimRegistry registry = new ClaimRegistry(HOUR);
+  void extendsTheClaimInEffectByAnotherWindowWhenALaterClaimLoses() {
+    ClaimRegistry registry = new ClaimRegistry(HOUR_MILLIS);
     ClaimRegistry.Listener ignoring = new IgnoringListener();
-    registry.apply(claimOf("vm-2", "x", "c"), T, ignoring);
-    registry.apply(claimOf("vm-3", "x", "c"), T + HOUR - 1, ignoring);
-    registry.apply(claimOf("vm-4", "x", "c"), T + HOUR + 1, ignoring);
+    registry.apply(claimOf("vm-2", "x", "c"), LOG_MILLIS, ignoring);
+    registry.apply(claimOf("vm-3", "x", "c"), LOG_MILLIS + HOUR_MILLIS - 1, ignoring);
+    registry.apply(claimOf("vm-4", "x", "c"), LOG_MILLIS + HOUR_MILLIS + 1, ignoring);
     assertEquals("vm-2", registry.find(key("x")).orElseThrow().writer());
   }
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/dispatch/DispatchFixture.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/dispatch/DispatchFixture.java
@@ -28,7 +28,7 @@
 import org.fescuehook.wire.SlotShare;
 import org.fescuehook.wire.SlotShares;
 
-/** A dispatch core on a virtual clock, which keeps what it commands. */
+/** A dispatch core with a virtual clock; collects the commands of the core. */
 final class DispatchFixture {
   static final RequestPreferences PREFERENCES =
       new RequestPreferences(
@@ -64,7 +64,10 @@
             commands::add);
   }
 
-  /** Returns a core that is ready, with executors {@code e0} and on, and organisations a and b. */
+  /**
+   * Returns a core that accepts requests, with executors {@code e0}, {@code e1} and so on, and
+   * organisations a and b.
+   */
   static DispatchFixture ready(int executors, int slots) {
     DispatchFixture fixture = new DispatchFixture("vm-1", "inc-1", 7);
     fixture.makeReady(executors, slots);
@@ -117,10 +120,10 @@
     core.handle(event, now);
   }
 
-  /** Lets time pass, with ticks. */
+  /** Advances the clock, with a tick every 5 ms. */
   void advanceTime(long millis) {
-    for (long result = now + millis; now < result; ) {
-      now = Math.min(result, now + 5);
+    for (long endMillis = now + millis; now < endMillis; ) {
+      now = Math.min(endMillis, now + 5);
       handle(new DispatchEvent.Tick());
     }
   }
@@ -171,7 +174,7 @@
         new DispatchEvent.RecordRead(new LogRecord(offset, appendedMillis, record.toByteArray())));
   }
 
-  /** Ends the last append begun, and reads its record at an offset. */
+  /** Acknowledges the last append and reads its record back at an offset. */
   void appendAndRead(long offset, long appendedMillis) {
     DispatchCommand.Append append = last(DispatchCommand.Append.class).orElseThrow();
     handle(new DispatchEvent.AppendEnded(append.append(), new AppendResult.Appended(offset)));
@@ -202,7 +205,7 @@
         .toList();
   }
 
-  /** Returns the tickets in the order in which they were sent. */
+  /** Returns the tickets of the dispatched requests in the order of their dispatches. */
   List<Long> sentTickets() {
     return all(DispatchCommand.Send.class).stream().map(DispatchCommand.Send::ticket).toList();
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/dispatch/SlotDispatcherTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/dispatch/SlotDispatcherTest.java
@@ -20,7 +20,7 @@
       new DispatchResult.NotSent(DispatchResult.NotSentCause.CONNECT_FAILED);
 
   @Test
-  void sendsANonRepeatableRequestOnceWhenItsConnectionIsLost() {
+  void dispatchesANonRepeatableRequestOnceWhenItsConnectionIsLost() {
     DispatchFixture fixture = DispatchFixture.ready(3, 4);
     fixture.arrive(1, fixture.attributes("a", false, false));
     fixture.endDispatch(1, DispatchFixture.connectionLost());
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void sendsANonRepeatableRequestElsewhereWhenItSurelyDidNotRun() {
+  void retriesANonRepeatableRequestElsewhereWhenItCertainlyDidNotRun() {
     for (DispatchResult end : List.of(NOT_RUN, UNREACHABLE)) {
       DispatchFixture fixture = DispatchFixture.ready(3, 4);
       fixture.arrive(1, fixture.attributes("a", false, false));
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void neverSaysNotRunAfterADispatchThatMayHaveRun() {
+  void neverReportsNotRunAfterADispatchThatMayHaveRun() {
     DispatchFixture fixture = DispatchFixture.ready(3, 4);
     fixture.arrive(1, fixture.attributes("a", false, true));
     fixture.endDispatch(1, DispatchFixture.connectionLost());
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void keepsRetriesWithinTheBudgetsShareOfLiveRequests() {
+  void limitsRetriesToTheBudgetsShareOfRequests() {
     DispatchFixture fixture = DispatchFixture.ready(3, 8);
     for (int i = 1; i <= 1_000; i++) {
       fixture.arrive(i, fixture.attributes("a", false, true));
@@ -70,7 +70,7 @@
         fixture.answer(i);
       }
     }
-    // All within the ten seconds of the window.
+    // All of this happened within the ten seconds of the budget's window.
     assertTrue(fixture.now - 1_000_000 < 10_000);
     assertEquals(
         100 + RetryBudget.MIN_RETRIES, fixture.all(DispatchCommand.CountRetry.class).size());
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void sendsNothingNewToALeavingExecutor() {
+  void dispatchesNoRequestsToALeavingExecutor() {
     DispatchFixture fixture = DispatchFixture.ready(2, 4);
     fixture.setLeaving("e0");
     for (int i = 1; i <= 4; i++) {
@@ -91,7 +91,7 @@
   }
 
   @Test
-  void lowersAShareAtOnceAndRaisesItAfterItsSettlingTime() {
+  void lowersAShareAtOnceAndRaisesItAfterTheDelay() {
     DispatchFixture fixture = DispatchFixture.ready(1, 4);
     fixture.handle(new DispatchEvent.Shared(fixture.shares(1, 1, 3_000)));
     fixture.arrive(1, fixture.attributes("a", true, false));
@@ -106,7 +106,7 @@
   }
 
   @Test
-  void keepsSlotsForUrgentRequestsUnderAFloodOfOthers() {
+  void reservesSlotsForUrgentRequestsUnderOverload() {
     DispatchFixture fixture = DispatchFixture.ready(2, 4);
     for (int i = 1; i <= 20; i++) {
       fixture.arrive(i, fixture.attributes("a", false, false));
@@ -117,7 +117,7 @@
   }
 
   @Test
-  void sendsWaitingUrgentRequestsBeforeOthers() {
+  void dispatchesWaitingUrgentRequestsFirst() {
     DispatchFixture fixture = DispatchFixture.ready(1, 1);
     fixture.arrive(1, fixture.attributes("a", false, false));
     fixture.arrive(2, fixture.attributes("a", false, false));
@@ -142,7 +142,7 @@
   }
 
   @Test
-  void refusesAnOrganisationBeyondItsShare() {
+  void rejectsRequestsBeyondTheOrganisationsShare() {
     DispatchFixture fixture = DispatchFixture.ready(2, 4);
     for (int i = 1; i <= 41; i++) {
       fixture.arrive(i, fixture.attributes("a", false, false));
@@ -153,7 +153,7 @@
   }
 
   @Test
-  void refusesAtOnceWhatCannotMakeItsDeadline() {
+  void rejectsOnArrivalARequestThatCannotMeetItsDeadline() {
     DispatchFixture fixture = DispatchFixture.ready(1, 1);
     for (int i = 1; i <= 50; i++) {
       fixture.arrive(i, fixture.attributes("a", true, false));
@@ -167,7 +167,7 @@
   }
 
   @Test
-  void answersARequestWhoseDeadlinePassesInTheQueue() {
+  void rejectsARequestWhoseDeadlinePassesInTheQueue() {
     DispatchFixture fixture = DispatchFixture.ready(1, 1);
     fixture.arrive(1, fixture.attributes("a", false, false));
     fixture.arrive(2, fixture.attributes("a", false, false));
@@ -177,13 +177,13 @@
   }
 
   @Test
-  void ejectsUnreachableExecutorsButNeverMoreThanHalf() {
+  void ejectsUnreachableExecutorsUpToHalfOfAll() {
     DispatchFixture fixture = DispatchFixture.ready(4, 8);
     for (int i = 1; i <= 30; i++) {
       fixture.arrive(i, fixture.attributes("b", true, false));
-      for (int ended = 0; fixture.refusalOf(i).isEmpty(); fixture.advanceTime(20)) {
-        if (fixture.executorsOf(i).size() > ended) {
-          ended++;
+      for (int endedDispatches = 0; fixture.refusalOf(i).isEmpty(); fixture.advanceTime(20)) {
+        if (fixture.executorsOf(i).size() > endedDispatches) {
+          endedDispatches++;
           fixture.endDispatch(i, UNREACHABLE);
         }
       }
@@ -197,7 +197,7 @@
   }
 
   @Test
-  void takesADeadPathForNoDeadExecutor() {
+  void keepsAnExecutorThatAcceptsANewConnection() {
     DispatchFixture fixture = DispatchFixture.ready(2, 4);
     fixture.arrive(1, fixture.attributes("a", true, false));
     String executor = fixture.executorsOf(1).getFirst();
@@ -213,7 +213,7 @@
   }
 
   @Test
-  void takesAPathWithoutAFreshConnectionForADeadExecutor() {
+  void ejectsAnExecutorThatRefusesANewConnection() {
     DispatchFixture fixture = DispatchFixture.ready(2, 4);
     fixture.arrive(1, fixture.attributes("a", true, false));
     fixture.endDispatch(
@@ -231,18 +231,19 @@
   }
 
   @Test
-  void letsAnEjectedExecutorBackSlowly() {
+  void increasesTheSlotsOfAnEjectedExecutorSlowly() {
     ExecutorHealth health = new ExecutorHealth();
-    long lasts = health.eject(1_000);
-    assertTrue(health.isEjected(1_000 + lasts - 1));
-    long back = 1_000 + lasts;
-    assertEquals(1, health.allowedSlots(8, back));
-    assertEquals(4, health.allowedSlots(8, back + ExecutorHealth.SLOW_START_MILLIS / 2));
-    assertEquals(8, health.allowedSlots(8, back + ExecutorHealth.SLOW_START_MILLIS));
+    long durationMillis = health.eject(1_000);
+    assertTrue(health.isEjected(1_000 + durationMillis - 1));
+    long ejectionEndMillis = 1_000 + durationMillis;
+    assertEquals(1, health.allowedSlots(8, ejectionEndMillis));
+    assertEquals(
+        4, health.allowedSlots(8, ejectionEndMillis + ExecutorHealth.SLOW_START_MILLIS / 2));
+    assertEquals(8, health.allowedSlots(8, ejectionEndMillis + ExecutorHealth.SLOW_START_MILLIS));
   }
 
   @Test
-  void refusesBeforeTheFirstSharesArrive() {
+  void rejectsRequestsBeforeTheFirstSharesArrive() {
     DispatchFixture fixture = new DispatchFixture("vm-1", "inc-1", 7);
     fixture.handle(new DispatchEvent.Configured(DispatchFixture.configuration(1)));
     fixture.handle(new DispatchEvent.Ready(true, RefusalReason.NOT_READY));
