--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ClaimHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ClaimHandler.java
@@ -249,7 +249,7 @@
 
   private void recordOutcome(OpenRequest request, RequestOutcome outcome) {
     request.outcomeRecorded = true;
-    localOutcomes.record(outcome);
+    localOutcomes.recordOutcome(outcome);
     batcher.outcome(outcome);
     answerFollowers(outcome);
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ClaimRegistry.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ClaimRegistry.java
@@ -104,7 +104,7 @@
             Optional.empty());
     // Every claim of a key, even one that loses, extends the claim in effect by another window.
     // Otherwise a VM that began to read after the first claim had been deleted from the log would
-    // let a later claim win than the other VMs do.
+    // let a later claim win, unlike the other VMs.
     Optional<Claim> earlier = Optional.ofNullable(claims.remove(claim.getKey()));
     Claim inEffect = earlier.map(e -> e.withAppendedMillis(logMillis)).orElse(newClaim);
     claims.put(claim.getKey(), inEffect);
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/DispatchCommand.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/DispatchCommand.java
@@ -31,7 +31,7 @@
   record AnswerRecorded(long ticket, int status, String contentType, byte[] body)
       implements DispatchCommand {}
 
-  /** Releases a request whose answer was passed on or whose caller is gone. */
+  /** Releases a request whose answer was passed on or whose caller disconnected. */
   record Finish(long ticket) implements DispatchCommand {}
 
   /** Appends a record to the stream {@code requests}. */
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/DispatchEvent.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/DispatchEvent.java
@@ -16,7 +16,7 @@
   /** A caller's request arrived completely. */
   record Arrived(long ticket, RequestAttributes attributes) implements DispatchEvent {}
 
-  /** The caller of a request is gone. */
+  /** The caller of a request disconnected. */
   record Cancelled(long ticket) implements DispatchEvent {}
 
   /** A dispatch ended. */
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ExecutorHealth.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ExecutorHealth.java
@@ -11,7 +11,9 @@
   static final long MAX_EJECTION_MILLIS = 60_000;
   static final long SLOW_START_MILLIS = 10_000;
 
+  /** Series of failures after which an executor is ejected although it accepts new connections. */
   static final int REACHABLE_FAILURES_TO_EJECT = 2;
+
   static final long PAUSE_MILLIS = 50;
 
   private int consecutiveFailures;
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/LocalOutcomes.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/LocalOutcomes.java
@@ -38,7 +38,7 @@
   }
 
   /** Records an outcome. Drops the oldest outcomes beyond the maximum, as the log has them. */
-  synchronized void record(RequestOutcome outcome) {
+  synchronized void recordOutcome(RequestOutcome outcome) {
     inProgress.remove(outcome.getKey());
     recorded.put(outcome.getKey(), new LocalClaim(outcome.getToken(), Optional.of(outcome)));
     Iterator<RequestKey> oldest = recorded.keySet().iterator();
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/OpenRequests.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/OpenRequests.java
@@ -104,7 +104,7 @@
     remove(request);
   }
 
-  /** Removes a request whose answer was passed on or whose caller is gone. */
+  /** Removes a request whose answer was passed on or whose caller disconnected. */
   void finish(OpenRequest request) {
     out.accept(new DispatchCommand.Finish(request.ticket));
     remove(request);
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/BorrowingJobPlanner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/BorrowingJobPlanner.java
@@ -19,7 +19,7 @@
 
   private final PlanState state;
   private final GangPlacer placer;
-  private final PolicyFeatures parts;
+  private final PolicyFeatures features;
   private final StopFactory stopFactory;
   private final VictimRules victimRules;
   private final GuaranteedJobPlanner guaranteedPlanner;
@@ -32,7 +32,7 @@
   BorrowingJobPlanner(
       PlanState state,
       GangPlacer placer,
-      PolicyFeatures parts,
+      PolicyFeatures features,
       JobOrder order,
       GuaranteedJobPlanner guaranteedPlanner,
       QuotaEnforcer quotaEnforcer) {
@@ -40,10 +40,10 @@
     this.guaranteedPlanner = guaranteedPlanner;
     this.state = state;
     this.placer = placer;
-    this.parts = parts;
+    this.features = features;
     this.stopFactory = new StopFactory(state.view().declarations().policy());
     this.victimRules = new VictimRules(state, order);
-    this.planner = new ReservationPlanner(state, placer, parts.packing());
+    this.planner = new ReservationPlanner(state, placer, features.packing());
   }
 
   /**
@@ -114,7 +114,8 @@
 
   private Optional<int[]> place(Candidate candidate, WorkerCapacities capacities, boolean[] avoid) {
     Shape shape = candidate.job().shape();
-    var preference = new WorkerPreference(state, shape, parts.avoidReserved(), parts.packing());
+    var preference =
+        new WorkerPreference(state, shape, features.avoidReserved(), features.packing());
     return placer.place(shape, capacities, avoid, preference);
   }
 
@@ -154,7 +155,7 @@
    * Only the first such jobs are tried, to limit the time that a decision takes.
    */
   private boolean mayMoveOthers() {
-    return parts.moves()
+    return features.moves()
         && reservations.size() < MAX_RESERVATIONS
         && moveTrials++ < MAX_MOVE_TRIALS;
   }
@@ -167,8 +168,8 @@
     if (withoutStops.isEmpty()) {
       return true;
     }
-    double spared = withoutStops.get().secondsUntilFree() / candidate.remainingSeconds();
-    return spared > victimRules.slowdown(selection, candidate);
+    double avoidedSlowdown = withoutStops.get().secondsUntilFree() / candidate.remainingSeconds();
+    return avoidedSlowdown > victimRules.slowdown(selection, candidate);
   }
 
   private boolean awaitStops(Candidate candidate, boolean[] avoid) {
@@ -187,7 +188,7 @@
 
   private void reserve(Candidate candidate) {
     String missing = state.describeShortage(candidate.job().shape());
-    if (!parts.reservations() || reservations.size() >= MAX_RESERVATIONS) {
+    if (!features.reservations() || reservations.size() >= MAX_RESERVATIONS) {
       state.explain(candidate, missing, 0);
       return;
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/FaultyWorkerDetector.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/FaultyWorkerDetector.java
@@ -16,6 +16,8 @@
 public final class FaultyWorkerDetector {
 
   private static final int MIN_JOBS = 2;
+  // A running job counts as evidence once it has run on other workers for SURVIVAL_FACTOR times the
+  // time after which it failed, and for at least MIN_SURVIVAL_SECONDS.
   private static final long MIN_SURVIVAL_SECONDS = 60;
   private static final int SURVIVAL_FACTOR = 3;
   private static final long FIRST_QUARANTINE_MILLIS = 600_000;
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GuaranteeScheduler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GuaranteeScheduler.java
@@ -18,7 +18,7 @@
  */
 public final class GuaranteeScheduler implements Scheduler {
 
-  private final PolicyFeatures parts;
+  private final PolicyFeatures features;
   private final Set<AttemptId> stoppedForUrgentJobs = new HashSet<>();
   private Optional<DeclarationCache> cache = Optional.empty();
 
@@ -28,8 +28,8 @@
   }
 
   /** Creates the policy with the given features. */
-  public GuaranteeScheduler(PolicyFeatures parts) {
-    this.parts = parts;
+  public GuaranteeScheduler(PolicyFeatures features) {
+    this.features = features;
   }
 
   /** Data derived only from the declarations and the set of unusable workers. */
@@ -45,7 +45,7 @@
   @Override
   public Plan plan(View view) {
     DeclarationCache cache = currentCache(view);
-    RunTimeEstimator estimator = new RunTimeEstimator(view.history(), parts.correction());
+    RunTimeEstimator estimator = new RunTimeEstimator(view.history(), features.correction());
     removeEndedAttempts(view);
     PlanState state =
         new PlanState(
@@ -57,13 +57,13 @@
             stoppedForUrgentJobs);
     QuotaEnforcer quotaEnforcer = new QuotaEnforcer(state);
     GuaranteedJobPlanner guaranteedPlanner =
-        new GuaranteedJobPlanner(state, cache.placer(), parts, quotaEnforcer);
-    JobOrder order = new JobOrder(parts, new RuleMatcher());
+        new GuaranteedJobPlanner(state, cache.placer(), features, quotaEnforcer);
+    JobOrder order = new JobOrder(features, new RuleMatcher());
     List<Candidate> admitted =
         order.order(state).stream().filter(c -> isAdmitted(c, state)).toList();
     BorrowingJobPlanner borrowingPlanner =
         new BorrowingJobPlanner(
-            state, cache.placer(), parts, order, guaranteedPlanner, quotaEnforcer);
+            state, cache.placer(), features, order, guaranteedPlanner, quotaEnforcer);
     guaranteedPlanner.plan(admitted).forEach(borrowingPlanner::plan);
     Plan plan = state.plan();
     recordUrgentStops(plan);
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GuaranteedJobPlanner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GuaranteedJobPlanner.java
@@ -20,7 +20,7 @@
 
   private final PlanState state;
   private final GangPlacer placer;
-  private final PolicyFeatures parts;
+  private final PolicyFeatures features;
   private final StopFactory stopFactory;
   private final QuotaEnforcer quotaEnforcer;
   private final Set<Demand> notStartable = new HashSet<>();
@@ -28,11 +28,11 @@
   private final Set<Shape> notBorrowable = new HashSet<>();
 
   GuaranteedJobPlanner(
-      PlanState state, GangPlacer placer, PolicyFeatures parts, QuotaEnforcer quotaEnforcer) {
+      PlanState state, GangPlacer placer, PolicyFeatures features, QuotaEnforcer quotaEnforcer) {
     this.quotaEnforcer = quotaEnforcer;
     this.state = state;
     this.placer = placer;
-    this.parts = parts;
+    this.features = features;
     this.stopFactory = new StopFactory(state.view().declarations().policy());
   }
 
@@ -133,7 +133,7 @@
   /** Preempts borrowers for a job that could not start elsewhere as a borrower. */
   boolean reclaim(Candidate candidate) {
     Demand demand = Demand.of(candidate);
-    if (!parts.reclaim() || notReclaimable.contains(demand)) {
+    if (!features.reclaim() || notReclaimable.contains(demand)) {
       return false;
     }
     List<WorkerCapacities> reservedOptions = reservedOptions(candidate);
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/JobOrder.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/JobOrder.java
@@ -31,19 +31,19 @@
   private static final double MIN_OVERUSE = 0.25;
   private static final double MAX_OVERUSE = 4;
 
-  private final PolicyFeatures parts;
+  private final PolicyFeatures features;
   private final RuleMatcher matcher;
   private Map<OrganisationId, Double> overuse = Map.of();
 
-  JobOrder(PolicyFeatures parts, RuleMatcher matcher) {
-    this.parts = parts;
+  JobOrder(PolicyFeatures features, RuleMatcher matcher) {
+    this.features = features;
     this.matcher = matcher;
   }
 
   /** Returns the waiting jobs in the order in which they are planned. */
   List<Candidate> order(PlanState state) {
     View view = state.view();
-    overuse = parts.fairness() ? overuse(state) : Map.of();
+    overuse = features.fairness() ? overuse(state) : Map.of();
     List<Candidate> order = new ArrayList<>(view.waiting().size());
     for (WaitingJob w : view.waiting()) {
       order.add(candidate(w, state));
@@ -70,7 +70,7 @@
 
   private double score(Job job, long waitedMillis, double remainingSeconds) {
     double score = 1;
-    if (parts.ordering()) {
+    if (features.ordering()) {
       score = (waitedMillis / 1000.0 + remainingSeconds) / remainingSeconds;
     }
     return score / overuse.getOrDefault(job.organisation(), 1.0);
@@ -82,7 +82,7 @@
     RuleMatcher.Match match =
         matcher.match(view.declarations().rules(), job, view.nowMillis(), state.load());
     long waitedMillis = Math.max(0, view.nowMillis() - job.submittedMillis());
-    boolean overdue = parts.ageing() && isOverdue(waitedMillis, view);
+    boolean overdue = features.ageing() && isOverdue(waitedMillis, view);
     double remainingSeconds = state.estimator().remainingSeconds(job, waiting.ranSeconds());
     double score = score(job, waitedMillis, remainingSeconds);
     return new Candidate(waiting, match, overdue, remainingSeconds, overdue ? 0 : score);
--- a/fescuehook/src/test/java/org/fescuehook/logic/scheduling/RandomTrace.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/scheduling/RandomTrace.java
@@ -151,12 +151,12 @@
   }
 
   private void cancelHalf(long at) {
-    List<JobId> known = new ArrayList<>();
+    List<JobId> toCancel = new ArrayList<>();
     for (TraceEvent e : events) {
       if (e instanceof TraceEvent.Submitted s && s.atMillis() < at && random.nextBoolean()) {
-        known.add(s.job().id());
+        toCancel.add(s.job().id());
       }
     }
-    known.forEach(id -> events.add(new TraceEvent.Cancelled(at, id)));
+    toCancel.forEach(id -> events.add(new TraceEvent.Cancelled(at, id)));
   }
 }
