--- a/fescuehook/src/main/java/org/fescuehook/logic/control/planning/PlanDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/planning/PlanDuty.java
@@ -64,7 +64,7 @@
     Scheduler.View view = ViewBuilder.build(state, declarations, unavailable, context.wallMillis());
     try {
       decide(scheduler.plan(view), state, context);
-      detector.judge(view).forEach(quarantine -> quarantine(quarantine, state, context));
+      detector.detect(view).forEach(quarantine -> quarantine(quarantine, state, context));
     } catch (RuntimeException e) {
       // A failure of the policy must not prevent the leases of running gangs from being renewed.
       context.note(ControlLogEvent.PLAN_FAILED, e.toString());
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/HealthWatch.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/HealthMonitor.java
@@ -6,23 +6,27 @@
 import org.fescuehook.logic.dispatch.DispatchResult.NotSentCause;
 import org.fescuehook.model.fleet.ExecutorId;
 
-/** Ejects executors that fail, telling a dead path from a dead executor, under a cap. */
-final class HealthWatch {
+/**
+ * Ejects failing executors, up to a maximum fraction of all executors. Before ejecting one whose
+ * connections fail, opens a new connection to it, to distinguish a broken connection from a dead
+ * executor.
+ */
+final class HealthMonitor {
   private final ExecutorTable executors;
   private final Consumer<DispatchCommand> out;
 
-  HealthWatch(ExecutorTable executors, Consumer<DispatchCommand> out) {
+  HealthMonitor(ExecutorTable executors, Consumer<DispatchCommand> out) {
     this.executors = executors;
     this.out = out;
   }
 
-  /** Notes how a dispatch ended. */
-  void ended(ExecutorId executor, DispatchResult end, long nowMillis) {
+  /** Records how a dispatch ended. */
+  void dispatchEnded(ExecutorId executor, DispatchResult result, long nowMillis) {
     Optional<ExecutorHealth> health = executors.health(executor);
     if (health.isEmpty()) {
       return;
     }
-    switch (end) {
+    switch (result) {
       case DispatchResult.Answered _ -> health.get().succeeded(nowMillis);
       case DispatchResult.RefusedNotRun _ -> health.get().pause(nowMillis);
       case DispatchResult.NotSent notSent -> {
@@ -30,35 +34,38 @@
           eject(executor, health.get(), nowMillis);
         }
       }
-      case DispatchResult.Failed failed -> failed(executor, health.get(), failed, nowMillis);
+      case DispatchResult.Failed failed ->
+          dispatchFailed(executor, health.get(), failed, nowMillis);
     }
   }
 
-  private void failed(
+  private void dispatchFailed(
       ExecutorId executor, ExecutorHealth health, DispatchResult.Failed failed, long nowMillis) {
-    boolean enough = health.failed();
+    boolean ejectable = health.failed();
     if (failed.kind() == FailureKind.BAD_ANSWER) {
-      if (enough) {
+      if (ejectable) {
         eject(executor, health, nowMillis);
       }
       return;
     }
     boolean suspectPath = failed.kind() == FailureKind.NO_PROGRESS || !failed.freshConnection();
-    if ((enough || suspectPath) && health.beginCheck()) {
+    if ((ejectable || suspectPath) && health.beginCheck()) {
       out.accept(new DispatchCommand.CheckPath(executor));
     }
   }
 
-  /** Has a fresh connection tried, since a pooled one gave no sign of life. */
-  void suspected(ExecutorId executor) {
-    boolean begun = executors.health(executor).map(ExecutorHealth::beginCheck).orElse(false);
-    if (begun) {
+  /**
+   * Requests a new connection to check an executor of which a pooled connection made no progress.
+   */
+  void pathSuspected(ExecutorId executor) {
+    boolean started = executors.health(executor).map(ExecutorHealth::beginCheck).orElse(false);
+    if (started) {
       out.accept(new DispatchCommand.CheckPath(executor));
     }
   }
 
-  /** Takes the result of trying a fresh connection. */
-  void checked(ExecutorId executor, boolean reachable, long nowMillis) {
+  /** Handles the result of opening a new connection to check an executor. */
+  void pathChecked(ExecutorId executor, boolean reachable, long nowMillis) {
     Optional<ExecutorHealth> health = executors.health(executor);
     if (health.isEmpty()) {
       return;
@@ -73,7 +80,7 @@
   }
 
   private void eject(ExecutorId executor, ExecutorHealth health, long nowMillis) {
-    if (health.ejected(nowMillis)) {
+    if (health.isEjected(nowMillis)) {
       return;
     }
     if (!executors.mayEject(nowMillis)) {
@@ -81,9 +88,9 @@
       out.accept(new DispatchCommand.Note(RequestEvent.EJECTION_CAPPED, executor));
       return;
     }
-    long lasts = health.eject(nowMillis);
+    long durationMillis = health.eject(nowMillis);
     out.accept(new DispatchCommand.Count("fescuehook.executors.ejections"));
     out.accept(new DispatchCommand.CloseIdle(executor));
-    out.accept(new DispatchCommand.Note(RequestEvent.EXECUTOR_EJECTED, executor, lasts));
+    out.accept(new DispatchCommand.Note(RequestEvent.EXECUTOR_EJECTED, executor, durationMillis));
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GuaranteeScheduler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GuaranteeScheduler.java
@@ -11,69 +11,78 @@
 import org.fescuehook.model.rule.Verdict;
 
 /**
- * The scheduling policy: guarantees first, then ordered jobs on what is left. Not for use by two
- * threads. Between plans it keeps what follows from the declarations alone, and which attempts it
- * stopped at once for urgent jobs; a fresh one that does not know these may stop more than needed.
+ * The default scheduling policy: serves the organisations' guarantees first, then the remaining
+ * jobs in their order on the capacity that is left. Not thread-safe. Between plans it caches what
+ * is derived from the declarations and remembers which attempts it stopped for urgent jobs; a new
+ * instance does not know these stops, so it may stop more attempts than necessary.
  */
 public final class GuaranteeScheduler implements Scheduler {
 
-  private final PolicyFeatures parts;
-  private final Set<AttemptId> stoppedAtOnce = new HashSet<>();
-  private Optional<Known> known = Optional.empty();
+  private final PolicyFeatures features;
+  private final Set<AttemptId> stoppedForUrgentJobs = new HashSet<>();
+  private Optional<DeclarationCache> cache = Optional.empty();
 
-  /** Creates the policy with all its parts. */
+  /** Creates the policy with all its features. */
   public GuaranteeScheduler() {
     this(PolicyFeatures.ALL);
   }
 
-  /** Creates the policy with some of its parts. */
-  public GuaranteeScheduler(PolicyFeatures parts) {
-    this.parts = parts;
+  /** Creates the policy with the given features. */
+  public GuaranteeScheduler(PolicyFeatures features) {
+    this.features = features;
   }
 
-  /** What follows from declarations and unusable workers alone. */
-  private record Known(
+  /** Data derived only from the declarations and the set of unusable workers. */
+  private record DeclarationCache(
       Declarations declarations,
       Set<WorkerId> unusable,
       FleetIndex index,
       GangPlacer placer,
-      GuaranteedHomes declaredHomes,
-      GuaranteedHomes homes,
+      ReservedPlacements declaredPlacements,
+      ReservedPlacements placements,
       boolean[] isUnusable) {}
 
   @Override
   public Plan plan(View view) {
-    Known known = known(view);
-    RunTimeEstimator estimator = new RunTimeEstimator(view.history(), parts.correction());
-    forgetEnded(view);
+    DeclarationCache cache = currentCache(view);
+    RunTimeEstimator estimator = new RunTimeEstimator(view.history(), features.correction());
+    removeEndedAttempts(view);
     PlanState state =
         new PlanState(
-            view, known.index(), estimator, known.homes(), known.isUnusable(), stoppedAtOnce);
-    QuotaStep quotas = new QuotaStep(state);
-    GuaranteeStep guarantees = new GuaranteeStep(state, known.placer(), parts, quotas);
-    JobOrder order = new JobOrder(parts, new RuleMatcher());
+            view,
+            cache.index(),
+            estimator,
+            cache.placements(),
+            cache.isUnusable(),
+            stoppedForUrgentJobs);
+    QuotaEnforcer quotaEnforcer = new QuotaEnforcer(state);
+    GuaranteedJobPlanner guaranteedPlanner =
+        new GuaranteedJobPlanner(state, cache.placer(), features, quotaEnforcer);
+    JobOrder order = new JobOrder(features, new RuleMatcher());
     List<Candidate> admitted =
         order.order(state).stream().filter(c -> isAdmitted(c, state)).toList();
-    BorrowStep borrowing = new BorrowStep(state, known.placer(), parts, order, guarantees, quotas);
-    guarantees.accept(admitted).forEach(borrowing::accept);
+    BorrowingJobPlanner borrowingPlanner =
+        new BorrowingJobPlanner(
+            state, cache.placer(), features, order, guaranteedPlanner, quotaEnforcer);
+    guaranteedPlanner.plan(admitted).forEach(borrowingPlanner::plan);
     Plan plan = state.plan();
-    remember(plan);
+    recordUrgentStops(plan);
     return plan;
   }
 
-  private void forgetEnded(View view) {
-    if (stoppedAtOnce.isEmpty()) {
+  private void removeEndedAttempts(View view) {
+    if (stoppedForUrgentJobs.isEmpty()) {
       return;
     }
     Set<AttemptId> live = new HashSet<>();
     view.running().forEach(r -> live.add(r.attempt()));
-    stoppedAtOnce.retainAll(live);
+    stoppedForUrgentJobs.retainAll(live);
   }
 
-  private void remember(Plan plan) {
+  private void recordUrgentStops(Plan plan) {
     for (Stop stop : plan.stops()) {
       if (stop.cause() == StopCause.URGENT) {
-        stoppedAtOnce.add(stop.attempt());
+        stoppedForUrgentJobs.add(stop.attempt());
       }
     }
   }
@@ -86,24 +95,29 @@
     return true;
   }
 
-  // The cache is by identity: comparing declarations of 810 workers would cost more than a plan.
+  // Compares declarations by identity: comparing 810 declared workers by value would take longer
+  // than computing a plan.
   @SuppressWarnings("ReferenceEquality")
-  private Known known(View view) {
-    if (known.isEmpty() || known.get().declarations() != view.declarations()) {
+  private DeclarationCache currentCache(View view) {
+    if (cache.isEmpty() || cache.get().declarations() != view.declarations()) {
       FleetIndex index = new FleetIndex(view.declarations().fleet());
-      GuaranteedHomes homes = GuaranteedHomes.find(index, view.declarations().guarantees());
+      ReservedPlacements placements =
+          ReservedPlacements.find(index, view.declarations().guarantees());
       boolean[] none = new boolean[index.workerCount()];
       Declarations declarations = view.declarations();
       GangPlacer placer = new GangPlacer(index);
-      known = Optional.of(new Known(declarations, Set.of(), index, placer, homes, homes, none));
+      cache =
+          Optional.of(
+              new DeclarationCache(
+                  declarations, Set.of(), index, placer, placements, placements, none));
     }
-    if (!known.get().unusable().equals(view.unusable())) {
-      known = Optional.of(withUnusable(known.get(), Set.copyOf(view.unusable())));
+    if (!cache.get().unusable().equals(view.unusable())) {
+      cache = Optional.of(withUnusable(cache.get(), Set.copyOf(view.unusable())));
     }
-    return known.get();
+    return cache.get();
   }
 
-  private static Known withUnusable(Known before, Set<WorkerId> unusable) {
+  private static DeclarationCache withUnusable(DeclarationCache before, Set<WorkerId> unusable) {
     FleetIndex index = before.index();
     boolean[] isUnusable = new boolean[index.workerCount()];
     for (WorkerId id : unusable) {
@@ -112,14 +126,14 @@
         isUnusable[worker] = true;
       }
     }
-    GuaranteedHomes homes = before.declaredHomes().without(index, isUnusable);
-    return new Known(
+    ReservedPlacements placements = before.declaredPlacements().without(index, isUnusable);
+    return new DeclarationCache(
         before.declarations(),
         unusable,
         index,
         before.placer(),
-        before.declaredHomes(),
-        homes,
+        before.declaredPlacements(),
+        placements,
         isUnusable);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/Replayer.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/Replayer.java
@@ -125,7 +125,9 @@
     var declarations = trace.declarations();
     Verdict verdict = matcher.match(declarations.rules(), job.job, nowMillis, load()).verdict();
     boolean neverRunnable =
-        feasibility.whyNever(declarations, job.job.organisation(), job.job.shape()).isPresent();
+        feasibility
+            .infeasibilityReason(declarations, job.job.organisation(), job.job.shape())
+            .isPresent();
     if (neverRunnable || verdict instanceof Verdict.Refuse) {
       finish(job, JobOutcome.End.REFUSED);
       return;
@@ -174,7 +176,7 @@
     listener.decided(view, plan);
     plan.stops().forEach(this::stop);
     plan.starts().forEach(this::start);
-    detector.ifPresent(d -> d.judge(view).forEach(this::quarantine));
+    detector.ifPresent(d -> d.detect(view).forEach(this::quarantine));
     if (!waiting.isEmpty() && !tickPending) {
       tickPending = true;
       schedule(nowMillis + TICK_MILLIS, () -> tickPending = false);
