--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/CancelHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/CancelHandler.java
@@ -119,7 +119,7 @@
 
   /**
    * Ends the epoch and answers all waiting cancels as undecided: whether they were stored may not
-   * be known. The next owner goes on with those that were.
+   * be known. The next owner completes those that were.
    */
   void close() {
     CallAnswer undecided = new CallAnswer.Undecided(UndecidedCause.OWNERSHIP_LOST);
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobRegistry.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobRegistry.java
@@ -102,8 +102,8 @@
   }
 
   /**
-   * Removes and returns the oldest ended job if its retention has expired; empty if none has
-   * expired.
+   * Removes the oldest ended job if its retention has expired, and returns its id; empty if none
+   * has expired.
    */
   public Optional<String> removeOneExpiredJob(Duration retention, long nowNanos, long wallMillis) {
     return ended.removeOneExpired(retention, nowNanos, wallMillis);
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/LiveRun.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/LiveRun.java
@@ -291,7 +291,7 @@
     return stage == Stage.RUNNING && percent == WHOLE_PERCENT;
   }
 
-  /** Returns true at the first call only, so that a run is evaluated at most once. */
+  /** Marks it as evaluated; returns true at the first call only, so that it is evaluated once. */
   public boolean markEvaluated() {
     boolean first = !evaluated;
     evaluated = true;
