--- a/fescuehook/src/main/java/org/fescuehook/entry/scheduler/BatchDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/scheduler/BatchDuty.java
@@ -88,7 +88,7 @@
 
   @Override
   public Duration longestIdle(Duration usual) {
-    Duration calm = core.calmFor(System.nanoTime());
+    Duration calm = core.minTimeToClaim(System.nanoTime());
     Duration most = calm.compareTo(LONGEST_IDLE) < 0 ? calm : LONGEST_IDLE;
     return most.compareTo(usual) < 0 ? usual : most;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchCore.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchCore.java
@@ -92,12 +92,13 @@
   }
 
   /**
-   * Returns for how long no timeout can expire, so that no {@link BatchEvent.Tick} is needed; zero
-   * while this VM is the owner, takes over or stops. Any event may shorten this time.
+   * Returns the shortest time until this VM could claim ownership, during which no {@link
+   * BatchEvent.Tick} is needed; zero while this VM is the owner, takes over or stops. Any event may
+   * shorten this time.
    *
    * @param nowNanos monotonic time
    */
-  public Duration calmFor(long nowNanos) {
+  public Duration minTimeToClaim(long nowNanos) {
     boolean standby = owner.isEmpty() && takeover.isEmpty() && stoppingSince.isEmpty();
     return standby ? ownership.calmFor(nowNanos) : Duration.ZERO;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchOwner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchOwner.java
@@ -357,12 +357,12 @@
     if (rejection == Rejection.NO_TICKET) {
       advice.rejected(run.step(), run.incarnation());
     }
-    jobs.rejected(run, rejection, context);
+    jobs.startRejected(run, rejection, context);
   }
 
   @Override
   public void unsent(LiveRun run, BatchContext context) {
-    jobs.unsent(run, context);
+    jobs.startNotSent(run, context);
   }
 
   @Override
@@ -377,12 +377,12 @@
 
   @Override
   public void saved(LiveRun run, String checkpoint) {
-    jobs.saved(run, checkpoint);
+    jobs.checkpointSaved(run, checkpoint);
   }
 
   @Override
   public void stoodStill(LiveRun run, BatchContext context) {
-    jobs.stoodStill(run, context);
+    jobs.runStalled(run, context);
   }
 
   @Override
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobLifecycle.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobLifecycle.java
@@ -148,7 +148,7 @@
     StepProgress step = run.step();
     TaskProgress task = run.task();
     step.end(task);
-    step.saved(task, end.checkpoint());
+    step.checkpointSaved(task, end.checkpoint());
     changed = true;
     if (!step.job().open()) {
       endedAfterJob(step.job(), stored, context);
@@ -308,16 +308,16 @@
   }
 
   /** Handles a run whose start the executor rejected. */
-  public void rejected(LiveRun run, Rejection rejection, BatchContext context) {
+  public void startRejected(LiveRun run, Rejection rejection, BatchContext context) {
     context.note(BatchLogEvent.RUN_LOST, run.run(), run.incarnation(), "rejected: " + rejection);
     lost(run, context);
   }
 
   /** Handles a run whose start was never sent; it does not count as a run of its task. */
-  public void unsent(LiveRun run, BatchContext context) {
+  public void startNotSent(LiveRun run, BatchContext context) {
     TaskProgress task = run.task();
     if (task.isLive(run)) {
-      task.unsent();
+      task.startNotSent();
     }
     lost(run, context);
   }
@@ -329,7 +329,7 @@
   }
 
   /** Handles a run that makes hardly any progress on its executor: stops it to move it. */
-  public void stoodStill(LiveRun run, BatchContext context) {
+  public void runStalled(LiveRun run, BatchContext context) {
     if (run.step().job().open() && !run.step().done()) {
       executors.stop(run, "it hardly progresses there", context);
       breakGang(run.step(), context);
@@ -337,9 +337,9 @@
   }
 
   /** Records a checkpoint that a run has saved. */
-  public void saved(LiveRun run, String checkpoint) {
+  public void checkpointSaved(LiveRun run, String checkpoint) {
     StepProgress step = run.step();
-    step.saved(run.task(), checkpoint);
+    step.checkpointSaved(run.task(), checkpoint);
   }
 
   /**
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/StepProgress.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/StepProgress.java
@@ -265,12 +265,12 @@
   }
 
   /** Records the newest checkpoint of a task, or of the whole gang. */
-  public void saved(TaskProgress task, String checkpoint) {
+  public void checkpointSaved(TaskProgress task, String checkpoint) {
     if (!spec.gang()) {
-      task.saved(checkpoint);
+      task.checkpointSaved(checkpoint);
       return;
     }
-    tasks.forEach(member -> member.saved(checkpoint));
+    tasks.forEach(member -> member.checkpointSaved(checkpoint));
   }
 
   void restoreGangFailures(int failures, int lastFailedRun) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/TaskProgress.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/TaskProgress.java
@@ -88,7 +88,7 @@
   }
 
   /** Records that the start of its newest run was never sent. */
-  void unsent() {
+  void startNotSent() {
     crashes = crashes.withoutRun();
   }
 
@@ -106,7 +106,7 @@
     live = Optional.empty();
   }
 
-  void saved(String newest) {
+  void checkpointSaved(String newest) {
     if (!newest.isEmpty()) {
       checkpoint = newest;
     }
