--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/AdvisedWorkTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/AdvisedWorkTest.java
@@ -12,7 +12,7 @@
 import org.fescuehook.model.fleet.ExecutorId;
 import org.junit.jupiter.api.Test;
 
-/** Work of queues whose steps run only where the advice service allows it. */
+/** Steps of queues that need advice run only where the advice service allows them to. */
 class AdvisedWorkTest {
 
   private static final ExecutorId ALLOWED = new ExecutorId("e3");
@@ -38,7 +38,10 @@
     awaitCompleted(job, 1500);
   }
 
-  /** Tickets hold for two seconds, and only some of the tasks fit at once. */
+  /**
+   * Tickets are valid for two seconds, and only some of the tasks fit on the allowed executor at
+   * once.
+   */
   @Test
   void expiredTicketsAreAskedForAgainAndForbiddenExecutorsAreNot() {
     cluster.work.advice.allowOnly(Set.of(ALLOWED));
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/BatchCluster.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/BatchCluster.java
@@ -24,7 +24,10 @@
 import org.fescuehook.model.fleet.ExecutorId;
 import org.fescuehook.model.fleet.VmId;
 
-/** VMs, store and executors on a virtual clock, with faults between them. */
+/**
+ * Simulates VMs, the shared store and executors on a virtual clock, and injects faults between
+ * them.
+ */
 final class BatchCluster {
 
   static final String KEY = Declared.KEY;
@@ -35,13 +38,16 @@
   private static final long STEP_MILLIS = 20;
   private static final long ANSWER_LIMIT_MILLIS = 1000;
 
-  /** Time between two reads of ownership, and how long each waits for a record. */
+  /** Pause between two reads of the ownership stream. */
   private static final long READ_PAUSE_MILLIS = 400;
 
+  /** How long a read of the ownership stream waits for a new record. */
   private static final long READ_WAIT_MILLIS = 1000;
+
+  /** End offset of a VM that has not read the ownership stream yet. */
   private static final long UNREAD = -1;
 
-  /** How long callers wait, as told to the owner. */
+  /** How long callers wait for an answer; each call passes it to the owner. */
   static final Duration PATIENCE = Duration.ofMillis(2800);
 
   private static final long WALL_START = 1_700_000_000_000L;
@@ -67,7 +73,7 @@
   private int starts;
   private final List<BatchCommand.Note> notes = new ArrayList<>();
 
-  /** One VM. */
+  /** One start of a VM. */
   final class Vm {
     final VmId id;
     final int start;
@@ -107,16 +113,17 @@
       }
     }
 
-    /** Returns how long it takes until this VM has time for something. */
+    /** Returns how long this VM is still busy with earlier work. */
     long backlogMillis() {
       return Math.max(0, busyUntil - nowMillis);
     }
 
-    /** Works on an exchange with an executor after all that it has to do before. */
+    /** Occupies this VM's only thread with an exchange with an executor, after its earlier work. */
     void workOnExchange() {
       busyUntil = Math.max(busyUntil, nowMillis) + faults.exchangeMillis;
     }
 
+    /** Resumes a frozen VM and delivers the events that arrived meanwhile. */
     void thaw() {
       frozen = false;
       List<BatchEvent> late = List.copyOf(held);
@@ -149,7 +156,7 @@
     list(profile.id());
   }
 
-  /** Has an executor answer that the list does not name yet. */
+  /** Adds an executor that answers orders but is not listed yet. */
   void addExecutor(FakeExecutor executor) {
     executors.put(executor.profile().id(), executor);
     work.add(executor);
@@ -159,7 +166,7 @@
     return WALL_START + nowMillis;
   }
 
-  /** An executor tells that it leaves after a while. */
+  /** Announces that an executor leaves in {@code remainingMillis}. */
   void leave(ExecutorId id, long remainingMillis) {
     ExecutorProfile leaving = Declared.leaving(executors.get(id).profile(), remainingMillis);
     executors.get(id).describe(leaving);
@@ -168,7 +175,7 @@
         .forEach(vm -> vm.deliver(new BatchEvent.ExecutorSeen(leaving)));
   }
 
-  /** An executor loses all its runs and ends; the list tells it a few seconds later. */
+  /** Ends an executor and loses its runs; the list drops its entry 4.5 s later. */
   void crash(ExecutorId id) {
     FakeExecutor executor = executors.remove(id);
     executor.crash(nowMillis);
@@ -176,21 +183,21 @@
     in(4500, () -> unlist(id));
   }
 
-  /** The list names an executor again. */
+  /** Reports an executor as listed to the VMs that follow the list of executors. */
   void list(ExecutorId id) {
     vms.values().stream()
         .filter(vm -> vm.following)
         .forEach(vm -> vm.deliver(new BatchEvent.ExecutorSeen(executors.get(id).profile())));
   }
 
-  /** The list names an executor no longer. */
+  /** Reports an executor as no longer listed to the VMs that follow the list of executors. */
   void unlist(ExecutorId id) {
     vms.values().stream()
         .filter(vm -> vm.following)
         .forEach(vm -> vm.deliver(new BatchEvent.ExecutorUnlisted(id)));
   }
 
-  /** Starts a VM; one that runs again already stays as it is. */
+  /** Starts a VM and returns it; returns a VM that is running unchanged. */
   Vm start(VmId id) {
     Vm earlier = vms.get(id);
     if (earlier != null && earlier.running) {
@@ -206,13 +213,13 @@
     return vm;
   }
 
-  /** Kills a VM and starts it again after a while. */
+  /** Kills a VM and starts it again after {@code downMillis}. */
   void restart(VmId id, long downMillis) {
     vms.get(id).running = false;
     in(downMillis, () -> start(id));
   }
 
-  /** Puts a configuration in force on all VMs. */
+  /** Delivers a configuration to all VMs. */
   void configure(BatchConfiguration newer) {
     vms.values().forEach(vm -> vm.deliver(new BatchEvent.ConfigurationRead(newer)));
   }
@@ -228,7 +235,10 @@
     return !faults.storeDown && !faults.cutFromStore.contains(vm.id);
   }
 
-  /** Reads the stream of ownership; the store answers once there is news, or after a while. */
+  /**
+   * Reads the ownership stream; the store answers once there is a new record, or when the wait is
+   * over.
+   */
   private void readOwnership(Vm vm, long knownEnd, long until) {
     if (!vm.running) {
       return;
@@ -297,7 +307,7 @@
     calls.answered(number, answer, nowMillis);
   }
 
-  /** Calls the VM that decides; absent if none does. */
+  /** Sends a call to the owner and returns its ticket; empty if no VM decides. */
   Optional<Long> call(BatchCall call) {
     Optional<Vm> owner = owner();
     if (owner.isEmpty()) {
@@ -319,12 +329,12 @@
         .reduce((first, second) -> second);
   }
 
-  /** Submits a job and returns its id. */
+  /** Submits a job with the default API key and returns the job's id. */
   String submit(String queueName, Submission submission) {
     return submit(queueName, KEY, submission);
   }
 
-  /** Submits a job of the organisation that holds a key and returns its id. */
+  /** Submits a job with an organisation's API key and returns the job's id. */
   String submit(String queueName, String key, Submission submission) {
     String id = "%016x".formatted(0xa000L + submissions.size() + ticket);
     call(new BatchCall.Submit(queueName, key, id, submission));
@@ -332,8 +342,8 @@
   }
 
   /**
-   * Returns what callers are told of a job. The answer that there is none waits for a word of the
-   * store.
+   * Returns the answer to a status call for a job; empty if there is none in time. Lets time pass
+   * until the answer comes, since the store has to confirm that a job does not exist.
    */
   Optional<CallAnswer> status(String job) {
     String key = configuration.holders().getFirst().apiKeys().iterator().next();
@@ -345,12 +355,13 @@
     return asked.map(answers::get);
   }
 
+  /** Schedules an action after a delay. */
   void in(long millis, Runnable action) {
     order++;
     queue.add(new Due(nowMillis + millis, order, action));
   }
 
-  /** Lets time pass. */
+  /** Lets virtual time pass and runs the actions that become due. */
   void run(long millis) {
     long until = nowMillis + millis;
     while (nowMillis < until) {
@@ -367,7 +378,7 @@
     }
   }
 
-  /** Runs until a condition holds, and fails if it does not in time. */
+  /** Lets time pass until a condition holds; fails if it does not hold within the limit. */
   void runUntil(String what, long limitMillis, java.util.function.BooleanSupplier condition) {
     long until = nowMillis + limitMillis;
     while (!condition.getAsBoolean()) {
@@ -380,16 +391,17 @@
     runUntil("an owner", 10_000, () -> owner().isPresent());
   }
 
+  /** Returns how many claims of ownership were sent. */
   int claims() {
     return appends.claims();
   }
 
-  /** Returns how many owners there have been. */
+  /** Returns how many times a VM has become owner. */
   int ownershipsWon() {
     return notes(BatchLogEvent.OWNERSHIP_WON).size();
   }
 
-  /** Returns what all VMs have logged of a kind. */
+  /** Returns the log events of one kind from all VMs. */
   List<BatchCommand.Note> notes(BatchLogEvent event) {
     return notes.stream().filter(note -> note.event() == event).toList();
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/BatchCoreTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/BatchCoreTest.java
@@ -18,6 +18,10 @@
 import org.fescuehook.model.fleet.VmId;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Ownership, the life cycle of jobs, and the faults of single components that the batch decisions
+ * must survive.
+ */
 class BatchCoreTest {
 
   private static BatchCluster cluster() {
@@ -44,7 +48,9 @@
     assertEquals(1, owners);
   }
 
-  /** Each VM repeated its lost claim every 100 ms until it had read the winner's record. */
+  /**
+   * Guards against a VM that repeats a lost claim every 100 ms until it reads the winner's record.
+   */
   @Test
   void aVmWhoseClaimCameTooLateWaitsForTheWinnersRecord() {
     BatchCluster cluster = new BatchCluster(6, 1, 1);
@@ -172,7 +178,10 @@
     cluster.faults.storeDown = false;
     awaitPhase(cluster, job, JobPhase.COMPLETED, 4000);
     assertEquals(4, cluster.work.starts().size());
-    assertEquals(Optional.of(new CallAnswer.NoSuchJob()), cluster.status(refused), "never stored");
+    assertEquals(
+        Optional.of(new CallAnswer.NoSuchJob()),
+        cluster.status(refused),
+        "the job was never stored");
   }
 
   @Test
@@ -261,7 +270,7 @@
     }
   }
 
-  /** Pattern: some executors fail all that they start, at once, and being empty attract more. */
+  /** Executors that fail every run at once look idle and therefore attract more work. */
   @Test
   void jobsAreNotFailedByExecutorsThatFailEverything() {
     BatchCluster cluster = cluster();
@@ -277,7 +286,7 @@
     }
   }
 
-  /** Pattern: executors are taken away some two seconds after their notice. */
+  /** Executors may be removed about two seconds after they announce that they leave. */
   @Test
   void workThatWouldNotEndInTimeMovesAwayFromALeavingExecutor() {
     BatchCluster cluster = cluster();
@@ -306,7 +315,7 @@
     assertEquals(Optional.empty(), former.core.ownerHint());
   }
 
-  /** Pattern: some executors turn slow while they look healthy. */
+  /** An executor may become very slow while it still looks healthy. */
   @Test
   void workThatStandsStillOnASlowExecutorStartsAgainElsewhere() {
     BatchCluster cluster = cluster();
@@ -321,8 +330,9 @@
   }
 
   /**
-   * A VM repeats a submission whose answer was lost at the next owner. Its key was taken away
-   * meanwhile, and the caller was told 401 although the job had been stored and ran.
+   * A VM repeats a submission at the next owner because the answer was lost. Guards against an
+   * owner that answers 401 to the repeat, since the API key was removed meanwhile, although the job
+   * is stored and runs.
    */
   @Test
   void aStoredJobIsKnownAlsoWhenItsKeyIsTakenAwayBeforeTheSubmissionIsRepeated() {
@@ -344,8 +354,9 @@
   }
 
   /**
-   * A cancel that could not be stored was asked for again, and answered since the job had ended in
-   * memory; the next owner knew nothing of it and started the next step.
+   * Guards against a repeated cancel that is acknowledged because the job has ended in memory,
+   * while the first cancel is not stored: the next owner would not know of it and start the next
+   * step.
    */
   @Test
   void aRepeatedCancelIsNotAnsweredBeforeTheFirstIsStored() {
@@ -365,7 +376,7 @@
     assertEquals(new CallAnswer.Cancelled(), cluster.answers.get(second));
   }
 
-  /** Pattern: an urgent gang whose estimate is a tenth of its work. */
+  /** The estimate of an urgent gang is a twentieth of its work. */
   @Test
   void aGangWhoseEstimateIsFarTooLowIsNotMovedForIt() {
     BatchCluster cluster = cluster();
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/BusyOwnerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/BusyOwnerTest.java
@@ -14,12 +14,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seen: an owner on a third of a core fell behind at a take-over with 65 open jobs and stayed
- * behind for the rest of the day, with some hundred events in front of it, while others of its kind
- * that had not fallen behind kept up with the same load.
- *
- * <p>Cause: each event that changed something was followed by a plan, and plans cost more the more
- * tasks wait. Once behind, the owner spent its time on plans that the next event made obsolete.
+ * Guards against an owner that falls behind its events and never catches up, as seen on a third of
+ * a core with 65 open jobs: each event that changed something was followed by a plan, and a plan
+ * takes longer the more tasks are waiting. An owner that was behind spent its time on plans that
+ * the next event made obsolete.
  */
 class BusyOwnerTest {
 
@@ -43,13 +41,13 @@
     return core.apply(event, Duration.ofMillis(nowMillis).toNanos(), WALL + nowMillis, more);
   }
 
-  /** Hands a job in that is due after a while. */
+  /** Submits a job that becomes due after a while. */
   private void dueIn(long millis) {
     Submission.Schedule once = new Submission.Schedule(WALL + nowMillis + millis, 1000, 1);
     accept(new Submission("spec", List.of(Jobs.tasks(1, 1, 60_000)), Optional.of(once)), false);
   }
 
-  /** Hands a job in and returns what the turn commands in which it is stored. */
+  /** Submits a job and returns the commands that follow the event by which it is stored. */
   private List<BatchCommand> accept(boolean more) {
     return accept(Jobs.of(Jobs.tasks(1, 1, 60_000)), more);
   }
@@ -110,7 +108,7 @@
     assertEquals(1, placed(apply(new BatchEvent.Tick(), true)));
   }
 
-  /** Executors write their entries each second or two, mostly the same. */
+  /** Executors write their list entries every second or two, mostly unchanged. */
   @Test
   void anEntryOfAnExecutorThatChangesNothingIsFollowedByNoPlan() {
     ExecutorProfile entry = cluster.executors.values().iterator().next().profile();
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/CallLedger.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/CallLedger.java
@@ -5,7 +5,10 @@
 import org.fescuehook.logic.batch.call.BatchCall;
 import org.fescuehook.logic.batch.call.CallAnswer;
 
-/** Which call each ticket was of, so that answers are told to the audit of the work. */
+/**
+ * Remembers the call of each ticket, and reports submissions and acknowledged cancels to {@link
+ * VirtualWork}.
+ */
 final class CallLedger {
 
   private final VirtualWork work;
@@ -31,7 +34,7 @@
   void answered(long ticket, CallAnswer answer, long nowMillis) {
     String job = submitTickets.get(ticket);
     if (job != null) {
-      // A refusal of one attempt takes nothing back from another one that was accepted.
+      // A refused repeat of a submission does not undo an earlier acceptance.
       submissions.merge(
           job, answer, (old, newer) -> old instanceof CallAnswer.Accepted ? old : newer);
     }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/CancelAtLostOwnerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/CancelAtLostOwnerTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seen: a cancel at an owner that is replaced while it is on its way to the store gets no answer
- * until its caller gives up, and nothing cancels the job. Cause: an owner that lost its epoch told
- * the submissions that it had not stored, and forgot who waited for a cancel, so nobody sent it to
- * the next owner.
+ * Guards against a cancel that gets no answer, and does not take effect, because its owner is
+ * replaced while the cancel is on its way to the store: an owner that lost its epoch reported the
+ * submissions that it had not stored, but not the pending cancels, so no VM sent them to the next
+ * owner.
  */
 class CancelAtLostOwnerTest {
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/CancelHistoriesTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/CancelHistoriesTest.java
@@ -6,8 +6,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random histories with many cancels of long jobs, and owners that are lost with the stops they
- * owe. {@link VirtualWork} checks that runs of cancelled jobs are gone after each calm stretch.
+ * Random histories with many cancels of long jobs, in which owners are lost together with the stops
+ * that they still have to send. {@link VirtualWork} checks that no run of a cancelled job survives
+ * a fault-free period.
  */
 class CancelHistoriesTest {
 
@@ -20,7 +21,7 @@
     playAll(false);
   }
 
-  /** Submissions come, also again, after their cancels, and executors ignore stops. */
+  /** Submissions arrive or are repeated after their cancels, and executors ignore stops. */
   @Test
   void noHistoryOfOvertakenSubmissionsAndIgnoredStopsLeavesARunBehind() {
     playAll(true);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/ClockJumpTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ClockJumpTest.java
@@ -8,9 +8,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seen: jobs that ended a moment ago are answered as unknown, all at once. The clock of the owner's
- * VM was set forward, or the next owner's is ahead of the former one's. Cause: how long an ended
- * job is shown is counted by the clock of the day, not by time that has passed.
+ * Guards against ended jobs that are reported as unknown at once when a wall clock jumps ahead, or
+ * when the next owner's clock is ahead of the previous owner's: the retention of ended jobs has to
+ * be counted in elapsed time, not by the wall clock.
  */
 class ClockJumpTest {
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/ClusterAppends.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ClusterAppends.java
@@ -9,18 +9,18 @@
 import org.fescuehook.logic.batch.store.RepeatedAppend;
 import org.fescuehook.logic.batch.store.StreamName;
 
-/** The ways of appends between the VMs of a {@link BatchCluster} and its store. */
+/** Delivers appends from the VMs of a {@link BatchCluster} to its store, with delays and losses. */
 final class ClusterAppends {
 
-  /** Size of each append as far as its way is concerned, in bytes. */
+  /** Size of every append as far as its time limit is concerned, in bytes. */
   private static final int BYTES = 1000;
 
-  /** Work that a stream has before it beyond which it refuses an append. */
+  /** Pending work of a stream beyond which it refuses further appends. */
   private static final long LONGEST_QUEUE_MILLIS = 2000;
 
   private final BatchCluster cluster;
 
-  /** Until when each stream works on the appends that it has, in milliseconds. */
+  /** When each stream will have processed its pending appends, in milliseconds. */
   private final Map<StreamName, Long> busyUntil = new EnumMap<>(StreamName.class);
 
   private int claims;
@@ -60,7 +60,7 @@
     return new BatchEvent.Appended(append.stream(), append.position(), outcome);
   }
 
-  /** The way of one append of a VM. */
+  /** The connection over which a VM sends one append, possibly several times. */
   private final class Link implements RepeatedAppend.Link {
     private final BatchCluster.Vm vm;
     private final BatchCommand.Append append;
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/ClusterCalm.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ClusterCalm.java
@@ -1,9 +1,12 @@
 package org.fescuehook.logic.batch;
 
-/** Since when a {@link BatchCluster} has been without disruption. */
+/** Tracks since when a {@link BatchCluster} has been free of faults. */
 final class ClusterCalm {
 
+  /** Store delay that does not count as a fault. */
   private static final long USUAL_STORE_MILLIS = 4;
+
+  /** Time for the answer to a poll that does not count as a fault. */
   private static final long USUAL_POLL_MILLIS = 100;
 
   private final BatchCluster cluster;
@@ -13,7 +16,9 @@
     this.cluster = cluster;
   }
 
-  /** Takes note of the present, and has the work checked that should be gone by now. */
+  /**
+   * Updates the start of the fault-free period and checks that runs of cancelled jobs have ended.
+   */
   void look() {
     if (!calm()) {
       sinceMillis = cluster.nowMillis();
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/ClusterCrashes.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ClusterCrashes.java
@@ -7,13 +7,13 @@
 import org.fescuehook.model.batch.ExecutorProfile;
 import org.fescuehook.model.fleet.ExecutorId;
 
-/** Crashes of executors of a {@link BatchCluster} that come back at the same address. */
+/** Crashes executors of a {@link BatchCluster} and restarts them at the same address. */
 final class ClusterCrashes {
 
-  /** How long an executor is away that was crashed by a task. */
+  /** How long an executor stays down after a task has crashed it. */
   private static final long DOWN_MILLIS = 3200;
 
-  /** Time without a heartbeat after which the list drops an entry. */
+  /** Time without a heartbeat after which the list drops an executor's entry. */
   private static final long LISTED_MILLIS = 4500;
 
   private final BatchCluster cluster;
@@ -28,12 +28,12 @@
     this.cluster = cluster;
   }
 
-  /** Declares how long an executor is away that is crashed by a task. */
+  /** Sets how long an executor stays down after a task has crashed it. */
   void returnsAfter(long millis) {
     downMillis = millis;
   }
 
-  /** Brings back what tasks have crashed since the last call. */
+  /** Restarts the executors that tasks have crashed since the last call. */
   void bringBack() {
     for (FakeExecutor executor : List.copyOf(cluster.executors.values())) {
       if (!executor.up()) {
@@ -42,7 +42,7 @@
     }
   }
 
-  /** Crashes an executor; another life of it answers at its address after a while. */
+  /** Crashes an executor; another incarnation answers at its address after {@code awayMillis}. */
   void restart(ExecutorId id, long awayMillis) {
     if (idsKept) {
       restartUnderItsId(id, awayMillis, -cluster.nowMillis() - awayMillis);
@@ -63,26 +63,27 @@
     cluster.in(LISTED_MILLIS, () -> cluster.unlist(id));
   }
 
-  /** Has all executors tell when they started. */
+  /** Makes all executors report when they started. */
   void dateExecutors() {
     for (FakeExecutor executor : List.copyOf(cluster.executors.values())) {
       cluster.addExecutor(Declared.born(executor.profile(), cluster.wallMillis()));
     }
   }
 
-  /** Declares whether executors come back under the ids that they had. */
+  /** Sets whether a restarted executor keeps its id. */
   void keepIds(boolean kept) {
     idsKept = kept;
   }
 
-  /** Declares how long after its return an executor is listed again. */
+  /** Sets how long after its restart an executor is listed again. */
   void listedAfter(long millis) {
     listedAfterMillis = millis;
   }
 
   /**
-   * Crashes an executor; after a while it answers under its id, knows nothing of before, and its
-   * clock and the numbers of its ends begin anew.
+   * Crashes an executor and restarts it under the same id after {@code awayMillis}. The new
+   * incarnation has no state of the previous one, and its clock and the sequence numbers of its
+   * ends start anew.
    */
   void restartUnderItsId(ExecutorId id, long awayMillis, long clockAhead) {
     FakeExecutor executor = cluster.executors.remove(id);
@@ -114,17 +115,17 @@
     }
   }
 
-  /** Tells whether nothing listens at the address of an executor. */
+  /** Returns whether nothing listens at the address of an executor. */
   boolean refused(ExecutorId id) {
     return down.contains(id) && !replaced.contains(id);
   }
 
-  /** Tells whether another incarnation answers at the address of an executor. */
+  /** Returns whether another incarnation answers at the address of an executor. */
   boolean replaced(ExecutorId id) {
     return replaced.contains(id);
   }
 
-  /** Returns the executors that answer, by name. */
+  /** Returns the executors that are running. */
   List<ExecutorId> up() {
     return new ArrayList<>(cluster.executors.keySet());
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/ClusterFaults.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ClusterFaults.java
@@ -10,70 +10,81 @@
 import org.fescuehook.model.fleet.ExecutorId;
 import org.fescuehook.model.fleet.VmId;
 
-/** What goes wrong in a {@link BatchCluster} at present. */
+/** The faults that a {@link BatchCluster} injects at present. */
 final class ClusterFaults {
 
-  /** Time after which the first read of a VM counts as late, in milliseconds. */
+  /** Time after which the first read of a VM counts as late. */
   private static final long NEVER_LATE_MILLIS = 700;
 
   static final BiPredicate<VmId, BatchEvent> NOTHING_DROPPED = (vm, event) -> false;
 
   boolean storeDown;
 
-  /** Streams that are away while the others are not. */
+  /** Streams that are unavailable while the others are not. */
   final Set<StreamName> streamsDown = new HashSet<>();
 
+  /**
+   * Probability that the answer to an append is lost; half of these appends are applied seconds
+   * late.
+   */
   double lostAnswers;
 
-  /** How long the store's answers take, in milliseconds; they do not wait for each other. */
+  /** Delay of the store's answers, in milliseconds; concurrent answers do not delay each other. */
   long storeDelay = 4;
 
-  /** How long a stream works on one append, in milliseconds; it takes them one after another. */
+  /** How long a stream processes one append, in milliseconds; it processes one at a time. */
   long appendMillis;
 
+  /** VMs that do not reach the store. */
   final Set<VmId> cutFromStore = new HashSet<>();
 
-  /** VMs that reach the store and cannot load the jobs, as pages come too slowly to them. */
+  /** VMs that reach the store but cannot load the jobs, because pages arrive too slowly. */
   final Set<VmId> cannotLoad = new HashSet<>();
 
-  /** Which events do not come to the decisions of a VM. */
+  /** Selects the events that are lost before they reach the decisions of a VM. */
   BiPredicate<VmId, BatchEvent> dropped = NOTHING_DROPPED;
 
-  /** How far the VMs' clocks of the day have jumped, in milliseconds. */
+  /** How far the wall clocks of the VMs have jumped ahead, in milliseconds. */
   long wallAhead;
 
-  /** What an exchange with an executor costs a VM, in milliseconds of its only thread. */
+  /** How long an exchange with an executor occupies the only thread of a VM, in milliseconds. */
   long exchangeMillis;
 
-  /** How long the answer to a poll takes, whatever else is under way. */
+  /** How long the answer to a poll takes, in milliseconds, regardless of other traffic. */
   long pollMillis = 100;
 
+  /** Executors that neither receive nor answer orders. */
   final Set<ExecutorId> silent = new HashSet<>();
+
+  /** Probability that an order is delivered late and its sender sees a timeout. */
   double lateOrders;
 
-  /** Whether no order is carried out late, whatever else is set. */
+  /** Disables late orders, whatever {@link #lateOrders} is. */
   boolean ordersInTime;
 
-  /** How late orders are carried out that are late; by chance if absent. */
+  /** Delay of late orders, in milliseconds; random if empty. */
   OptionalLong lateMillis = OptionalLong.empty();
 
-  /** Executors that the list does not name to a VM that begins to follow it. */
+  /** Executors missing from the list that a VM gets when it begins to follow it. */
   final Set<ExecutorId> unlisted = new HashSet<>();
 
-  /** Whether stops neither arrive nor are answered. */
+  /** Whether stops are lost: they are neither delivered nor answered. */
   boolean lostStops;
 
+  /** Number of stops that were lost. */
   int stopsLost;
 
-  /** Whether no connection can be made for a start, though polls go over the one that is kept. */
+  /**
+   * Whether connections for starts are refused, while polls use the connection that is kept open.
+   */
   boolean startsRefused;
 
-  /** Returns how late an order is carried out. */
+  /** Returns the delay of a late order. */
   long lateMillis(Random random) {
     return lateMillis.orElseGet(() -> 2000 + random.nextInt(6000));
   }
 
-  /** Returns how long after its start a VM counts its first read as late, again and again. */
+  /** Returns when the first read of a VM counts as late, in milliseconds after its start. */
   LongStream firstReadLateAt() {
     return LongStream.iterate(
         NEVER_LATE_MILLIS, late -> late < storeDelay, late -> late + NEVER_LATE_MILLIS);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/ClusterOrders.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ClusterOrders.java
@@ -7,18 +7,18 @@
 import org.fescuehook.logic.batch.executor.OrderOutcome;
 import org.fescuehook.model.fleet.ExecutorId;
 
-/** The ways between the VMs of a {@link BatchCluster} and its executors. */
+/** Delivers orders from the VMs of a {@link BatchCluster} to its executors, and their answers. */
 final class ClusterOrders {
 
-  /** The adapter's time limit of a poll that does not wait. */
+  /** The executor adapter's time limit for a poll that does not wait for news. */
   private static final long EXCHANGE_TIMEOUT_MILLIS = 350;
 
   private static final long ADVICE_MILLIS = 60;
 
-  /** How many orders were sent to each executor. */
+  /** Number of orders sent to each executor. */
   final Map<ExecutorId, Integer> sent = new HashMap<>();
 
-  /** Executors whose answer to a poll an owner has read. */
+  /** Executors whose answer to a poll has reached an owner. */
   final Set<ExecutorId> reached = new HashSet<>();
 
   private final BatchCluster cluster;
@@ -28,7 +28,7 @@
     this.cluster = cluster;
   }
 
-  /** Returns how many starts were ordered, repeats included. */
+  /** Returns how many start orders were sent, including repeated ones. */
   int starts() {
     return starts;
   }
@@ -64,7 +64,7 @@
     }
     vm.workOnExchange();
     if (vm.backlogMillis() > EXCHANGE_TIMEOUT_MILLIS) {
-      // The time limit passes before the VM has read the answer; the work is spent all the same.
+      // The VM reads the answer only after the time limit; the exchange occupies its thread anyway.
       unanswered(vm, command, EXCHANGE_TIMEOUT_MILLIS, "read too late");
       return;
     }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/ConfirmedCancelTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ConfirmedCancelTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Pattern: a cancel is confirmed, and the VM that was to stop the runs is gone before its stops
- * have arrived. What is confirmed must not depend on one VM.
+ * Guards against a cancel that is acknowledged although only one VM knows of the stops: if that VM
+ * is lost before its stops have arrived, the runs go on.
  */
 class ConfirmedCancelTest {
 
@@ -64,7 +64,7 @@
     assertEquals(Optional.of(new CallAnswer.Cancelled()), answer(ticket));
   }
 
-  /** Its lease is not renewed, and ends the run in the time that callers expect. */
+  /** The lease is not renewed and ends the run within the time that callers expect. */
   @Test
   void anExecutorThatDoesNotAnswerHoldsTheConfirmationUpUntilItsLeaseIsNearlyOver() {
     String job = running();
@@ -79,7 +79,7 @@
     assertFalse(runs());
   }
 
-  /** Beside other work its lease is renewed, so that only the stop ends the run. */
+  /** The lease is renewed because of the other work, so only the stop ends the run. */
   @Test
   void aCancelBesideOtherWorkIsNotConfirmedWhileItsStopIsLost() {
     String job = running();
@@ -112,7 +112,10 @@
     assertFalse(runs());
   }
 
-  /** The next owner knows from the store what it has to stop, and whose cancel waits for it. */
+  /**
+   * The next owner learns from the store which runs it has to stop, and which cancel waits for
+   * them.
+   */
   @Test
   void aCancelAtTheNextOwnerIsConfirmedOnceItHasStoppedTheRun() {
     String job = running();
@@ -126,7 +129,8 @@
     assertEquals(Optional.empty(), answer(again));
     cluster.faults.lostStops = false;
     cluster.runUntil("the answer", 1000, () -> answer(again).isPresent());
-    assertTrue(cluster.notes(BatchLogEvent.RUN_UNKNOWN).isEmpty(), "the run was not known");
+    assertTrue(
+        cluster.notes(BatchLogEvent.RUN_UNKNOWN).isEmpty(), "the next owner did not know the run");
     cluster.run(200);
     assertFalse(runs());
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/CrashVictimsTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/CrashVictimsTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Executors that crash by themselves, are cut off, or leave: a task that can be done must not be
- * given up for what was not its doing.
+ * Guards against a task that is given up because its executors crashed by themselves, were cut off,
+ * or left.
  */
 class CrashVictimsTest {
 
@@ -36,7 +36,7 @@
         .toList();
   }
 
-  /** Lets the task run for a while on the next executor, and returns that. */
+  /** Lets the task run for a while after the given number of starts, and returns its executor. */
   private ExecutorId atWork(int starts, long millis) {
     cluster.runUntil("a start", 15_000, () -> cluster.work.starts().size() >= starts);
     cluster.run(millis);
@@ -52,7 +52,7 @@
     cluster.runUntil("the end", 15_000, () -> cluster.status(job).equals(COMPLETED));
   }
 
-  /** Pattern: one executor crashes again and again by itself; whatever it starts is lost early. */
+  /** One executor crashes repeatedly by itself, so that every run on it is lost early. */
   @Test
   void twoCrashesOfOneExecutorDoNotEndATask() {
     cluster.executors.keySet().stream()
@@ -66,8 +66,8 @@
   }
 
   /**
-   * Seen: a gang lost two of its executors at once, twice, and its job was given up. The one whose
-   * crash became known first was blamed, though each of the others may have ended the gang before.
+   * A gang loses two of its executors at once, twice. Guards against blaming the member whose
+   * executor's crash became known first, although each other member may have ended the gang before.
    */
   @Test
   void noMemberIsBlamedWhereSeveralExecutorsOfAGangAreLostTogether() {
@@ -83,8 +83,8 @@
   }
 
   /**
-   * Pattern: a rack loses power. The first crash ends the whole gang, so that the other members had
-   * ended when their executors crashed.
+   * A rack loses power. The first crash ends the whole gang, so the other members had already ended
+   * when their executors crashed.
    */
   @Test
   void aMemberIsNotBlamedForACrashAfterItsGangWasBroken() {
@@ -120,7 +120,7 @@
     cluster.runUntil("the end", 20_000, () -> cluster.status(job).equals(COMPLETED));
   }
 
-  /** The start is the first order that the next incarnation gets: nothing has run. */
+  /** The start is the first order that the new incarnation gets, so nothing has run. */
   @Test
   void aStartThatFindsItsExecutorRestartedDoesNotCountAgainstTheTask() {
     cluster.awaitOwner();
@@ -133,7 +133,7 @@
     assertEquals(1, cluster.work.starts().size());
   }
 
-  /** It runs for months, in which many executors are lost under it. */
+  /** A long-running task runs for months, during which many of its executors are lost. */
   @Test
   void aTaskThatLastsAndWasAtWorkSurvivesAnyNumberOfCrashes() {
     cluster.awaitOwner();
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/CrashingHistoriesTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/CrashingHistoriesTest.java
@@ -12,8 +12,8 @@
 
 /**
  * Random histories in which some tasks crash the executors that start them, at once or after a
- * while, beside executors that crash by themselves and the faults of {@link
- * RandomBatchHistoriesTest}. No such task may be started too often, and no job may be shown as
+ * while, together with executors that crash by themselves and the faults of {@link
+ * RandomBatchHistoriesTest}. Such a task must not be started too often, and no job may be shown as
  * failed unless two executors have crashed under one of its tasks.
  */
 class CrashingHistoriesTest {
@@ -22,7 +22,9 @@
   private static final long FIRST_SEED = Long.getLong("seed", 1);
   private static final long DAY_MILLIS = 30_000;
 
-  /** Times from a start to the crash, in milliseconds; 0 is before the start is answered. */
+  /**
+   * Times from a start to the crash, in milliseconds; 0 is a crash before the start is answered.
+   */
   private static final long[] CRASH_AFTER = {0, 20, 20, 700, 3000};
 
   private final Set<String> crashing = new HashSet<>();
@@ -35,7 +37,7 @@
     }
   }
 
-  /** The crash is known by the start that executors tell, and not by another id. */
+  /** A crash is recognised by the reported start time of the executor, as its id stays the same. */
   @Test
   void noHistoryOfCrashesBreaksAPromiseWhereExecutorsKeepTheirIds() {
     idsKept = true;
@@ -45,9 +47,10 @@
   }
 
   /**
-   * 242: starts of gang members that met nobody counted as losses. 31: a task was placed beside a
-   * crashing one five times in a row. 2026: a start that ended with its gang counted for nothing.
-   * 2678: members were blamed for crashes after their gang was broken.
+   * Seed 242: starts of gang members that reached no executor counted as losses. Seed 31: a task
+   * was placed beside a crashing one five times in a row. Seed 2026: a start that ended with its
+   * gang was not counted. Seed 2678: members were blamed for crashes that came after their gang was
+   * broken.
    */
   @ParameterizedTest
   @ValueSource(longs = {31, 242, 2026, 2678})
@@ -56,8 +59,8 @@
   }
 
   /**
-   * Executors crash in five waves. A task is placed on idle ones that have crashed and are still
-   * listed; four starts cannot be sent, as nothing listens there, and must not count.
+   * Executors crash in five waves. A task is placed on idle executors that have crashed but are
+   * still listed; four starts cannot be sent, as nothing listens there, and must not be counted.
    */
   @Test
   void startsThatMeetExecutorsThatAreDownDoNotEndATask() {
@@ -98,7 +101,7 @@
 
   private void submitCrashing(BatchCluster cluster) {
     if (cluster.owner().isEmpty()) {
-      // Nobody takes it, and the next job would have the same name.
+      // No VM accepts the job, and the next job would get the same id.
       return;
     }
     int tasks = 1 + cluster.random.nextInt(4);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/CrashingTaskTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/CrashingTaskTest.java
@@ -10,17 +10,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seen: one task after the other of a whole pool's executors went away for some seconds, each a few
- * milliseconds after a start of the same task, with all that ran there. The task was started 26
- * times, and other tasks were lost beside it several times in a row.
- *
- * <p>Cause: a run that is lost with its executor counted for nothing. Its task went back into the
- * queue as if it had never run, and the next place was chosen without a look at what had happened
- * at the last one; neither was stored, so that a new owner knew as little.
- *
- * <p>Shown by: each executor that went silent did so 3 to 11 ms after a start of this task,
- * whatever else ran there, and none went silent without it. {@link CrashingWork} fails a history in
- * which such a task is started a third time after three executors have crashed under it.
+ * Guards against a task that crashes one executor after the other, a few milliseconds after each of
+ * its starts, and with each of them all other runs there. One such task was started 26 times, since
+ * a run that was lost with its executor did not count against its task, neither for the next
+ * placement nor in the store, where the next owner would find it. {@link CrashingWork} fails a
+ * history that starts such a task a third time after three executors have crashed under it.
  */
 class CrashingTaskTest {
 
@@ -62,7 +56,7 @@
     assertEquals(FAILED, cluster.status(job));
   }
 
-  /** The executor is gone before it can say that it has started anything. */
+  /** The executor crashes before it can answer the start. */
   @Test
   void aTaskWhoseStartIsNeverAnsweredIsGivenUpToo() {
     BatchCluster cluster = new BatchCluster(2, 8, 1);
@@ -73,7 +67,7 @@
     cluster.runUntil("the end of the job", 60_000, () -> cluster.status(job).equals(FAILED));
   }
 
-  /** The crash comes late, so that each one may have another cause. */
+  /** Crashes so long after the start may each have another cause. */
   @Test
   void aTaskThatCrashesItsExecutorsAfterAWhileIsGivenUpToo() {
     BatchCluster cluster = new BatchCluster(2, 8, 1);
@@ -84,7 +78,7 @@
     cluster.runUntil("the end of the job", 60_000, () -> cluster.status(job).equals(FAILED));
   }
 
-  /** Nothing answers at the old address; the owner that takes over does not find it listed. */
+  /** Nothing answers at the old address, and the next owner does not find the executor listed. */
   @Test
   void aTaskWhoseExecutorsDoNotComeBackIsGivenUpByEachNextOwner() {
     BatchCluster cluster = new BatchCluster(3, 12, 1);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/CrashingWork.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/CrashingWork.java
@@ -7,13 +7,13 @@
 import org.fescuehook.model.batch.TaskName;
 import org.fescuehook.model.batch.TaskRun;
 
-/** Tasks that crash each executor that starts them, and an audit of how often they are started. */
+/** Tasks that crash each executor that starts them, and a check on how often they are started. */
 final class CrashingWork {
 
-  /** Executors that have crashed under a task from which on its starts are counted. */
+  /** Number of crashed executors from which on further starts of a task are counted. */
   private static final int COUNTED_FROM = 3;
 
-  /** Starts that are too many once that many executors have crashed. */
+  /** Number of further starts at which the check fails. */
   private static final int TOO_MANY_STARTS = 3;
 
   private final Map<TaskName, Long> ageAtCrash = new HashMap<>();
@@ -21,9 +21,9 @@
   private final Map<TaskName, Integer> lateStarts = new HashMap<>();
 
   /**
-   * Has a task crash its executors.
+   * Makes a task crash its executors.
    *
-   * @param millis time after the start; 0 for a crash before the start is answered
+   * @param millis time from the start to the crash; 0 for a crash before the start is answered
    */
   void crashes(TaskName task, long millis) {
     ageAtCrash.put(task, millis);
@@ -37,17 +37,17 @@
     return ageMillis >= ageAtCrash.getOrDefault(run.task(), Long.MAX_VALUE);
   }
 
-  /** A run was there when its executor crashed, whoever caused that. */
+  /** Records that a run was active when its executor crashed, whatever caused the crash. */
   void crashed(TaskRun run) {
     crashes.merge(run.task(), 1, Integer::sum);
   }
 
-  /** Returns how many executors have crashed under a task. */
+  /** Returns how many executors have crashed while they ran a task. */
   int crashesUnder(TaskName task) {
     return crashes.getOrDefault(task, 0);
   }
 
-  /** Returns the most executors that have crashed under one task of a job. */
+  /** Returns the highest number of executors that have crashed under one task of a job. */
   int crashesUnderJob(String job) {
     return crashes.entrySet().stream()
         .filter(entry -> entry.getKey().job().equals(job))
@@ -63,6 +63,10 @@
     int starts = lateStarts.merge(run.task(), 1, Integer::sum);
     assertTrue(
         starts < TOO_MANY_STARTS,
-        () -> run + " starts, the " + starts + "th time after three executors crashed under it");
+        () ->
+            run
+                + " starts; number of starts: "
+                + starts
+                + ", after three executors crashed under it");
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/DayShape.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/DayShape.java
@@ -6,15 +6,15 @@
 import org.fescuehook.model.batch.ResourceVector;
 
 /**
- * The proportions of a day: its kinds of jobs, its executors, and what goes wrong with them. The
- * figures are those of the users' site sheets.
+ * Describes a workload: classes of jobs, the fleet, and the faults of executors. The figures are
+ * those of the users' site sheets.
  *
  * @param executors number of executors
  * @param rackSize executors in a rack
  * @param stopMillis how long a stop takes
- * @param organisations number of organisations; 0 for one whose guarantee is small
- * @param guaranteedShare share of all accelerators that is guaranteed to them together
- * @param narrow whether gangs have at most as many members as a rack has executors
+ * @param organisations number of organisations; 0 for a single one with a small guarantee
+ * @param guaranteedShare share of all accelerators that is guaranteed to the organisations together
+ * @param narrow whether a gang has at most as many members as a rack has executors
  */
 record DayShape(
     int executors,
@@ -26,38 +26,39 @@
     List<Kind> kinds,
     List<Trouble> troubles) {
 
-  /** Speed of a slow executor, as a share of a sound one's. */
+  /** Speed of a slow executor relative to a healthy one. */
   static final double SLOW_SHARE = 0.16;
 
   private static final int[] GANG_ACCELERATORS = {1, 2, 4, 8, 8};
   private static final int PER_EXECUTOR = Declared.CAPACITY.accelerators();
 
-  /** The users' proportions together, with the longer stops and without troubles. */
+  /** The workloads of both users combined, with the longer stop time and without faults. */
   static final DayShape BOTH =
       new DayShape(33, 8, 900, 0, 0, true, kindsOfJobs(0.5, 0.5), List.of());
 
-  /** Humidade Viva on a day with slow, hanging and failing executors. */
+  /** Workload of Humidade Viva with slow, hanging and failing executors. */
   static final DayShape HUMIDADE_VIVA =
       new DayShape(33, 8, 200, 4, 0.62, false, kindsOfJobs(0.8, 0.6), sickExecutors());
 
-  /** Lakeshore Loop on such a day: smaller racks and slower stops. */
+  /** Workload of Lakeshore Loop with the same faults, smaller racks and slower stops. */
   static final DayShape LAKESHORE =
       new DayShape(32, 6, 900, 4, 0.62, false, kindsOfJobs(0.8, 0.6), sickExecutors());
 
   /**
-   * A kind of job.
+   * A class of jobs.
    *
-   * @param perSecond jobs a second at load 1
+   * @param perSecond jobs per second at load 1
    * @param width mean number of tasks
    * @param millis mean work of a task
-   * @param spread spread of the work; the standard deviation of its logarithm
-   * @param estimateOff spread of the estimate about the work
-   * @param unit demand of a task without its accelerators
-   * @param checkpointing share of the jobs that save their progress
-   * @param sameRack share of the gangs that have to share a rack
-   * @param lateShare share of the worth that a late job still has
-   * @param factor the objective is this many times the work
-   * @param backlog jobs that wait when the day begins
+   * @param spread standard deviation of the logarithm of the work
+   * @param estimateOff standard deviation of the logarithm of the estimate relative to the work
+   * @param unit resources of a task without its accelerators
+   * @param checkpointing share of jobs that save checkpoints
+   * @param sameRack share of gangs that run slowly unless they share a rack
+   * @param worth value of a mean job completed in time, relative to the other classes
+   * @param lateShare share of its value that a late job still earns
+   * @param factor a job is in time within this many times its work, plus {@code targetMillis}
+   * @param backlog number of jobs that are waiting at the start
    */
   record Kind(
       String queue,
@@ -75,16 +76,16 @@
       long targetMillis,
       int backlog) {}
 
-  /** What goes wrong with a share of the executors for a while. */
+  /** A fault of a share of the executors for a limited time. */
   record Trouble(What kind, double share, long atMillis, long forMillis) {}
 
-  /** What can go wrong with executors. */
+  /** Kinds of faults of executors. */
   enum What {
     /** Work takes several times as long. */
     SLOW,
-    /** Work stands still. */
+    /** Work makes no progress. */
     HANGING,
-    /** All runs fail soon after their start. */
+    /** Every run fails soon after its start. */
     FAILING
   }
 
@@ -141,7 +142,7 @@
     return Declared.configuration(organisations, each);
   }
 
-  /** Draws the key of the organisation that submits a job. */
+  /** Draws the API key of the organisation that submits a job. */
   String drawKey(Random random) {
     return organisations == 0 ? Declared.KEY : Declared.keyOf(random.nextInt(organisations));
   }
@@ -150,7 +151,7 @@
     return GANG_ACCELERATORS[random.nextInt(GANG_ACCELERATORS.length)];
   }
 
-  /** Returns the most members of a gang that fit into a rack. */
+  /** Returns the largest number of gang members that fit into a rack. */
   int widestGang(ResourceVector member) {
     return narrow ? rackSize : rackSize * Declared.CAPACITY.fits(member);
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/DeadOwnerAfterSlownessTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/DeadOwnerAfterSlownessTest.java
@@ -9,20 +9,20 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Pattern: the store was slow or silent, or VMs were frozen, and it is quick again when the owner
- * dies. Leases of 6 s run on while nobody decides, so the next owner has to decide as soon as in a
- * store that was quick all the while.
+ * Guards against a late takeover when the owner dies after the store was slow or unavailable, or
+ * VMs were frozen, and the store is fast again. Leases of 6 s keep running while no VM decides, so
+ * the next owner has to decide as soon as in a store that was fast all the time.
  */
 class DeadOwnerAfterSlownessTest {
 
   private static final long SLOW_MILLIS = 20_000;
 
-  /** As long as four heartbeats, each of which shows that the store is quick again. */
+  /** Duration of four heartbeats, each of which shows that the store is fast again. */
   private static final long QUICK_MILLIS = 2000;
 
   /**
-   * A silence of 2 s, a read with its pause and its wait, and 0.6 s for claim, epoch and pages; the
-   * first renewals still fit into a lease of 6 s.
+   * A silence of 2 s, a read of ownership with its pause and its wait, and 0.6 s for the claim, the
+   * epoch and the pages of jobs. The first lease renewals then still fit into a lease of 6 s.
    */
   private static final long DECIDES_AGAIN_MILLIS = 4000;
 
@@ -56,7 +56,7 @@
     cluster.run(SLOW_MILLIS);
     storeTakes(4);
     cluster.runUntil("an owner", 20_000, () -> cluster.owner().isPresent());
-    // What is under way when the store turns quick still takes its time.
+    // Requests that are pending when the store becomes fast still take as long as before.
     cluster.run(2 * answerMillis + QUICK_MILLIS);
     killOwner();
   }
@@ -72,7 +72,7 @@
     killOwner();
   }
 
-  /** The others were frozen, and the store was quick all the while. */
+  /** The other VMs were frozen, while the store was fast all the time. */
   @Test
   void aDeadOwnerIsReplacedByVmsThatWereFrozen() {
     cluster.awaitOwner();
@@ -87,7 +87,7 @@
     killOwner();
   }
 
-  /** The owner was frozen for less than the silence that others bear. */
+  /** The owner was frozen for less than the silence after which the others claim. */
   @Test
   void aDeadOwnerIsReplacedThatWasFrozenBefore() {
     cluster.awaitOwner();
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/Declared.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/Declared.java
@@ -22,7 +22,7 @@
 import org.fescuehook.model.preferences.BatchPreferences;
 import org.fescuehook.model.preferences.WorkPreferences;
 
-/** What operators and executors have declared in tests. */
+/** Configurations, preferences and executor profiles for tests. */
 final class Declared {
 
   static final String KEY = "key-of-north";
@@ -30,17 +30,17 @@
   static final String NORMAL = "normal";
   static final String BULK = "bulk";
 
-  /** A queue whose steps run only where the advice service allows it. */
+  /** A queue whose steps run only where the advice service allows them to. */
   static final String ADVISED = "advised";
 
   static final String POOL = "pool";
 
-  /** An executor as the users have them. */
+  /** Capacity of an executor as the users run them. */
   static final ResourceVector CAPACITY = new ResourceVector(64_000, 262_144, 8);
 
   private Declared() {}
 
-  /** Bounds as {@link FakeExecutor} keeps them. */
+  /** Returns preferences with the time limits that {@link FakeExecutor} keeps. */
   static BatchPreferences preferences() {
     WorkPreferences work =
         new WorkPreferences(
@@ -51,7 +51,10 @@
     return new BatchPreferences(Duration.ofSeconds(6), Duration.ofSeconds(120), work, true);
   }
 
-  /** VMs whose names begin with "weak" have a quarter of the power of the others. */
+  /**
+   * Returns the CPU capacity of a VM: VMs whose names begin with "weak" have a quarter of that of
+   * the others.
+   */
   static int milliCores(VmId id) {
     return id.value().startsWith("weak") ? 250 : 1000;
   }
@@ -66,7 +69,10 @@
         1, queues, List.of(new BatchOrganisation("north", Set.of(KEY), 24)));
   }
 
-  /** The same queues, and several organisations with as many guaranteed accelerators each. */
+  /**
+   * Returns the same queues with several organisations, each with the same number of guaranteed
+   * accelerators.
+   */
   static BatchConfiguration configuration(int organisations, int guaranteedEach) {
     List<BatchOrganisation> holders = new ArrayList<>();
     for (int i = 0; i < organisations; i++) {
@@ -75,12 +81,12 @@
     return new BatchConfiguration(1, configuration().queues(), holders);
   }
 
-  /** Returns the key of one of several organisations. */
+  /** Returns the API key of one of several organisations. */
   static String keyOf(int organisation) {
     return "key-of-org-" + organisation;
   }
 
-  /** The same queues after all keys were taken away. */
+  /** Returns the same queues without organisations, as after all API keys were removed. */
   static BatchConfiguration withoutKeys(long version) {
     return new BatchConfiguration(version, configuration().queues(), List.of());
   }
@@ -106,12 +112,12 @@
     return 1 + Math.floorMod(name.hashCode(), 60_000);
   }
 
-  /** The same executor, which tells when it started. */
+  /** Returns the same executor, reporting when it started. */
   static ExecutorProfile born(ExecutorProfile profile, long bornMillis) {
     return inLife(profile, new Incarnation(profile.id(), OptionalLong.of(bornMillis)));
   }
 
-  /** The same executor in another life. */
+  /** Returns the same executor as another incarnation, under another id. */
   static ExecutorProfile renamed(ExecutorProfile profile, String name) {
     return inLife(profile, Incarnation.undated(new ExecutorId(name)));
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/Due.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/Due.java
@@ -1,6 +1,10 @@
 package org.fescuehook.logic.batch;
 
-/** Something that happens at a time. */
+/**
+ * An action that is scheduled for a time.
+ *
+ * @param order order among actions of the same time
+ */
 record Due(long at, long order, Runnable action) implements Comparable<Due> {
   @Override
   public int compareTo(Due other) {
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/EndlessTakeoverTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/EndlessTakeoverTest.java
@@ -6,11 +6,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seen: every VM refuses every call for as long as one looks, although the store is well and most
- * VMs could decide. A VM has claimed and cannot load the jobs: a page comes more slowly to it than
- * the page's time limit allows. It asks for the page again for ever, and its heartbeats keep all
- * others from claiming. Cause: a take-over has no end but success, and heartbeats do not depend on
- * it.
+ * Guards against a takeover that never ends, during which every VM refuses every call although the
+ * store works and other VMs could decide. A VM has claimed ownership but cannot load the jobs,
+ * since a page takes longer to reach it than the page's time limit. If it requested the page
+ * forever and kept sending heartbeats, no other VM would claim.
  */
 class EndlessTakeoverTest {
 
@@ -19,7 +18,7 @@
 
   private final BatchCluster cluster = new BatchCluster(0, 4, 1);
 
-  /** Runs for a while and returns how long no VM decided. */
+  /** Lets time pass and returns how long of it no VM decided. */
   private long undecidedMillis(long millis) {
     long step = 20;
     long undecided = 0;
@@ -39,7 +38,10 @@
     cluster.runUntil("an owner", LIMIT_MILLIS, () -> cluster.owner().isPresent());
   }
 
-  /** Much more power lets it claim from an owner that lives, and again after it has given up. */
+  /**
+   * A VM with much more CPU claims from an owner that is alive, and must not do so again after it
+   * has given up.
+   */
   @Test
   void aStrongVmThatCannotLoadTheJobsDoesNotTakeThemFromAWeakOneAgainAndAgain() {
     cluster.start(new VmId("weak-1"));
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/FakeAdvice.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/FakeAdvice.java
@@ -10,7 +10,7 @@
 import org.fescuehook.model.batch.TaskName;
 import org.fescuehook.model.fleet.ExecutorId;
 
-/** The advice service, and what executors know of its tickets. */
+/** A fake advice service, which also tells executors whether a ticket is valid. */
 final class FakeAdvice {
 
   static final long VALID_MILLIS = 2000;
@@ -20,7 +20,7 @@
   private Optional<Set<ExecutorId>> allowed = Optional.empty();
   private boolean away;
 
-  /** From now on only these executors may run steps of queues that need advice. */
+  /** Restricts steps of queues that need advice to these executors from now on. */
   void allowOnly(Set<ExecutorId> executors) {
     allowed = Optional.of(executors);
   }
@@ -53,7 +53,10 @@
     return new AdviceOutcome.Given(given, VALID_MILLIS);
   }
 
-  /** Tells whether an executor takes a start; where nothing needs advice it always does. */
+  /**
+   * Returns whether an executor accepts a start with this ticket; it accepts any start while no
+   * restriction was set.
+   */
   boolean valid(TaskName task, ExecutorId executor, Optional<String> ticket, long nowMillis) {
     if (allowed.isEmpty()) {
       return true;
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/FakeExecutor.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/FakeExecutor.java
@@ -17,14 +17,17 @@
 import org.fescuehook.model.batch.TaskName;
 import org.fescuehook.model.batch.TaskRun;
 
-/** An executor by its published rules: epochs, leases, ends until acknowledged. */
+/**
+ * An executor that follows the published protocol: epochs, leases, and ends that it reports until
+ * they are acknowledged.
+ */
 final class FakeExecutor {
 
   private static final long LONGEST_LEASE_MILLIS = 6000;
   private static final long CHECKPOINT_MILLIS = 500;
   private static final long RESTORE_MILLIS = 250;
 
-  /** How long a capacity that has shrunk may still be used; the list tells it late. */
+  /** How long a reduced capacity may still be exceeded, since the list reports it late. */
   private static final long SHRINK_MILLIS = 4500;
 
   private final VirtualWork work;
@@ -41,7 +44,7 @@
   private boolean up = true;
   private int ignoredStops;
 
-  /** A run that holds room. */
+  /** State of a run that occupies capacity. */
   private static final class Active {
     private final String from;
     private final long startedAt;
@@ -74,12 +77,15 @@
     profile = newer;
   }
 
-  /** Has it start whatever it is told to, also what does not fit. */
+  /**
+   * Makes the executor accept starts that it would reject for lack of capacity; such a start fails
+   * the test.
+   */
   void startAnything() {
     guards = false;
   }
 
-  /** Describes its capacity anew. */
+  /** Changes the executor's capacity and reports that through the list. */
   void resize(ResourceVector capacity, BatchCluster cluster) {
     profile = Declared.withCapacity(profile, capacity);
     if (capacity.contains(usable)) {
@@ -90,7 +96,7 @@
     cluster.list(profile.id());
   }
 
-  /** Has it confirm its next stops and let their runs go on. */
+  /** Makes the executor acknowledge its next stops without ending the runs. */
   void ignoreStops(int count) {
     ignoredStops = count;
   }
@@ -99,7 +105,7 @@
     return up;
   }
 
-  /** Returns how many ends it still lists. */
+  /** Returns how many ends the executor still reports, since they are not acknowledged. */
   int unacknowledged() {
     return ended.size();
   }
@@ -108,7 +114,7 @@
     return List.copyOf(active.keySet());
   }
 
-  /** Loses all runs at once, without a word. */
+  /** Loses all runs at once without reporting their ends. */
   void crash(long nowMillis) {
     up = false;
     for (TaskRun run : running()) {
@@ -154,7 +160,9 @@
     return new OrderOutcome.Done(nowMillis + clockAhead);
   }
 
-  /** Returns how much the tasks that serve nobody work here, in whole tasks. */
+  /**
+   * Returns how much work the tasks that serve no users do here at present, in full-speed tasks.
+   */
   private double pacedWork() {
     double whole = 0;
     for (Map.Entry<TaskRun, Active> entry : active.entrySet()) {
@@ -216,7 +224,7 @@
     return new OrderOutcome.Done(nowMillis + clockAhead);
   }
 
-  /** Ends a run; nothing happens if it is not here. */
+  /** Ends a run; does nothing if the run is not active here. */
   void end(TaskRun run, RunEnd how, long nowMillis) {
     Active state = active.remove(run);
     if (state == null) {
@@ -244,10 +252,11 @@
     return checkpoint.isEmpty() ? 0 : Long.parseLong(checkpoint);
   }
 
-  /** Lets runs work for a while. */
+  /** Advances the runs by some time. */
   void pass(long nowMillis, long millis) {
     if (nowMillis > leaseUntil) {
-      // By the published rules such an end does not count any more, also if it is listed later.
+      // By the published protocol an end no longer counts after the lease has expired, even if the
+      // executor still reports it.
       work.forget(profile.id());
     }
     for (TaskRun run : running()) {
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/FakeStore.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/FakeStore.java
@@ -15,10 +15,13 @@
 import org.fescuehook.logic.batch.store.UnreadableRecordException;
 import org.fescuehook.logic.batch.store.WriterPosition;
 
-/** The shared store by its published rules: epochs, sequences, repeats and conditional appends. */
+/**
+ * An in-memory store that follows the published protocol: epochs, sequence numbers, repeated
+ * appends and conditional appends.
+ */
 final class FakeStore {
 
-  /** Appends whose repeats get their first answer again. */
+  /** Number of latest appends whose repeats get the same answer again. */
   private static final int REMEMBERED = 5;
 
   private final Map<StreamName, Stream> streams = new EnumMap<>(StreamName.class);
@@ -106,7 +109,7 @@
     return streams.get(name).newest.values().stream().map(Stored::record).toList();
   }
 
-  /** Returns what a VM that reads the stream of ownership to its end is told. */
+  /** Returns the event that a VM gets when it reads the ownership stream to its end. */
   BatchEvent ownership() {
     Optional<OwnerRecord> newest =
         newest(StreamName.OWNERSHIP, OwnerCodec.KEY).map(FakeStore::decode);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/HeavyDay.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/HeavyDay.java
@@ -15,9 +15,9 @@
 import org.fescuehook.model.fleet.ExecutorId;
 
 /**
- * A day under heavy load, played on a virtual clock: short urgent gangs, long gangs and wide bulk
- * jobs in the proportions of the two users, a backlog at the start and a burst of urgent jobs. Its
- * figures are those of their site sheets.
+ * Simulates heavy load on a virtual clock: short urgent gangs, long gangs and wide bulk jobs in the
+ * proportions of the two users, with a backlog at the start and a burst of urgent jobs. The figures
+ * are those of the users' site sheets.
  */
 final class HeavyDay {
 
@@ -25,23 +25,25 @@
   private static final long AFTER_MILLIS = 20_000;
   private static final long BACKLOG_AT = 1_500;
 
-  /** Late answers count up to this many times the objective. */
+  /** A late job still earns part of its value up to this many times its objective. */
   private static final double LATEST = 3;
 
-  /** Worth of a job is partly fixed and partly by its work against the mean of its kind. */
+  /**
+   * Fixed part of a job's value; the rest grows with its work relative to the mean of its class.
+   */
   private static final double FIXED_WORTH = 0.3;
 
-  /** What a core-second of thrown-away work costs; the users' price. */
+  /** The users' price of a core-second of discarded work. */
   private static final double WASTE_PRICE = 0.002;
 
-  /** A job that was asked for. */
+  /** A job that was submitted. */
   private record Asked(DayShape.Kind kind, long at, double objective, double share) {}
 
   /**
-   * What a day was worth.
+   * The outcome of a simulation.
    *
-   * @param credit share of the worth that was earned
-   * @param wasted price of the work thrown away, as a share of the worth
+   * @param credit share of the possible value that was earned
+   * @param wasted price of the discarded work, as a share of the possible value
    * @param byKind share earned by each queue
    */
   record Result(double credit, double wasted, Map<String, Double> byKind) {}
@@ -87,7 +89,7 @@
     return result();
   }
 
-  /** Brings a trouble about on some executors and mends it after a while. */
+  /** Schedules a fault on random executors, and their recovery. */
   private void plan(DayShape.Trouble trouble) {
     List<ExecutorId> ids = new ArrayList<>(cluster.executors.keySet());
     Collections.shuffle(ids, random);
@@ -189,7 +191,7 @@
     return ratio <= LATEST ? job.kind().lateShare() : 0;
   }
 
-  /** Plays several days and returns their means. */
+  /** Runs several simulations with different seeds and returns the mean of their results. */
   static Result mean(DayShape shape, int days, double load) {
     double credit = 0;
     double wasted = 0;
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/HeavyDayTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/HeavyDayTest.java
@@ -5,10 +5,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Heavy days in the users' proportions: a backlog of long gangs and bulk jobs, and a burst of
- * urgent gangs that arrive while all is full. The bounds stand a few hundredths below what
- * docs/MEASUREMENTS.md gives, so that a policy that loses the headroom or displaces without limit
- * fails them.
+ * Heavy load in the users' proportions: a backlog of long gangs and bulk jobs, and a burst of
+ * urgent gangs that arrive while the fleet is full. The bounds are a few hundredths below the
+ * values in docs/MEASUREMENTS.md, so that a policy without headroom, or one that preempts without
+ * limit, fails them.
  */
 class HeavyDayTest {
 
@@ -42,8 +42,9 @@
   }
 
   /**
-   * Bulk work that filled the room of urgent work was thrown out up to three times a task: 0.03 to
-   * 0.05 of a day's worth. Now it leaves that room alone also when it is pressed.
+   * Guards against bulk work that is started in capacity kept for urgent work and preempted up to
+   * three times per task, which wasted 0.03 to 0.05 of the possible value. Bulk work leaves that
+   * capacity free even when it is late itself.
    */
   @Test
   void anOverfullDayWithSickExecutorsThrowsLittleAway() {
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/Jobs.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/Jobs.java
@@ -6,7 +6,7 @@
 import org.fescuehook.model.batch.ResourceVector;
 import org.fescuehook.model.batch.Submission;
 
-/** Submissions for tests. */
+/** Steps and submissions for tests. */
 final class Jobs {
 
   private Jobs() {}
@@ -24,9 +24,10 @@
   }
 
   /**
-   * Tasks that run until their job is cancelled.
+   * Returns tasks that run until their job is cancelled.
    *
-   * @param targetMillis bound on the response times of each; 0 if they serve nobody
+   * @param mostAway number of tasks that the scheduler may stop or move at the same time
+   * @param targetMillis response time target of each task; 0 if the tasks serve no users
    */
   static BatchStep lasting(int count, int accelerators, int mostAway, long targetMillis) {
     return new BatchStep(
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/LastingWorkTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/LastingWorkTest.java
@@ -69,7 +69,7 @@
     assertEquals(starts, cluster.work.starts().size());
   }
 
-  /** Pattern: urgent work needs the whole fleet, most of which lasting tasks hold. */
+  /** Urgent work needs the whole fleet, most of which long-running tasks occupy. */
   @Test
   void displacingLeavesAllButTheAllowedTasksAtWork() {
     String job = submitted(BatchCluster.BULK, Jobs.lasting(5, 8, 1, 0));
@@ -102,7 +102,7 @@
             });
   }
 
-  /** Pattern: the fleet is full, so other work has to run beside tasks that serve users. */
+  /** The fleet is full, so other work has to run beside tasks that serve users. */
   @Test
   void workBesideATaskThatServesUsersIsPacedWhenItsResponsesSlowDown() {
     cluster.awaitOwner();
@@ -112,10 +112,10 @@
     submitted(BatchCluster.NORMAL, Jobs.lasting(1, 1, 1, 90));
     String bulk = cluster.submit(BatchCluster.BULK, Jobs.of(Jobs.tasks(7, 1, 4000)));
     cluster.run(3000);
-    assertEquals(0, running(bulk), "it waits for an executor without such work at first");
+    assertEquals(0, running(bulk), "it first waits for an executor without tasks that serve users");
     cluster.run(3000);
     assertEquals(7, running(bulk));
     cluster.run(4000);
-    assertEquals(7, running(bulk), "unpaced it would be done by now");
+    assertEquals(7, running(bulk), "it would be done by now if it were not throttled");
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/LateAcceptanceTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/LateAcceptanceTest.java
@@ -8,8 +8,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Pattern: a job is asked for while it is on its way to the store. "No such job" is said after the
- * job was accepted. Cause: the desk answers without looking for the job again.
+ * Guards against an owner that answers "no such job" to a status call after the job was accepted,
+ * because the submission was on its way to the store when the call arrived and the job is not
+ * looked up again before the answer.
  */
 class LateAcceptanceTest {
 
@@ -34,6 +35,6 @@
     boolean answeredBefore = cluster.answers.containsKey(asked);
     cluster.run(1500);
     boolean denied = new CallAnswer.NoSuchJob().equals(cluster.answers.get(asked));
-    assertTrue(answeredBefore || !denied, "denied after it was accepted");
+    assertTrue(answeredBefore || !denied, "answered as unknown after the job was accepted");
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/LateAnswersTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/LateAnswersTest.java
@@ -4,12 +4,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Pattern: answers are read 0.25 s after the question, however few are under way: the VM has cold
- * code or other work, or the links are slow. All of them are within the time limit of 0.35 s.
+ * Guards against a new owner that takes too long to reach its executors when every answer takes
+ * 0.25 s, however few polls are open, for example on a VM that is busy or over slow links. All
+ * answers are within the time limit of 0.35 s.
  *
- * <p>Cause: each answer after 0.2 s makes the contact window smaller, also if fewer contacts make
- * answers no faster. Its floor of four lets 16 executors a second be asked, so that a fleet of 350
- * is not in use for twenty seconds.
+ * <p>If each answer after 0.2 s reduced the contact window, even where fewer contacts do not make
+ * answers faster, the window would stay at its minimum of four: 16 executors a second, so a fleet
+ * of 350 would not be in use for twenty seconds.
  */
 class LateAnswersTest {
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/LeavingExecutorTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/LeavingExecutorTest.java
@@ -6,8 +6,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * An executor tells that it leaves while the placement of a task there is on its way to a slow
- * store. The start was sent all the same, seconds after the executor was to get nothing new.
+ * Guards against a start that is sent to an executor seconds after it announced that it leaves,
+ * since the announcement came while the placement was on its way to a slow store.
  */
 class LeavingExecutorTest {
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/LossyStoreTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/LossyStoreTest.java
@@ -11,22 +11,26 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Pattern: the store takes everything within 4 ms and loses 4 of 10 answers for a while; some of
- * what it did not answer it does seconds later. Seen with many VMs: eight owners within nine
- * seconds, all of them alive. An answer was waited for for a second; meanwhile the owner refused
- * calls, which made the others doubt it, and the first of them claimed and met the same store.
+ * Guards against live owners that replace each other while the store loses answers: it processes
+ * every append within 4 ms, but loses 4 of 10 answers for a while and applies some unanswered
+ * appends seconds later. If an owner waited a second for an answer and refused calls meanwhile, the
+ * other VMs would suspect it, and the first to claim would meet the same store; there were eight
+ * owners within nine seconds.
  */
 class LossyStoreTest {
 
   private static final long TROUBLE_MILLIS = 15_000;
   private static final long BETWEEN_JOBS_MILLIS = 50;
 
-  /** What callers hear in the trouble as a share; the aim is what they hear with no trouble. */
+  /**
+   * Least share of submissions that are accepted during the trouble; without trouble all of them
+   * are.
+   */
   private static final double SERVED = 0.98;
 
   private final BatchCluster cluster = new BatchCluster(8, 20, 4);
 
-  /** Tells all VMs, as their callers are, that the owner cannot reach the store. */
+  /** Tells all VMs, as callers do, that the owner cannot reach the store. */
   private void passRefusalsOn(Set<String> told) {
     for (Map.Entry<String, CallAnswer> answer : cluster.submissions.entrySet()) {
       boolean away =
@@ -57,7 +61,7 @@
     cluster.faults.lostAnswers = 0;
     cluster.run(2000);
 
-    assertEquals(before, cluster.ownershipsWon(), "no owner was lost, so none is replaced");
+    assertEquals(before, cluster.ownershipsWon(), "a live owner was replaced");
     long asked = TROUBLE_MILLIS / BETWEEN_JOBS_MILLIS;
     long accepted =
         cluster.submissions.values().stream().filter(CallAnswer.Accepted.class::isInstance).count();
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/LostExecutorTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/LostExecutorTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Pattern: executors are taken away at short notice soon after a take-over. A former owner may have
- * extended leases while it was cut off, but not on executors that have seen the next owner's epoch;
- * gangs waited for such leases for 16 s, and for as long again after each further take-over.
+ * Executors are lost soon after a takeover. A previous owner may have extended leases while it was
+ * cut off, but not on executors that have seen the next owner's epoch. Guards against gangs that
+ * wait 16 s for such leases, and as long again after each further takeover.
  */
 class LostExecutorTest {
 
@@ -42,7 +42,7 @@
     assertTrue(waited < LEASE_MILLIS + 1500, () -> "waited " + waited + " ms");
   }
 
-  /** Pattern: two seconds of notice, and a gang whose estimate is an eighth of its work. */
+  /** The executor leaves in two seconds, and the gang's estimate is an eighth of its work. */
   @Test
   void workThatItsOwnProgressShowsToEndTooLateMovesAwayFromALeavingExecutor() {
     BatchCluster cluster = new BatchCluster(1, 4, 1);
@@ -66,8 +66,8 @@
   }
 
   /**
-   * Pattern: orders get no answer while an executor has nothing else to do. It was never asked
-   * again, and so never used again; its last ends were not acknowledged either.
+   * Guards against an idle executor that is never polled or used again after orders to it went
+   * unanswered, and whose last ends are never acknowledged.
    */
   @Test
   void anExecutorThatOnceDidNotAnswerIsUsedAgainAndItsEndsAreAcknowledged() {
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/LostRunLogTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/LostRunLogTest.java
@@ -8,8 +8,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * When an executor is lost, one reason was logged for all of its runs: the one that caused the loss
- * could not be told from those beside it, nor from the victims of a power loss.
+ * The log of a lost executor gives the age of each run and the number of runs beside it, so that a
+ * run that crashed its executor can be told from the runs beside it and from those lost in a power
+ * failure.
  */
 class LostRunLogTest {
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/OrphanedRun.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/OrphanedRun.java
@@ -12,11 +12,12 @@
 import org.fescuehook.model.fleet.VmId;
 
 /**
- * A cluster with runs whose job ends while owners come and go, and the time until they are gone.
+ * A cluster in which jobs end while owners are replaced, and a measure of how long their runs
+ * survive.
  */
 final class OrphanedRun {
 
-  /** A task that does not end by itself while a test looks at it. */
+  /** Work of a task that does not end by itself during a test. */
   static final long LONG_MILLIS = 60_000;
 
   private static final long REPEAT_MILLIS = 400;
@@ -39,7 +40,7 @@
     cluster.run(200);
   }
 
-  /** Submits a job and waits for its first start. */
+  /** Submits a job and waits until one of its tasks runs. */
   String submit(String queue, BatchStep... steps) {
     String job = cluster.submit(queue, Jobs.of(steps));
     cluster.runUntil("the start", 10_000, () -> runs(job));
@@ -52,7 +53,7 @@
         .anyMatch(run -> run.task().job().equals(job));
   }
 
-  /** Returns where a job runs. */
+  /** Returns an executor that runs a task of a job. */
   ExecutorId executorOf(String job) {
     return cluster.executors.values().stream()
         .filter(
@@ -63,14 +64,17 @@
         .id();
   }
 
-  /** Kills the owner and returns it. */
+  /** Kills the owner and returns its id. */
   VmId killOwner() {
     VmId former = cluster.owner().orElseThrow().id;
     cluster.vms.get(former).running = false;
     return former;
   }
 
-  /** Cancels at whichever VM owns, as callers do, until that is acknowledged. */
+  /**
+   * Cancels a job at the current owner, and repeats that until the cancel is acknowledged, as
+   * callers do.
+   */
   void cancel(String job) {
     List<Long> tickets = new ArrayList<>();
     long until = cluster.nowMillis() + LIMIT_MILLIS;
@@ -104,7 +108,10 @@
     cluster.faults.lostStops = false;
   }
 
-  /** Kills owners one after the other, each as its first stop is lost, or soon if it sends none. */
+  /**
+   * Kills several owners in succession, each when its first stop is lost, or after {@link
+   * #OWNER_MILLIS} if it sends none.
+   */
   void killNextOwners(int count) {
     for (int i = 0; i < count; i++) {
       cluster.faults.lostStops = true;
@@ -119,7 +126,7 @@
     }
   }
 
-  /** Returns how long from now on runs of a job are alive; the limit if that is longer. */
+  /** Returns how long runs of a job stay alive from now on; the limit if they outlive it. */
   long millisUntilGone(String job) {
     long from = cluster.nowMillis();
     while (runs(job) && cluster.nowMillis() < from + LIMIT_MILLIS) {
@@ -128,14 +135,14 @@
     return cluster.nowMillis() - from;
   }
 
-  /** Returns the answer to a call. */
+  /** Sends a call and returns its answer. */
   CallAnswer answer(BatchCall call) {
     long ticket = cluster.call(call).orElseThrow();
     cluster.runUntil("an answer", LIMIT_MILLIS, () -> cluster.answers.containsKey(ticket));
     return cluster.answers.get(ticket);
   }
 
-  /** Waits until the end of a job is stored. */
+  /** Waits until a job's end is stored. */
   void awaitEnd(String job) {
     cluster.runUntil(
         "the end of " + job,
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/RandomCancels.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/RandomCancels.java
@@ -4,7 +4,7 @@
 import org.fescuehook.logic.batch.call.CallAnswer;
 import org.fescuehook.model.batch.Submission;
 
-/** Long jobs whose cancels come before, beside and after their submissions. */
+/** Schedules long jobs and cancels that arrive before, during and after their submissions. */
 final class RandomCancels {
 
   private static final long FIRST_ID = 0xc000;
@@ -14,9 +14,9 @@
   private RandomCancels() {}
 
   /**
-   * Has the jobs and their cancels come in the first seconds of a history.
+   * Schedules the jobs and their cancels in the first seconds of a history.
    *
-   * @param overtaking whether some cancels come up to a second before their submissions, and
+   * @param overtaking whether some cancels arrive up to a second before their submissions, and
    *     submissions are repeated after their cancel was acknowledged
    */
   static void schedule(BatchCluster cluster, boolean overtaking) {
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/RandomJobs.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/RandomJobs.java
@@ -10,21 +10,26 @@
 import org.fescuehook.model.batch.JobPhase;
 import org.fescuehook.model.batch.Submission;
 
-/** Random jobs for random histories, and what must be true of each of them in the end. */
+/** Schedules random jobs for random histories, and checks the final status of each of them. */
 final class RandomJobs {
 
+  /**
+   * Number of executors that must have crashed under a task before its job may be shown as failed.
+   */
   private static final int ENOUGH_CRASHES = 2;
 
   private RandomJobs() {}
 
-  /** Has jobs of all kinds come in the first seconds of a history; some are cancelled. */
+  /** Schedules jobs of all kinds in the first seconds of a history; some of them are cancelled. */
   static void schedule(BatchCluster cluster) {
     for (int i = 0; i < 25; i++) {
       cluster.in(1500 + cluster.random.nextInt(20_000), () -> submit(cluster));
     }
   }
 
-  /** Has short jobs come all the while, so that each executor has ends of its own soon. */
+  /**
+   * Schedules short jobs throughout a history, so that each executor soon reports ends of its own.
+   */
   static void scheduleShort(BatchCluster cluster) {
     for (int i = 0; i < 40; i++) {
       cluster.in(1500 + cluster.random.nextInt(24_000), () -> submitShort(cluster));
@@ -60,7 +65,7 @@
     }
   }
 
-  /** Asks for each submission at the end of a history, and compares with what has run. */
+  /** Checks the status of each submission at the end of a history against what has run. */
   static void check(BatchCluster cluster) {
     for (Map.Entry<String, CallAnswer> submission : cluster.submissions.entrySet()) {
       check(cluster, submission.getKey(), submission.getValue());
@@ -68,8 +73,9 @@
   }
 
   /**
-   * The same where executors crash: a job whose tasks crash them must not be shown as completed,
-   * and one may be shown as failed once two executors have crashed under one of its tasks.
+   * Checks the status of each accepted job in a history in which executors crash: a job whose tasks
+   * crash executors must not be shown as completed, and a job may be shown as failed only if two
+   * executors have crashed under one of its tasks.
    */
   static void checkBesideCrashes(BatchCluster cluster, Set<String> crashing) {
     for (Map.Entry<String, CallAnswer> submission : cluster.submissions.entrySet()) {
@@ -89,9 +95,10 @@
     assertTrue(phase.ended(), () -> job + " is " + phase);
     assertTrue(
         phase != JobPhase.FAILED || cluster.work.crashes.crashesUnderJob(job) >= ENOUGH_CRASHES,
-        () -> job + " has failed without cause");
+        () -> job + " is shown as failed without enough crashes");
     assertTrue(
-        phase != JobPhase.COMPLETED || !crashing.contains(job), () -> job + " cannot be done");
+        phase != JobPhase.COMPLETED || !crashing.contains(job),
+        () -> job + " is shown as completed although its tasks crash executors");
     assertTrue(
         phase != JobPhase.CANCELLED || cluster.cancelAsked(job), () -> job + " was not cancelled");
   }
@@ -109,11 +116,14 @@
     if (answer instanceof CallAnswer.Refused) {
       assertTrue(
           cluster.work.starts().stream().noneMatch(run -> run.task().job().equals(job)),
-          () -> job + " was refused and has run");
+          () -> job + " was refused and ran");
     }
   }
 
-  /** A cancel whose answer was lost may have counted. */
+  /**
+   * Accepts a cancelled job only if a cancel was sent; a cancel whose answer was lost may have
+   * taken effect.
+   */
   private static void assertCompletedOrCancelled(
       BatchCluster cluster, String job, Optional<CallAnswer> status) {
     Optional<CallAnswer> completed = Optional.of(new CallAnswer.Phase(JobPhase.COMPLETED));
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/VirtualWork.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/VirtualWork.java
@@ -19,27 +19,35 @@
 import org.fescuehook.model.batch.TaskRun;
 import org.fescuehook.model.fleet.ExecutorId;
 
-/** What tasks do, gangs across executors, and an audit of the promises about runs. */
+/**
+ * Simulates the work of tasks, including gangs across executors, and checks the guarantees about
+ * runs.
+ */
 final class VirtualWork {
 
   private static final long GANG_PATIENCE_MILLIS = 3000;
   private static final long FAILS_AFTER_MILLIS = 200;
 
-  /** Bound on starts after an acknowledged cancel. */
+  /** How long after an acknowledged cancel a start may still be sent. */
   private static final long CANCEL_MILLIS = 3000;
 
-  /** Bound on the life of runs of a cancelled job, within which the users expect a stop. */
+  /**
+   * How long a run may outlive an acknowledged cancel; the users expect a stop within that time.
+   */
   private static final long GONE_MILLIS = CANCEL_MILLIS + 200;
 
-  /** A run that begins late, by no fault of the scheduler, may live this much longer. */
+  /**
+   * Additional lifetime of a run whose start was delivered late, which the scheduler cannot
+   * prevent.
+   */
   private static final long LATE_START_MILLIS = 3000;
 
   private static final int PERCENT = 100;
 
-  /** Work after which a lasting task is at work. */
+  /** Work after which a long-running task has started up. */
   private static final long STARTUP_MILLIS = 300;
 
-  /** A task away from its data, or from its gang, takes this many times as long. */
+  /** Slow-down of a task that runs away from its data or from the rest of its gang. */
   private static final double FAR_FACTOR = 3;
 
   private final Map<String, Submission> submissions = new HashMap<>();
@@ -48,17 +56,17 @@
   private final Map<ExecutorId, Map<Long, TaskRun>> unacknowledged = new HashMap<>();
   private final Set<TaskName> finished = new HashSet<>();
 
-  /** Tasks that ever ended done, also where that end must not be counted on any more. */
+  /** Tasks that ever ended as done, including those whose end was lost with its executor. */
   private final Set<TaskName> everFinished = new HashSet<>();
 
   private final Map<TaskName, Integer> failures = new HashMap<>();
   private final Set<TaskName> hopeless = new HashSet<>();
   private final Map<String, Long> cancelledAt = new HashMap<>();
 
-  /** When the order was sent that is being carried out late; absent if none is. */
+  /** When the order that is being delivered late was sent; empty if there is none. */
   private OptionalLong lateSince = OptionalLong.empty();
 
-  /** When runs began whose start was carried out late. */
+  /** Start times of runs whose start was delivered late. */
   private final Map<TaskRun, Long> lateStarts = new HashMap<>();
 
   private final Set<ExecutorId> sick = new HashSet<>();
@@ -78,23 +86,23 @@
     executors.put(executor.profile().id(), executor);
   }
 
-  /** Has every run of a task fail. */
+  /** Makes every run of a task fail. */
   void failAlways(TaskName task) {
     hopeless.add(task);
   }
 
-  /** Has an executor work at a share of its speed. */
+  /** Makes an executor work at a share of its normal speed. */
   void slow(ExecutorId executor, double share) {
     slow.put(executor, share);
   }
 
-  /** Has an executor work well again. */
+  /** Restores normal speed and success of an executor's runs. */
   void mend(ExecutorId executor) {
     slow.remove(executor);
     sick.remove(executor);
   }
 
-  /** Has every run on an executor fail soon. */
+  /** Makes every run on an executor fail soon after its start. */
   void failAllOn(ExecutorId executor) {
     sick.add(executor);
   }
@@ -115,7 +123,7 @@
     return spec(task).checkpointing();
   }
 
-  /** Declares how long a task really works; without it as long as its estimate says. */
+  /** Sets the actual work of a task; without it the work equals the estimate. */
   void lasts(TaskName task, long millis) {
     durations.put(task, millis);
   }
@@ -130,7 +138,7 @@
     return durations.getOrDefault(task, spec(task).estimateMillis());
   }
 
-  /** Tells whether a run ends by itself. */
+  /** Returns whether a run ends by itself. */
   boolean ends(TaskRun run) {
     return spec(run.task()).lasting().isEmpty() || sick.contains(running.get(run));
   }
@@ -140,8 +148,9 @@
   }
 
   /**
-   * Returns what an executor reports of a run: a third of its bound for a serving task alone, and
-   * as much more for each other task at work beside it.
+   * Returns the load that an executor reports for a run. A task that serves users reports a third
+   * of its response time target when alone, and another third for each other task working beside
+   * it.
    */
   long load(TaskRun run, double othersAtWork) {
     if (!serves(run)) {
@@ -151,7 +160,10 @@
     return Math.round(bound * (1 + othersAtWork) / 3);
   }
 
-  /** Returns how fast a run works: slower where its gang is spread over racks. */
+  /**
+   * Returns the relative speed of a run, which is lower on a slow executor and where its gang is
+   * spread over racks.
+   */
   double speed(TaskRun run) {
     return slow.getOrDefault(running.get(run), 1.0) * nearness(run);
   }
@@ -168,7 +180,7 @@
     return racks == 1 ? 1 : 1 / FAR_FACTOR;
   }
 
-  /** Counts work that has to be done again, or time that a gang waited for its members. */
+  /** Counts work that has to be repeated, and time that a gang spent waiting for its members. */
   void wasted(TaskRun run, long millis) {
     wastedCoreSeconds += demand(run.task()).coreEquivalents() * millis / 1000.0;
   }
@@ -177,7 +189,7 @@
     return wastedCoreSeconds;
   }
 
-  /** Declares how long a stop takes. */
+  /** Sets how long a stop takes. */
   void stopsTake(long millis) {
     stopMillis = millis;
   }
@@ -197,14 +209,19 @@
     return (int) Math.min(PERCENT, workedMillis * PERCENT / duration(run.task()));
   }
 
-  /** Has an order carried out late: for the bound on starts, the time counts when it was sent. */
+  /**
+   * Delivers an order late. The bound on starts after a cancel then applies to the time at which
+   * the order was sent.
+   */
   void late(long sentMillis, Runnable order) {
     lateSince = OptionalLong.of(sentMillis);
     order.run();
     lateSince = OptionalLong.empty();
   }
 
-  /** A cancel was acknowledged: its job must not start anything much later. */
+  /**
+   * Records an acknowledged cancel, after which the job may start runs only within a short bound.
+   */
   void cancelled(String job, long nowMillis) {
     cancelledAt.putIfAbsent(job, nowMillis);
   }
@@ -213,9 +230,14 @@
     return cancelledAt.containsKey(job);
   }
 
-  /** A start: no other run of the task may be alive, and none may have ended done. */
+  /**
+   * Checks and records a start: no other run of the task may be alive, the task must not be done,
+   * and the tasks it depends on must be.
+   */
   void started(TaskRun run, ExecutorId executor, long nowMillis) {
-    assertTrue(submissions.containsKey(run.task().job()), () -> "unasked start of " + run);
+    assertTrue(
+        submissions.containsKey(run.task().job()),
+        () -> "start of a job that was not submitted: " + run);
     boolean lasts = spec(run.task()).lasting().isPresent();
     assertFalse(
         !lasts && finished.contains(run.task()), () -> run + " starts although its task is done");
@@ -240,7 +262,10 @@
     crashes.started(run);
   }
 
-  /** No run of a job whose cancel was acknowledged may outlive a calm stretch. */
+  /**
+   * Checks that no run of a job whose cancel was acknowledged survives a fault-free period longer
+   * than the bound.
+   */
   void checkEnded(long calmSinceMillis, long nowMillis) {
     for (TaskRun run : running.keySet()) {
       long cancelled = cancelledAt.getOrDefault(run.task().job(), nowMillis);
@@ -255,7 +280,7 @@
                   + nowMillis
                   + ", cancelled at "
                   + cancelled
-                  + ", calm since "
+                  + ", without faults since "
                   + calmSinceMillis);
     }
   }
@@ -268,7 +293,7 @@
         .anyMatch(other -> other.job().equals(task.job()) && other.step() == task.step());
   }
 
-  /** Tells whether all members of the run's gang are present. */
+  /** Returns whether all members of the run's gang are running. */
   boolean together(TaskRun run) {
     return !spec(run.task()).gang() || members(run).size() == spec(run.task()).count();
   }
@@ -284,7 +309,7 @@
         .toList();
   }
 
-  /** The work of a run is over: it ends, and with it its gang. */
+  /** Ends a run whose work is complete, and the other members of its gang with it. */
   void finish(TaskRun run, long nowMillis) {
     boolean fails = hopeless.contains(run.task()) || sick.contains(running.get(run));
     RunEnd how = fails ? RunEnd.FAILED : RunEnd.DONE;
@@ -315,13 +340,16 @@
     }
   }
 
-  /** The executor forgets an end: from now on its task must not be lost. */
+  /**
+   * Records that an executor has dropped acknowledged ends; losing the executor no longer makes
+   * their tasks run again.
+   */
   void acknowledged(ExecutorId executor, long number) {
     Map<Long, TaskRun> ends = unacknowledged.getOrDefault(executor, Map.of());
     ends.keySet().removeIf(end -> end <= number);
   }
 
-  /** A run vanished with its executor; what it had done and was not acknowledged is gone. */
+  /** Removes a run that was lost with its executor, and breaks its gang. */
   void gone(TaskRun run, long nowMillis) {
     List<TaskRun> others = members(run).stream().filter(other -> !other.equals(run)).toList();
     running.remove(run);
@@ -331,7 +359,7 @@
     }
   }
 
-  /** An executor is gone, with the ends that nobody has taken note of. */
+  /** Forgets the ends of an executor that were not acknowledged; their tasks may run again. */
   void forget(ExecutorId executor) {
     Map<Long, TaskRun> ends = unacknowledged.getOrDefault(executor, Map.of());
     ends.values().forEach(run -> finished.remove(run.task()));
