--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/AdvisedWorkTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/AdvisedWorkTest.java
@@ -43,7 +43,7 @@
    * once.
    */
   @Test
-  void expiredTicketsAreAskedForAgainAndForbiddenExecutorsAreNot() {
+  void expiredTicketsAreRequestedAgainButNotForForbiddenExecutors() {
     cluster.work.advice.allowOnly(Set.of(ALLOWED));
     cluster.awaitOwner();
     String job = submit(20, 1800);
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void workWaitsWhileTheServiceIsAwayAndStartsOnceItIsBack() {
+  void workWaitsWhileTheServiceIsUnavailableAndStartsAfterwards() {
     cluster.work.advice.allowOnly(Set.of(ALLOWED));
     cluster.work.advice.away(true);
     cluster.awaitOwner();
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/BatchCoreTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/BatchCoreTest.java
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void ofSeveralVmsThatStartTogetherOneOwns() {
+  void exactlyOneOfSeveralVmsThatStartTogetherBecomesOwner() {
     BatchCluster cluster = new BatchCluster(6, 1, 1);
     cluster.run(2000);
     long owners = cluster.vms.values().stream().filter(vm -> vm.core.deciding()).count();
@@ -120,7 +120,7 @@
   }
 
   @Test
-  void theSameIdAgainIsTheSameJobAlsoUnderTheNextOwner() {
+  void aRepeatedJobIdIsTheSameJobAlsoUnderTheNextOwner() {
     BatchCluster cluster = cluster();
     String job = cluster.submit(BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 1, 500)));
     awaitPhase(cluster, job, JobPhase.COMPLETED, 3000);
@@ -149,7 +149,7 @@
   }
 
   @Test
-  void aFrozenOwnerThatWakesAfterATakeOverStartsNothing() {
+  void aFrozenOwnerThatResumesAfterATakeoverStartsNothing() {
     BatchCluster cluster = cluster();
     BatchCluster.Vm former = cluster.owner().orElseThrow();
     cluster.submit(BatchCluster.NORMAL, Jobs.of(Jobs.gang(4, 8, 3000)));
@@ -161,7 +161,7 @@
   }
 
   @Test
-  void runsGoOnWhileTheStoreIsDownAndNewJobsAreRefusedAsNotStored() {
+  void runsContinueWhileTheStoreIsDownAndNewJobsAreRefusedAsNotStored() {
     BatchCluster cluster = cluster();
     String job = cluster.submit(BatchCluster.NORMAL, Jobs.of(Jobs.gang(4, 8, 9000)));
     cluster.run(500);
@@ -185,7 +185,7 @@
   }
 
   @Test
-  void anOwnerThatTheStoreTurnsAwayIsReplaced() {
+  void anOwnerThatIsCutOffFromTheStoreIsReplaced() {
     BatchCluster cluster = cluster();
     VmId former = cluster.owner().orElseThrow().id;
     String job = cluster.submit(BatchCluster.NORMAL, Jobs.of(Jobs.gang(4, 8, 9000)));
@@ -219,7 +219,7 @@
   }
 
   @Test
-  void urgentWorkThatAGuaranteeCoversDisplacesOtherWorkWithinItsBound() {
+  void urgentWorkThatAGuaranteeCoversPreemptsOtherWorkWithinItsBound() {
     BatchCluster cluster = cluster();
     for (int i = 0; i < 16; i++) {
       cluster.submit(BatchCluster.BULK, Jobs.of(Jobs.tasks(8, 1, 60_000)));
@@ -305,7 +305,7 @@
   }
 
   @Test
-  void aFormerOwnerThatCannotReadNamesNoOwner() {
+  void aPreviousOwnerThatCannotReadOwnershipReportsNoOwner() {
     BatchCluster cluster = cluster();
     BatchCluster.Vm former = cluster.owner().orElseThrow();
     cluster.submit(BatchCluster.NORMAL, Jobs.of(Jobs.gang(2, 8, 9000)));
@@ -317,7 +317,7 @@
 
   /** An executor may become very slow while it still looks healthy. */
   @Test
-  void workThatStandsStillOnASlowExecutorStartsAgainElsewhere() {
+  void workThatMakesNoProgressOnASlowExecutorIsRestartedElsewhere() {
     BatchCluster cluster = cluster();
     cluster.work.slow(new ExecutorId("e0"), 0.02);
     List<String> jobs = new ArrayList<>();
@@ -335,7 +335,7 @@
    * is stored and runs.
    */
   @Test
-  void aStoredJobIsKnownAlsoWhenItsKeyIsTakenAwayBeforeTheSubmissionIsRepeated() {
+  void aRepeatedSubmissionOfAStoredJobIsAcceptedThoughItsKeyWasRemoved() {
     BatchCluster cluster = cluster();
     Submission submission = Jobs.of(Jobs.tasks(1, 1, 500));
     String job = cluster.submit(BatchCluster.NORMAL, submission);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/BusyOwnerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/BusyOwnerTest.java
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void plansWaitForTheEventsThatHaveComeAlready() {
+  void planningWaitsForEventsThatAreAlreadyQueued() {
     assertEquals(1, placed(accept(true)));
     assertEquals(0, placed(accept(true)));
     assertEquals(1, placed(apply(new BatchEvent.Tick(), false)));
@@ -101,7 +101,7 @@
   }
 
   @Test
-  void anOwnerThatStaysBehindPlansAllTheSame() {
+  void anOwnerThatStaysBehindStillPlans() {
     assertEquals(1, placed(accept(true)));
     assertEquals(0, placed(accept(true)));
     nowMillis += 60;
@@ -110,7 +110,7 @@
 
   /** Executors write their list entries every second or two, mostly unchanged. */
   @Test
-  void anEntryOfAnExecutorThatChangesNothingIsFollowedByNoPlan() {
+  void anUnchangedListEntryCausesNoPlan() {
     ExecutorProfile entry = cluster.executors.values().iterator().next().profile();
     dueIn(100);
     apply(new BatchEvent.Tick(), false);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/CancelAtLostOwnerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/CancelAtLostOwnerTest.java
@@ -20,7 +20,7 @@
   private final BatchCluster cluster = new BatchCluster(2, 4, 1);
 
   @Test
-  void aCancelOnItsWayIsUndecidedWhenTheOwnerIsReplaced() {
+  void aPendingCancelIsUndecidedWhenTheOwnerIsReplaced() {
     cluster.awaitOwner();
     String job = cluster.submit(BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 1, 60_000)));
     cluster.runUntil("an acceptance", 1000, () -> cluster.submissions.containsKey(job));
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/CancelHistoriesTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/CancelHistoriesTest.java
@@ -23,7 +23,7 @@
 
   /** Submissions arrive or are repeated after their cancels, and executors ignore stops. */
   @Test
-  void noHistoryOfOvertakenSubmissionsAndIgnoredStopsLeavesARunBehind() {
+  void noHistoryOfReorderedSubmissionsAndIgnoredStopsLeavesARunBehind() {
     playAll(true);
   }
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/ConfirmedCancelTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ConfirmedCancelTest.java
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void aCancelIsConfirmedOnceTheExecutorHasTakenTheStop() {
+  void aCancelIsConfirmedOnceTheExecutorHasAcknowledgedTheStop() {
     String job = running();
     cluster.faults.lostStops = true;
     long ticket = cancel(job);
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void aCancelIsConfirmedAtOnceIfNothingIsInTheWay() {
+  void aCancelIsConfirmedAtOnceIfTheStopIsAnsweredAtOnce() {
     String job = running();
     long ticket = cancel(job);
     cluster.run(40);
@@ -66,7 +66,7 @@
 
   /** The lease is not renewed and ends the run within the time that callers expect. */
   @Test
-  void anExecutorThatDoesNotAnswerHoldsTheConfirmationUpUntilItsLeaseIsNearlyOver() {
+  void aSilentExecutorDelaysTheConfirmationUntilItsLeaseIsNearlyOver() {
     String job = running();
     cluster.faults.silent.add(EXECUTOR);
     long first = cancel(job);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/TakeoversInARowTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ConsecutiveTakeoversTest.java
@@ -11,14 +11,14 @@
  * disappear from the list now and then. The path of an end, from the executor through the store to
  * its acknowledgement, is thus interrupted at every point. {@link VirtualWork} checks the runs.
  */
-class TakeoversInARowTest {
+class ConsecutiveTakeoversTest {
 
   private static final int HISTORIES = Integer.getInteger("histories", 40);
   private static final long FIRST_SEED = Long.getLong("seed", 1);
   private static final long TROUBLE_MILLIS = 20_000;
 
   @Test
-  void noHistoryOfTakeoversInARowBreaksAPromise() {
+  void noHistoryOfConsecutiveTakeoversBreaksAPromise() {
     for (long seed = FIRST_SEED; seed < FIRST_SEED + HISTORIES; seed++) {
       try {
         play(seed);
@@ -33,7 +33,7 @@
    * runs.
    */
   @Test
-  void whatMayHaveBeenStoredBeforeATakeoverIsNotCalledRefused() {
+  void aSubmissionThatMayHaveBeenStoredBeforeATakeoverIsNotRefused() {
     play(1002);
   }
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/CrashVictimsTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/CrashAttributionTest.java
@@ -14,7 +14,7 @@
  * Guards against a task that is given up because its executors crashed by themselves, were cut off,
  * or left.
  */
-class CrashVictimsTest {
+class CrashAttributionTest {
 
   private static final Optional<CallAnswer> COMPLETED =
       Optional.of(new CallAnswer.Phase(JobPhase.COMPLETED));
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void aTaskThatWasAtWorkForAWhileWhenThreeOfItsExecutorsCrashedIsDone() {
+  void aTaskThatRanForAWhileBeforeEachOfThreeCrashesCompletes() {
     String job = submitted(6000);
     for (int crash = 1; crash <= 3; crash++) {
       cluster.crashes.restart(atWork(crash, 3000), DOWN_MILLIS);
@@ -54,7 +54,7 @@
 
   /** One executor crashes repeatedly by itself, so that every run on it is lost early. */
   @Test
-  void twoCrashesOfOneExecutorDoNotEndATask() {
+  void twoCrashesOfOneExecutorDoNotFailATask() {
     cluster.executors.keySet().stream()
         .filter(id -> !id.value().equals("e0"))
         .toList()
@@ -109,7 +109,7 @@
   }
 
   @Test
-  void aTaskWhoseExecutorsLeaveIsDone() {
+  void aTaskWhoseExecutorsLeaveCompletes() {
     String job = submitted(4000);
     for (int left = 1; left <= 4; left++) {
       ExecutorId id = atWork(left, 300);
@@ -135,7 +135,7 @@
 
   /** A long-running task runs for months, during which many of its executors are lost. */
   @Test
-  void aTaskThatLastsAndWasAtWorkSurvivesAnyNumberOfCrashes() {
+  void aLongRunningTaskThatHasStartedUpSurvivesAnyNumberOfCrashes() {
     cluster.awaitOwner();
     cluster.run(200);
     String job = cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.lasting(1, 1, 1, 0)));
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/CrashingHistoriesTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/CrashingHistoriesTest.java
@@ -54,7 +54,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {31, 242, 2026, 2678})
-  void aHistoryThatOnceBrokeAPromiseHolds(long seed) {
+  void aSeedThatOnceBrokeAPromisePasses(long seed) {
     check(seed);
   }
 
@@ -63,7 +63,7 @@
    * still listed; four starts cannot be sent, as nothing listens there, and must not be counted.
    */
   @Test
-  void startsThatMeetExecutorsThatAreDownDoNotEndATask() {
+  void startsSentToExecutorsThatAreDownDoNotFailATask() {
     check(10_851);
   }
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/CrashingTaskTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/CrashingTaskTest.java
@@ -113,7 +113,7 @@
   }
 
   @Test
-  void aTaskThatLastsAndCrashesItsExecutorsIsGivenUp() {
+  void aLongRunningTaskThatCrashesItsExecutorsIsGivenUp() {
     BatchCluster cluster = new BatchCluster(2, 8, 1);
     cluster.awaitOwner();
     cluster.run(200);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/HeavyDayTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/HeavyLoadTest.java
@@ -10,7 +10,7 @@
  * values in docs/MEASUREMENTS.md, so that a policy without headroom, or one that preempts without
  * limit, fails them.
  */
-class HeavyDayTest {
+class HeavyLoadTest {
 
   private static final int DAYS = 6;
 
@@ -27,17 +27,17 @@
   }
 
   @Test
-  void aDayWithRoomIsServedWhole() {
+  void aModerateLoadIsServedAlmostCompletely() {
     assertServed(0.6, 0.95, 0.02);
   }
 
   @Test
-  void aFullDayLosesLittle() {
+  void aFullLoadIsServedAlmostCompletely() {
     assertServed(1.0, 0.94, 0.03);
   }
 
   @Test
-  void anOverfullDayThrowsLittleAway() {
+  void anOverloadDiscardsLittleWork() {
     assertServed(1.4, 0.8, 0.05);
   }
 
@@ -47,13 +47,13 @@
    * capacity free even when it is late itself.
    */
   @Test
-  void anOverfullDayWithSickExecutorsThrowsLittleAway() {
+  void anOverloadWithFaultyExecutorsDiscardsLittleWork() {
     assertServed(DayShape.HUMIDADE_VIVA, 1.3, 0.77, 0.025);
     assertServed(DayShape.LAKESHORE, 1.3, 0.74, 0.025);
   }
 
   @Test
-  void aFullDayWithSickExecutorsIsMostlyServedInTime() {
+  void aFullLoadWithFaultyExecutorsIsMostlyServedInTime() {
     assertServed(DayShape.HUMIDADE_VIVA, 1.0, 0.84, 0.025);
     assertServed(DayShape.LAKESHORE, 1.0, 0.86, 0.025);
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/LeavingExecutorTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/LeavingExecutorTest.java
@@ -12,7 +12,7 @@
 class LeavingExecutorTest {
 
   @Test
-  void aStartThatWasPlacedBeforeItsExecutorBeganToLeaveIsNotSentAfterIt() {
+  void aStartThatWasPlacedBeforeItsExecutorBeganToLeaveIsNotSentAfterwards() {
     BatchCluster cluster = new BatchCluster(1, 1, 1);
     cluster.awaitOwner();
     cluster.run(500);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/LastingWorkTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/LongRunningTaskTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Tasks that run until their job is cancelled. */
-class LastingWorkTest {
+class LongRunningTaskTest {
 
   private final BatchCluster cluster = new BatchCluster(3, 8, 1);
 
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void tasksRunOnUnderTheNextOwner() {
+  void tasksContinueUnderTheNextOwner() {
     String job = submitted(BatchCluster.NORMAL, Jobs.lasting(3, 1, 0, 0));
     int starts = cluster.work.starts().size();
     cluster.restart(cluster.owner().orElseThrow().id, 3000);
@@ -71,7 +71,7 @@
 
   /** Urgent work needs the whole fleet, most of which long-running tasks occupy. */
   @Test
-  void displacingLeavesAllButTheAllowedTasksAtWork() {
+  void preemptionLeavesAllButTheAllowedTasksRunning() {
     String job = submitted(BatchCluster.BULK, Jobs.lasting(5, 8, 1, 0));
     assertEquals(5, running(job));
     for (int i = 0; i < 5; i++) {
@@ -85,7 +85,7 @@
   }
 
   @Test
-  void workThatServesUsersAndOtherWorkKeepApartWhereThereIsRoom() {
+  void tasksThatServeUsersAndOtherWorkUseSeparateExecutorsWhileCapacityAllows() {
     String serving = submitted(BatchCluster.NORMAL, Jobs.lasting(2, 1, 1, 90));
     cluster.submit(BatchCluster.BULK, Jobs.of(Jobs.tasks(20, 1, 3000)));
     cluster.run(1000);
@@ -104,7 +104,7 @@
 
   /** The fleet is full, so other work has to run beside tasks that serve users. */
   @Test
-  void workBesideATaskThatServesUsersIsPacedWhenItsResponsesSlowDown() {
+  void workBesideATaskThatServesUsersIsThrottledWhenItsResponsesSlowDown() {
     cluster.awaitOwner();
     cluster.run(300);
     List.copyOf(cluster.executors.keySet()).stream().skip(1).forEach(cluster::crash);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/LossyStoreTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/LossyStoreTest.java
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void anOwnerThatLivesIsNotReplacedAndServesWhileAnswersAreLost() {
+  void aLiveOwnerIsNotReplacedAndAcceptsJobsWhileAnswersAreLost() {
     cluster.awaitOwner();
     cluster.run(2000);
     int before = cluster.ownershipsWon();
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/LostExecutorTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/LostExecutorTest.java
@@ -21,7 +21,7 @@
   private static final long LEASE_MILLIS = 6000;
 
   @Test
-  void whatRanOnAnExecutorThatIsLostAfterATakeOverStartsAgainAfterOneLease() {
+  void tasksOfAnExecutorLostAfterATakeoverRestartAfterOneLease() {
     BatchCluster cluster = new BatchCluster(3, 4, 1);
     cluster.awaitOwner();
     cluster.run(200);
@@ -44,7 +44,7 @@
 
   /** The executor leaves in two seconds, and the gang's estimate is an eighth of its work. */
   @Test
-  void workThatItsOwnProgressShowsToEndTooLateMovesAwayFromALeavingExecutor() {
+  void workWhoseProgressShowsThatItEndsTooLateMovesAwayFromALeavingExecutor() {
     BatchCluster cluster = new BatchCluster(1, 4, 1);
     cluster.awaitOwner();
     cluster.run(200);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/UnansweredOrderTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/LostOrderOutcomeTest.java
@@ -15,7 +15,7 @@
  * be polled again, get no lease, and its ends would not be read; no further advice would be
  * requested; and a task whose start was rejected would wait forever.
  */
-class UnansweredOrderTest {
+class LostOrderOutcomeTest {
 
   private static final long LIMIT_MILLIS = 20_000;
 
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void adviceIsAskedForAgainAfterAQuestionWhoseAnswerNeverCame() {
+  void adviceIsRequestedAgainAfterAnAnswerThatNeverCame() {
     cluster.awaitOwner();
     cluster.run(200);
     AtomicBoolean dropped = dropOne(BatchEvent.AdviceEnded.class::isInstance);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/UnansweredOwnerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/LostStoreOutcomeTest.java
@@ -14,7 +14,7 @@
  * the decisions was full, or the step that requested it failed. A flag that an append or a read is
  * in progress must not stay set forever.
  */
-class UnansweredOwnerTest {
+class LostStoreOutcomeTest {
 
   private static final long LIMIT_MILLIS = 15_000;
 
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void anOwnerGoesOnAfterAHeartbeatWhoseOutcomeNeverCame() {
+  void anOwnerContinuesAfterAHeartbeatWhoseOutcomeNeverCame() {
     cluster.awaitOwner();
     dropOne(event -> appended(event, StreamName.OWNERSHIP));
     cluster.run(LIMIT_MILLIS);
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void anOwnerGoesOnAfterAnAppendOfJobsWhoseOutcomeNeverCame() {
+  void anOwnerContinuesAfterAnAppendOfJobsWhoseOutcomeNeverCame() {
     cluster.awaitOwner();
     dropOne(event -> appended(event, StreamName.STATE));
     cluster.submit(BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 1, 500)));
@@ -53,13 +53,13 @@
   }
 
   @Test
-  void aTakeOverGoesOnAfterItsFirstAppendHadNoOutcome() {
+  void aTakeoverContinuesAfterItsFirstAppendHadNoOutcome() {
     dropOne(event -> appended(event, StreamName.STATE));
     cluster.runUntil("an owner", LIMIT_MILLIS, () -> cluster.owner().isPresent());
   }
 
   @Test
-  void aTakeOverGoesOnAfterAPageThatNeverCame() {
+  void aTakeoverContinuesAfterAPageThatNeverCame() {
     dropOne(BatchEvent.StateRead.class::isInstance);
     cluster.runUntil("an owner", LIMIT_MILLIS, () -> cluster.owner().isPresent());
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/WeakOwnerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/LowCpuOwnerTest.java
@@ -24,7 +24,7 @@
  * size of the fleet, and the VM's own delay does not count as silence of executors. Plans after
  * each event added to the load, see {@link BusyOwnerTest}.
  */
-class WeakOwnerTest {
+class LowCpuOwnerTest {
 
   private static final int EXECUTORS = 350;
   private static final int VMS = 3;
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void aWeakVmReachesAllExecutorsOfALargeFleet() {
+  void aVmWithLittleCpuReachesAllExecutorsOfALargeFleet() {
     cluster.faults.exchangeMillis = EXCHANGE_MILLIS;
     startAll();
     cluster.awaitOwner();
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/UnlistedFleetTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/MissingExecutorListTest.java
@@ -8,7 +8,7 @@
  * heartbeats, while every VM refuses every call. Its pages may arrive too slowly, or the only event
  * that carries the whole list may have been dropped.
  */
-class UnlistedFleetTest {
+class MissingExecutorListTest {
 
   private static final VmId UNABLE = new VmId("vm-unable");
   private static final long LIMIT_MILLIS = 15_000;
@@ -16,7 +16,7 @@
   private final BatchCluster cluster = new BatchCluster(0, 4, 1);
 
   @Test
-  void aVmThatIsNotToldTheExecutorsLeavesOwnershipToOneThatIs() {
+  void aVmWithoutTheExecutorListLeavesOwnershipToOneThatHasIt() {
     cluster.faults.dropped =
         (vm, event) -> vm.equals(UNABLE) && event instanceof BatchEvent.ExecutorsListed;
     cluster.start(UNABLE);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/OrphanedRunTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/OrphanedRunTest.java
@@ -291,7 +291,7 @@
 
   // Guards against: a next owner that asks only executors that are listed when it takes over.
   @Test
-  void aRunOnAnExecutorThatIsListedAgainAfterTheTakeOverIsGoneInTime() {
+  void aRunOnAnExecutorThatIsListedAgainAfterTheTakeoverIsGoneInTime() {
     OrphanedRun history = new OrphanedRun();
     String job = submitLong(history);
     ExecutorId executor = history.executorOf(job);
@@ -308,7 +308,7 @@
 
   // Guards against: a start that an executor carries out after the next owner has polled it.
   @Test
-  void aLateStartAcrossACancelAndATakeOverIsGoneInTime() {
+  void aLateStartAcrossACancelAndATakeoverIsGoneInTime() {
     for (long storeMillis : new long[] {4, 300, 600}) {
       for (long late = 2000; late <= 5000; late += 250) {
         OrphanedRun history = new OrphanedRun();
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/OutageInTakeoverTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/OutageInTakeoverTest.java
@@ -49,12 +49,12 @@
   }
 
   @Test
-  void aLoneOwnerThatTheStoreReturnsToLoadsInPlaceOfGivingUp() {
+  void aSingleVmLoadsTheJobsAfterAnOutageInsteadOfGivingUp() {
     assertEquals(1, epochs(1));
   }
 
   @Test
-  void anOwnerThatTheStoreReturnsToLoadsInPlaceOfGivingUp() {
+  void anOwnerLoadsTheJobsAfterAnOutageInsteadOfGivingUp() {
     assertEquals(1, epochs(3));
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/SwallowedReleaseTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ReleaseAfterLostHeartbeatTest.java
@@ -19,7 +19,7 @@
  * earlier answer and store nothing. The VM would take the release for stored, and the others would
  * wait for 2 s of silence.
  */
-class SwallowedReleaseTest {
+class ReleaseAfterLostHeartbeatTest {
 
   private final FakeStore store = new FakeStore();
   private final OwnershipDuty duty =
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void aVmThatTakesItsReleaseForStoredHasStoredIt() {
+  void aReleaseThatCountsAsStoredIsStored() {
     duty.read(Optional.empty(), 0, at(0));
     BatchCommand.Append claim = step(0);
     duty.answered(claim.position(), stored(claim), at(5));
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/OvertakenOwnerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ReplacedOwnerAnswersTest.java
@@ -15,7 +15,7 @@
  * but VMs also claim from a live owner if they have much more CPU, and after 1 s if the owner is
  * suspected.
  */
-class OvertakenOwnerTest {
+class ReplacedOwnerAnswersTest {
 
   private static final long TICKET = 1_000_000;
 
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void anOwnerThatAStrongerVmOvertookDoesNotDenyTheJobsOfThatOne() {
+  void anOwnerReplacedByAStrongerVmDoesNotDenyJobsAcceptedByIt() {
     BatchCluster.Vm former = cluster.start(new VmId("weak-1"));
     cluster.awaitOwner();
     cluster.run(1000);
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void anOwnerThatWasDoubtedDoesNotDenyTheJobsOfTheNext() {
+  void aSuspectedOwnerDoesNotDenyJobsAcceptedByTheNext() {
     BatchCluster.Vm former = cluster.start(new VmId("vm-1"));
     cluster.awaitOwner();
     VmId next = new VmId("vm-2");
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/RestartHistoriesTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/RestartHistoriesTest.java
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void noHistoryOfRestartsBesideTakeOversBreaksAPromise() {
+  void noHistoryOfRestartsBesideTakeoversBreaksAPromise() {
     playAll(RestartHistoriesTest::loseOwnerSoon);
   }
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/RestartUnderItsIdTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/RestartWithSameIdTest.java
@@ -19,7 +19,7 @@
  * of ends that it had read of the previous incarnation, took the first ends of the new one for
  * known, and acknowledged them unread.
  */
-class RestartUnderItsIdTest {
+class RestartWithSameIdTest {
 
   private static final ExecutorId ONLY = new ExecutorId("e0");
   private static final Optional<CallAnswer> DONE =
@@ -59,7 +59,7 @@
 
   /** Nothing runs on the executor, so it has not been polled since the restart. */
   @Test
-  void anIdleExecutorThatStartsAgainUnlistedIsFoundByItsAnswers() {
+  void theRestartOfAnIdleUnlistedExecutorIsDetectedByItsAnswers() {
     cluster.crashes.listedAfter(60_000);
     complete(300);
     cluster.crashes.restartUnderItsId(ONLY, 20, ANEW - cluster.nowMillis());
@@ -87,7 +87,7 @@
    * The late orders were sent to the previous incarnation; the new one has no epoch to fence them.
    */
   @Test
-  void aStartForTheFormerLifeIsRejectedOnceTheNewOneHasBeenAsked() {
+  void aStartForThePreviousIncarnationIsRejectedOnceTheNewOneHasBeenPolled() {
     cluster.addExecutor("e1", "r0");
     complete(300);
     cluster.faults.lateOrders = 1;
@@ -104,7 +104,7 @@
 
   /** Runs are lost with the previous incarnation, which their task may have crashed. */
   @Test
-  void whatRanInTheFormerLifeIsLostWithItsExecutor() {
+  void runsOfThePreviousIncarnationAreLostWithIt() {
     cluster.submit(BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 1, 4000)));
     cluster.runUntil("the start", 2000, () -> cluster.work.starts().size() == 1);
     cluster.run(300);
@@ -119,7 +119,7 @@
    * incarnation.
    */
   @Test
-  void aRunThatTheNewLifeHasBegunGoesOn() {
+  void aRunThatTheNewIncarnationHasStartedContinues() {
     cluster.crashes.listedAfter(1000);
     complete(300);
     cluster.crashes.restartUnderItsId(ONLY, 20, ANEW - cluster.nowMillis());
@@ -132,7 +132,8 @@
   /** The next owner learns from the store on which incarnation a run was placed. */
   @ParameterizedTest
   @ValueSource(longs = {20, 600, 2500})
-  void theNextOwnerTellsARunOfTheFormerLifeFromOneThatIsMerelyNotListed(long awayMillis) {
+  void theNextOwnerDistinguishesARunOfThePreviousIncarnationFromOneThatIsNotListed(
+      long awayMillis) {
     complete(300);
     cluster.submit(BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 1, 8000)));
     cluster.runUntil("the start", 2000, () -> cluster.work.starts().size() == 3);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/SlowReturnTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/RestartWithSlowStoreTest.java
@@ -16,7 +16,7 @@
  * took as long again, so an append with a time limit of 1 s was given up again and again. A time
  * limit that the store cannot meet takes slowness for a lost answer.
  */
-class SlowReturnTest {
+class RestartWithSlowStoreTest {
 
   /**
    * Delay of an answer of the store; an append takes twice as long, for itself and for its answer.
@@ -31,7 +31,7 @@
   private final BatchCluster cluster = new BatchCluster(3, 20, 1);
 
   @Test
-  void anAcceptedJobIsAnsweredForAfterAllVmsCameBackToASlowStore() {
+  void anAcceptedJobIsReportedAfterAllVmsRestartWithASlowStore() {
     cluster.awaitOwner();
     String job = cluster.submit(BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 1, 60_000)));
     cluster.run(2000);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/ShrinkingCapacityTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ShrinkingCapacityTest.java
@@ -20,7 +20,7 @@
   private static final long SLOW_APPEND_MILLIS = 5000;
 
   @Test
-  void aStartThatWasPlacedBeforeTheCapacityShrankIsNotSentAfterIt() {
+  void aStartThatWasPlacedBeforeTheCapacityShrankIsNotSentAfterwards() {
     BatchCluster cluster = new BatchCluster(1, 1, 1);
     cluster.awaitOwner();
     cluster.run(500);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/SilentFleetTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/SilentExecutorsTest.java
@@ -19,7 +19,7 @@
  * ordinary polls do not count. With a fixed order, the first executors that stay silent would be
  * due again before the later ones had a turn, and take both places each time.
  */
-class SilentFleetTest {
+class SilentExecutorsTest {
 
   private static final int EXECUTORS = 40;
   private static final int STAY_AWAY = 6;
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void executorsThatAreBackAreAskedAlsoIfOthersStaySilent() {
+  void reconnectedExecutorsArePolledAlsoIfOthersStaySilent() {
     cut();
     Map<ExecutorId, Integer> before = new HashMap<>(cluster.orders.sent);
     cluster.run(LIMIT_MILLIS);
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void whatRunsOnExecutorsThatAreBackIsNotLost() {
+  void runsOnReconnectedExecutorsAreNotLost() {
     cut();
     Map<ExecutorId, String> before = running();
     cluster.run(8000);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/SlowLossyStoreTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/SlowLossyStoreTest.java
@@ -21,7 +21,7 @@
   private static final long HISTORIES = 8;
 
   @Test
-  void anOwnerThatLivesIsNotReplacedWhileTheStoreIsSlowAndLosesAnswers() {
+  void aLiveOwnerIsNotReplacedWhileTheStoreIsSlowAndLosesAnswers() {
     for (long seed = 1; seed <= HISTORIES; seed++) {
       BatchCluster cluster = new BatchCluster(8, 20, seed);
       cluster.awaitOwner();
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/LateAnswersTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/SlowPollAnswersTest.java
@@ -12,7 +12,7 @@
  * answers faster, the window would stay at its minimum of four: 16 executors a second, so a fleet
  * of 350 would not be in use for twenty seconds.
  */
-class LateAnswersTest {
+class SlowPollAnswersTest {
 
   private static final int EXECUTORS = 350;
   private static final long ANSWER_MILLIS = 250;
@@ -20,7 +20,7 @@
   private final BatchCluster cluster = new BatchCluster(0, EXECUTORS, 1);
 
   @Test
-  void aFleetThatAnswersInTimeIsReachedAlsoIfAllAnswersAreLate() {
+  void aFleetIsReachedSoonThoughAllAnswersAreSlow() {
     cluster.faults.pollMillis = ANSWER_MILLIS;
     cluster.start(new VmId("weak-0"));
     cluster.awaitOwner();
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/SlowStoreTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/SlowStoreTest.java
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void aJobWaitsForItsOwnAppendsAndHardlyForThoseBeforeThem() {
+  void aJobWaitsForItsOwnAppendsAndHardlyForEarlierOnes() {
     cluster.awaitOwner();
     cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.tasks(1, 1, WORK_MILLIS)));
     cluster.run(2000);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/SlowTakeoverTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/SlowTakeoverTest.java
@@ -87,7 +87,7 @@
 
   @ParameterizedTest
   @ValueSource(longs = {4, 100, 300, 500, 900, 2000})
-  void oneOwnerDecidesAndIsNotReplacedWhileItLives(long answerMillis) {
+  void oneOwnerDecidesAndIsNotReplacedWhileItIsAlive(long answerMillis) {
     comeBackTo(answerMillis);
     long limit = takeoverMillis(answerMillis);
     cluster.runUntil("an owner", limit, () -> cluster.owner().isPresent());
@@ -101,7 +101,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {4, 100, 300, 500, 900, 2000})
-  void anOwnerIsFoundWithoutTheVmThatOwnedBefore(long answerMillis) {
+  void anotherVmTakesOverIfThePreviousOwnerStaysDown(long answerMillis) {
     cluster.awaitOwner();
     VmId former = cluster.owner().orElseThrow().id;
     comeBackTo(answerMillis);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/StalePageTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/StalePageTest.java
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void aTakeOverDoesNotTakeAPageThatAFormerOneAskedFor() {
+  void aTakeoverIgnoresAPageRequestedByAnEarlierOne() {
     at(0, new BatchEvent.ConfigurationRead(Declared.configuration()));
     List<BatchCommand> claim = at(0, new BatchEvent.OwnershipRead(Optional.empty(), 0));
     List<BatchCommand> won = stored(5, StreamName.OWNERSHIP, position(claim, StreamName.OWNERSHIP));
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/StaleRejectionTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/StaleRejectionTest.java
@@ -16,7 +16,7 @@
 class StaleRejectionTest {
 
   @Test
-  void anOrderOfAFormerEpochThatIsTurnedAwayDoesNotEndThisOne() {
+  void aRejectedOrderOfAnEarlierEpochDoesNotEndTheCurrentOne() {
     BatchCluster cluster = new BatchCluster(1, 4, 1);
     cluster.awaitOwner();
     cluster.run(200);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/LateAcceptanceTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/StatusDuringSubmissionTest.java
@@ -12,14 +12,14 @@
  * because the submission was on its way to the store when the call arrived and the job is not
  * looked up again before the answer.
  */
-class LateAcceptanceTest {
+class StatusDuringSubmissionTest {
 
   private static final String ID = "00000000000000aa";
 
   private final BatchCluster cluster = new BatchCluster(3, 4, 1);
 
   @Test
-  void aJobThatWasAcceptedSinceTheQuestionIsNotDenied() {
+  void aJobAcceptedAfterTheStatusCallIsNotReportedAsUnknown() {
     cluster.awaitOwner();
     cluster.run(500);
     long asked =
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/StopLogTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/StopLogTest.java
@@ -18,7 +18,7 @@
   }
 
   @Test
-  void itTellsWhetherAStopWasAnswered() {
+  void theLogTellsWhetherAStopWasAnswered() {
     cluster.awaitOwner();
     cluster.run(200);
     String job = cluster.submit(BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 8, 60_000)));
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void itTellsThatACancelCameForAJobThatIsNotKnown() {
+  void theLogReportsACancelOfAnUnknownJob() {
     cluster.awaitOwner();
     cluster.call(new BatchCall.Cancel(BatchCluster.NORMAL, BatchCluster.KEY, "00000000000000aa"));
     assertEquals(1, cluster.notes(BatchLogEvent.UNKNOWN_JOB_CANCELLED).size());
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/StoreOutageTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/StoreOutageTest.java
@@ -34,7 +34,7 @@
 
   /** The stream of jobs is unavailable while ownership is confirmed as usual. */
   @Test
-  void callersComeBackLaterAlsoIfOnlyTheJobsCannotBeStored() {
+  void callersRetryLaterAlsoIfOnlyTheJobsCannotBeStored() {
     cluster.awaitOwner();
     cluster.run(500);
     cluster.faults.streamsDown.add(StreamName.STATE);
@@ -48,7 +48,7 @@
 
   /** An outage of some seconds would outlast all attempts of callers that retry at once. */
   @Test
-  void callersComeBackLaterTheLongerTheOutageHasLasted() {
+  void callersRetryLaterTheLongerTheOutageHasLasted() {
     cluster.awaitOwner();
     cluster.run(500);
     cluster.faults.storeDown = true;
@@ -73,7 +73,7 @@
    * and that no other VM has become the owner.
    */
   @Test
-  void whatIsStoredOfTheJobsShowsThatTheStoreIsBackBeforeAHeartbeatDoes() {
+  void storedJobsShowThatTheStoreIsBackBeforeAHeartbeatDoes() {
     cluster.awaitOwner();
     String running = cluster.submit(BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 1, 1500)));
     cluster.run(500);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/StrongOwnerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/StrongerVmTakeoverTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A VM with much more CPU takes over from the owner. */
-class StrongOwnerTest {
+class StrongerVmTakeoverTest {
 
   private static void awaitCompleted(BatchCluster cluster, String job) {
     Optional<CallAnswer> wanted = Optional.of(new CallAnswer.Phase(JobPhase.COMPLETED));
@@ -18,7 +18,7 @@
 
   /** The stronger VM starts while a weaker one decides and calls and runs are in progress. */
   @Test
-  void aStrongVmTakesOverFromAWeakOneAndNothingIsLost() {
+  void aStrongerVmTakesOverFromAWeakerOneAndNothingIsLost() {
     BatchCluster cluster = new BatchCluster(0, 4, 1);
     cluster.start(new VmId("weak-1"));
     cluster.start(new VmId("weak-2"));
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/EndlessTakeoverTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/StuckTakeoverTest.java
@@ -11,7 +11,7 @@
  * since a page takes longer to reach it than the page's time limit. If it requested the page
  * forever and kept sending heartbeats, no other VM would claim.
  */
-class EndlessTakeoverTest {
+class StuckTakeoverTest {
 
   private static final VmId UNABLE = new VmId("vm-unable");
   private static final long LIMIT_MILLIS = 15_000;
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void aVmThatCannotLoadTheJobsLeavesThemToOneThatCan() {
+  void aVmThatCannotLoadTheJobsLeavesOwnershipToOneThatCan() {
     cluster.faults.cannotLoad.add(UNABLE);
     cluster.start(UNABLE);
     cluster.run(500);
@@ -43,7 +43,7 @@
    * has given up.
    */
   @Test
-  void aStrongVmThatCannotLoadTheJobsDoesNotTakeThemFromAWeakOneAgainAndAgain() {
+  void aStrongerVmThatCannotLoadTheJobsDoesNotReplaceAWeakerOwnerRepeatedly() {
     cluster.start(new VmId("weak-1"));
     cluster.awaitOwner();
     cluster.run(1000);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/SuspectPlacementTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/SuspectPlacementTest.java
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void onlyTheFirstCrashTakesOtherWorkWithIt() {
+  void onlyTheFirstCrashLosesOtherRuns() {
     cluster.awaitOwner();
     cluster.run(200);
     String neighbour = cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.tasks(4, 1, 9000)));
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void nothingJoinsATaskThatMayCrashItsExecutorBeforeItHasRunForAWhile() {
+  void nothingIsPlacedBesideASuspectTaskBeforeItHasRunForAWhile() {
     cluster.awaitOwner();
     cluster.run(200);
     String job = cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.tasks(1, 1, 8000)));
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/TakeoverProgressTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/TakeoverProgressTest.java
@@ -18,12 +18,12 @@
   private final Takeover takeover = new Takeover(EPOCH, at(0));
 
   @Test
-  void nothingIsToldInTheFirstSecond() {
+  void nothingIsLoggedInTheFirstSecond() {
     assertEquals(List.of(), told(999));
   }
 
   @Test
-  void theStepThatHasNotComeIsToldOnceASecond() {
+  void thePendingStepIsLoggedOnceASecond() {
     assertEquals(List.of(EPOCH, 1000L, "the epoch of the jobs' stream"), told(1000));
     takeover.answered(new WriterPosition(EPOCH, 0), new AppendOutcome.Stored(3), at(1100));
     assertEquals(List.of(), told(1999));
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/UnconfiguredOwnerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/UnconfiguredOwnerTest.java
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void aStrongVmWithoutAConfigurationDoesNotTakeOverFromAWeakOneThatDecides() {
+  void aStrongerVmWithoutAConfigurationDoesNotReplaceAWeakerOwner() {
     cluster.start(new VmId("weak-1"));
     cluster.awaitOwner();
     noConfigurationComesTo(FRESH);
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void anOwnerThatStartsAnewWithoutAConfigurationIsReplaced() {
+  void anOwnerThatRestartsWithoutAConfigurationIsReplaced() {
     cluster.start(FRESH);
     cluster.awaitOwner();
     cluster.start(new VmId("vm-old"));
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/UnknownRunRoomTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/UnknownRunCapacityTest.java
@@ -12,10 +12,10 @@
  * stopped. It does not load jobs that have ended, so it knows their last runs only from the reports
  * of executors.
  */
-class UnknownRunRoomTest {
+class UnknownRunCapacityTest {
 
   @Test
-  void aRunThatANewOwnerDoesNotKnowKeepsItsRoomUntilItHasEnded() {
+  void aRunThatANewOwnerDoesNotKnowOccupiesCapacityUntilItHasEnded() {
     BatchCluster cluster = new BatchCluster(2, 1, 1);
     cluster.awaitOwner();
     cluster.run(500);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/UnlistedExecutorTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/UnlistedExecutorTest.java
@@ -54,13 +54,13 @@
   }
 
   @Test
-  void endsThatAreNotStoredAreNotAcknowledgedAfterTheExecutorWasOffTheList() {
+  void endsThatAreNotStoredAreNotAcknowledgedAfterTheExecutorWasUnlisted() {
     unlistAndList();
     assertEquals(3, executor().unacknowledged());
   }
 
   @Test
-  void whatHadEndedThereDoesNotRunAgainUnderTheNextOwner() {
+  void endedTasksDoNotRunAgainUnderTheNextOwner() {
     unlistAndList();
     replaceOwner();
     assertEquals(3, cluster.work.starts().size());
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/UnsentStartTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/UnsentStartTest.java
@@ -62,7 +62,7 @@
 
   /** After three losses only two more runs are allowed; the executors of these starts are down. */
   @Test
-  void aTaskThatLostThreeExecutorsIsNotGivenUpForStartsThatMetNobody() {
+  void aTaskThatLostThreeExecutorsIsNotGivenUpForStartsThatReachedNoExecutor() {
     cluster.awaitOwner();
     cluster.run(200);
     String job = cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.tasks(1, 1, 6000)));
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/ReturnToLivingOwnerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/VmStartBesideLiveOwnerTest.java
@@ -12,7 +12,7 @@
  * counts as late several times before its answer arrives, so they cannot estimate the store's
  * response time and may take the time between two heartbeats for silence.
  */
-class ReturnToLivingOwnerTest {
+class VmStartBesideLiveOwnerTest {
 
   private static final long DOWN_MILLIS = 1200;
   private static final long STEADY_MILLIS = 30_000;
@@ -21,7 +21,7 @@
 
   @ParameterizedTest
   @ValueSource(longs = {300, 700, 900, 1400, 2000})
-  void aLivingOwnerIsNotReplacedByVmsThatStart(long answerMillis) {
+  void aLiveOwnerIsNotReplacedByVmsThatStart(long answerMillis) {
     cluster.awaitOwner();
     cluster.faults.storeDelay = answerMillis;
     cluster.faults.appendMillis = answerMillis;
