--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/AdvisedWorkTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/AdvisedWorkTest.java
@@ -20,7 +20,7 @@
   private final BatchCluster cluster = new BatchCluster(3, 8, 1);
 
   private String submit(int tasks, long millis) {
-    return cluster.submit(Declared.ADVISED, Jobs.of(Jobs.tasks(tasks, 1, millis)));
+    return cluster.submit(TestFixtures.ADVISED, Jobs.of(Jobs.tasks(tasks, 1, millis)));
   }
 
   private void awaitCompleted(String job, long millis) {
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/BatchCluster.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/BatchCluster.java
@@ -30,10 +30,10 @@
  */
 final class BatchCluster {
 
-  static final String KEY = Declared.KEY;
-  static final String URGENT = Declared.URGENT;
-  static final String NORMAL = Declared.NORMAL;
-  static final String BULK = Declared.BULK;
+  static final String KEY = TestFixtures.KEY;
+  static final String URGENT = TestFixtures.URGENT;
+  static final String NORMAL = TestFixtures.NORMAL;
+  static final String BULK = TestFixtures.BULK;
 
   private static final long STEP_MILLIS = 20;
   private static final long ANSWER_LIMIT_MILLIS = 1000;
@@ -53,7 +53,7 @@
   private static final long WALL_START = 1_700_000_000_000L;
 
   final FakeStore store = new FakeStore();
-  final VirtualWork work = new VirtualWork();
+  final TaskSimulation work = new TaskSimulation();
   final Map<Long, CallAnswer> answers = new HashMap<>();
   final Map<String, CallAnswer> submissions = new LinkedHashMap<>();
   final Map<VmId, Vm> vms = new LinkedHashMap<>();
@@ -61,11 +61,11 @@
   final ClusterFaults faults = new ClusterFaults();
   final ClusterOrders orders = new ClusterOrders(this);
   final ClusterCrashes crashes = new ClusterCrashes(this);
-  private final ClusterCalm calm = new ClusterCalm(this);
+  private final FaultFreePeriod calm = new FaultFreePeriod(this);
   private final ClusterAppends appends = new ClusterAppends(this);
   final Random random;
-  private final PriorityQueue<Due> queue = new PriorityQueue<>();
-  private final CallLedger calls = new CallLedger(work, submissions);
+  private final PriorityQueue<ScheduledAction> queue = new PriorityQueue<>();
+  private final CallTracker calls = new CallTracker(work, submissions);
   private final BatchConfiguration configuration;
   private long nowMillis;
   private long order;
@@ -95,8 +95,8 @@
         answerTimes.put(stream, new ResponseTimeEstimator(RepeatedAppend.NEVER_LATE, readTimes));
       }
       OwnerIdentity self =
-          new OwnerIdentity(id, "start-" + start, "10.0.0.1:7000", Declared.milliCores(id));
-      core = new BatchCore(self, Declared.preferences());
+          new OwnerIdentity(id, "start-" + start, "10.0.0.1:7000", TestFixtures.milliCores(id));
+      core = new BatchCore(self, TestFixtures.preferences());
     }
 
     void deliver(BatchEvent event) {
@@ -133,7 +133,7 @@
   }
 
   BatchCluster(int vmCount, int executorCount, long seed) {
-    this(vmCount, executorCount, seed, Declared.configuration());
+    this(vmCount, executorCount, seed, TestFixtures.configuration());
   }
 
   BatchCluster(int vmCount, int executorCount, long seed, BatchConfiguration declared) {
@@ -148,7 +148,7 @@
   }
 
   void addExecutor(String name, String rack) {
-    addExecutor(Declared.executor(name, rack));
+    addExecutor(TestFixtures.executor(name, rack));
   }
 
   void addExecutor(ExecutorProfile profile) {
@@ -168,7 +168,7 @@
 
   /** Announces that an executor leaves in {@code remainingMillis}. */
   void leave(ExecutorId id, long remainingMillis) {
-    ExecutorProfile leaving = Declared.leaving(executors.get(id).profile(), remainingMillis);
+    ExecutorProfile leaving = TestFixtures.leaving(executors.get(id).profile(), remainingMillis);
     executors.get(id).describe(leaving);
     vms.values().stream()
         .filter(vm -> vm.following)
@@ -358,7 +358,7 @@
   /** Schedules an action after a delay. */
   void in(long millis, Runnable action) {
     order++;
-    queue.add(new Due(nowMillis + millis, order, action));
+    queue.add(new ScheduledAction(nowMillis + millis, order, action));
   }
 
   /** Lets virtual time pass and runs the actions that become due. */
@@ -367,7 +367,7 @@
     while (nowMillis < until) {
       long next = Math.min(until, nowMillis + STEP_MILLIS);
       while (!queue.isEmpty() && queue.peek().at() <= next) {
-        Due due = queue.remove();
+        ScheduledAction due = queue.remove();
         nowMillis = Math.max(nowMillis, due.at());
         due.action().run();
       }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/BatchCoreTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/BatchCoreTest.java
@@ -340,7 +340,7 @@
     Submission submission = Jobs.of(Jobs.tasks(1, 1, 500));
     String job = cluster.submit(BatchCluster.NORMAL, submission);
     cluster.run(50);
-    cluster.configure(Declared.withoutKeys(2));
+    cluster.configure(TestFixtures.withoutKeys(2));
     BatchCall repeated =
         new BatchCall.Submit(BatchCluster.NORMAL, BatchCluster.KEY, job, submission);
     long known = cluster.call(repeated).orElseThrow();
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/BusyOwnerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/BusyOwnerTest.java
@@ -116,7 +116,7 @@
     apply(new BatchEvent.Tick(), false);
     nowMillis += 150;
     assertEquals(0, placed(apply(new BatchEvent.ExecutorSeen(entry), false)));
-    ExecutorProfile leaving = Declared.leaving(entry, 5000);
+    ExecutorProfile leaving = TestFixtures.leaving(entry, 5000);
     assertEquals(1, placed(apply(new BatchEvent.ExecutorSeen(leaving), false)));
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/CallLedger.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/CallTracker.java
@@ -7,16 +7,16 @@
 
 /**
  * Remembers the call of each ticket, and reports submissions and acknowledged cancels to {@link
- * VirtualWork}.
+ * TaskSimulation}.
  */
-final class CallLedger {
+final class CallTracker {
 
-  private final VirtualWork work;
+  private final TaskSimulation work;
   private final Map<String, CallAnswer> submissions;
   private final Map<Long, String> submitTickets = new HashMap<>();
   private final Map<Long, String> cancelTickets = new HashMap<>();
 
-  CallLedger(VirtualWork work, Map<String, CallAnswer> submissions) {
+  CallTracker(TaskSimulation work, Map<String, CallAnswer> submissions) {
     this.work = work;
     this.submissions = submissions;
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/CancelHistoriesTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/CancelHistoriesTest.java
@@ -7,8 +7,8 @@
 
 /**
  * Random histories with many cancels of long jobs, in which owners are lost together with the stops
- * that they still have to send. {@link VirtualWork} checks that no run of a cancelled job survives
- * a fault-free period.
+ * that they still have to send. {@link TaskSimulation} checks that no run of a cancelled job
+ * survives a fault-free period.
  */
 class CancelHistoriesTest {
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/ClusterCrashes.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ClusterCrashes.java
@@ -53,7 +53,7 @@
     cluster.work.forget(id);
     down.add(id);
     restarts++;
-    ExecutorProfile next = Declared.renamed(executor.profile(), "again-" + restarts);
+    ExecutorProfile next = TestFixtures.renamed(executor.profile(), "again-" + restarts);
     cluster.in(
         awayMillis,
         () -> {
@@ -66,7 +66,7 @@
   /** Makes all executors report when they started. */
   void dateExecutors() {
     for (FakeExecutor executor : List.copyOf(cluster.executors.values())) {
-      cluster.addExecutor(Declared.born(executor.profile(), cluster.wallMillis()));
+      cluster.addExecutor(TestFixtures.born(executor.profile(), cluster.wallMillis()));
     }
   }
 
@@ -95,7 +95,7 @@
         awayMillis,
         () -> {
           down.remove(id);
-          ExecutorProfile next = Declared.born(executor.profile(), cluster.wallMillis());
+          ExecutorProfile next = TestFixtures.born(executor.profile(), cluster.wallMillis());
           cluster.addExecutor(new FakeExecutor(next, clockAhead, cluster.work));
           cluster.in(listedAfterMillis, () -> listIfUp(next));
         });
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/ConsecutiveTakeoversTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ConsecutiveTakeoversTest.java
@@ -9,7 +9,7 @@
  * Histories in which owners replace each other every second or two, although each is alive and only
  * cut off from the store for a moment, while the store loses 4 of 10 answers and executors
  * disappear from the list now and then. The path of an end, from the executor through the store to
- * its acknowledgement, is thus interrupted at every point. {@link VirtualWork} checks the runs.
+ * its acknowledgement, is thus interrupted at every point. {@link TaskSimulation} checks the runs.
  */
 class ConsecutiveTakeoversTest {
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/CrashingTaskTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/CrashingTaskTest.java
@@ -13,7 +13,7 @@
  * Guards against a task that crashes one executor after the other, a few milliseconds after each of
  * its starts, and with each of them all other runs there. One such task was started 26 times, since
  * a run that was lost with its executor did not count against its task, neither for the next
- * placement nor in the store, where the next owner would find it. {@link CrashingWork} fails a
+ * placement nor in the store, where the next owner would find it. {@link CrashingTasks} fails a
  * history that starts such a task a third time after three executors have crashed under it.
  */
 class CrashingTaskTest {
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/CrashingWork.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/CrashingTasks.java
@@ -8,7 +8,7 @@
 import org.fescuehook.model.batch.TaskRun;
 
 /** Tasks that crash each executor that starts them, and a check on how often they are started. */
-final class CrashingWork {
+final class CrashingTasks {
 
   /** Number of crashed executors from which on further starts of a task are counted. */
   private static final int COUNTED_FROM = 3;
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/FakeExecutor.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/FakeExecutor.java
@@ -30,7 +30,7 @@
   /** How long a reduced capacity may still be exceeded, since the list reports it late. */
   private static final long SHRINK_MILLIS = 4500;
 
-  private final VirtualWork work;
+  private final TaskSimulation work;
   private final Map<TaskRun, Active> active = new LinkedHashMap<>();
   private final Map<TaskName, Integer> closed = new HashMap<>();
   private final List<OrderOutcome.EndedRun> ended = new ArrayList<>();
@@ -62,7 +62,7 @@
     }
   }
 
-  FakeExecutor(ExecutorProfile profile, long clockAhead, VirtualWork work) {
+  FakeExecutor(ExecutorProfile profile, long clockAhead, TaskSimulation work) {
     this.profile = profile;
     this.usable = profile.capacity();
     this.clockAhead = clockAhead;
@@ -87,7 +87,7 @@
 
   /** Changes the executor's capacity and reports that through the list. */
   void resize(ResourceVector capacity, BatchCluster cluster) {
-    profile = Declared.withCapacity(profile, capacity);
+    profile = TestFixtures.withCapacity(profile, capacity);
     if (capacity.contains(usable)) {
       usable = capacity;
     } else {
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/ClusterCalm.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/FaultFreePeriod.java
@@ -1,7 +1,7 @@
 package org.fescuehook.logic.batch;
 
 /** Tracks since when a {@link BatchCluster} has been free of faults. */
-final class ClusterCalm {
+final class FaultFreePeriod {
 
   /** Store delay that does not count as a fault. */
   private static final long USUAL_STORE_MILLIS = 4;
@@ -12,7 +12,7 @@
   private final BatchCluster cluster;
   private long sinceMillis;
 
-  ClusterCalm(BatchCluster cluster) {
+  FaultFreePeriod(BatchCluster cluster) {
     this.cluster = cluster;
   }
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/HeavyDay.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/HeavyLoadSimulation.java
@@ -19,7 +19,7 @@
  * proportions of the two users, with a backlog at the start and a burst of urgent jobs. The figures
  * are those of the users' site sheets.
  */
-final class HeavyDay {
+final class HeavyLoadSimulation {
 
   private static final long DAY_MILLIS = 50_000;
   private static final long AFTER_MILLIS = 20_000;
@@ -37,7 +37,7 @@
   private static final double WASTE_PRICE = 0.002;
 
   /** A job that was submitted. */
-  private record Asked(DayShape.Kind kind, long at, double objective, double share) {}
+  private record Asked(WorkloadProfile.Kind kind, long at, double objective, double share) {}
 
   /**
    * The outcome of a simulation.
@@ -48,14 +48,14 @@
    */
   record Result(double credit, double wasted, Map<String, Double> byKind) {}
 
-  private final DayShape shape;
+  private final WorkloadProfile shape;
   private final BatchCluster cluster;
   private final Random random;
   private final double load;
   private final Map<String, Asked> asked = new LinkedHashMap<>();
   private final Map<String, Long> completedAt = new LinkedHashMap<>();
 
-  HeavyDay(DayShape shape, long seed, double load) {
+  HeavyLoadSimulation(WorkloadProfile shape, long seed, double load) {
     this.shape = shape;
     this.cluster = new BatchCluster(2, 0, seed, shape.configuration());
     this.random = new Random(seed);
@@ -69,13 +69,13 @@
   Result play() {
     cluster.awaitOwner();
     shape.troubles().forEach(trouble -> plan(trouble));
-    for (DayShape.Kind kind : shape.kinds()) {
+    for (WorkloadProfile.Kind kind : shape.kinds()) {
       for (int i = 0; i < kind.backlog(); i++) {
         cluster.in(BACKLOG_AT + random.nextInt(100), () -> submit(kind));
       }
       double at = 9_000;
       while (at < DAY_MILLIS) {
-        boolean burst = kind.queue().equals(Declared.URGENT) && at < 15_500;
+        boolean burst = kind.queue().equals(TestFixtures.URGENT) && at < 15_500;
         double rate = kind.perSecond() * load * (burst ? 2 : 1);
         at += -Math.log(1 - random.nextDouble()) / rate * 1000;
         cluster.in((long) at, () -> submit(kind));
@@ -90,7 +90,7 @@
   }
 
   /** Schedules a fault on random executors, and their recovery. */
-  private void plan(DayShape.Trouble trouble) {
+  private void plan(WorkloadProfile.Trouble trouble) {
     List<ExecutorId> ids = new ArrayList<>(cluster.executors.keySet());
     Collections.shuffle(ids, random);
     List<ExecutorId> hit = ids.subList(0, (int) Math.round(ids.size() * trouble.share()));
@@ -98,9 +98,9 @@
     cluster.in(trouble.atMillis() + trouble.forMillis(), () -> hit.forEach(cluster.work::mend));
   }
 
-  private void begin(DayShape.Trouble trouble, ExecutorId id) {
+  private void begin(WorkloadProfile.Trouble trouble, ExecutorId id) {
     switch (trouble.kind()) {
-      case SLOW -> cluster.work.slow(id, DayShape.SLOW_SHARE);
+      case SLOW -> cluster.work.slow(id, WorkloadProfile.SLOW_SHARE);
       case HANGING -> cluster.work.slow(id, 0);
       case FAILING -> cluster.work.failAllOn(id);
     }
@@ -121,8 +121,8 @@
     return mean * Math.exp(spread * random.nextGaussian() - spread * spread / 2);
   }
 
-  private void submit(DayShape.Kind kind) {
-    boolean bulk = kind.queue().equals(Declared.BULK);
+  private void submit(WorkloadProfile.Kind kind) {
+    boolean bulk = kind.queue().equals(TestFixtures.BULK);
     int width = Math.clamp(Math.round(lognormal(kind.width(), 0.8)), 1, (int) (6 * kind.width()));
     int accelerators = bulk ? 1 : shape.drawAccelerators(random);
     long millis = Math.max(300, Math.round(lognormal(kind.millis(), kind.spread())));
@@ -192,13 +192,13 @@
   }
 
   /** Runs several simulations with different seeds and returns the mean of their results. */
-  static Result mean(DayShape shape, int days, double load) {
+  static Result mean(WorkloadProfile shape, int days, double load) {
     double credit = 0;
     double wasted = 0;
     Map<String, Double> kinds = new LinkedHashMap<>();
     List<Result> results = new ArrayList<>();
     for (int seed = 1; seed <= days; seed++) {
-      results.add(new HeavyDay(shape, seed, load).play());
+      results.add(new HeavyLoadSimulation(shape, seed, load).play());
     }
     for (Result result : results) {
       credit += result.credit() / days;
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/HeavyLoadTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/HeavyLoadTest.java
@@ -15,12 +15,12 @@
   private static final int DAYS = 6;
 
   private static void assertServed(double load, double leastNet, double mostWasted) {
-    assertServed(DayShape.BOTH, load, leastNet, mostWasted);
+    assertServed(WorkloadProfile.BOTH, load, leastNet, mostWasted);
   }
 
   private static void assertServed(
-      DayShape shape, double load, double leastNet, double mostWasted) {
-    HeavyDay.Result result = HeavyDay.mean(shape, DAYS, load);
+      WorkloadProfile shape, double load, double leastNet, double mostWasted) {
+    HeavyLoadSimulation.Result result = HeavyLoadSimulation.mean(shape, DAYS, load);
     double net = result.credit() - result.wasted();
     assertTrue(net >= leastNet, () -> "load " + load + ": " + result);
     assertTrue(result.wasted() <= mostWasted, () -> "load " + load + ": " + result);
@@ -48,13 +48,13 @@
    */
   @Test
   void anOverloadWithFaultyExecutorsDiscardsLittleWork() {
-    assertServed(DayShape.HUMIDADE_VIVA, 1.3, 0.77, 0.025);
-    assertServed(DayShape.LAKESHORE, 1.3, 0.74, 0.025);
+    assertServed(WorkloadProfile.HUMIDADE_VIVA, 1.3, 0.77, 0.025);
+    assertServed(WorkloadProfile.LAKESHORE, 1.3, 0.74, 0.025);
   }
 
   @Test
   void aFullLoadWithFaultyExecutorsIsMostlyServedInTime() {
-    assertServed(DayShape.HUMIDADE_VIVA, 1.0, 0.84, 0.025);
-    assertServed(DayShape.LAKESHORE, 1.0, 0.86, 0.025);
+    assertServed(WorkloadProfile.HUMIDADE_VIVA, 1.0, 0.84, 0.025);
+    assertServed(WorkloadProfile.LAKESHORE, 1.0, 0.86, 0.025);
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/LostOrderOutcomeTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/LostOrderOutcomeTest.java
@@ -53,7 +53,7 @@
     cluster.awaitOwner();
     cluster.run(200);
     AtomicBoolean dropped = dropOne(BatchEvent.AdviceEnded.class::isInstance);
-    String job = cluster.submit(Declared.ADVISED, Jobs.of(Jobs.tasks(1, 1, 500)));
+    String job = cluster.submit(TestFixtures.ADVISED, Jobs.of(Jobs.tasks(1, 1, 500)));
     cluster.runUntil("the advice", 5000, dropped::get);
     awaitCompleted(job);
   }
@@ -64,7 +64,7 @@
     cluster.awaitOwner();
     cluster.run(200);
     cluster.work.advice.allowOnly(cluster.executors.keySet());
-    String job = cluster.submit(Declared.ADVISED, Jobs.of(Jobs.tasks(1, 1, 500)));
+    String job = cluster.submit(TestFixtures.ADVISED, Jobs.of(Jobs.tasks(1, 1, 500)));
     cluster.run(20);
     cluster.faults.storeDelay = 2500;
     // The store stays slow until its answer, as an append is repeated while its answer is late.
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/OrphanedRun.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/OrphanedRunFixture.java
@@ -15,7 +15,7 @@
  * A cluster in which jobs end while owners are replaced, and a measure of how long their runs
  * survive.
  */
-final class OrphanedRun {
+final class OrphanedRunFixture {
 
   /** Work of a task that does not end by itself during a test. */
   static final long LONG_MILLIS = 60_000;
@@ -30,11 +30,11 @@
 
   final BatchCluster cluster;
 
-  OrphanedRun() {
-    this(5, Declared.configuration());
+  OrphanedRunFixture() {
+    this(5, TestFixtures.configuration());
   }
 
-  OrphanedRun(long seed, BatchConfiguration configuration) {
+  OrphanedRunFixture(long seed, BatchConfiguration configuration) {
     cluster = new BatchCluster(5, 4, seed, configuration);
     cluster.awaitOwner();
     cluster.run(200);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/OrphanedRunTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/OrphanedRunTest.java
@@ -42,11 +42,11 @@
   /** How long runs survived that outlived the bound, by case. */
   private final Map<String, Long> tooLong = new LinkedHashMap<>();
 
-  private void measure(String name, OrphanedRun history, String job) {
+  private void measure(String name, OrphanedRunFixture history, String job) {
     measure(name, GONE_WITHIN_MILLIS, history, job);
   }
 
-  private void measure(String name, long bound, OrphanedRun history, String job) {
+  private void measure(String name, long bound, OrphanedRunFixture history, String job) {
     long millis = history.millisUntilGone(job);
     if (millis > bound) {
       tooLong.put(name, millis);
@@ -59,8 +59,8 @@
     assertEquals(Map.of(), found, "runs that survived too long, in ms");
   }
 
-  private static String submitLong(OrphanedRun history) {
-    return history.submit(BatchCluster.NORMAL, Jobs.tasks(1, 8, OrphanedRun.LONG_MILLIS));
+  private static String submitLong(OrphanedRunFixture history) {
+    return history.submit(BatchCluster.NORMAL, Jobs.tasks(1, 8, OrphanedRunFixture.LONG_MILLIS));
   }
 
   // Guards against: a stop that only the lost owner had to send, and a next owner that looks late.
@@ -68,7 +68,7 @@
   void aRunIsGoneInTimeThoughItsOwnerDiesAndTheStoreIsSlow() {
     for (long storeMillis : new long[] {300, 600, 900}) {
       for (long slowBefore : new long[] {0, 3000}) {
-        OrphanedRun history = new OrphanedRun();
+        OrphanedRunFixture history = new OrphanedRunFixture();
         String job = submitLong(history);
         history.cluster.faults.storeDelay = storeMillis;
         history.cluster.run(slowBefore);
@@ -83,9 +83,10 @@
   @Test
   void aRunBesideOtherWorkIsGoneInTimeThoughItsOwnerDiesAndTheStoreIsSlow() {
     for (long storeMillis : new long[] {300, 600, 900}) {
-      OrphanedRun history = new OrphanedRun();
-      String job = history.submit(BatchCluster.NORMAL, Jobs.tasks(1, 4, OrphanedRun.LONG_MILLIS));
-      history.submit(BatchCluster.NORMAL, Jobs.tasks(7, 4, OrphanedRun.LONG_MILLIS));
+      OrphanedRunFixture history = new OrphanedRunFixture();
+      String job =
+          history.submit(BatchCluster.NORMAL, Jobs.tasks(1, 4, OrphanedRunFixture.LONG_MILLIS));
+      history.submit(BatchCluster.NORMAL, Jobs.tasks(7, 4, OrphanedRunFixture.LONG_MILLIS));
       history.cluster.run(300);
       history.cluster.faults.storeDelay = storeMillis;
       history.cluster.run(3000);
@@ -105,7 +106,7 @@
   void aRunIsGoneInTimeThoughSeveralOwnersDieOneAfterTheOther() {
     for (long storeMillis : new long[] {4, 100, 300}) {
       for (int owners = 2; owners <= 3; owners++) {
-        OrphanedRun history = new OrphanedRun();
+        OrphanedRunFixture history = new OrphanedRunFixture();
         String job = submitLong(history);
         history.cluster.faults.storeDelay = storeMillis;
         history.cancelAndKillOwner(job);
@@ -119,13 +120,14 @@
   // Guards against: a next owner that ignores a pool since no queue names it any more.
   @Test
   void aRunInAPoolWhoseLastQueueIsRemovedIsGoneInTimeThoughItsOwnerDies() {
-    BatchConfiguration without = Declared.configuration();
+    BatchConfiguration without = TestFixtures.configuration();
     Map<String, JobQueue> queues = new HashMap<>(without.queues());
     queues.put(SIDE, new JobQueue(SIDE, SIDE, 1, 3, 3, 1000, false, false));
-    OrphanedRun history = new OrphanedRun(5, new BatchConfiguration(1, queues, without.holders()));
-    history.cluster.addExecutor(Declared.ofPool("side-0", "r1", SIDE));
+    OrphanedRunFixture history =
+        new OrphanedRunFixture(5, new BatchConfiguration(1, queues, without.holders()));
+    history.cluster.addExecutor(TestFixtures.ofPool("side-0", "r1", SIDE));
     history.cluster.run(500);
-    String job = history.submit(SIDE, Jobs.tasks(1, 8, OrphanedRun.LONG_MILLIS));
+    String job = history.submit(SIDE, Jobs.tasks(1, 8, OrphanedRunFixture.LONG_MILLIS));
     history.cluster.configure(new BatchConfiguration(2, without.queues(), without.holders()));
     history.cluster.run(500);
     history.cancelAndKillOwner(job);
@@ -136,7 +138,7 @@
   // Guards against: a cancel that is acknowledged and forgotten before its submission arrives.
   @Test
   void aSubmissionThatComesAfterItsCancelDoesNotRun() {
-    OrphanedRun history = new OrphanedRun();
+    OrphanedRunFixture history = new OrphanedRunFixture();
     cancelUnknown(history);
     assertSubmissionDoesNotRun(history);
   }
@@ -144,7 +146,7 @@
   // Guards against: a cancel that only the owner that acknowledged it remembers.
   @Test
   void aSubmissionThatComesAfterItsCancelDoesNotRunAtTheNextOwner() {
-    OrphanedRun history = new OrphanedRun();
+    OrphanedRunFixture history = new OrphanedRunFixture();
     cancelUnknown(history);
     history.killOwner();
     history.cluster.awaitOwner();
@@ -155,7 +157,7 @@
   @Test
   void aSubmissionThatComesBeforeTheAnswerToItsCancelDoesNotRun() {
     for (long between = 0; between <= 400; between += 20) {
-      OrphanedRun history = new OrphanedRun();
+      OrphanedRunFixture history = new OrphanedRunFixture();
       BatchCall cancel = new BatchCall.Cancel(BatchCluster.NORMAL, BatchCluster.KEY, LATE_JOB);
       long ticket = history.cluster.call(cancel).orElseThrow();
       history.cluster.run(between);
@@ -171,15 +173,15 @@
         BatchCluster.NORMAL,
         BatchCluster.KEY,
         LATE_JOB,
-        Jobs.of(Jobs.tasks(1, 8, OrphanedRun.LONG_MILLIS)));
+        Jobs.of(Jobs.tasks(1, 8, OrphanedRunFixture.LONG_MILLIS)));
   }
 
-  private static void cancelUnknown(OrphanedRun history) {
+  private static void cancelUnknown(OrphanedRunFixture history) {
     BatchCall cancel = new BatchCall.Cancel(BatchCluster.NORMAL, BatchCluster.KEY, LATE_JOB);
     assertEquals(new CallAnswer.NoSuchJob(), history.answer(cancel));
   }
 
-  private static void assertSubmissionDoesNotRun(OrphanedRun history) {
+  private static void assertSubmissionDoesNotRun(OrphanedRunFixture history) {
     BatchCall status = new BatchCall.Status(BatchCluster.NORMAL, BatchCluster.KEY, LATE_JOB);
     assertEquals(
         new CallAnswer.NoSuchJob(), history.answer(status), "the job was not submitted yet");
@@ -197,10 +199,11 @@
   // Guards against: the answer to the earlier start counting as the answer to the stop.
   @Test
   void aRunWhoseStopIsLostIsGoneInTimeThoughItsStartIsAnsweredAfterTheCancel() {
-    OrphanedRun history = new OrphanedRun();
+    OrphanedRunFixture history = new OrphanedRunFixture();
     BatchCluster cluster = history.cluster;
     String job =
-        cluster.submit(BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 8, OrphanedRun.LONG_MILLIS)));
+        cluster.submit(
+            BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 8, OrphanedRunFixture.LONG_MILLIS)));
     List<Long> cancels = new ArrayList<>();
     cluster.faults.dropped =
         (vm, event) -> {
@@ -228,7 +231,7 @@
   @Test
   void aStopThatIsConfirmedAndNotCarriedOutIsSentAgain() {
     for (int ignored = 1; ignored <= 3; ignored++) {
-      OrphanedRun history = new OrphanedRun();
+      OrphanedRunFixture history = new OrphanedRunFixture();
       String job = submitLong(history);
       history.cluster.executors.get(history.executorOf(job)).ignoreStops(ignored);
       history.cancel(job);
@@ -240,8 +243,9 @@
   // Guards against: a next owner that takes over the stops of cancelled jobs, not of failed ones.
   @Test
   void theOtherRunsOfAFailedJobAreGoneInTimeThoughTheirOwnerDies() {
-    OrphanedRun history = new OrphanedRun();
-    String job = history.submit(BatchCluster.NORMAL, Jobs.tasks(2, 4, OrphanedRun.LONG_MILLIS));
+    OrphanedRunFixture history = new OrphanedRunFixture();
+    String job =
+        history.submit(BatchCluster.NORMAL, Jobs.tasks(2, 4, OrphanedRunFixture.LONG_MILLIS));
     history.cluster.run(200);
     TaskName task = new TaskName(job, 0, 0, 0);
     history.cluster.work.failAlways(task);
@@ -258,12 +262,12 @@
   // Guards against: a second run that goes on although the first turned out to be done.
   @Test
   void theSecondRunOfATaskThatWasDoneIsGoneInTimeThoughItsOwnerDies() {
-    OrphanedRun history = new OrphanedRun();
+    OrphanedRunFixture history = new OrphanedRunFixture();
     String job = history.submit(BatchCluster.NORMAL, Jobs.tasks(1, 8, 1000));
     ExecutorId first = history.executorOf(job);
     history.cluster.faults.silent.add(first);
     history.cluster.runUntil("the end", 2000, () -> !history.runs(job));
-    history.cluster.work.lasts(new TaskName(job, 0, 0, 0), OrphanedRun.LONG_MILLIS);
+    history.cluster.work.lasts(new TaskName(job, 0, 0, 0), OrphanedRunFixture.LONG_MILLIS);
     history.cluster.runUntil("the second run", 12_000, () -> history.runs(job));
     history.cluster.faults.lostStops = true;
     history.cluster.faults.silent.clear();
@@ -279,7 +283,7 @@
   // Guards against: an owner whose planned stop drops the stops that it still has to send.
   @Test
   void aRunIsGoneInTimeThoughItsOwnerStopsAsPlannedBeforeItRepeatsTheStop() {
-    OrphanedRun history = new OrphanedRun();
+    OrphanedRunFixture history = new OrphanedRunFixture();
     String job = submitLong(history);
     history.cluster.faults.lostStops = true;
     history.cancel(job);
@@ -292,7 +296,7 @@
   // Guards against: a next owner that asks only executors that are listed when it takes over.
   @Test
   void aRunOnAnExecutorThatIsListedAgainAfterTheTakeoverIsGoneInTime() {
-    OrphanedRun history = new OrphanedRun();
+    OrphanedRunFixture history = new OrphanedRunFixture();
     String job = submitLong(history);
     ExecutorId executor = history.executorOf(job);
     history.cluster.faults.unlisted.add(executor);
@@ -311,12 +315,12 @@
   void aLateStartAcrossACancelAndATakeoverIsGoneInTime() {
     for (long storeMillis : new long[] {4, 300, 600}) {
       for (long late = 2000; late <= 5000; late += 250) {
-        OrphanedRun history = new OrphanedRun();
+        OrphanedRunFixture history = new OrphanedRunFixture();
         history.cluster.faults.lateOrders = 1;
         history.cluster.faults.lateMillis = OptionalLong.of(late);
         String job =
             history.cluster.submit(
-                BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 8, OrphanedRun.LONG_MILLIS)));
+                BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 8, OrphanedRunFixture.LONG_MILLIS)));
         history.cluster.run(100);
         history.cluster.faults.lateOrders = 0;
         history.cluster.faults.storeDelay = storeMillis;
@@ -335,12 +339,13 @@
   // Guards against: a cancel acknowledged while a start may arrive much later and go on.
   @Test
   void aStartThatIsCarriedOutAfterTheCancelComesSoonAndEndsWithItsLease() {
-    OrphanedRun history = new OrphanedRun();
+    OrphanedRunFixture history = new OrphanedRunFixture();
     BatchCluster cluster = history.cluster;
     cluster.faults.lateOrders = 1;
     cluster.faults.lateMillis = OptionalLong.of(5500);
     String job =
-        cluster.submit(BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 8, OrphanedRun.LONG_MILLIS)));
+        cluster.submit(
+            BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 8, OrphanedRunFixture.LONG_MILLIS)));
     cluster.run(1800);
     history.cancelAndKillOwner(job);
     long cancelledAt = cluster.nowMillis();
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/RandomBatchHistoriesTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/RandomBatchHistoriesTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Histories of several VMs with random faults. {@link VirtualWork} checks that no task runs twice,
- * that none starts after it is done, before the tasks it depends on are done, or without a
+ * Histories of several VMs with random faults. {@link TaskSimulation} checks that no task runs
+ * twice, that none starts after it is done, before the tasks it depends on are done, or without a
  * submission, and that no run of a cancelled job survives a fault-free period.
  */
 class RandomBatchHistoriesTest {
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/RandomCancels.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/RandomCancels.java
@@ -41,7 +41,7 @@
 
   private static void submit(
       BatchCluster cluster, String job, Submission submission, long at, boolean overtaking) {
-    BatchCall call = new BatchCall.Submit(BatchCluster.NORMAL, Declared.KEY, job, submission);
+    BatchCall call = new BatchCall.Submit(BatchCluster.NORMAL, TestFixtures.KEY, job, submission);
     for (int i = 0; i < CALLS; i++) {
       cluster.in(
           at + 600L * i,
@@ -55,7 +55,7 @@
   }
 
   private static void cancel(BatchCluster cluster, String job, long at) {
-    BatchCall call = new BatchCall.Cancel(BatchCluster.NORMAL, Declared.KEY, job);
+    BatchCall call = new BatchCall.Cancel(BatchCluster.NORMAL, TestFixtures.KEY, job);
     for (int i = 0; i < CALLS; i++) {
       cluster.in(
           at + 700L * i,
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/RandomJobs.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/RandomJobs.java
@@ -58,7 +58,7 @@
     String queue = queues[cluster.random.nextInt(queues.length)];
     String job = cluster.submit(queue, submission);
     if (cluster.random.nextInt(5) == 0) {
-      BatchCall cancel = new BatchCall.Cancel(queue, Declared.KEY, job);
+      BatchCall cancel = new BatchCall.Cancel(queue, TestFixtures.KEY, job);
       long at = cluster.random.nextInt(3000);
       cluster.in(at, () -> cluster.call(cancel));
       cluster.in(at + 700, () -> cluster.call(cancel));
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/RestartHistoriesTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/RestartHistoriesTest.java
@@ -9,8 +9,8 @@
 
 /**
  * Random histories in which executors restart under the same id, some of them several times,
- * together with the faults of {@link RandomBatchHistoriesTest}. {@link VirtualWork} checks that no
- * task runs twice, and none after an end that was acknowledged. No order is late here: a new
+ * together with the faults of {@link RandomBatchHistoriesTest}. {@link TaskSimulation} checks that
+ * no task runs twice, and none after an end that was acknowledged. No order is late here: a new
  * incarnation that has not been polled yet would accept a late order for the previous one, as it
  * knows no epoch by which to reject it.
  */
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/Due.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ScheduledAction.java
@@ -5,9 +5,10 @@
  *
  * @param order order among actions of the same time
  */
-record Due(long at, long order, Runnable action) implements Comparable<Due> {
+record ScheduledAction(long at, long order, Runnable action)
+    implements Comparable<ScheduledAction> {
   @Override
-  public int compareTo(Due other) {
+  public int compareTo(ScheduledAction other) {
     int byTime = Long.compare(at, other.at);
     return byTime != 0 ? byTime : Long.compare(order, other.order);
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/ShrinkingCapacityTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ShrinkingCapacityTest.java
@@ -36,7 +36,7 @@
     cluster.run(2 * SLOW_APPEND_MILLIS);
     assertEquals(1, cluster.work.starts().size());
     cluster.faults.appendMillis = 0;
-    executor.resize(Declared.CAPACITY, cluster);
+    executor.resize(TestFixtures.CAPACITY, cluster);
     cluster.runUntil("the start", 15_000, () -> cluster.work.starts().size() == 2);
   }
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/StalePageTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/StalePageTest.java
@@ -26,7 +26,7 @@
   private final BatchCore core =
       new BatchCore(
           new OwnerIdentity(new VmId("vm-1"), "start-1", "10.0.0.1:7000", 1500),
-          Declared.preferences());
+          TestFixtures.preferences());
 
   private List<BatchCommand> at(long millis, BatchEvent event) {
     return core.apply(event, millis * 1_000_000, 1_700_000_000_000L + millis);
@@ -54,7 +54,7 @@
 
   @Test
   void aTakeoverIgnoresAPageRequestedByAnEarlierOne() {
-    at(0, new BatchEvent.ConfigurationRead(Declared.configuration()));
+    at(0, new BatchEvent.ConfigurationRead(TestFixtures.configuration()));
     List<BatchCommand> claim = at(0, new BatchEvent.OwnershipRead(Optional.empty(), 0));
     List<BatchCommand> won = stored(5, StreamName.OWNERSHIP, position(claim, StreamName.OWNERSHIP));
     List<BatchCommand> load = stored(10, StreamName.STATE, position(won, StreamName.STATE));
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/StrayRunTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/StrayRunTest.java
@@ -107,8 +107,8 @@
   void anExecutorOfAPoolThatNoQueueNamesIsNotContacted() {
     BatchCluster cluster = new BatchCluster(1, 0, 5);
     cluster.awaitOwner();
-    cluster.addExecutor(Declared.ofPool("e9", "r1", "another"));
-    cluster.addExecutor(Declared.executor("e8", "r1"));
+    cluster.addExecutor(TestFixtures.ofPool("e9", "r1", "another"));
+    cluster.addExecutor(TestFixtures.executor("e8", "r1"));
     cluster.run(1000);
     assertEquals(0, cluster.orders.sent.getOrDefault(new ExecutorId("e9"), 0));
     assertTrue(cluster.orders.sent.getOrDefault(new ExecutorId("e8"), 0) > 0);
@@ -131,7 +131,7 @@
     cluster
         .owner()
         .orElseThrow()
-        .deliver(new BatchEvent.ExecutorSeen(Declared.executor("e0", "r0")));
+        .deliver(new BatchEvent.ExecutorSeen(TestFixtures.executor("e0", "r0")));
     cluster.runUntil("the second job", 3000, () -> cluster.work.starts().size() == 2);
     assertEquals(second, cluster.work.starts().getLast().task().job());
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/VirtualWork.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/TaskSimulation.java
@@ -23,7 +23,7 @@
  * Simulates the work of tasks, including gangs across executors, and checks the guarantees about
  * runs.
  */
-final class VirtualWork {
+final class TaskSimulation {
 
   private static final long GANG_PATIENCE_MILLIS = 3000;
   private static final long FAILS_AFTER_MILLIS = 200;
@@ -74,7 +74,7 @@
   private final List<TaskRun> starts = new ArrayList<>();
   private final Map<TaskName, Long> durations = new HashMap<>();
   final FakeAdvice advice = new FakeAdvice();
-  final CrashingWork crashes = new CrashingWork();
+  final CrashingTasks crashes = new CrashingTasks();
   private double wastedCoreSeconds;
   private long stopMillis = 100;
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/Declared.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/TestFixtures.java
@@ -23,7 +23,7 @@
 import org.fescuehook.model.preferences.WorkPreferences;
 
 /** Configurations, preferences and executor profiles for tests. */
-final class Declared {
+final class TestFixtures {
 
   static final String KEY = "key-of-north";
   static final String URGENT = "urgent";
@@ -38,7 +38,7 @@
   /** Capacity of an executor as the users run them. */
   static final ResourceVector CAPACITY = new ResourceVector(64_000, 262_144, 8);
 
-  private Declared() {}
+  private TestFixtures() {}
 
   /** Returns preferences with the time limits that {@link FakeExecutor} keeps. */
   static BatchPreferences preferences() {
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/DayShape.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/WorkloadProfile.java
@@ -16,7 +16,7 @@
  * @param guaranteedShare share of all accelerators that is guaranteed to the organisations together
  * @param narrow whether a gang has at most as many members as a rack has executors
  */
-record DayShape(
+record WorkloadProfile(
     int executors,
     int rackSize,
     long stopMillis,
@@ -30,19 +30,19 @@
   static final double SLOW_SHARE = 0.16;
 
   private static final int[] GANG_ACCELERATORS = {1, 2, 4, 8, 8};
-  private static final int PER_EXECUTOR = Declared.CAPACITY.accelerators();
+  private static final int PER_EXECUTOR = TestFixtures.CAPACITY.accelerators();
 
   /** The workloads of both users combined, with the longer stop time and without faults. */
-  static final DayShape BOTH =
-      new DayShape(33, 8, 900, 0, 0, true, kindsOfJobs(0.5, 0.5), List.of());
+  static final WorkloadProfile BOTH =
+      new WorkloadProfile(33, 8, 900, 0, 0, true, kindsOfJobs(0.5, 0.5), List.of());
 
   /** Workload of Humidade Viva with slow, hanging and failing executors. */
-  static final DayShape HUMIDADE_VIVA =
-      new DayShape(33, 8, 200, 4, 0.62, false, kindsOfJobs(0.8, 0.6), sickExecutors());
+  static final WorkloadProfile HUMIDADE_VIVA =
+      new WorkloadProfile(33, 8, 200, 4, 0.62, false, kindsOfJobs(0.8, 0.6), sickExecutors());
 
   /** Workload of Lakeshore Loop with the same faults, smaller racks and slower stops. */
-  static final DayShape LAKESHORE =
-      new DayShape(32, 6, 900, 4, 0.62, false, kindsOfJobs(0.8, 0.6), sickExecutors());
+  static final WorkloadProfile LAKESHORE =
+      new WorkloadProfile(32, 6, 900, 4, 0.62, false, kindsOfJobs(0.8, 0.6), sickExecutors());
 
   /**
    * A class of jobs.
@@ -95,7 +95,7 @@
     ResourceVector bulk = new ResourceVector(5_600, 16_000, 1);
     return List.of(
         new Kind(
-            Declared.URGENT,
+            TestFixtures.URGENT,
             1.75,
             3.4,
             2500,
@@ -110,7 +110,7 @@
             250,
             0),
         new Kind(
-            Declared.NORMAL,
+            TestFixtures.NORMAL,
             0.46,
             5,
             8500,
@@ -124,7 +124,7 @@
             3,
             1000,
             5),
-        new Kind(Declared.BULK, 0.54, 16, 6100, 0.3, 0.5, bulk, 0.45, 0, 1, 0.3, 3, 3000, 9));
+        new Kind(TestFixtures.BULK, 0.54, 16, 6100, 0.3, 0.5, bulk, 0.45, 0, 1, 0.3, 3, 3000, 9));
   }
 
   private static List<Trouble> sickExecutors() {
@@ -136,15 +136,17 @@
 
   BatchConfiguration configuration() {
     if (organisations == 0) {
-      return Declared.configuration();
+      return TestFixtures.configuration();
     }
     int each = (int) (executors * PER_EXECUTOR * guaranteedShare / organisations);
-    return Declared.configuration(organisations, each);
+    return TestFixtures.configuration(organisations, each);
   }
 
   /** Draws the API key of the organisation that submits a job. */
   String drawKey(Random random) {
-    return organisations == 0 ? Declared.KEY : Declared.keyOf(random.nextInt(organisations));
+    return organisations == 0
+        ? TestFixtures.KEY
+        : TestFixtures.keyOf(random.nextInt(organisations));
   }
 
   int drawAccelerators(Random random) {
@@ -153,6 +155,6 @@
 
   /** Returns the largest number of gang members that fit into a rack. */
   int widestGang(ResourceVector member) {
-    return narrow ? rackSize : rackSize * Declared.CAPACITY.fits(member);
+    return narrow ? rackSize : rackSize * TestFixtures.CAPACITY.fits(member);
   }
 }
