--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/AdvisedWorkTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/AdvisedWorkTest.java
@@ -61,12 +61,12 @@
   @Test
   void workWaitsWhileTheServiceIsUnavailableAndStartsAfterwards() {
     cluster.work.advice.allowOnly(Set.of(ALLOWED));
-    cluster.work.advice.away(true);
+    cluster.work.advice.setUnavailable(true);
     cluster.awaitOwner();
     String job = submit(2, 500);
     cluster.run(3000);
     assertTrue(cluster.work.starts().isEmpty());
-    cluster.work.advice.away(false);
+    cluster.work.advice.setUnavailable(false);
     awaitCompleted(job, 2000);
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/BatchCluster.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/BatchCluster.java
@@ -48,7 +48,7 @@
   private static final long UNREAD = -1;
 
   /** How long callers wait for an answer; each call passes it to the owner. */
-  static final Duration PATIENCE = Duration.ofMillis(2800);
+  static final Duration CALLER_TIMEOUT = Duration.ofMillis(2800);
 
   private static final long WALL_START = 1_700_000_000_000L;
 
@@ -61,7 +61,7 @@
   final ClusterFaults faults = new ClusterFaults();
   final ClusterOrders orders = new ClusterOrders(this);
   final ClusterCrashes crashes = new ClusterCrashes(this);
-  private final FaultFreePeriod calm = new FaultFreePeriod(this);
+  private final FaultFreePeriod faultFreePeriod = new FaultFreePeriod(this);
   private final ClusterAppends appends = new ClusterAppends(this);
   final Random random;
   private final PriorityQueue<ScheduledAction> queue = new PriorityQueue<>();
@@ -85,7 +85,7 @@
         new ResponseTimeEstimator(RepeatedAppend.NEVER_LATE);
     private boolean following;
     private long busyUntil;
-    private final List<BatchEvent> held = new ArrayList<>();
+    private final List<BatchEvent> heldEvents = new ArrayList<>();
 
     Vm(VmId id) {
       this.id = id;
@@ -104,12 +104,13 @@
         return;
       }
       if (frozen) {
-        held.add(event);
+        heldEvents.add(event);
         return;
       }
       for (BatchCommand command :
-          core.apply(event, nowMillis * 1_000_000, WALL_START + nowMillis + faults.wallAhead)) {
-        carryOut(this, command);
+          core.apply(
+              event, nowMillis * 1_000_000, WALL_START + nowMillis + faults.wallClockAheadMillis)) {
+        execute(this, command);
       }
     }
 
@@ -119,15 +120,15 @@
     }
 
     /** Occupies this VM's only thread with an exchange with an executor, after its earlier work. */
-    void workOnExchange() {
+    void occupyForExchange() {
       busyUntil = Math.max(busyUntil, nowMillis) + faults.exchangeMillis;
     }
 
     /** Resumes a frozen VM and delivers the events that arrived meanwhile. */
-    void thaw() {
+    void unfreeze() {
       frozen = false;
-      List<BatchEvent> late = List.copyOf(held);
-      held.clear();
+      List<BatchEvent> late = List.copyOf(heldEvents);
+      heldEvents.clear();
       late.forEach(this::deliver);
     }
   }
@@ -169,7 +170,7 @@
   /** Announces that an executor leaves in {@code remainingMillis}. */
   void leave(ExecutorId id, long remainingMillis) {
     ExecutorProfile leaving = TestFixtures.leaving(executors.get(id).profile(), remainingMillis);
-    executors.get(id).describe(leaving);
+    executors.get(id).setProfile(leaving);
     vms.values().stream()
         .filter(vm -> vm.following)
         .forEach(vm -> vm.deliver(new BatchEvent.ExecutorSeen(leaving)));
@@ -179,7 +180,7 @@
   void crash(ExecutorId id) {
     FakeExecutor executor = executors.remove(id);
     executor.crash(nowMillis);
-    work.forget(id);
+    work.forgetEnds(id);
     in(4500, () -> unlist(id));
   }
 
@@ -249,12 +250,12 @@
       return;
     }
     BatchEvent read = reachesStore(vm) ? store.ownership() : new BatchEvent.OwnershipUnreadable();
-    in(faults.storeDelay, () -> ownershipRead(vm, read, end));
+    in(faults.storeDelayMillis, () -> ownershipRead(vm, read, end));
   }
 
   private void ownershipRead(Vm vm, BatchEvent read, long end) {
     if (reachesStore(vm)) {
-      vm.readTimes.answered(Duration.ofMillis(faults.storeDelay).toNanos());
+      vm.readTimes.answered(Duration.ofMillis(faults.storeDelayMillis).toNanos());
     }
     if (!vm.frozen) {
       vm.deliver(read);
@@ -262,14 +263,14 @@
     in(READ_PAUSE_MILLIS, () -> readOwnership(vm, end, nowMillis + READ_WAIT_MILLIS));
   }
 
-  private void carryOut(Vm vm, BatchCommand command) {
+  private void execute(Vm vm, BatchCommand command) {
     switch (command) {
       case BatchCommand.Answer(long number, CallAnswer answer) -> answered(number, answer);
       case BatchCommand.Append append -> appends.send(vm, append);
       case BatchCommand.LoadState load -> load(vm, load.epoch());
       case BatchCommand.FollowExecutors(boolean following) -> follow(vm, following);
       case BatchCommand.Order order -> orders.send(vm, order);
-      case BatchCommand.AskAdvice question -> orders.ask(vm, question);
+      case BatchCommand.AskAdvice question -> orders.askAdvice(vm, question);
       case BatchCommand.ForgetExecutor forget -> {}
       case BatchCommand.Note note -> notes.add(note);
       case BatchCommand.Measure _, BatchCommand.Count _ -> {}
@@ -278,7 +279,7 @@
 
   private void load(Vm vm, long epoch) {
     in(
-        faults.storeDelay,
+        faults.storeDelayMillis,
         () ->
             vm.deliver(
                 reachesStore(vm) && !faults.cannotLoad.contains(vm.id)
@@ -291,7 +292,7 @@
     vm.following = following;
     if (following) {
       in(
-          faults.storeDelay,
+          faults.storeDelayMillis,
           () ->
               vm.deliver(
                   new BatchEvent.ExecutorsListed(
@@ -304,7 +305,7 @@
 
   private void answered(long number, CallAnswer answer) {
     answers.put(number, answer);
-    calls.answered(number, answer, nowMillis);
+    calls.recordAnswer(number, answer, nowMillis);
   }
 
   /** Sends a call to the owner and returns its ticket; empty if no VM decides. */
@@ -314,13 +315,13 @@
       return Optional.empty();
     }
     ticket++;
-    calls.asked(ticket, call);
-    owner.get().deliver(new BatchEvent.Called(ticket, call, PATIENCE));
+    calls.recordCall(ticket, call);
+    owner.get().deliver(new BatchEvent.Called(ticket, call, CALLER_TIMEOUT));
     return Optional.of(ticket);
   }
 
-  boolean cancelAsked(String job) {
-    return calls.cancelAsked(job);
+  boolean cancelSent(String job) {
+    return calls.cancelSent(job);
   }
 
   Optional<Vm> owner() {
@@ -372,9 +373,9 @@
         due.action().run();
       }
       nowMillis = next;
-      List.copyOf(executors.values()).forEach(executor -> executor.pass(nowMillis, STEP_MILLIS));
-      crashes.bringBack();
-      calm.look();
+      List.copyOf(executors.values()).forEach(executor -> executor.advance(nowMillis, STEP_MILLIS));
+      crashes.restartCrashed();
+      faultFreePeriod.update();
     }
   }
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/BatchCoreTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/BatchCoreTest.java
@@ -98,10 +98,10 @@
   void aTaskThatFailsAsOftenAsItsQueueAllowsFailsItsJob() {
     BatchCluster cluster = cluster();
     String job = cluster.submit(BatchCluster.NORMAL, Jobs.of(Jobs.tasks(2, 1, 300)));
-    TaskName hopeless = new TaskName(job, 0, 0, 1);
-    cluster.work.failAlways(hopeless);
+    TaskName failingTask = new TaskName(job, 0, 0, 1);
+    cluster.work.failAlways(failingTask);
     awaitPhase(cluster, job, JobPhase.FAILED, 5000);
-    assertEquals(3, cluster.work.failures(hopeless));
+    assertEquals(3, cluster.work.failures(failingTask));
   }
 
   @Test
@@ -155,7 +155,7 @@
     cluster.submit(BatchCluster.NORMAL, Jobs.of(Jobs.gang(4, 8, 3000)));
     former.frozen = true;
     cluster.run(4000);
-    former.thaw();
+    former.unfreeze();
     cluster.run(4000);
     assertTrue(!former.core.deciding());
   }
@@ -319,7 +319,7 @@
   @Test
   void workThatMakesNoProgressOnASlowExecutorIsRestartedElsewhere() {
     BatchCluster cluster = cluster();
-    cluster.work.slow(new ExecutorId("e0"), 0.02);
+    cluster.work.slowDown(new ExecutorId("e0"), 0.02);
     List<String> jobs = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
       jobs.add(cluster.submit(BatchCluster.BULK, Jobs.of(Jobs.tasks(8, 1, 1500))));
@@ -383,7 +383,7 @@
     for (int i = 0; i < 3; i++) {
       String job = cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.gang(4, 2, 400)));
       for (int member = 0; member < 4; member++) {
-        cluster.work.lasts(new TaskName(job, 0, 0, member), 8000);
+        cluster.work.setWorkMillis(new TaskName(job, 0, 0, member), 8000);
       }
     }
     cluster.run(9500);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/BusyOwnerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/BusyOwnerTest.java
@@ -57,7 +57,8 @@
     BatchCall call =
         new BatchCall.Submit(
             BatchCluster.NORMAL, BatchCluster.KEY, "%016x".formatted(jobs), submission);
-    List<BatchCommand> sent = apply(new BatchEvent.Called(1, call, BatchCluster.PATIENCE), true);
+    List<BatchCommand> sent =
+        apply(new BatchEvent.Called(1, call, BatchCluster.CALLER_TIMEOUT), true);
     List<BatchCommand> stored = store(sent, more);
     for (List<BatchCommand> next = stored; append(next).isPresent(); ) {
       next = store(next, true);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/CallTracker.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/CallTracker.java
@@ -21,17 +21,17 @@
     this.submissions = submissions;
   }
 
-  void asked(long ticket, BatchCall call) {
+  void recordCall(long ticket, BatchCall call) {
     if (call instanceof BatchCall.Submit submit) {
       submitTickets.put(ticket, submit.job());
-      work.submitted(submit.job(), submit.submission());
+      work.recordSubmission(submit.job(), submit.submission());
     }
     if (call instanceof BatchCall.Cancel cancel) {
       cancelTickets.put(ticket, cancel.job());
     }
   }
 
-  void answered(long ticket, CallAnswer answer, long nowMillis) {
+  void recordAnswer(long ticket, CallAnswer answer, long nowMillis) {
     String job = submitTickets.get(ticket);
     if (job != null) {
       // A refused repeat of a submission does not undo an earlier acceptance.
@@ -42,11 +42,11 @@
     boolean acknowledged =
         answer instanceof CallAnswer.Cancelled || answer instanceof CallAnswer.NoSuchJob;
     if (cancelled != null && acknowledged) {
-      work.cancelled(cancelled, nowMillis);
+      work.recordCancel(cancelled, nowMillis);
     }
   }
 
-  boolean cancelAsked(String job) {
+  boolean cancelSent(String job) {
     return cancelTickets.containsValue(job);
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/CancelHistoriesTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/CancelHistoriesTest.java
@@ -27,25 +27,25 @@
     playAll(true);
   }
 
-  private static void playAll(boolean overtaking) {
+  private static void playAll(boolean reordering) {
     for (long seed = FIRST_SEED; seed < FIRST_SEED + HISTORIES; seed++) {
       List<String> faults = new ArrayList<>();
       try {
-        play(seed, overtaking, faults);
+        play(seed, reordering, faults);
       } catch (AssertionError | RuntimeException e) {
         throw new AssertionError("seed " + seed + ", faults " + faults, e);
       }
     }
   }
 
-  private static void play(long seed, boolean overtaking, List<String> faults) {
+  private static void play(long seed, boolean reordering, List<String> faults) {
     BatchCluster cluster = new BatchCluster(4, 8, seed);
     RandomJobs.schedule(cluster);
-    RandomCancels.schedule(cluster, overtaking);
+    RandomCancels.schedule(cluster, reordering);
     int count = 1 + cluster.random.nextInt(4);
     for (int i = 0; i < count; i++) {
       long at = 3000L + cluster.random.nextInt(22_000);
-      cluster.in(at, () -> faults.add(fault(cluster, overtaking)));
+      cluster.in(at, () -> faults.add(fault(cluster, reordering)));
     }
     cluster.run(DAY_MILLIS);
     cluster.run(60_000);
@@ -63,16 +63,16 @@
       return RandomBatchHistoriesTest.fault(cluster);
     }
     VmId owner = cluster.owner().orElseThrow().id;
-    long stopsLost = cluster.random.nextInt(1500);
+    long lostMillis = cluster.random.nextInt(1500);
     long away = 500L + cluster.random.nextInt(3000);
     cluster.faults.lostStops = true;
     cluster.in(
-        stopsLost,
+        lostMillis,
         () -> {
           cluster.faults.lostStops = false;
           cluster.restart(owner, away);
         });
-    String when = " at " + cluster.nowMillis() + " for " + stopsLost;
+    String when = " at " + cluster.nowMillis() + " for " + lostMillis;
     return "stops lost, then their owner, for " + away + when;
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/ClockJumpTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ClockJumpTest.java
@@ -22,7 +22,7 @@
     String job = cluster.submit(BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 1, 500)));
     Optional<CallAnswer> completed = Optional.of(new CallAnswer.Phase(JobPhase.COMPLETED));
     cluster.runUntil("its end", 3000, () -> cluster.status(job).equals(completed));
-    cluster.faults.wallAhead = 130_000;
+    cluster.faults.wallClockAheadMillis = 130_000;
     cluster.run(1000);
     assertEquals(completed, cluster.status(job));
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/ClusterAppends.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ClusterAppends.java
@@ -13,7 +13,7 @@
 final class ClusterAppends {
 
   /** Size of every append as far as its time limit is concerned, in bytes. */
-  private static final int BYTES = 1000;
+  private static final int APPEND_BYTES = 1000;
 
   /** Pending work of a stream beyond which it refuses further appends. */
   private static final long LONGEST_QUEUE_MILLIS = 2000;
@@ -40,8 +40,8 @@
       return;
     }
     claims += append.expectedEnd().isPresent() ? 1 : 0;
-    boolean away = cluster.faults.streamsDown.contains(append.stream());
-    if (away || !cluster.reachesStore(vm)) {
+    boolean streamDown = cluster.faults.streamsDown.contains(append.stream());
+    if (streamDown || !cluster.reachesStore(vm)) {
       AppendOutcome outcome =
           cluster.random.nextBoolean()
               ? new AppendOutcome.Refused("down")
@@ -52,7 +52,7 @@
     RepeatedAppend.begin(
         new Link(vm, append),
         vm.answerTimes.get(append.stream()),
-        BYTES,
+        APPEND_BYTES,
         outcome -> vm.deliver(appended(append, outcome)));
   }
 
@@ -77,12 +77,12 @@
 
     @Override
     public Optional<Sending> send(Duration limit, Consumer<AppendOutcome> sink) {
-      boolean lost = cluster.random.nextDouble() < cluster.faults.lostAnswers;
+      boolean lost = cluster.random.nextDouble() < cluster.faults.lostAnswerRate;
       boolean late = lost && cluster.random.nextBoolean();
       if (late) {
         cluster.in(1000 + cluster.random.nextInt(4000), this::apply);
       } else {
-        takeItsTurn(limit, lost ? outcome -> {} : sink);
+        enqueue(limit, lost ? outcome -> {} : sink);
       }
       if (lost) {
         cluster.in(limit.toMillis(), () -> sink.accept(new AppendOutcome.Unanswered("timeout")));
@@ -90,20 +90,21 @@
       return Optional.of(() -> {});
     }
 
-    private void takeItsTurn(Duration limit, Consumer<AppendOutcome> sink) {
+    private void enqueue(Duration limit, Consumer<AppendOutcome> sink) {
       long now = cluster.nowMillis();
-      long turn = Math.max(now, busyUntil.getOrDefault(append.stream(), now));
-      if (turn - now > LONGEST_QUEUE_MILLIS) {
-        answer(cluster.faults.storeDelay, limit, new AppendOutcome.Refused("status 503"), sink);
+      long start = Math.max(now, busyUntil.getOrDefault(append.stream(), now));
+      if (start - now > LONGEST_QUEUE_MILLIS) {
+        answer(
+            cluster.faults.storeDelayMillis, limit, new AppendOutcome.Refused("status 503"), sink);
         return;
       }
-      long done = turn + cluster.faults.appendMillis;
+      long done = start + cluster.faults.appendMillis;
       busyUntil.put(append.stream(), done);
       cluster.in(
           done - now,
           () -> {
             Duration left = limit.minusMillis(done - now);
-            answer(cluster.faults.storeDelay, left, apply(), sink);
+            answer(cluster.faults.storeDelayMillis, left, apply(), sink);
           });
     }
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/ClusterCrashes.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ClusterCrashes.java
@@ -29,12 +29,12 @@
   }
 
   /** Sets how long an executor stays down after a task has crashed it. */
-  void returnsAfter(long millis) {
+  void setDownMillis(long millis) {
     downMillis = millis;
   }
 
   /** Restarts the executors that tasks have crashed since the last call. */
-  void bringBack() {
+  void restartCrashed() {
     for (FakeExecutor executor : List.copyOf(cluster.executors.values())) {
       if (!executor.up()) {
         restart(executor.profile().id(), downMillis);
@@ -45,15 +45,15 @@
   /** Crashes an executor; another incarnation answers at its address after {@code awayMillis}. */
   void restart(ExecutorId id, long awayMillis) {
     if (idsKept) {
-      restartUnderItsId(id, awayMillis, -cluster.nowMillis() - awayMillis);
+      restartWithSameId(id, awayMillis, -cluster.nowMillis() - awayMillis);
       return;
     }
     FakeExecutor executor = cluster.executors.remove(id);
     executor.crash(cluster.nowMillis());
-    cluster.work.forget(id);
+    cluster.work.forgetEnds(id);
     down.add(id);
     restarts++;
-    ExecutorProfile next = TestFixtures.renamed(executor.profile(), "again-" + restarts);
+    ExecutorProfile next = TestFixtures.withId(executor.profile(), "again-" + restarts);
     cluster.in(
         awayMillis,
         () -> {
@@ -64,9 +64,9 @@
   }
 
   /** Makes all executors report when they started. */
-  void dateExecutors() {
+  void reportStartTimes() {
     for (FakeExecutor executor : List.copyOf(cluster.executors.values())) {
-      cluster.addExecutor(TestFixtures.born(executor.profile(), cluster.wallMillis()));
+      cluster.addExecutor(TestFixtures.withStartTime(executor.profile(), cluster.wallMillis()));
     }
   }
 
@@ -76,7 +76,7 @@
   }
 
   /** Sets how long after its restart an executor is listed again. */
-  void listedAfter(long millis) {
+  void setListedAfterMillis(long millis) {
     listedAfterMillis = millis;
   }
 
@@ -85,17 +85,18 @@
    * incarnation has no state of the previous one, and its clock and the sequence numbers of its
    * ends start anew.
    */
-  void restartUnderItsId(ExecutorId id, long awayMillis, long clockAhead) {
+  void restartWithSameId(ExecutorId id, long awayMillis, long clockAhead) {
     FakeExecutor executor = cluster.executors.remove(id);
     executor.crash(cluster.nowMillis());
-    cluster.work.forget(id);
+    cluster.work.forgetEnds(id);
     down.add(id);
     restarts++;
     cluster.in(
         awayMillis,
         () -> {
           down.remove(id);
-          ExecutorProfile next = TestFixtures.born(executor.profile(), cluster.wallMillis());
+          ExecutorProfile next =
+              TestFixtures.withStartTime(executor.profile(), cluster.wallMillis());
           cluster.addExecutor(new FakeExecutor(next, clockAhead, cluster.work));
           cluster.in(listedAfterMillis, () -> listIfUp(next));
         });
@@ -116,7 +117,7 @@
   }
 
   /** Returns whether nothing listens at the address of an executor. */
-  boolean refused(ExecutorId id) {
+  boolean refusesConnections(ExecutorId id) {
     return down.contains(id) && !replaced.contains(id);
   }
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/ClusterFaults.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ClusterFaults.java
@@ -14,7 +14,7 @@
 final class ClusterFaults {
 
   /** Time after which the first read of a VM counts as late. */
-  private static final long NEVER_LATE_MILLIS = 700;
+  private static final long FIRST_READ_LATE_MILLIS = 700;
 
   static final BiPredicate<VmId, BatchEvent> NOTHING_DROPPED = (vm, event) -> false;
 
@@ -27,10 +27,10 @@
    * Probability that the answer to an append is lost; half of these appends are applied seconds
    * late.
    */
-  double lostAnswers;
+  double lostAnswerRate;
 
   /** Delay of the store's answers, in milliseconds; concurrent answers do not delay each other. */
-  long storeDelay = 4;
+  long storeDelayMillis = 4;
 
   /** How long a stream processes one append, in milliseconds; it processes one at a time. */
   long appendMillis;
@@ -45,7 +45,7 @@
   BiPredicate<VmId, BatchEvent> dropped = NOTHING_DROPPED;
 
   /** How far the wall clocks of the VMs have jumped ahead, in milliseconds. */
-  long wallAhead;
+  long wallClockAheadMillis;
 
   /** How long an exchange with an executor occupies the only thread of a VM, in milliseconds. */
   long exchangeMillis;
@@ -57,13 +57,13 @@
   final Set<ExecutorId> silent = new HashSet<>();
 
   /** Probability that an order is delivered late and its sender sees a timeout. */
-  double lateOrders;
+  double lateOrderRate;
 
-  /** Disables late orders, whatever {@link #lateOrders} is. */
-  boolean ordersInTime;
+  /** Disables late orders, whatever {@link #lateOrderRate} is. */
+  boolean lateOrdersDisabled;
 
   /** Delay of late orders, in milliseconds; random if empty. */
-  OptionalLong lateMillis = OptionalLong.empty();
+  OptionalLong lateOrderMillis = OptionalLong.empty();
 
   /** Executors missing from the list that a VM gets when it begins to follow it. */
   final Set<ExecutorId> unlisted = new HashSet<>();
@@ -72,7 +72,7 @@
   boolean lostStops;
 
   /** Number of stops that were lost. */
-  int stopsLost;
+  int lostStopCount;
 
   /**
    * Whether connections for starts are refused, while polls use the connection that is kept open.
@@ -80,13 +80,15 @@
   boolean startsRefused;
 
   /** Returns the delay of a late order. */
-  long lateMillis(Random random) {
-    return lateMillis.orElseGet(() -> 2000 + random.nextInt(6000));
+  long lateOrderMillis(Random random) {
+    return lateOrderMillis.orElseGet(() -> 2000 + random.nextInt(6000));
   }
 
   /** Returns when the first read of a VM counts as late, in milliseconds after its start. */
   LongStream firstReadLateAt() {
     return LongStream.iterate(
-        NEVER_LATE_MILLIS, late -> late < storeDelay, late -> late + NEVER_LATE_MILLIS);
+        FIRST_READ_LATE_MILLIS,
+        late -> late < storeDelayMillis,
+        late -> late + FIRST_READ_LATE_MILLIS);
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/ClusterOrders.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ClusterOrders.java
@@ -40,7 +40,7 @@
     boolean start = command.order() instanceof BatchCommand.ExecutorOrder.Start;
     starts += start ? 1 : 0;
     if (faults.lostStops && command.order() instanceof BatchCommand.ExecutorOrder.Stop) {
-      faults.stopsLost++;
+      faults.lostStopCount++;
       unanswered(vm, command, 600, "timeout");
       return;
     }
@@ -48,27 +48,30 @@
       cluster.in(1, () -> ended(vm, command, new OrderOutcome.OtherIncarnation()));
       return;
     }
-    if (cluster.crashes.refused(id) || (start && faults.startsRefused)) {
+    if (cluster.crashes.refusesConnections(id) || (start && faults.startsRefused)) {
       cluster.in(1, () -> ended(vm, command, new OrderOutcome.NotSent("refused")));
       return;
     }
-    boolean there = cluster.executors.containsKey(id) && !faults.silent.contains(id);
-    boolean late = there && !faults.ordersInTime && cluster.random.nextDouble() < faults.lateOrders;
-    if (!there || late) {
+    boolean reachable = cluster.executors.containsKey(id) && !faults.silent.contains(id);
+    boolean late =
+        reachable
+            && !faults.lateOrdersDisabled
+            && cluster.random.nextDouble() < faults.lateOrderRate;
+    if (!reachable || late) {
       if (late) {
         long sentAt = cluster.nowMillis();
-        cluster.in(faults.lateMillis(cluster.random), () -> takeLate(id, command, sentAt));
+        cluster.in(faults.lateOrderMillis(cluster.random), () -> deliverLate(id, command, sentAt));
       }
       unanswered(vm, command, 600, "timeout");
       return;
     }
-    vm.workOnExchange();
+    vm.occupyForExchange();
     if (vm.backlogMillis() > EXCHANGE_TIMEOUT_MILLIS) {
       // The VM reads the answer only after the time limit; the exchange occupies its thread anyway.
       unanswered(vm, command, EXCHANGE_TIMEOUT_MILLIS, "read too late");
       return;
     }
-    cluster.in(1 + vm.backlogMillis(), () -> take(vm, id, command));
+    cluster.in(1 + vm.backlogMillis(), () -> deliver(vm, id, command));
   }
 
   private void unanswered(
@@ -76,21 +79,21 @@
     cluster.in(millis, () -> ended(vm, command, new OrderOutcome.Unanswered(reason)));
   }
 
-  private void take(BatchCluster.Vm vm, ExecutorId id, BatchCommand.Order command) {
+  private void deliver(BatchCluster.Vm vm, ExecutorId id, BatchCommand.Order command) {
     boolean poll = command.order() instanceof BatchCommand.ExecutorOrder.Poll;
     FakeExecutor executor = cluster.executors.get(id);
     OrderOutcome outcome =
         executor == null || !executor.up()
             ? new OrderOutcome.Unanswered("closed")
-            : executor.take(command.fence(), command.order(), cluster.nowMillis());
+            : executor.handle(command.fence(), command.order(), cluster.nowMillis());
     cluster.in(poll ? cluster.faults.pollMillis : 1, () -> ended(vm, command, outcome));
   }
 
-  private void takeLate(ExecutorId id, BatchCommand.Order command, long sentAt) {
+  private void deliverLate(ExecutorId id, BatchCommand.Order command, long sentAt) {
     FakeExecutor executor = cluster.executors.get(id);
     if (executor != null) {
-      cluster.work.late(
-          sentAt, () -> executor.take(command.fence(), command.order(), cluster.nowMillis()));
+      cluster.work.deliverLate(
+          sentAt, () -> executor.handle(command.fence(), command.order(), cluster.nowMillis()));
     }
   }
 
@@ -101,7 +104,7 @@
     vm.deliver(new BatchEvent.OrderEnded(command.executor().id(), command.number(), outcome));
   }
 
-  void ask(BatchCluster.Vm vm, BatchCommand.AskAdvice question) {
+  void askAdvice(BatchCluster.Vm vm, BatchCommand.AskAdvice question) {
     cluster.in(
         ADVICE_MILLIS, () -> vm.deliver(cluster.work.advice.ended(question, cluster.nowMillis())));
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/ConsecutiveTakeoversTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ConsecutiveTakeoversTest.java
@@ -41,15 +41,15 @@
     BatchCluster cluster = new BatchCluster(5, 6, seed);
     RandomJobs.schedule(cluster);
     cluster.run(1500);
-    cluster.faults.lostAnswers = 0.4;
-    cluster.faults.lateOrders = 0.02;
+    cluster.faults.lostAnswerRate = 0.4;
+    cluster.faults.lateOrderRate = 0.02;
     for (long at = 0; at < TROUBLE_MILLIS; at += 500 + cluster.random.nextInt(1000)) {
       cluster.in(at, () -> cutOwnerOff(cluster));
-      cluster.in(at + cluster.random.nextInt(500), () -> takeOffTheList(cluster));
+      cluster.in(at + cluster.random.nextInt(500), () -> unlistForAMoment(cluster));
     }
     cluster.run(TROUBLE_MILLIS + 2000);
-    cluster.faults.lostAnswers = 0;
-    cluster.faults.lateOrders = 0;
+    cluster.faults.lostAnswerRate = 0;
+    cluster.faults.lateOrderRate = 0;
     cluster.run(60_000);
     cluster.awaitOwner();
     cluster.run(2000);
@@ -66,15 +66,15 @@
               cluster.faults.cutFromStore.add(id);
               long millis = 1100L + cluster.random.nextInt(900);
               cluster.in(millis, () -> cluster.faults.cutFromStore.remove(id));
-              cluster.in(600, () -> doubt(cluster));
+              cluster.in(600, () -> suspectOwner(cluster));
             });
   }
 
-  private static void doubt(BatchCluster cluster) {
+  private static void suspectOwner(BatchCluster cluster) {
     cluster.vms.values().forEach(vm -> vm.deliver(new BatchEvent.OwnerDoubted()));
   }
 
-  private static void takeOffTheList(BatchCluster cluster) {
+  private static void unlistForAMoment(BatchCluster cluster) {
     List<ExecutorId> ids = List.copyOf(cluster.executors.keySet());
     ExecutorId id = ids.get(cluster.random.nextInt(ids.size()));
     cluster.unlist(id);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/CrashAttributionTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/CrashAttributionTest.java
@@ -37,7 +37,7 @@
   }
 
   /** Lets the task run for a while after the given number of starts, and returns its executor. */
-  private ExecutorId atWork(int starts, long millis) {
+  private ExecutorId runOnNextExecutor(int starts, long millis) {
     cluster.runUntil("a start", 15_000, () -> cluster.work.starts().size() >= starts);
     cluster.run(millis);
     return used().getFirst();
@@ -47,7 +47,7 @@
   void aTaskThatRanForAWhileBeforeEachOfThreeCrashesCompletes() {
     String job = submitted(6000);
     for (int crash = 1; crash <= 3; crash++) {
-      cluster.crashes.restart(atWork(crash, 3000), DOWN_MILLIS);
+      cluster.crashes.restart(runOnNextExecutor(crash, 3000), DOWN_MILLIS);
     }
     cluster.runUntil("the end", 15_000, () -> cluster.status(job).equals(COMPLETED));
   }
@@ -60,8 +60,8 @@
         .toList()
         .forEach(id -> cluster.leave(id, 600_000));
     String job = submitted(4000);
-    cluster.crashes.restart(atWork(1, 300), DOWN_MILLIS);
-    cluster.crashes.restart(atWork(2, 300), DOWN_MILLIS);
+    cluster.crashes.restart(runOnNextExecutor(1, 300), DOWN_MILLIS);
+    cluster.crashes.restart(runOnNextExecutor(2, 300), DOWN_MILLIS);
     cluster.runUntil("the end", 20_000, () -> cluster.status(job).equals(COMPLETED));
   }
 
@@ -75,7 +75,7 @@
     cluster.run(200);
     String job = cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.gang(2, 8, 4000)));
     for (int loss = 1; loss <= 2; loss++) {
-      atWork(2 * loss, 300);
+      runOnNextExecutor(2 * loss, 300);
       List<ExecutorId> lost = used();
       lost.forEach(id -> cluster.crashes.restart(id, DOWN_MILLIS));
     }
@@ -91,11 +91,11 @@
     cluster.awaitOwner();
     cluster.run(200);
     String job = cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.gang(2, 8, 4000)));
-    atWork(2, 300);
+    runOnNextExecutor(2, 300);
     ExecutorId second = runs(new TaskName(job, 0, 0, 1));
     cluster.crashes.restart(runs(new TaskName(job, 0, 0, 0)), DOWN_MILLIS);
     cluster.crashes.restart(second, DOWN_MILLIS);
-    atWork(4, 300);
+    runOnNextExecutor(4, 300);
     cluster.crashes.restart(runs(new TaskName(job, 0, 0, 1)), DOWN_MILLIS);
     cluster.runUntil("the end", 20_000, () -> cluster.status(job).equals(COMPLETED));
   }
@@ -112,7 +112,7 @@
   void aTaskWhoseExecutorsLeaveCompletes() {
     String job = submitted(4000);
     for (int left = 1; left <= 4; left++) {
-      ExecutorId id = atWork(left, 300);
+      ExecutorId id = runOnNextExecutor(left, 300);
       cluster.leave(id, 60_000);
       cluster.run(100);
       cluster.crashes.restart(id, DOWN_MILLIS);
@@ -138,9 +138,9 @@
   void aLongRunningTaskThatHasStartedUpSurvivesAnyNumberOfCrashes() {
     cluster.awaitOwner();
     cluster.run(200);
-    String job = cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.lasting(1, 1, 1, 0)));
+    String job = cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.longRunning(1, 1, 1, 0)));
     for (int crash = 1; crash <= 8; crash++) {
-      cluster.crashes.restart(atWork(crash, 5000), DOWN_MILLIS);
+      cluster.crashes.restart(runOnNextExecutor(crash, 5000), DOWN_MILLIS);
     }
     cluster.run(8000);
     assertEquals(Optional.of(new CallAnswer.Phase(JobPhase.IN_PROGRESS)), cluster.status(job));
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/CrashingHistoriesTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/CrashingHistoriesTest.java
@@ -25,7 +25,7 @@
   /**
    * Times from a start to the crash, in milliseconds; 0 is a crash before the start is answered.
    */
-  private static final long[] CRASH_AFTER = {0, 20, 20, 700, 3000};
+  private static final long[] CRASH_AFTER_MILLIS = {0, 20, 20, 700, 3000};
 
   private final Set<String> crashing = new HashSet<>();
   private boolean idsKept;
@@ -80,7 +80,7 @@
   private void play(long seed, List<String> faults) {
     BatchCluster cluster = new BatchCluster(4, 12, seed);
     if (idsKept) {
-      cluster.crashes.dateExecutors();
+      cluster.crashes.reportStartTimes();
       cluster.crashes.keepIds(true);
     }
     RandomJobs.schedule(cluster);
@@ -96,7 +96,7 @@
     cluster.run(60_000);
     cluster.awaitOwner();
     cluster.run(2000);
-    RandomJobs.checkBesideCrashes(cluster, crashing);
+    RandomJobs.checkWithCrashes(cluster, crashing);
   }
 
   private void submitCrashing(BatchCluster cluster) {
@@ -111,10 +111,11 @@
         cluster.submit(
             cluster.random.nextBoolean() ? BatchCluster.URGENT : BatchCluster.NORMAL,
             Jobs.of(gang ? Jobs.gang(tasks, 2, millis) : Jobs.tasks(tasks, 2, millis)));
-    long after = CRASH_AFTER[cluster.random.nextInt(CRASH_AFTER.length)];
-    int guilty = 1 + cluster.random.nextInt(tasks);
-    for (int index = 0; index < guilty; index++) {
-      cluster.work.crashes.crashes(new TaskName(job, 0, 0, index), Math.min(after, millis - 100));
+    long after = CRASH_AFTER_MILLIS[cluster.random.nextInt(CRASH_AFTER_MILLIS.length)];
+    int crashingCount = 1 + cluster.random.nextInt(tasks);
+    for (int index = 0; index < crashingCount; index++) {
+      cluster.work.crashingTasks.crashAfter(
+          new TaskName(job, 0, 0, index), Math.min(after, millis - 100));
     }
     crashing.add(job);
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/CrashingTaskTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/CrashingTaskTest.java
@@ -29,7 +29,7 @@
     cluster.awaitOwner();
     cluster.run(200);
     String job = cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.tasks(1, 1, 2000)));
-    cluster.work.crashes.crashes(new TaskName(job, 0, 0, 0), SOON_MILLIS);
+    cluster.work.crashingTasks.crashAfter(new TaskName(job, 0, 0, 0), SOON_MILLIS);
     cluster.runUntil("the end of the job", 40_000, () -> cluster.status(job).equals(FAILED));
   }
 
@@ -40,14 +40,14 @@
     cluster.run(200);
     String job = cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.tasks(1, 1, 2000)));
     TaskName task = new TaskName(job, 0, 0, 0);
-    cluster.work.crashes.crashes(task, SOON_MILLIS);
+    cluster.work.crashingTasks.crashAfter(task, SOON_MILLIS);
     for (int crashes = 1; crashes <= 8; crashes++) {
       int next = crashes;
       cluster.runUntil(
           "crash " + crashes + " or the end of the job",
           20_000,
           () ->
-              cluster.work.crashes.crashesUnder(task) >= next
+              cluster.work.crashingTasks.crashesUnder(task) >= next
                   || cluster.status(job).equals(FAILED));
       VmId owner = cluster.owner().orElseThrow().id;
       cluster.restart(owner, 1000);
@@ -63,7 +63,7 @@
     cluster.awaitOwner();
     cluster.run(200);
     String job = cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.tasks(1, 1, 2000)));
-    cluster.work.crashes.crashes(new TaskName(job, 0, 0, 0), 0);
+    cluster.work.crashingTasks.crashAfter(new TaskName(job, 0, 0, 0), 0);
     cluster.runUntil("the end of the job", 60_000, () -> cluster.status(job).equals(FAILED));
   }
 
@@ -74,7 +74,7 @@
     cluster.awaitOwner();
     cluster.run(200);
     String job = cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.tasks(1, 1, 8000)));
-    cluster.work.crashes.crashes(new TaskName(job, 0, 0, 0), 4000);
+    cluster.work.crashingTasks.crashAfter(new TaskName(job, 0, 0, 0), 4000);
     cluster.runUntil("the end of the job", 60_000, () -> cluster.status(job).equals(FAILED));
   }
 
@@ -82,19 +82,19 @@
   @Test
   void aTaskWhoseExecutorsDoNotComeBackIsGivenUpByEachNextOwner() {
     BatchCluster cluster = new BatchCluster(3, 12, 1);
-    cluster.crashes.returnsAfter(1_000_000);
+    cluster.crashes.setDownMillis(1_000_000);
     cluster.awaitOwner();
     cluster.run(200);
     String job = cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.tasks(1, 1, 2000)));
     TaskName task = new TaskName(job, 0, 0, 0);
-    cluster.work.crashes.crashes(task, SOON_MILLIS);
+    cluster.work.crashingTasks.crashAfter(task, SOON_MILLIS);
     for (int crashes = 1; !cluster.status(job).equals(FAILED); crashes++) {
       int next = crashes;
       cluster.runUntil(
           "crash " + crashes + " or the end of the job",
           40_000,
           () ->
-              cluster.work.crashes.crashesUnder(task) >= next
+              cluster.work.crashingTasks.crashesUnder(task) >= next
                   || cluster.status(job).equals(FAILED));
       cluster.restart(cluster.owner().orElseThrow().id, 1000);
       cluster.run(5000);
@@ -108,7 +108,7 @@
     cluster.awaitOwner();
     cluster.run(200);
     String job = cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.gang(3, 8, 2000)));
-    cluster.work.crashes.crashes(new TaskName(job, 0, 0, 1), SOON_MILLIS);
+    cluster.work.crashingTasks.crashAfter(new TaskName(job, 0, 0, 1), SOON_MILLIS);
     cluster.runUntil("the end of the job", 60_000, () -> cluster.status(job).equals(FAILED));
   }
 
@@ -117,8 +117,8 @@
     BatchCluster cluster = new BatchCluster(2, 8, 1);
     cluster.awaitOwner();
     cluster.run(200);
-    String job = cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.lasting(2, 1, 1, 0)));
-    cluster.work.crashes.crashes(new TaskName(job, 0, 0, 0), SOON_MILLIS);
+    String job = cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.longRunning(2, 1, 1, 0)));
+    cluster.work.crashingTasks.crashAfter(new TaskName(job, 0, 0, 0), SOON_MILLIS);
     cluster.runUntil("the end of the job", 60_000, () -> cluster.status(job).equals(FAILED));
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/CrashingTasks.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/CrashingTasks.java
@@ -11,7 +11,7 @@
 final class CrashingTasks {
 
   /** Number of crashed executors from which on further starts of a task are counted. */
-  private static final int COUNTED_FROM = 3;
+  private static final int COUNTED_FROM_CRASHES = 3;
 
   /** Number of further starts at which the check fails. */
   private static final int TOO_MANY_STARTS = 3;
@@ -25,20 +25,20 @@
    *
    * @param millis time from the start to the crash; 0 for a crash before the start is answered
    */
-  void crashes(TaskName task, long millis) {
+  void crashAfter(TaskName task, long millis) {
     ageAtCrash.put(task, millis);
   }
 
-  boolean atStart(TaskRun run) {
+  boolean crashesAtStart(TaskRun run) {
     return ageAtCrash.getOrDefault(run.task(), Long.MAX_VALUE) == 0;
   }
 
-  boolean due(TaskRun run, long ageMillis) {
+  boolean crashesNow(TaskRun run, long ageMillis) {
     return ageMillis >= ageAtCrash.getOrDefault(run.task(), Long.MAX_VALUE);
   }
 
   /** Records that a run was active when its executor crashed, whatever caused the crash. */
-  void crashed(TaskRun run) {
+  void recordCrash(TaskRun run) {
     crashes.merge(run.task(), 1, Integer::sum);
   }
 
@@ -56,8 +56,8 @@
         .orElse(0);
   }
 
-  void started(TaskRun run) {
-    if (!ageAtCrash.containsKey(run.task()) || crashesUnder(run.task()) < COUNTED_FROM) {
+  void checkStart(TaskRun run) {
+    if (!ageAtCrash.containsKey(run.task()) || crashesUnder(run.task()) < COUNTED_FROM_CRASHES) {
       return;
     }
     int starts = lateStarts.merge(run.task(), 1, Integer::sum);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/DeadOwnerAfterSlownessTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/DeadOwnerAfterSlownessTest.java
@@ -29,7 +29,7 @@
   private final BatchCluster cluster = new BatchCluster(8, 20, 1);
 
   private void storeTakes(long millis) {
-    cluster.faults.storeDelay = millis;
+    cluster.faults.storeDelayMillis = millis;
     cluster.faults.appendMillis = millis;
   }
 
@@ -82,7 +82,7 @@
         cluster.vms.values().stream().filter(vm -> !vm.id.equals(owner)).toList();
     others.forEach(vm -> vm.frozen = true);
     cluster.run(5000);
-    others.forEach(BatchCluster.Vm::thaw);
+    others.forEach(BatchCluster.Vm::unfreeze);
     cluster.run(QUICK_MILLIS);
     killOwner();
   }
@@ -95,7 +95,7 @@
     BatchCluster.Vm owner = cluster.owner().orElseThrow();
     owner.frozen = true;
     cluster.run(1400);
-    owner.thaw();
+    owner.unfreeze();
     cluster.run(QUICK_MILLIS);
     killOwner();
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/FakeAdvice.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/FakeAdvice.java
@@ -18,15 +18,15 @@
   private final Map<String, Long> tickets = new HashMap<>();
   private final List<BatchCommand.AskAdvice> questions = new ArrayList<>();
   private Optional<Set<ExecutorId>> allowed = Optional.empty();
-  private boolean away;
+  private boolean unavailable;
 
   /** Restricts steps of queues that need advice to these executors from now on. */
   void allowOnly(Set<ExecutorId> executors) {
     allowed = Optional.of(executors);
   }
 
-  void away(boolean isAway) {
-    away = isAway;
+  void setUnavailable(boolean isUnavailable) {
+    unavailable = isUnavailable;
   }
 
   List<BatchCommand.AskAdvice> questions() {
@@ -39,7 +39,7 @@
 
   private AdviceOutcome answer(BatchCommand.AskAdvice question, long nowMillis) {
     questions.add(question);
-    if (away) {
+    if (unavailable) {
       return new AdviceOutcome.Unavailable("away");
     }
     Map<ExecutorId, String> given = new HashMap<>();
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/FakeExecutor.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/FakeExecutor.java
@@ -31,13 +31,13 @@
   private static final long SHRINK_MILLIS = 4500;
 
   private final TaskSimulation work;
-  private final Map<TaskRun, Active> active = new LinkedHashMap<>();
-  private final Map<TaskName, Integer> closed = new HashMap<>();
+  private final Map<TaskRun, RunState> active = new LinkedHashMap<>();
+  private final Map<TaskName, Integer> highestClosedRuns = new HashMap<>();
   private final List<OrderOutcome.EndedRun> ended = new ArrayList<>();
   private final long clockAhead;
   private ExecutorProfile profile;
-  private ResourceVector usable;
-  private boolean guards = true;
+  private ResourceVector usableCapacity;
+  private boolean checksCapacity = true;
   private long epoch;
   private long leaseUntil;
   private long lastEnd;
@@ -45,26 +45,26 @@
   private int ignoredStops;
 
   /** State of a run that occupies capacity. */
-  private static final class Active {
-    private final String from;
+  private static final class RunState {
+    private final String startCheckpoint;
     private final long startedAt;
     private long workedMillis;
-    private double partMillis;
+    private double exactWorkedMillis;
     private long waitedMillis;
     private long stopAt = Long.MAX_VALUE;
     private long restoringMillis;
-    private int pacePercent = 100;
+    private int throttlePercent = 100;
 
-    Active(String from, long startedAt) {
-      this.from = from;
+    RunState(String startCheckpoint, long startedAt) {
+      this.startCheckpoint = startCheckpoint;
       this.startedAt = startedAt;
-      this.restoringMillis = from.isEmpty() ? 0 : RESTORE_MILLIS;
+      this.restoringMillis = startCheckpoint.isEmpty() ? 0 : RESTORE_MILLIS;
     }
   }
 
   FakeExecutor(ExecutorProfile profile, long clockAhead, TaskSimulation work) {
     this.profile = profile;
-    this.usable = profile.capacity();
+    this.usableCapacity = profile.capacity();
     this.clockAhead = clockAhead;
     this.work = work;
   }
@@ -73,7 +73,7 @@
     return profile;
   }
 
-  void describe(ExecutorProfile newer) {
+  void setProfile(ExecutorProfile newer) {
     profile = newer;
   }
 
@@ -81,17 +81,17 @@
    * Makes the executor accept starts that it would reject for lack of capacity; such a start fails
    * the test.
    */
-  void startAnything() {
-    guards = false;
+  void skipCapacityCheck() {
+    checksCapacity = false;
   }
 
   /** Changes the executor's capacity and reports that through the list. */
   void resize(ResourceVector capacity, BatchCluster cluster) {
     profile = TestFixtures.withCapacity(profile, capacity);
-    if (capacity.contains(usable)) {
-      usable = capacity;
+    if (capacity.contains(usableCapacity)) {
+      usableCapacity = capacity;
     } else {
-      cluster.in(SHRINK_MILLIS, () -> usable = profile.capacity());
+      cluster.in(SHRINK_MILLIS, () -> usableCapacity = profile.capacity());
     }
     cluster.list(profile.id());
   }
@@ -106,7 +106,7 @@
   }
 
   /** Returns how many ends the executor still reports, since they are not acknowledged. */
-  int unacknowledged() {
+  int unacknowledgedEnds() {
     return ended.size();
   }
 
@@ -119,12 +119,12 @@
     up = false;
     for (TaskRun run : running()) {
       active.remove(run);
-      work.crashes.crashed(run);
-      work.gone(run, nowMillis);
+      work.crashingTasks.recordCrash(run);
+      work.removeLost(run, nowMillis);
     }
   }
 
-  OrderOutcome take(long orderEpoch, ExecutorOrder order, long nowMillis) {
+  OrderOutcome handle(long orderEpoch, ExecutorOrder order, long nowMillis) {
     if (orderEpoch < epoch) {
       return new OrderOutcome.Rejected(Rejection.FENCED);
     }
@@ -139,8 +139,8 @@
 
   private OrderOutcome poll(ExecutorOrder.Poll poll, long nowMillis) {
     ended.removeIf(end -> end.number() <= poll.acknowledged());
-    work.acknowledged(profile.id(), poll.acknowledged());
-    poll.leaseUntilMillis().ifPresent(until -> lease(until, nowMillis));
+    work.recordAcknowledgement(profile.id(), poll.acknowledged());
+    poll.leaseUntilMillis().ifPresent(until -> extendLease(until, nowMillis));
     List<OrderOutcome.ActiveRun> runs = new ArrayList<>();
     active.forEach(
         (run, state) ->
@@ -149,40 +149,40 @@
                     run,
                     checkpoint(run, state),
                     work.percent(run, state.workedMillis),
-                    work.load(run, pacedWork()))));
+                    work.load(run, workServingNoUsers()))));
     return new OrderOutcome.Polled(
         profile.incarnation().bornMillis(), nowMillis + clockAhead, runs, List.copyOf(ended));
   }
 
   private OrderOutcome pace(ExecutorOrder.Pace pace, long nowMillis) {
     Optional.ofNullable(active.get(pace.run()))
-        .ifPresent(state -> state.pacePercent = pace.percent());
+        .ifPresent(state -> state.throttlePercent = pace.percent());
     return new OrderOutcome.Done(nowMillis + clockAhead);
   }
 
   /**
    * Returns how much work the tasks that serve no users do here at present, in full-speed tasks.
    */
-  private double pacedWork() {
+  private double workServingNoUsers() {
     double whole = 0;
-    for (Map.Entry<TaskRun, Active> entry : active.entrySet()) {
-      whole += work.serves(entry.getKey()) ? 0 : entry.getValue().pacePercent / 100.0;
+    for (Map.Entry<TaskRun, RunState> entry : active.entrySet()) {
+      whole += work.serves(entry.getKey()) ? 0 : entry.getValue().throttlePercent / 100.0;
     }
     return whole;
   }
 
-  private void lease(long untilThere, long nowMillis) {
+  private void extendLease(long untilThere, long nowMillis) {
     long until = Math.min(untilThere - clockAhead, nowMillis + LONGEST_LEASE_MILLIS);
     leaseUntil = Math.max(leaseUntil, until);
   }
 
   private OrderOutcome start(ExecutorOrder.Start start, long nowMillis) {
-    lease(start.leaseUntilMillis(), nowMillis);
+    extendLease(start.leaseUntilMillis(), nowMillis);
     TaskRun run = start.run();
     if (active.containsKey(run)) {
       return new OrderOutcome.Done(nowMillis + clockAhead);
     }
-    if (run.number() <= closed.getOrDefault(run.task(), 0)) {
+    if (run.number() <= highestClosedRuns.getOrDefault(run.task(), 0)) {
       return new OrderOutcome.Rejected(Rejection.SUPERSEDED);
     }
     if (start.leaseUntilMillis() - clockAhead <= nowMillis) {
@@ -192,13 +192,13 @@
       return new OrderOutcome.Rejected(Rejection.NO_TICKET);
     }
     boolean fits = free().contains(work.demand(run.task()));
-    if (!fits && guards) {
+    if (!fits && checksCapacity) {
       return new OrderOutcome.Rejected(Rejection.NO_ROOM);
     }
     assertTrue(fits, () -> run + " brings " + profile.id() + " over its capacity");
-    active.put(run, new Active(start.checkpoint(), nowMillis));
-    work.started(run, profile.id(), nowMillis);
-    if (work.crashes.atStart(run)) {
+    active.put(run, new RunState(start.checkpoint(), nowMillis));
+    work.recordStart(run, profile.id(), nowMillis);
+    if (work.crashingTasks.crashesAtStart(run)) {
       crash(nowMillis);
       return new OrderOutcome.Unanswered("closed");
     }
@@ -206,7 +206,7 @@
   }
 
   private ResourceVector free() {
-    ResourceVector free = guards ? profile.capacity() : usable;
+    ResourceVector free = checksCapacity ? profile.capacity() : usableCapacity;
     for (TaskRun run : active.keySet()) {
       free = free.minus(work.demand(run.task()));
     }
@@ -218,7 +218,7 @@
       ignoredStops--;
       return new OrderOutcome.Done(nowMillis + clockAhead);
     }
-    closed.merge(run.task(), run.number(), Math::max);
+    highestClosedRuns.merge(run.task(), run.number(), Math::max);
     Optional.ofNullable(active.get(run))
         .ifPresent(state -> state.stopAt = Math.min(state.stopAt, nowMillis + work.stopMillis()));
     return new OrderOutcome.Done(nowMillis + clockAhead);
@@ -226,25 +226,26 @@
 
   /** Ends a run; does nothing if the run is not active here. */
   void end(TaskRun run, RunEnd how, long nowMillis) {
-    Active state = active.remove(run);
+    RunState state = active.remove(run);
     if (state == null) {
       return;
     }
-    closed.merge(run.task(), run.number(), Math::max);
+    highestClosedRuns.merge(run.task(), run.number(), Math::max);
     boolean kept = how == RunEnd.DONE || how == RunEnd.FAILED;
     long unsaved =
         work.checkpoints(run.task()) ? state.workedMillis % CHECKPOINT_MILLIS : state.workedMillis;
-    work.wasted(run, state.waitedMillis + (kept ? 0 : unsaved));
+    work.addWaste(run, state.waitedMillis + (kept ? 0 : unsaved));
     lastEnd++;
     ended.add(new OrderOutcome.EndedRun(lastEnd, run, how, checkpoint(run, state)));
-    work.ended(run, profile.id(), lastEnd, how, nowMillis);
+    work.recordEnd(run, profile.id(), lastEnd, how, nowMillis);
   }
 
-  private String checkpoint(TaskRun run, Active state) {
+  private String checkpoint(TaskRun run, RunState state) {
     if (!work.checkpoints(run.task())) {
       return "";
     }
-    long saved = saved(state.from) + state.workedMillis / CHECKPOINT_MILLIS * CHECKPOINT_MILLIS;
+    long saved =
+        saved(state.startCheckpoint) + state.workedMillis / CHECKPOINT_MILLIS * CHECKPOINT_MILLIS;
     return saved == 0 ? "" : String.valueOf(saved);
   }
 
@@ -253,18 +254,18 @@
   }
 
   /** Advances the runs by some time. */
-  void pass(long nowMillis, long millis) {
+  void advance(long nowMillis, long millis) {
     if (nowMillis > leaseUntil) {
       // By the published protocol an end no longer counts after the lease has expired, even if the
       // executor still reports it.
-      work.forget(profile.id());
+      work.forgetEnds(profile.id());
     }
     for (TaskRun run : running()) {
-      Active state = active.get(run);
+      RunState state = active.get(run);
       if (state == null) {
         continue;
       }
-      if (work.crashes.due(run, nowMillis - state.startedAt)) {
+      if (work.crashingTasks.crashesNow(run, nowMillis - state.startedAt)) {
         crash(nowMillis);
         return;
       }
@@ -272,12 +273,13 @@
         end(run, RunEnd.LEASE_EXPIRED, nowMillis);
       } else if (nowMillis >= state.stopAt) {
         end(run, RunEnd.STOPPED, nowMillis);
-      } else if (work.together(run)) {
+      } else if (work.gangComplete(run)) {
         work(run, state, millis);
-        if (work.ends(run) && saved(state.from) + state.workedMillis >= work.duration(run)) {
+        if (work.ends(run)
+            && saved(state.startCheckpoint) + state.workedMillis >= work.duration(run)) {
           work.finish(run, nowMillis);
         }
-      } else if (nowMillis - state.startedAt > work.gangPatienceMillis()) {
+      } else if (nowMillis - state.startedAt > work.gangTimeoutMillis()) {
         end(run, RunEnd.GANG_INCOMPLETE, nowMillis);
       } else {
         state.waitedMillis += millis;
@@ -285,12 +287,12 @@
     }
   }
 
-  private void work(TaskRun run, Active state, long millis) {
+  private void work(TaskRun run, RunState state, long millis) {
     if (state.restoringMillis > 0) {
       state.restoringMillis -= millis;
       return;
     }
-    state.partMillis += millis * work.speed(run) * state.pacePercent / 100.0;
-    state.workedMillis = (long) state.partMillis;
+    state.exactWorkedMillis += millis * work.speed(run) * state.throttlePercent / 100.0;
+    state.workedMillis = (long) state.exactWorkedMillis;
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/FakeStore.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/FakeStore.java
@@ -22,7 +22,7 @@
 final class FakeStore {
 
   /** Number of latest appends whose repeats get the same answer again. */
-  private static final int REMEMBERED = 5;
+  private static final int REMEMBERED_APPENDS = 5;
 
   private final Map<StreamName, Stream> streams = new EnumMap<>(StreamName.class);
 
@@ -88,7 +88,7 @@
     if (!records.isEmpty()) {
       stream.lastSequence = OptionalLong.of(position.sequence());
       stream.remembered.put(position.sequence(), outcome);
-      if (stream.remembered.size() > REMEMBERED) {
+      if (stream.remembered.size() > REMEMBERED_APPENDS) {
         stream.remembered.remove(stream.remembered.keySet().iterator().next());
       }
     }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/FaultFreePeriod.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/FaultFreePeriod.java
@@ -4,10 +4,10 @@
 final class FaultFreePeriod {
 
   /** Store delay that does not count as a fault. */
-  private static final long USUAL_STORE_MILLIS = 4;
+  private static final long NORMAL_STORE_DELAY_MILLIS = 4;
 
   /** Time for the answer to a poll that does not count as a fault. */
-  private static final long USUAL_POLL_MILLIS = 100;
+  private static final long NORMAL_POLL_MILLIS = 100;
 
   private final BatchCluster cluster;
   private long sinceMillis;
@@ -19,36 +19,36 @@
   /**
    * Updates the start of the fault-free period and checks that runs of cancelled jobs have ended.
    */
-  void look() {
-    if (!calm()) {
+  void update() {
+    if (!faultFree()) {
       sinceMillis = cluster.nowMillis();
     }
     cluster.work.checkEnded(sinceMillis, cluster.nowMillis());
   }
 
-  private boolean calm() {
+  private boolean faultFree() {
     return cluster.vms.values().stream().allMatch(vm -> vm.running && !vm.frozen)
-        && storeCalm(cluster.faults)
-        && executorsCalm(cluster.faults);
+        && storeFaultFree(cluster.faults)
+        && executorsFaultFree(cluster.faults);
   }
 
-  private static boolean storeCalm(ClusterFaults faults) {
+  private static boolean storeFaultFree(ClusterFaults faults) {
     return !faults.storeDown
         && faults.streamsDown.isEmpty()
         && faults.cutFromStore.isEmpty()
         && faults.cannotLoad.isEmpty()
-        && faults.lostAnswers == 0
+        && faults.lostAnswerRate == 0
         && faults.appendMillis == 0
-        && faults.storeDelay <= USUAL_STORE_MILLIS;
+        && faults.storeDelayMillis <= NORMAL_STORE_DELAY_MILLIS;
   }
 
-  private static boolean executorsCalm(ClusterFaults faults) {
+  private static boolean executorsFaultFree(ClusterFaults faults) {
     return faults.silent.isEmpty()
         && faults.unlisted.isEmpty()
         && !faults.lostStops
-        && faults.lateOrders == 0
+        && faults.lateOrderRate == 0
         && faults.exchangeMillis == 0
-        && faults.pollMillis <= USUAL_POLL_MILLIS
+        && faults.pollMillis <= NORMAL_POLL_MILLIS
         && faults.dropped.equals(ClusterFaults.NOTHING_DROPPED);
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/HeavyLoadSimulation.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/HeavyLoadSimulation.java
@@ -21,93 +21,95 @@
  */
 final class HeavyLoadSimulation {
 
-  private static final long DAY_MILLIS = 50_000;
-  private static final long AFTER_MILLIS = 20_000;
-  private static final long BACKLOG_AT = 1_500;
+  private static final long SUBMISSION_MILLIS = 50_000;
+  private static final long FINISH_MILLIS = 20_000;
+  private static final long BACKLOG_AT_MILLIS = 1_500;
 
   /** A late job still earns part of its value up to this many times its objective. */
-  private static final double LATEST = 3;
+  private static final double LATEST_RATIO = 3;
 
   /**
    * Fixed part of a job's value; the rest grows with its work relative to the mean of its class.
    */
-  private static final double FIXED_WORTH = 0.3;
+  private static final double FIXED_VALUE = 0.3;
 
   /** The users' price of a core-second of discarded work. */
   private static final double WASTE_PRICE = 0.002;
 
   /** A job that was submitted. */
-  private record Asked(WorkloadProfile.Kind kind, long at, double objective, double share) {}
+  private record SubmittedJob(
+      WorkloadProfile.JobClass jobClass, long at, double objective, double share) {}
 
   /**
    * The outcome of a simulation.
    *
    * @param credit share of the possible value that was earned
    * @param wasted price of the discarded work, as a share of the possible value
-   * @param byKind share earned by each queue
+   * @param byQueue share earned by each queue
    */
-  record Result(double credit, double wasted, Map<String, Double> byKind) {}
+  record Result(double credit, double wasted, Map<String, Double> byQueue) {}
 
-  private final WorkloadProfile shape;
+  private final WorkloadProfile profile;
   private final BatchCluster cluster;
   private final Random random;
   private final double load;
-  private final Map<String, Asked> asked = new LinkedHashMap<>();
+  private final Map<String, SubmittedJob> submittedJobs = new LinkedHashMap<>();
   private final Map<String, Long> completedAt = new LinkedHashMap<>();
 
-  HeavyLoadSimulation(WorkloadProfile shape, long seed, double load) {
-    this.shape = shape;
-    this.cluster = new BatchCluster(2, 0, seed, shape.configuration());
+  HeavyLoadSimulation(WorkloadProfile profile, long seed, double load) {
+    this.profile = profile;
+    this.cluster = new BatchCluster(2, 0, seed, profile.configuration());
     this.random = new Random(seed);
     this.load = load;
-    cluster.work.stopsTake(shape.stopMillis());
-    for (int i = 0; i < shape.executors(); i++) {
-      cluster.addExecutor("e" + i, "r" + i / shape.rackSize());
+    cluster.work.setStopMillis(profile.stopMillis());
+    for (int i = 0; i < profile.executors(); i++) {
+      cluster.addExecutor("e" + i, "r" + i / profile.rackSize());
     }
   }
 
-  Result play() {
+  Result run() {
     cluster.awaitOwner();
-    shape.troubles().forEach(trouble -> plan(trouble));
-    for (WorkloadProfile.Kind kind : shape.kinds()) {
-      for (int i = 0; i < kind.backlog(); i++) {
-        cluster.in(BACKLOG_AT + random.nextInt(100), () -> submit(kind));
+    profile.executorFaults().forEach(fault -> scheduleFault(fault));
+    for (WorkloadProfile.JobClass jobClass : profile.jobClasses()) {
+      for (int i = 0; i < jobClass.backlog(); i++) {
+        cluster.in(BACKLOG_AT_MILLIS + random.nextInt(100), () -> submit(jobClass));
       }
       double at = 9_000;
-      while (at < DAY_MILLIS) {
-        boolean burst = kind.queue().equals(TestFixtures.URGENT) && at < 15_500;
-        double rate = kind.perSecond() * load * (burst ? 2 : 1);
+      while (at < SUBMISSION_MILLIS) {
+        boolean burst = jobClass.queue().equals(TestFixtures.URGENT) && at < 15_500;
+        double rate = jobClass.perSecond() * load * (burst ? 2 : 1);
         at += -Math.log(1 - random.nextDouble()) / rate * 1000;
-        cluster.in((long) at, () -> submit(kind));
+        cluster.in((long) at, () -> submit(jobClass));
       }
     }
-    long end = DAY_MILLIS + AFTER_MILLIS;
+    long end = SUBMISSION_MILLIS + FINISH_MILLIS;
     while (cluster.nowMillis() < end) {
       cluster.run(100);
-      look();
+      recordCompletions();
     }
     return result();
   }
 
   /** Schedules a fault on random executors, and their recovery. */
-  private void plan(WorkloadProfile.Trouble trouble) {
+  private void scheduleFault(WorkloadProfile.ExecutorFault fault) {
     List<ExecutorId> ids = new ArrayList<>(cluster.executors.keySet());
     Collections.shuffle(ids, random);
-    List<ExecutorId> hit = ids.subList(0, (int) Math.round(ids.size() * trouble.share()));
-    cluster.in(trouble.atMillis(), () -> hit.forEach(id -> begin(trouble, id)));
-    cluster.in(trouble.atMillis() + trouble.forMillis(), () -> hit.forEach(cluster.work::mend));
+    List<ExecutorId> affected = ids.subList(0, (int) Math.round(ids.size() * fault.share()));
+    cluster.in(fault.atMillis(), () -> affected.forEach(id -> begin(fault, id)));
+    cluster.in(
+        fault.atMillis() + fault.durationMillis(), () -> affected.forEach(cluster.work::restore));
   }
 
-  private void begin(WorkloadProfile.Trouble trouble, ExecutorId id) {
-    switch (trouble.kind()) {
-      case SLOW -> cluster.work.slow(id, WorkloadProfile.SLOW_SHARE);
-      case HANGING -> cluster.work.slow(id, 0);
+  private void begin(WorkloadProfile.ExecutorFault fault, ExecutorId id) {
+    switch (fault.faultKind()) {
+      case SLOW -> cluster.work.slowDown(id, WorkloadProfile.SLOW_EXECUTOR_SPEED);
+      case HANGING -> cluster.work.slowDown(id, 0);
       case FAILING -> cluster.work.failAllOn(id);
     }
   }
 
-  private void look() {
-    for (String job : asked.keySet()) {
+  private void recordCompletions() {
+    for (String job : submittedJobs.keySet()) {
       boolean completed =
           !completedAt.containsKey(job)
               && cluster.status(job).equals(Optional.of(new CallAnswer.Phase(JobPhase.COMPLETED)));
@@ -121,16 +123,18 @@
     return mean * Math.exp(spread * random.nextGaussian() - spread * spread / 2);
   }
 
-  private void submit(WorkloadProfile.Kind kind) {
-    boolean bulk = kind.queue().equals(TestFixtures.BULK);
-    int width = Math.clamp(Math.round(lognormal(kind.width(), 0.8)), 1, (int) (6 * kind.width()));
-    int accelerators = bulk ? 1 : shape.drawAccelerators(random);
-    long millis = Math.max(300, Math.round(lognormal(kind.millis(), kind.spread())));
-    long estimate = Math.max(200, Math.round(lognormal(millis, kind.estimateOff())));
+  private void submit(WorkloadProfile.JobClass jobClass) {
+    boolean bulk = jobClass.queue().equals(TestFixtures.BULK);
+    int width =
+        Math.clamp(Math.round(lognormal(jobClass.width(), 0.8)), 1, (int) (6 * jobClass.width()));
+    int accelerators = bulk ? 1 : profile.drawAccelerators(random);
+    long millis = Math.max(300, Math.round(lognormal(jobClass.millis(), jobClass.workSpread())));
+    long estimate = Math.max(200, Math.round(lognormal(millis, jobClass.estimateSpread())));
     ResourceVector demand =
-        new ResourceVector(kind.unit().milliCores(), kind.unit().memoryMegabytes(), accelerators);
+        new ResourceVector(
+            jobClass.unit().milliCores(), jobClass.unit().memoryMegabytes(), accelerators);
     if (!bulk) {
-      width = Math.min(width, shape.widestGang(demand));
+      width = Math.min(width, profile.widestGang(demand));
     }
     boolean gang = !bulk && width > 1;
     BatchStep step =
@@ -140,47 +144,47 @@
             estimate,
             List.of(),
             new BatchStep.PlacementRule(
-                gang && random.nextDouble() < kind.sameRack(),
+                gang && random.nextDouble() < jobClass.sameRack(),
                 Optional.empty(),
                 Optional.empty(),
                 0),
-            random.nextDouble() < kind.checkpointing(),
+            random.nextDouble() < jobClass.checkpointing(),
             gang,
-            "image-" + kind.queue());
-    String job = cluster.submit(kind.queue(), shape.drawKey(random), Jobs.of(step));
+            "image-" + jobClass.queue());
+    String job = cluster.submit(jobClass.queue(), profile.drawKey(random), Jobs.of(step));
     for (int index = 0; index < width; index++) {
-      cluster.work.lasts(new TaskName(job, 0, 0, index), millis);
+      cluster.work.setWorkMillis(new TaskName(job, 0, 0, index), millis);
     }
-    double share = (double) width * millis / (kind.width() * kind.millis());
-    double objective = kind.factor() * millis + kind.targetMillis();
-    asked.put(job, new Asked(kind, cluster.nowMillis(), objective, share));
+    double share = (double) width * millis / (jobClass.width() * jobClass.millis());
+    double objective = jobClass.objectiveFactor() * millis + jobClass.targetMillis();
+    submittedJobs.put(job, new SubmittedJob(jobClass, cluster.nowMillis(), objective, share));
   }
 
   private Result result() {
-    double owed = 0;
+    double possible = 0;
     double earned = 0;
-    Map<String, double[]> kinds = new LinkedHashMap<>();
-    for (Map.Entry<String, Asked> entry : asked.entrySet()) {
-      Asked job = entry.getValue();
-      boolean due = job.at() + job.objective() < DAY_MILLIS + AFTER_MILLIS;
+    Map<String, double[]> sumsByQueue = new LinkedHashMap<>();
+    for (Map.Entry<String, SubmittedJob> entry : submittedJobs.entrySet()) {
+      SubmittedJob job = entry.getValue();
+      boolean due = job.at() + job.objective() < SUBMISSION_MILLIS + FINISH_MILLIS;
       if (!due) {
         continue;
       }
-      double worth = Math.min(4, FIXED_WORTH + 0.7 * job.share()) * job.kind().worth();
-      double credit = worth * credit(job, completedAt.get(entry.getKey()));
-      owed += worth;
+      double value = Math.min(4, FIXED_VALUE + 0.7 * job.share()) * job.jobClass().value();
+      double credit = value * credit(job, completedAt.get(entry.getKey()));
+      possible += value;
       earned += credit;
-      double[] sums = kinds.computeIfAbsent(job.kind().queue(), name -> new double[2]);
-      sums[0] += worth;
+      double[] sums = sumsByQueue.computeIfAbsent(job.jobClass().queue(), name -> new double[2]);
+      sums[0] += value;
       sums[1] += credit;
     }
-    Map<String, Double> byKind = new LinkedHashMap<>();
-    kinds.forEach((name, sums) -> byKind.put(name, sums[1] / sums[0]));
-    double wasted = cluster.work.wastedCoreSeconds() * WASTE_PRICE / owed;
-    return new Result(earned / owed, wasted, byKind);
+    Map<String, Double> byQueue = new LinkedHashMap<>();
+    sumsByQueue.forEach((name, sums) -> byQueue.put(name, sums[1] / sums[0]));
+    double wasted = cluster.work.wastedCoreSeconds() * WASTE_PRICE / possible;
+    return new Result(earned / possible, wasted, byQueue);
   }
 
-  private static double credit(Asked job, Long completed) {
+  private static double credit(SubmittedJob job, Long completed) {
     if (completed == null) {
       return 0;
     }
@@ -188,23 +192,25 @@
     if (ratio <= 1) {
       return 1;
     }
-    return ratio <= LATEST ? job.kind().lateShare() : 0;
+    return ratio <= LATEST_RATIO ? job.jobClass().lateValueShare() : 0;
   }
 
   /** Runs several simulations with different seeds and returns the mean of their results. */
-  static Result mean(WorkloadProfile shape, int days, double load) {
+  static Result mean(WorkloadProfile profile, int simulations, double load) {
     double credit = 0;
     double wasted = 0;
-    Map<String, Double> kinds = new LinkedHashMap<>();
+    Map<String, Double> byQueue = new LinkedHashMap<>();
     List<Result> results = new ArrayList<>();
-    for (int seed = 1; seed <= days; seed++) {
-      results.add(new HeavyLoadSimulation(shape, seed, load).play());
+    for (int seed = 1; seed <= simulations; seed++) {
+      results.add(new HeavyLoadSimulation(profile, seed, load).run());
     }
     for (Result result : results) {
-      credit += result.credit() / days;
-      wasted += result.wasted() / days;
-      result.byKind().forEach((name, share) -> kinds.merge(name, share / days, Double::sum));
+      credit += result.credit() / simulations;
+      wasted += result.wasted() / simulations;
+      result
+          .byQueue()
+          .forEach((name, share) -> byQueue.merge(name, share / simulations, Double::sum));
     }
-    return new Result(credit, wasted, kinds);
+    return new Result(credit, wasted, byQueue);
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/HeavyLoadTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/HeavyLoadTest.java
@@ -12,18 +12,18 @@
  */
 class HeavyLoadTest {
 
-  private static final int DAYS = 6;
+  private static final int SIMULATIONS = 6;
 
-  private static void assertServed(double load, double leastNet, double mostWasted) {
-    assertServed(WorkloadProfile.BOTH, load, leastNet, mostWasted);
+  private static void assertServed(double load, double minNet, double maxWasted) {
+    assertServed(WorkloadProfile.COMBINED, load, minNet, maxWasted);
   }
 
   private static void assertServed(
-      WorkloadProfile shape, double load, double leastNet, double mostWasted) {
-    HeavyLoadSimulation.Result result = HeavyLoadSimulation.mean(shape, DAYS, load);
+      WorkloadProfile profile, double load, double minNet, double maxWasted) {
+    HeavyLoadSimulation.Result result = HeavyLoadSimulation.mean(profile, SIMULATIONS, load);
     double net = result.credit() - result.wasted();
-    assertTrue(net >= leastNet, () -> "load " + load + ": " + result);
-    assertTrue(result.wasted() <= mostWasted, () -> "load " + load + ": " + result);
+    assertTrue(net >= minNet, () -> "load " + load + ": " + result);
+    assertTrue(result.wasted() <= maxWasted, () -> "load " + load + ": " + result);
   }
 
   @Test
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/Jobs.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/Jobs.java
@@ -29,7 +29,7 @@
    * @param mostAway number of tasks that the scheduler may stop or move at the same time
    * @param targetMillis response time target of each task; 0 if the tasks serve no users
    */
-  static BatchStep lasting(int count, int accelerators, int mostAway, long targetMillis) {
+  static BatchStep longRunning(int count, int accelerators, int mostAway, long targetMillis) {
     return new BatchStep(
         count,
         new ResourceVector(4_000, 16_000, accelerators),
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/LongRunningTaskTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/LongRunningTaskTest.java
@@ -35,7 +35,7 @@
 
   @Test
   void tasksRunUntilTheirJobIsCancelled() {
-    String job = submitted(BatchCluster.NORMAL, Jobs.lasting(4, 1, 1, 0));
+    String job = submitted(BatchCluster.NORMAL, Jobs.longRunning(4, 1, 1, 0));
     cluster.run(30_000);
     assertEquals(4, running(job));
     assertEquals(Optional.of(new CallAnswer.Phase(JobPhase.IN_PROGRESS)), cluster.status(job));
@@ -48,20 +48,20 @@
 
   @Test
   void aTaskStartsAgainHoweverOftenItFails() {
-    String job = submitted(BatchCluster.NORMAL, Jobs.lasting(1, 1, 1, 0));
+    String job = submitted(BatchCluster.NORMAL, Jobs.longRunning(1, 1, 1, 0));
     List<ExecutorId> executors = List.copyOf(cluster.executors.keySet());
     executors.forEach(cluster.work::failAllOn);
     cluster.run(8000);
     assertTrue(cluster.work.failures(new TaskName(job, 0, 0, 0)) > 3);
 
-    executors.forEach(cluster.work::mend);
+    executors.forEach(cluster.work::restore);
     cluster.run(18_000);
     assertEquals(1, running(job));
   }
 
   @Test
   void tasksContinueUnderTheNextOwner() {
-    String job = submitted(BatchCluster.NORMAL, Jobs.lasting(3, 1, 0, 0));
+    String job = submitted(BatchCluster.NORMAL, Jobs.longRunning(3, 1, 0, 0));
     int starts = cluster.work.starts().size();
     cluster.restart(cluster.owner().orElseThrow().id, 3000);
     cluster.run(8000);
@@ -72,7 +72,7 @@
   /** Urgent work needs the whole fleet, most of which long-running tasks occupy. */
   @Test
   void preemptionLeavesAllButTheAllowedTasksRunning() {
-    String job = submitted(BatchCluster.BULK, Jobs.lasting(5, 8, 1, 0));
+    String job = submitted(BatchCluster.BULK, Jobs.longRunning(5, 8, 1, 0));
     assertEquals(5, running(job));
     for (int i = 0; i < 5; i++) {
       cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.tasks(1, 8, 60_000)));
@@ -86,7 +86,7 @@
 
   @Test
   void tasksThatServeUsersAndOtherWorkUseSeparateExecutorsWhileCapacityAllows() {
-    String serving = submitted(BatchCluster.NORMAL, Jobs.lasting(2, 1, 1, 90));
+    String serving = submitted(BatchCluster.NORMAL, Jobs.longRunning(2, 1, 1, 90));
     cluster.submit(BatchCluster.BULK, Jobs.of(Jobs.tasks(20, 1, 3000)));
     cluster.run(1000);
     cluster
@@ -109,7 +109,7 @@
     cluster.run(300);
     List.copyOf(cluster.executors.keySet()).stream().skip(1).forEach(cluster::crash);
     cluster.run(6000);
-    submitted(BatchCluster.NORMAL, Jobs.lasting(1, 1, 1, 90));
+    submitted(BatchCluster.NORMAL, Jobs.longRunning(1, 1, 1, 90));
     String bulk = cluster.submit(BatchCluster.BULK, Jobs.of(Jobs.tasks(7, 1, 4000)));
     cluster.run(3000);
     assertEquals(0, running(bulk), "it first waits for an executor without tasks that serve users");
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/LossyStoreTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/LossyStoreTest.java
@@ -26,12 +26,12 @@
    * Least share of submissions that are accepted during the trouble; without trouble all of them
    * are.
    */
-  private static final double SERVED = 0.98;
+  private static final double MIN_SERVED_SHARE = 0.98;
 
   private final BatchCluster cluster = new BatchCluster(8, 20, 4);
 
   /** Tells all VMs, as callers do, that the owner cannot reach the store. */
-  private void passRefusalsOn(Set<String> told) {
+  private void reportRefusals(Set<String> told) {
     for (Map.Entry<String, CallAnswer> answer : cluster.submissions.entrySet()) {
       boolean away =
           answer.getValue() instanceof CallAnswer.Refused refused
@@ -42,12 +42,12 @@
     }
   }
 
-  private void submitAllTheWhile() {
+  private void submitContinuously() {
     Set<String> told = new HashSet<>();
     for (long at = 0; at < TROUBLE_MILLIS; at += BETWEEN_JOBS_MILLIS) {
       cluster.submit(BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 1, 400)));
       cluster.run(BETWEEN_JOBS_MILLIS);
-      passRefusalsOn(told);
+      reportRefusals(told);
     }
   }
 
@@ -56,15 +56,15 @@
     cluster.awaitOwner();
     cluster.run(2000);
     int before = cluster.ownershipsWon();
-    cluster.faults.lostAnswers = 0.4;
-    submitAllTheWhile();
-    cluster.faults.lostAnswers = 0;
+    cluster.faults.lostAnswerRate = 0.4;
+    submitContinuously();
+    cluster.faults.lostAnswerRate = 0;
     cluster.run(2000);
 
     assertEquals(before, cluster.ownershipsWon(), "a live owner was replaced");
     long asked = TROUBLE_MILLIS / BETWEEN_JOBS_MILLIS;
     long accepted =
         cluster.submissions.values().stream().filter(CallAnswer.Accepted.class::isInstance).count();
-    assertTrue(accepted >= SERVED * asked, () -> accepted + " of " + asked + " accepted");
+    assertTrue(accepted >= MIN_SERVED_SHARE * asked, () -> accepted + " of " + asked + " accepted");
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/LostExecutorTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/LostExecutorTest.java
@@ -49,8 +49,8 @@
     cluster.awaitOwner();
     cluster.run(200);
     String job = cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.gang(2, 8, 1000)));
-    cluster.work.lasts(new TaskName(job, 0, 0, 0), 8000);
-    cluster.work.lasts(new TaskName(job, 0, 0, 1), 8000);
+    cluster.work.setWorkMillis(new TaskName(job, 0, 0, 0), 8000);
+    cluster.work.setWorkMillis(new TaskName(job, 0, 0, 1), 8000);
     cluster.runUntil("the start", 2000, () -> cluster.work.starts().size() == 2);
     cluster.run(2000);
     ExecutorId leaving =
@@ -84,6 +84,6 @@
     cluster.submit(BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 1, 500)));
     cluster.runUntil("the next start", 1500, () -> cluster.work.starts().size() == 2);
     cluster.run(3000);
-    assertEquals(0, cluster.executors.get(id).unacknowledged());
+    assertEquals(0, cluster.executors.get(id).unacknowledgedEnds());
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/LostOrderOutcomeTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/LostOrderOutcomeTest.java
@@ -66,10 +66,10 @@
     cluster.work.advice.allowOnly(cluster.executors.keySet());
     String job = cluster.submit(TestFixtures.ADVISED, Jobs.of(Jobs.tasks(1, 1, 500)));
     cluster.run(20);
-    cluster.faults.storeDelay = 2500;
+    cluster.faults.storeDelayMillis = 2500;
     // The store stays slow until its answer, as an append is repeated while its answer is late.
     cluster.run(2500);
-    cluster.faults.storeDelay = 4;
+    cluster.faults.storeDelayMillis = 4;
     AtomicBoolean rejected = dropOne(event -> ended(event, OrderOutcome.Rejected.class));
     cluster.runUntil("the rejection", 5000, rejected::get);
     awaitCompleted(job);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/OrphanedRunFixture.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/OrphanedRunFixture.java
@@ -116,9 +116,9 @@
     for (int i = 0; i < count; i++) {
       cluster.faults.lostStops = true;
       cluster.awaitOwner();
-      int lost = cluster.faults.stopsLost;
+      int lost = cluster.faults.lostStopCount;
       long until = cluster.nowMillis() + OWNER_MILLIS;
-      while (cluster.faults.stopsLost == lost && cluster.nowMillis() < until) {
+      while (cluster.faults.lostStopCount == lost && cluster.nowMillis() < until) {
         cluster.run(STEP_MILLIS);
       }
       killOwner();
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/OrphanedRunTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/OrphanedRunTest.java
@@ -70,7 +70,7 @@
       for (long slowBefore : new long[] {0, 3000}) {
         OrphanedRunFixture history = new OrphanedRunFixture();
         String job = submitLong(history);
-        history.cluster.faults.storeDelay = storeMillis;
+        history.cluster.faults.storeDelayMillis = storeMillis;
         history.cluster.run(slowBefore);
         history.cancelAndKillOwner(job);
         measure("store " + storeMillis + " since " + slowBefore, history, job);
@@ -88,7 +88,7 @@
           history.submit(BatchCluster.NORMAL, Jobs.tasks(1, 4, OrphanedRunFixture.LONG_MILLIS));
       history.submit(BatchCluster.NORMAL, Jobs.tasks(7, 4, OrphanedRunFixture.LONG_MILLIS));
       history.cluster.run(300);
-      history.cluster.faults.storeDelay = storeMillis;
+      history.cluster.faults.storeDelayMillis = storeMillis;
       history.cluster.run(3000);
       history.cluster.faults.lostStops = true;
       history.cluster.call(new BatchCall.Cancel(BatchCluster.NORMAL, BatchCluster.KEY, job));
@@ -108,7 +108,7 @@
       for (int owners = 2; owners <= 3; owners++) {
         OrphanedRunFixture history = new OrphanedRunFixture();
         String job = submitLong(history);
-        history.cluster.faults.storeDelay = storeMillis;
+        history.cluster.faults.storeDelayMillis = storeMillis;
         history.cancelAndKillOwner(job);
         history.killNextOwners(owners - 1);
         measure(owners + " owners, store " + storeMillis, history, job);
@@ -249,7 +249,7 @@
     history.cluster.run(200);
     TaskName task = new TaskName(job, 0, 0, 0);
     history.cluster.work.failAlways(task);
-    history.cluster.work.lasts(task, 300);
+    history.cluster.work.setWorkMillis(task, 300);
     history.cluster.faults.lostStops = true;
     history.awaitEnd(job);
     history.killOwner();
@@ -267,7 +267,7 @@
     ExecutorId first = history.executorOf(job);
     history.cluster.faults.silent.add(first);
     history.cluster.runUntil("the end", 2000, () -> !history.runs(job));
-    history.cluster.work.lasts(new TaskName(job, 0, 0, 0), OrphanedRunFixture.LONG_MILLIS);
+    history.cluster.work.setWorkMillis(new TaskName(job, 0, 0, 0), OrphanedRunFixture.LONG_MILLIS);
     history.cluster.runUntil("the second run", 12_000, () -> history.runs(job));
     history.cluster.faults.lostStops = true;
     history.cluster.faults.silent.clear();
@@ -316,14 +316,14 @@
     for (long storeMillis : new long[] {4, 300, 600}) {
       for (long late = 2000; late <= 5000; late += 250) {
         OrphanedRunFixture history = new OrphanedRunFixture();
-        history.cluster.faults.lateOrders = 1;
-        history.cluster.faults.lateMillis = OptionalLong.of(late);
+        history.cluster.faults.lateOrderRate = 1;
+        history.cluster.faults.lateOrderMillis = OptionalLong.of(late);
         String job =
             history.cluster.submit(
                 BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 8, OrphanedRunFixture.LONG_MILLIS)));
         history.cluster.run(100);
-        history.cluster.faults.lateOrders = 0;
-        history.cluster.faults.storeDelay = storeMillis;
+        history.cluster.faults.lateOrderRate = 0;
+        history.cluster.faults.storeDelayMillis = storeMillis;
         history.cancelAndKillOwner(job);
         long until = history.cluster.nowMillis() + 6000;
         while (!history.runs(job) && history.cluster.nowMillis() < until) {
@@ -341,15 +341,15 @@
   void aStartThatIsCarriedOutAfterTheCancelComesSoonAndEndsWithItsLease() {
     OrphanedRunFixture history = new OrphanedRunFixture();
     BatchCluster cluster = history.cluster;
-    cluster.faults.lateOrders = 1;
-    cluster.faults.lateMillis = OptionalLong.of(5500);
+    cluster.faults.lateOrderRate = 1;
+    cluster.faults.lateOrderMillis = OptionalLong.of(5500);
     String job =
         cluster.submit(
             BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 8, OrphanedRunFixture.LONG_MILLIS)));
     cluster.run(1800);
     history.cancelAndKillOwner(job);
     long cancelledAt = cluster.nowMillis();
-    cluster.faults.lateOrders = 0;
+    cluster.faults.lateOrderRate = 0;
     cluster.faults.storeDown = true;
     cluster.in(3000, () -> cluster.faults.storeDown = false);
     cluster.runUntil("the late start", 6000, () -> history.runs(job));
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/RandomBatchHistoriesTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/RandomBatchHistoriesTest.java
@@ -59,7 +59,7 @@
       case 1 -> {
         BatchCluster.Vm frozen = cluster.vms.get(owner);
         frozen.frozen = true;
-        cluster.in(length, frozen::thaw);
+        cluster.in(length, frozen::unfreeze);
         return "owner frozen" + when;
       }
       case 2 -> {
@@ -73,13 +73,13 @@
         return "owner cut from the store" + when;
       }
       case 4 -> {
-        cluster.faults.lostAnswers = 0.35;
-        cluster.in(length, () -> cluster.faults.lostAnswers = 0);
+        cluster.faults.lostAnswerRate = 0.35;
+        cluster.in(length, () -> cluster.faults.lostAnswerRate = 0);
         return "answers of the store lost" + when;
       }
       case 5 -> {
-        cluster.faults.lateOrders = 0.1;
-        cluster.in(length, () -> cluster.faults.lateOrders = 0);
+        cluster.faults.lateOrderRate = 0.1;
+        cluster.in(length, () -> cluster.faults.lateOrderRate = 0);
         return "orders carried out late" + when;
       }
       case 6 -> {
@@ -94,8 +94,8 @@
         return "all VMs lose power" + when;
       }
       default -> {
-        cluster.faults.storeDelay = 250;
-        cluster.in(length, () -> cluster.faults.storeDelay = 4);
+        cluster.faults.storeDelayMillis = 250;
+        cluster.in(length, () -> cluster.faults.storeDelayMillis = 4);
         return "store slow" + when;
       }
     }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/RandomCancels.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/RandomCancels.java
@@ -16,10 +16,10 @@
   /**
    * Schedules the jobs and their cancels in the first seconds of a history.
    *
-   * @param overtaking whether some cancels arrive up to a second before their submissions, and
+   * @param reordering whether some cancels arrive up to a second before their submissions, and
    *     submissions are repeated after their cancel was acknowledged
    */
-  static void schedule(BatchCluster cluster, boolean overtaking) {
+  static void schedule(BatchCluster cluster, boolean reordering) {
     for (int i = 0; i < JOBS; i++) {
       String job = "%016x".formatted(FIRST_ID + i);
       long millis = 5000L + cluster.random.nextInt(10_000);
@@ -30,9 +30,9 @@
                   ? Jobs.gang(tasks, 4, millis)
                   : Jobs.tasks(tasks, 4, millis));
       long at = 2500L + cluster.random.nextInt(20_000);
-      submit(cluster, job, submission, at, overtaking);
+      submit(cluster, job, submission, at, reordering);
       long cancelAt =
-          overtaking && cluster.random.nextInt(4) == 0
+          reordering && cluster.random.nextInt(4) == 0
               ? at - 1000L + cluster.random.nextInt(1100)
               : at + cluster.random.nextInt(5000);
       cancel(cluster, job, cancelAt);
@@ -40,14 +40,14 @@
   }
 
   private static void submit(
-      BatchCluster cluster, String job, Submission submission, long at, boolean overtaking) {
+      BatchCluster cluster, String job, Submission submission, long at, boolean reordering) {
     BatchCall call = new BatchCall.Submit(BatchCluster.NORMAL, TestFixtures.KEY, job, submission);
     for (int i = 0; i < CALLS; i++) {
       cluster.in(
           at + 600L * i,
           () -> {
             boolean accepted = cluster.submissions.get(job) instanceof CallAnswer.Accepted;
-            if (!accepted && (overtaking || !cluster.work.cancelled(job))) {
+            if (!accepted && (reordering || !cluster.work.cancelled(job))) {
               cluster.call(call);
             }
           });
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/RandomJobs.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/RandomJobs.java
@@ -16,7 +16,7 @@
   /**
    * Number of executors that must have crashed under a task before its job may be shown as failed.
    */
-  private static final int ENOUGH_CRASHES = 2;
+  private static final int MIN_CRASHES_OF_FAILED_JOB = 2;
 
   private RandomJobs() {}
 
@@ -77,15 +77,15 @@
    * crash executors must not be shown as completed, and a job may be shown as failed only if two
    * executors have crashed under one of its tasks.
    */
-  static void checkBesideCrashes(BatchCluster cluster, Set<String> crashing) {
+  static void checkWithCrashes(BatchCluster cluster, Set<String> crashing) {
     for (Map.Entry<String, CallAnswer> submission : cluster.submissions.entrySet()) {
       if (submission.getValue() instanceof CallAnswer.Accepted) {
-        checkBesideCrashes(cluster, submission.getKey(), crashing);
+        checkWithCrashes(cluster, submission.getKey(), crashing);
       }
     }
   }
 
-  private static void checkBesideCrashes(BatchCluster cluster, String job, Set<String> crashing) {
+  private static void checkWithCrashes(BatchCluster cluster, String job, Set<String> crashing) {
     Optional<CallAnswer> status = cluster.status(job);
     JobPhase phase =
         status
@@ -94,13 +94,14 @@
             .orElseThrow(() -> new AssertionError(job + " is shown as " + status));
     assertTrue(phase.ended(), () -> job + " is " + phase);
     assertTrue(
-        phase != JobPhase.FAILED || cluster.work.crashes.crashesUnderJob(job) >= ENOUGH_CRASHES,
+        phase != JobPhase.FAILED
+            || cluster.work.crashingTasks.crashesUnderJob(job) >= MIN_CRASHES_OF_FAILED_JOB,
         () -> job + " is shown as failed without enough crashes");
     assertTrue(
         phase != JobPhase.COMPLETED || !crashing.contains(job),
         () -> job + " is shown as completed although its tasks crash executors");
     assertTrue(
-        phase != JobPhase.CANCELLED || cluster.cancelAsked(job), () -> job + " was not cancelled");
+        phase != JobPhase.CANCELLED || cluster.cancelSent(job), () -> job + " was not cancelled");
   }
 
   private static void check(BatchCluster cluster, String job, CallAnswer answer) {
@@ -128,7 +129,7 @@
       BatchCluster cluster, String job, Optional<CallAnswer> status) {
     Optional<CallAnswer> completed = Optional.of(new CallAnswer.Phase(JobPhase.COMPLETED));
     Optional<CallAnswer> cancelled = Optional.of(new CallAnswer.Phase(JobPhase.CANCELLED));
-    boolean asked = cluster.cancelAsked(job);
+    boolean asked = cluster.cancelSent(job);
     assertTrue(
         status.equals(completed) || (asked && status.equals(cancelled)), () -> job + ": " + status);
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/ReplacedOwnerAnswersTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ReplacedOwnerAnswersTest.java
@@ -30,9 +30,9 @@
     return job;
   }
 
-  private CallAnswer told(BatchCluster.Vm vm, String job) {
+  private CallAnswer statusFrom(BatchCluster.Vm vm, String job) {
     BatchCall question = new BatchCall.Status(BatchCluster.NORMAL, BatchCluster.KEY, job);
-    vm.deliver(new BatchEvent.Called(TICKET, question, BatchCluster.PATIENCE));
+    vm.deliver(new BatchEvent.Called(TICKET, question, BatchCluster.CALLER_TIMEOUT));
     return cluster.answers.get(TICKET);
   }
 
@@ -43,7 +43,7 @@
     cluster.run(1000);
     VmId next = new VmId("vm-1");
     cluster.start(next);
-    assertNotEquals(new CallAnswer.NoSuchJob(), told(former, acceptedBy(next)));
+    assertNotEquals(new CallAnswer.NoSuchJob(), statusFrom(former, acceptedBy(next)));
   }
 
   @Test
@@ -57,6 +57,6 @@
     for (int i = 0; i < 10; i++) {
       cluster.in(200 * i, () -> cluster.vms.get(next).deliver(new BatchEvent.OwnerDoubted()));
     }
-    assertNotEquals(new CallAnswer.NoSuchJob(), told(former, acceptedBy(next)));
+    assertNotEquals(new CallAnswer.NoSuchJob(), statusFrom(former, acceptedBy(next)));
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/RestartHistoriesTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/RestartHistoriesTest.java
@@ -21,10 +21,10 @@
   private static final long DAY_MILLIS = 30_000;
 
   /** Differences of the new incarnation's clock from the time of the cluster, in milliseconds. */
-  private static final long[] CLOCKS = {-1_000_000, 0, 1_000_000, 500_000_000};
+  private static final long[] CLOCK_AHEAD_MILLIS = {-1_000_000, 0, 1_000_000, 500_000_000};
 
-  private static final long[] AWAY = {20, 20, 300, 600, 2500, 5000};
-  private static final long[] LISTED_AFTER = {0, 0, 30, 600, 3000};
+  private static final long[] AWAY_MILLIS = {20, 20, 300, 600, 2500, 5000};
+  private static final long[] LISTED_AFTER_MILLIS = {0, 0, 30, 600, 3000};
 
   @Test
   void noHistoryOfRestartsUnderTheSameIdBreaksAPromise() {
@@ -49,8 +49,8 @@
 
   private static String slowStore(BatchCluster cluster) {
     long delay = 100L + cluster.random.nextInt(800);
-    cluster.faults.storeDelay = delay;
-    cluster.in(4000, () -> cluster.faults.storeDelay = 4);
+    cluster.faults.storeDelayMillis = delay;
+    cluster.in(4000, () -> cluster.faults.storeDelayMillis = 4);
     return ", store of " + delay;
   }
 
@@ -67,8 +67,8 @@
 
   private static void play(long seed, Function<BatchCluster, String> beside, List<String> faults) {
     BatchCluster cluster = new BatchCluster(4, 8, seed);
-    cluster.crashes.dateExecutors();
-    cluster.faults.ordersInTime = true;
+    cluster.crashes.reportStartTimes();
+    cluster.faults.lateOrdersDisabled = true;
     RandomJobs.schedule(cluster);
     RandomJobs.scheduleShort(cluster);
     int count = 2 + cluster.random.nextInt(6);
@@ -80,7 +80,7 @@
     cluster.run(60_000);
     cluster.awaitOwner();
     cluster.run(2000);
-    RandomJobs.checkBesideCrashes(cluster, Set.of());
+    RandomJobs.checkWithCrashes(cluster, Set.of());
   }
 
   private static String fault(BatchCluster cluster, Function<BatchCluster, String> beside) {
@@ -92,23 +92,24 @@
     }
     List<ExecutorId> up = cluster.crashes.up();
     int first = cluster.random.nextInt(up.size());
-    List<ExecutorId> struck = up.subList(first, Math.min(up.size(), first + 3));
-    long away = AWAY[cluster.random.nextInt(AWAY.length)];
-    cluster.crashes.listedAfter(LISTED_AFTER[cluster.random.nextInt(LISTED_AFTER.length)]);
-    struck.forEach(id -> restart(cluster, id, away));
+    List<ExecutorId> restarted = up.subList(first, Math.min(up.size(), first + 3));
+    long away = AWAY_MILLIS[cluster.random.nextInt(AWAY_MILLIS.length)];
+    cluster.crashes.setListedAfterMillis(
+        LISTED_AFTER_MILLIS[cluster.random.nextInt(LISTED_AFTER_MILLIS.length)]);
+    restarted.forEach(id -> restart(cluster, id, away));
     if (cluster.random.nextInt(3) == 0) {
       cluster.in(
           away + 200 + cluster.random.nextInt(800),
-          () -> struck.forEach(id -> restart(cluster, id, away)));
+          () -> restarted.forEach(id -> restart(cluster, id, away)));
     }
-    String told = struck + " restarted at " + cluster.nowMillis() + " for " + away;
-    return told + beside.apply(cluster);
+    String description = restarted + " restarted at " + cluster.nowMillis() + " for " + away;
+    return description + beside.apply(cluster);
   }
 
   private static void restart(BatchCluster cluster, ExecutorId id, long away) {
     if (cluster.executors.containsKey(id)) {
-      long ahead = CLOCKS[cluster.random.nextInt(CLOCKS.length)];
-      cluster.crashes.restartUnderItsId(id, away, ahead);
+      long ahead = CLOCK_AHEAD_MILLIS[cluster.random.nextInt(CLOCK_AHEAD_MILLIS.length)];
+      cluster.crashes.restartWithSameId(id, away, ahead);
     }
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/RestartWithSameIdTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/RestartWithSameIdTest.java
@@ -26,13 +26,13 @@
       Optional.of(new CallAnswer.Phase(JobPhase.COMPLETED));
 
   /** Clock of an executor whose process starts counting from 0. */
-  private static final long ANEW = 0;
+  private static final long NEW_CLOCK_MILLIS = 0;
 
   private final BatchCluster cluster = new BatchCluster(2, 1, 1);
 
   @BeforeEach
   void begin() {
-    cluster.crashes.dateExecutors();
+    cluster.crashes.reportStartTimes();
     cluster.awaitOwner();
     cluster.run(300);
   }
@@ -51,7 +51,7 @@
   @ValueSource(longs = {20, 600, 2500})
   void noEndIsAcknowledgedUnreadAfterARestart(long awayMillis) {
     complete(300);
-    cluster.crashes.restartUnderItsId(ONLY, awayMillis, ANEW - cluster.nowMillis());
+    cluster.crashes.restartWithSameId(ONLY, awayMillis, NEW_CLOCK_MILLIS - cluster.nowMillis());
     complete(300);
 
     assertEquals(4, cluster.work.starts().size());
@@ -60,9 +60,9 @@
   /** Nothing runs on the executor, so it has not been polled since the restart. */
   @Test
   void theRestartOfAnIdleUnlistedExecutorIsDetectedByItsAnswers() {
-    cluster.crashes.listedAfter(60_000);
+    cluster.crashes.setListedAfterMillis(60_000);
     complete(300);
-    cluster.crashes.restartUnderItsId(ONLY, 20, ANEW - cluster.nowMillis());
+    cluster.crashes.restartWithSameId(ONLY, 20, NEW_CLOCK_MILLIS - cluster.nowMillis());
     cluster.run(200);
     complete(300);
 
@@ -74,9 +74,9 @@
    */
   @Test
   void anExecutorWhoseClockIsFarAheadAfterItsRestartIsUsed() {
-    cluster.crashes.listedAfter(1000);
+    cluster.crashes.setListedAfterMillis(1000);
     complete(300);
-    cluster.crashes.restartUnderItsId(ONLY, 20, 500_000_000);
+    cluster.crashes.restartWithSameId(ONLY, 20, 500_000_000);
     cluster.run(200);
     complete(300);
 
@@ -90,13 +90,13 @@
   void aStartForThePreviousIncarnationIsRejectedOnceTheNewOneHasBeenPolled() {
     cluster.addExecutor("e1", "r0");
     complete(300);
-    cluster.faults.lateOrders = 1;
-    cluster.faults.lateMillis = OptionalLong.of(3000);
+    cluster.faults.lateOrderRate = 1;
+    cluster.faults.lateOrderMillis = OptionalLong.of(3000);
     cluster.submit(BatchCluster.NORMAL, Jobs.of(Jobs.tasks(16, 1, 1000)));
     cluster.run(100);
-    cluster.faults.lateOrders = 0;
+    cluster.faults.lateOrderRate = 0;
     cluster.run(700);
-    cluster.crashes.restartUnderItsId(ONLY, 20, ANEW - cluster.nowMillis());
+    cluster.crashes.restartWithSameId(ONLY, 20, NEW_CLOCK_MILLIS - cluster.nowMillis());
     cluster.run(6000);
 
     assertEquals(cluster.work.starts().size(), cluster.work.starts().stream().distinct().count());
@@ -108,7 +108,7 @@
     cluster.submit(BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 1, 4000)));
     cluster.runUntil("the start", 2000, () -> cluster.work.starts().size() == 1);
     cluster.run(300);
-    cluster.crashes.restartUnderItsId(ONLY, 300, ANEW - cluster.nowMillis());
+    cluster.crashes.restartWithSameId(ONLY, 300, NEW_CLOCK_MILLIS - cluster.nowMillis());
     cluster.runUntil("the next start", 5000, () -> cluster.work.starts().size() == 2);
 
     assertEquals(1, cluster.notes(BatchLogEvent.RUN_LOST_WITH_EXECUTOR).size());
@@ -120,9 +120,9 @@
    */
   @Test
   void aRunThatTheNewIncarnationHasStartedContinues() {
-    cluster.crashes.listedAfter(1000);
+    cluster.crashes.setListedAfterMillis(1000);
     complete(300);
-    cluster.crashes.restartUnderItsId(ONLY, 20, ANEW - cluster.nowMillis());
+    cluster.crashes.restartWithSameId(ONLY, 20, NEW_CLOCK_MILLIS - cluster.nowMillis());
     cluster.run(100);
     complete(2500);
 
@@ -139,7 +139,7 @@
     cluster.runUntil("the start", 2000, () -> cluster.work.starts().size() == 3);
     cluster.run(300);
     cluster.restart(cluster.owner().orElseThrow().id, 60_000);
-    cluster.crashes.restartUnderItsId(ONLY, awayMillis, ANEW - cluster.nowMillis());
+    cluster.crashes.restartWithSameId(ONLY, awayMillis, NEW_CLOCK_MILLIS - cluster.nowMillis());
     cluster.runUntil("the next start", 20_000, () -> cluster.work.starts().size() == 4);
 
     List<BatchCommand.Note> lost = cluster.notes(BatchLogEvent.RUN_LOST_WITH_EXECUTOR);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/RestartWithSlowStoreTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/RestartWithSlowStoreTest.java
@@ -37,7 +37,7 @@
     cluster.run(2000);
     assertInstanceOf(CallAnswer.Accepted.class, cluster.submissions.get(job));
 
-    cluster.faults.storeDelay = ANSWER_MILLIS;
+    cluster.faults.storeDelayMillis = ANSWER_MILLIS;
     cluster.faults.appendMillis = ANSWER_MILLIS;
     List.copyOf(cluster.vms.keySet()).forEach((VmId vm) -> cluster.restart(vm, DOWN_MILLIS));
     cluster.run(DOWN_MILLIS);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/ShrinkingCapacityTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ShrinkingCapacityTest.java
@@ -25,7 +25,7 @@
     cluster.awaitOwner();
     cluster.run(500);
     FakeExecutor executor = cluster.executors.get(new ExecutorId("e0"));
-    executor.startAnything();
+    executor.skipCapacityCheck();
     cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.tasks(1, 4, 1000)));
     cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.tasks(1, 6, 1000)));
     cluster.runUntil("the first start", 500, () -> cluster.work.starts().size() == 1);
@@ -49,7 +49,7 @@
     cluster.awaitOwner();
     cluster.run(500);
     FakeExecutor executor = cluster.executors.get(new ExecutorId("e0"));
-    executor.startAnything();
+    executor.skipCapacityCheck();
     cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.tasks(1, 8, 12_000)));
     cluster.runUntil("the first start", 500, () -> cluster.work.starts().size() == 1);
     executor.resize(HALF, cluster);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/SilentExecutorsTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/SilentExecutorsTest.java
@@ -22,7 +22,7 @@
 class SilentExecutorsTest {
 
   private static final int EXECUTORS = 40;
-  private static final int STAY_AWAY = 6;
+  private static final int STAY_SILENT = 6;
   private static final long CUT_MILLIS = 3000;
 
   /** Remaining time of the leases after the cut, less the age of the last poll before it. */
@@ -30,10 +30,10 @@
 
   private final BatchCluster cluster = new BatchCluster(1, EXECUTORS, 1);
   private List<ExecutorId> busy = List.of();
-  private List<ExecutorId> back = List.of();
+  private List<ExecutorId> reconnected = List.of();
 
   /** Cuts off all executors with runs, and reconnects all but a few of them after a while. */
-  private void cut() {
+  private void cutOffAndReconnect() {
     cluster.awaitOwner();
     cluster.run(500);
     cluster.submit(BatchCluster.NORMAL, Jobs.of(Jobs.tasks(EXECUTORS, 8, 60_000)));
@@ -43,37 +43,39 @@
             .filter(executor -> !executor.running().isEmpty())
             .map(executor -> executor.profile().id())
             .toList();
-    assertTrue(busy.size() > 2 * STAY_AWAY, () -> "busy " + busy);
-    back = busy.subList(STAY_AWAY, busy.size());
+    assertTrue(busy.size() > 2 * STAY_SILENT, () -> "busy " + busy);
+    reconnected = busy.subList(STAY_SILENT, busy.size());
     cluster.faults.silent.addAll(busy);
     cluster.run(CUT_MILLIS);
-    back.forEach(cluster.faults.silent::remove);
+    reconnected.forEach(cluster.faults.silent::remove);
   }
 
   @Test
   void reconnectedExecutorsArePolledAlsoIfOthersStaySilent() {
-    cut();
+    cutOffAndReconnect();
     Map<ExecutorId, Integer> before = new HashMap<>(cluster.orders.sent);
     cluster.run(LIMIT_MILLIS);
     List<ExecutorId> unasked =
-        back.stream().filter(id -> cluster.orders.sent.get(id).equals(before.get(id))).toList();
+        reconnected.stream()
+            .filter(id -> cluster.orders.sent.get(id).equals(before.get(id)))
+            .toList();
     assertEquals(List.of(), unasked);
   }
 
   @Test
   void runsOnReconnectedExecutorsAreNotLost() {
-    cut();
+    cutOffAndReconnect();
     Map<ExecutorId, String> before = running();
     cluster.run(8000);
     Map<ExecutorId, String> after = running();
     List<ExecutorId> lost =
-        back.stream().filter(id -> !before.get(id).equals(after.get(id))).toList();
+        reconnected.stream().filter(id -> !before.get(id).equals(after.get(id))).toList();
     assertEquals(List.of(), lost);
   }
 
   private Map<ExecutorId, String> running() {
     Map<ExecutorId, String> runs = new HashMap<>();
-    back.forEach(id -> runs.put(id, cluster.executors.get(id).running().toString()));
+    reconnected.forEach(id -> runs.put(id, cluster.executors.get(id).running().toString()));
     return runs;
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/SlowLossyStoreTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/SlowLossyStoreTest.java
@@ -27,8 +27,8 @@
       cluster.awaitOwner();
       cluster.run(2000);
       int before = cluster.ownershipsWon();
-      cluster.faults.storeDelay = APPEND_MILLIS;
-      cluster.faults.lostAnswers = 0.4;
+      cluster.faults.storeDelayMillis = APPEND_MILLIS;
+      cluster.faults.lostAnswerRate = 0.4;
       cluster.run(TROUBLE_MILLIS);
 
       int won = cluster.ownershipsWon();
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/SlowStoreTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/SlowStoreTest.java
@@ -25,7 +25,7 @@
   private static final long BETWEEN_JOBS_MILLIS = 100;
 
   /** How long an append may wait before it is sent: a quarter of an append's time, and a tick. */
-  private static final long TURN_MILLIS = APPEND_MILLIS / 4 + 50;
+  private static final long SEND_DELAY_MILLIS = APPEND_MILLIS / 4 + 50;
 
   /**
    * A poll that waits for its answer and the next one, and the 0.1 s between two checks of this
@@ -34,7 +34,7 @@
   private static final long SEEN_MILLIS = 200 + BETWEEN_JOBS_MILLIS;
 
   private static final long AIM_MILLIS =
-      3 * (APPEND_MILLIS + TURN_MILLIS) + WORK_MILLIS + SEEN_MILLIS;
+      3 * (APPEND_MILLIS + SEND_DELAY_MILLIS) + WORK_MILLIS + SEEN_MILLIS;
 
   private static final Optional<CallAnswer> COMPLETED =
       Optional.of(new CallAnswer.Phase(JobPhase.COMPLETED));
@@ -58,7 +58,7 @@
     cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.tasks(1, 1, WORK_MILLIS)));
     cluster.run(2000);
     int owners = cluster.ownershipsWon();
-    cluster.faults.storeDelay = APPEND_MILLIS;
+    cluster.faults.storeDelayMillis = APPEND_MILLIS;
     for (long at = 0; at < TROUBLE_MILLIS; at += BETWEEN_JOBS_MILLIS) {
       String job = cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.tasks(1, 1, WORK_MILLIS)));
       submittedAt.put(job, cluster.nowMillis());
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/SlowTakeoverTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/SlowTakeoverTest.java
@@ -36,15 +36,15 @@
   private static final long CALLER_MILLIS = 2800;
 
   /** Least share of submissions with the expected answer. */
-  private static final double SERVED = 0.98;
+  private static final double MIN_SERVED_SHARE = 0.98;
 
   private final BatchCluster cluster = new BatchCluster(8, 20, 1);
   private final Set<String> told = new HashSet<>();
 
-  private void comeBackTo(long answerMillis) {
+  private void restartWithSlowStore(long answerMillis) {
     cluster.awaitOwner();
     cluster.run(2000);
-    cluster.faults.storeDelay = answerMillis;
+    cluster.faults.storeDelayMillis = answerMillis;
     cluster.faults.appendMillis = answerMillis;
     List.copyOf(cluster.vms.keySet()).forEach((VmId vm) -> cluster.restart(vm, DOWN_MILLIS));
     cluster.run(DOWN_MILLIS);
@@ -62,7 +62,7 @@
   }
 
   /** Tells all VMs, as callers do, that the owner cannot reach the store. */
-  private void passRefusalsOn() {
+  private void reportRefusals() {
     for (Map.Entry<String, CallAnswer> answer : cluster.submissions.entrySet()) {
       boolean away =
           answer.getValue() instanceof CallAnswer.Refused refused
@@ -73,11 +73,11 @@
     }
   }
 
-  private void submitAllTheWhile() {
+  private void submitContinuously() {
     for (long at = 0; at < STEADY_MILLIS; at += BETWEEN_JOBS_MILLIS) {
       cluster.submit(BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 1, 400)));
       cluster.run(BETWEEN_JOBS_MILLIS);
-      passRefusalsOn();
+      reportRefusals();
     }
   }
 
@@ -88,11 +88,11 @@
   @ParameterizedTest
   @ValueSource(longs = {4, 100, 300, 500, 900, 2000})
   void oneOwnerDecidesAndIsNotReplacedWhileItIsAlive(long answerMillis) {
-    comeBackTo(answerMillis);
+    restartWithSlowStore(answerMillis);
     long limit = takeoverMillis(answerMillis);
     cluster.runUntil("an owner", limit, () -> cluster.owner().isPresent());
     int owners = cluster.ownershipsWon();
-    submitAllTheWhile();
+    submitContinuously();
     assertEquals(owners, cluster.ownershipsWon(), "a live owner was replaced");
   }
 
@@ -104,7 +104,7 @@
   void anotherVmTakesOverIfThePreviousOwnerStaysDown(long answerMillis) {
     cluster.awaitOwner();
     VmId former = cluster.owner().orElseThrow().id;
-    comeBackTo(answerMillis);
+    restartWithSlowStore(answerMillis);
     cluster.vms.get(former).running = false;
     cluster.run(1);
     long limit = takeoverMillis(answerMillis);
@@ -121,26 +121,27 @@
   @ParameterizedTest
   @ValueSource(longs = {4, 100, 300, 500, 900})
   void whatCanBeStoredWhileCallersWaitIsAccepted(long answerMillis) {
-    comeBackTo(answerMillis);
+    restartWithSlowStore(answerMillis);
     long limit = takeoverMillis(answerMillis);
     cluster.runUntil("an owner", limit, () -> cluster.owner().isPresent());
-    submitAllTheWhile();
+    submitContinuously();
     cluster.run(CALLER_MILLIS);
     long asked = STEADY_MILLIS / BETWEEN_JOBS_MILLIS;
     long accepted = answered(CallAnswer.Accepted.class);
-    assertTrue(accepted >= SERVED * asked, () -> accepted + " of " + asked + " accepted");
+    assertTrue(accepted >= MIN_SERVED_SHARE * asked, () -> accepted + " of " + asked + " accepted");
   }
 
   /** With 2 s per answer an append takes 4 s, and no caller waits that long. */
   @ParameterizedTest
   @ValueSource(longs = 2000)
   void whatCannotBeStoredWhileCallersWaitIsRefusedAtOnce(long answerMillis) {
-    comeBackTo(answerMillis);
+    restartWithSlowStore(answerMillis);
     long limit = takeoverMillis(answerMillis);
     cluster.runUntil("an owner", limit, () -> cluster.owner().isPresent());
-    submitAllTheWhile();
+    submitContinuously();
     long asked = STEADY_MILLIS / BETWEEN_JOBS_MILLIS;
     long refused = answered(CallAnswer.Refused.class);
-    assertTrue(refused >= SERVED * asked, () -> refused + " of " + asked + " refused at once");
+    assertTrue(
+        refused >= MIN_SERVED_SHARE * asked, () -> refused + " of " + asked + " refused at once");
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/StatusDuringSubmissionTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/StatusDuringSubmissionTest.java
@@ -24,14 +24,14 @@
     cluster.run(500);
     long asked =
         cluster.call(new BatchCall.Status(BatchCluster.NORMAL, BatchCluster.KEY, ID)).orElseThrow();
-    long handedIn =
+    long submitted =
         cluster
             .call(
                 new BatchCall.Submit(
                     BatchCluster.NORMAL, BatchCluster.KEY, ID, Jobs.of(Jobs.tasks(1, 1, 5000))))
             .orElseThrow();
     cluster.run(5);
-    assertEquals(new CallAnswer.Accepted(), cluster.answers.get(handedIn));
+    assertEquals(new CallAnswer.Accepted(), cluster.answers.get(submitted));
     boolean answeredBefore = cluster.answers.containsKey(asked);
     cluster.run(1500);
     boolean denied = new CallAnswer.NoSuchJob().equals(cluster.answers.get(asked));
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/StoreOutageTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/StoreOutageTest.java
@@ -19,7 +19,7 @@
 
   private final BatchCluster cluster = new BatchCluster(3, 8, 1);
 
-  private long comeBackAfter() {
+  private long refusedRetryMillis() {
     BatchCall call =
         new BatchCall.Submit(
             BatchCluster.NORMAL,
@@ -41,9 +41,9 @@
     cluster.submit(BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 1, 500)));
     cluster.run(2500);
 
-    assertEquals(2300, comeBackAfter(), 300);
+    assertEquals(2300, refusedRetryMillis(), 300);
     cluster.run(2000);
-    assertEquals(3000, comeBackAfter());
+    assertEquals(3000, refusedRetryMillis());
   }
 
   /** An outage of some seconds would outlast all attempts of callers that retry at once. */
@@ -53,14 +53,14 @@
     cluster.run(500);
     cluster.faults.storeDown = true;
     cluster.run(1500);
-    long first = comeBackAfter();
+    long first = refusedRetryMillis();
     cluster.run(800);
-    long second = comeBackAfter();
+    long second = refusedRetryMillis();
     cluster.run(4000);
 
     assertEquals(1500, first, 600);
     assertEquals(first + 820, second, 100);
-    assertEquals(3000, comeBackAfter());
+    assertEquals(3000, refusedRetryMillis());
   }
 
   /**
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/StrayRunTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/StrayRunTest.java
@@ -43,10 +43,10 @@
   @Test
   void aStartThatArrivesAfterTheCancelIsStoppedByTheNextOwner() {
     BatchCluster cluster = cluster();
-    cluster.faults.lateOrders = 1;
+    cluster.faults.lateOrderRate = 1;
     String job = cluster.submit(BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 8, 60_000)));
     cluster.run(100);
-    cluster.faults.lateOrders = 0;
+    cluster.faults.lateOrderRate = 0;
     cancel(cluster, job);
     VmId former = cluster.owner().orElseThrow().id;
     cluster.vms.get(former).running = false;
@@ -67,7 +67,7 @@
     cancel(cluster, job);
     VmId former = cluster.owner().orElseThrow().id;
     cluster.vms.get(former).running = false;
-    cluster.runUntil("the next owner's first stop", 9000, () -> cluster.faults.stopsLost > 1);
+    cluster.runUntil("the next owner's first stop", 9000, () -> cluster.faults.lostStopCount > 1);
     assertTrue(anythingRuns(cluster));
     cluster.faults.lostStops = false;
     cluster.runUntil("the end of the run", 1500, () -> !anythingRuns(cluster));
@@ -84,7 +84,7 @@
     VmId former = cluster.owner().orElseThrow().id;
     cluster.vms.get(former).running = false;
     cluster.run(LONGEST_LEASE_MILLIS);
-    assertTrue(cluster.faults.stopsLost > 1, "the next owner sent no stop for the run");
+    assertTrue(cluster.faults.lostStopCount > 1, "the next owner sent no stop for the run");
     cluster.run(200);
     assertFalse(anythingRuns(cluster));
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/SuspectPlacementTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/SuspectPlacementTest.java
@@ -28,7 +28,7 @@
 
   private final BatchCluster cluster = new BatchCluster(1, 8, 1);
 
-  private int lostBesides(String job) {
+  private int lostRunsBeside(String job) {
     return (int)
         cluster.notes(BatchLogEvent.RUN_LOST_WITH_EXECUTOR).stream()
             .map(note -> (TaskRun) note.arguments().getFirst())
@@ -44,11 +44,11 @@
     cluster.run(200);
     String job = cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.tasks(1, 1, 2000)));
     TaskName task = new TaskName(job, 0, 0, 0);
-    cluster.work.crashes.crashes(task, 20);
-    cluster.runUntil("a crash", 1000, () -> cluster.work.crashes.crashesUnder(task) == 1);
+    cluster.work.crashingTasks.crashAfter(task, 20);
+    cluster.runUntil("a crash", 1000, () -> cluster.work.crashingTasks.crashesUnder(task) == 1);
     cluster.runUntil("the end of the job", 30_000, () -> cluster.status(job).equals(FAILED));
-    assertEquals(2, cluster.work.crashes.crashesUnder(task));
-    assertEquals(4, lostBesides(job));
+    assertEquals(2, cluster.work.crashingTasks.crashesUnder(task));
+    assertEquals(4, lostRunsBeside(job));
     cluster.runUntil("the others", 20_000, () -> cluster.status(neighbour).equals(COMPLETED));
   }
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/TakeoverProgressTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/TakeoverProgressTest.java
@@ -19,26 +19,26 @@
 
   @Test
   void nothingIsLoggedInTheFirstSecond() {
-    assertEquals(List.of(), told(999));
+    assertEquals(List.of(), logged(999));
   }
 
   @Test
   void thePendingStepIsLoggedOnceASecond() {
-    assertEquals(List.of(EPOCH, 1000L, "the epoch of the jobs' stream"), told(1000));
+    assertEquals(List.of(EPOCH, 1000L, "the epoch of the jobs' stream"), logged(1000));
     takeover.answered(new WriterPosition(EPOCH, 0), new AppendOutcome.Stored(3), at(1100));
-    assertEquals(List.of(), told(1999));
-    assertEquals(List.of(EPOCH, 2000L, "jobs, 0 records read"), told(2000));
+    assertEquals(List.of(), logged(1999));
+    assertEquals(List.of(EPOCH, 2000L, "jobs, 0 records read"), logged(2000));
     takeover.read(EPOCH, page("a"), Optional.of("a"), at(2000));
-    assertEquals(List.of(EPOCH, 3000L, "jobs, 1 records read"), told(3000));
+    assertEquals(List.of(EPOCH, 3000L, "jobs, 1 records read"), logged(3000));
     takeover.read(EPOCH, List.of(), Optional.empty(), at(3000));
-    assertEquals(List.of(EPOCH, 4000L, "executors"), told(4000));
+    assertEquals(List.of(EPOCH, 4000L, "executors"), logged(4000));
   }
 
   private static List<KeyedRecord> page(String key) {
     return List.of(new KeyedRecord(key, Optional.of(new byte[1])));
   }
 
-  private List<Object> told(long millis) {
+  private List<Object> logged(long millis) {
     BatchContext context = at(millis);
     takeover.tellWhatIsMissing("executors", context);
     return context.commands().stream()
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/TaskSimulation.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/TaskSimulation.java
@@ -25,16 +25,16 @@
  */
 final class TaskSimulation {
 
-  private static final long GANG_PATIENCE_MILLIS = 3000;
+  private static final long GANG_TIMEOUT_MILLIS = 3000;
   private static final long FAILS_AFTER_MILLIS = 200;
 
   /** How long after an acknowledged cancel a start may still be sent. */
-  private static final long CANCEL_MILLIS = 3000;
+  private static final long START_BOUND_MILLIS = 3000;
 
   /**
    * How long a run may outlive an acknowledged cancel; the users expect a stop within that time.
    */
-  private static final long GONE_MILLIS = CANCEL_MILLIS + 200;
+  private static final long STOP_BOUND_MILLIS = START_BOUND_MILLIS + 200;
 
   /**
    * Additional lifetime of a run whose start was delivered late, which the scheduler cannot
@@ -53,32 +53,32 @@
   private final Map<String, Submission> submissions = new HashMap<>();
   private final Map<TaskRun, ExecutorId> running = new LinkedHashMap<>();
   private final Map<ExecutorId, FakeExecutor> executors = new HashMap<>();
-  private final Map<ExecutorId, Map<Long, TaskRun>> unacknowledged = new HashMap<>();
+  private final Map<ExecutorId, Map<Long, TaskRun>> unacknowledgedEnds = new HashMap<>();
   private final Set<TaskName> finished = new HashSet<>();
 
   /** Tasks that ever ended as done, including those whose end was lost with its executor. */
   private final Set<TaskName> everFinished = new HashSet<>();
 
   private final Map<TaskName, Integer> failures = new HashMap<>();
-  private final Set<TaskName> hopeless = new HashSet<>();
+  private final Set<TaskName> failingTasks = new HashSet<>();
   private final Map<String, Long> cancelledAt = new HashMap<>();
 
   /** When the order that is being delivered late was sent; empty if there is none. */
-  private OptionalLong lateSince = OptionalLong.empty();
+  private OptionalLong lateOrderSentAt = OptionalLong.empty();
 
   /** Start times of runs whose start was delivered late. */
   private final Map<TaskRun, Long> lateStarts = new HashMap<>();
 
-  private final Set<ExecutorId> sick = new HashSet<>();
-  private final Map<ExecutorId, Double> slow = new HashMap<>();
+  private final Set<ExecutorId> failingExecutors = new HashSet<>();
+  private final Map<ExecutorId, Double> speeds = new HashMap<>();
   private final List<TaskRun> starts = new ArrayList<>();
   private final Map<TaskName, Long> durations = new HashMap<>();
   final FakeAdvice advice = new FakeAdvice();
-  final CrashingTasks crashes = new CrashingTasks();
+  final CrashingTasks crashingTasks = new CrashingTasks();
   private double wastedCoreSeconds;
   private long stopMillis = 100;
 
-  void submitted(String job, Submission submission) {
+  void recordSubmission(String job, Submission submission) {
     submissions.put(job, submission);
   }
 
@@ -88,63 +88,63 @@
 
   /** Makes every run of a task fail. */
   void failAlways(TaskName task) {
-    hopeless.add(task);
+    failingTasks.add(task);
   }
 
   /** Makes an executor work at a share of its normal speed. */
-  void slow(ExecutorId executor, double share) {
-    slow.put(executor, share);
+  void slowDown(ExecutorId executor, double share) {
+    speeds.put(executor, share);
   }
 
   /** Restores normal speed and success of an executor's runs. */
-  void mend(ExecutorId executor) {
-    slow.remove(executor);
-    sick.remove(executor);
+  void restore(ExecutorId executor) {
+    speeds.remove(executor);
+    failingExecutors.remove(executor);
   }
 
   /** Makes every run on an executor fail soon after its start. */
   void failAllOn(ExecutorId executor) {
-    sick.add(executor);
+    failingExecutors.add(executor);
   }
 
   List<TaskRun> starts() {
     return starts;
   }
 
-  private BatchStep spec(TaskName task) {
+  private BatchStep stepOf(TaskName task) {
     return submissions.get(task.job()).steps().get(task.step());
   }
 
   ResourceVector demand(TaskName task) {
-    return spec(task).demand();
+    return stepOf(task).demand();
   }
 
   boolean checkpoints(TaskName task) {
-    return spec(task).checkpointing();
+    return stepOf(task).checkpointing();
   }
 
   /** Sets the actual work of a task; without it the work equals the estimate. */
-  void lasts(TaskName task, long millis) {
+  void setWorkMillis(TaskName task, long millis) {
     durations.put(task, millis);
   }
 
   /** Returns the work after which a run ends. */
   long duration(TaskRun run) {
-    boolean fails = sick.contains(running.get(run));
+    boolean fails = failingExecutors.contains(running.get(run));
     return fails ? FAILS_AFTER_MILLIS : duration(run.task());
   }
 
   private long duration(TaskName task) {
-    return durations.getOrDefault(task, spec(task).estimateMillis());
+    return durations.getOrDefault(task, stepOf(task).estimateMillis());
   }
 
   /** Returns whether a run ends by itself. */
   boolean ends(TaskRun run) {
-    return spec(run.task()).lasting().isEmpty() || sick.contains(running.get(run));
+    return stepOf(run.task()).lasting().isEmpty() || failingExecutors.contains(running.get(run));
   }
 
   boolean serves(TaskRun run) {
-    return spec(run.task()).serves();
+    return stepOf(run.task()).serves();
   }
 
   /**
@@ -156,7 +156,7 @@
     if (!serves(run)) {
       return demand(run.task()).milliCores();
     }
-    long bound = spec(run.task()).lasting().orElseThrow().targetMillis();
+    long bound = stepOf(run.task()).lasting().orElseThrow().targetMillis();
     return Math.round(bound * (1 + othersAtWork) / 3);
   }
 
@@ -165,11 +165,11 @@
    * spread over racks.
    */
   double speed(TaskRun run) {
-    return slow.getOrDefault(running.get(run), 1.0) * nearness(run);
+    return speeds.getOrDefault(running.get(run), 1.0) * rackFactor(run);
   }
 
-  private double nearness(TaskRun run) {
-    if (!spec(run.task()).placement().sameRack()) {
+  private double rackFactor(TaskRun run) {
+    if (!stepOf(run.task()).placement().sameRack()) {
       return 1;
     }
     long racks =
@@ -181,7 +181,7 @@
   }
 
   /** Counts work that has to be repeated, and time that a gang spent waiting for its members. */
-  void wasted(TaskRun run, long millis) {
+  void addWaste(TaskRun run, long millis) {
     wastedCoreSeconds += demand(run.task()).coreEquivalents() * millis / 1000.0;
   }
 
@@ -190,7 +190,7 @@
   }
 
   /** Sets how long a stop takes. */
-  void stopsTake(long millis) {
+  void setStopMillis(long millis) {
     stopMillis = millis;
   }
 
@@ -198,12 +198,12 @@
     return stopMillis;
   }
 
-  long gangPatienceMillis() {
-    return GANG_PATIENCE_MILLIS;
+  long gangTimeoutMillis() {
+    return GANG_TIMEOUT_MILLIS;
   }
 
   int percent(TaskRun run, long workedMillis) {
-    if (spec(run.task()).lasting().isPresent()) {
+    if (stepOf(run.task()).lasting().isPresent()) {
       return workedMillis >= STARTUP_MILLIS ? PERCENT : 0;
     }
     return (int) Math.min(PERCENT, workedMillis * PERCENT / duration(run.task()));
@@ -213,16 +213,16 @@
    * Delivers an order late. The bound on starts after a cancel then applies to the time at which
    * the order was sent.
    */
-  void late(long sentMillis, Runnable order) {
-    lateSince = OptionalLong.of(sentMillis);
+  void deliverLate(long sentMillis, Runnable order) {
+    lateOrderSentAt = OptionalLong.of(sentMillis);
     order.run();
-    lateSince = OptionalLong.empty();
+    lateOrderSentAt = OptionalLong.empty();
   }
 
   /**
    * Records an acknowledged cancel, after which the job may start runs only within a short bound.
    */
-  void cancelled(String job, long nowMillis) {
+  void recordCancel(String job, long nowMillis) {
     cancelledAt.putIfAbsent(job, nowMillis);
   }
 
@@ -234,21 +234,23 @@
    * Checks and records a start: no other run of the task may be alive, the task must not be done,
    * and the tasks it depends on must be.
    */
-  void started(TaskRun run, ExecutorId executor, long nowMillis) {
+  void recordStart(TaskRun run, ExecutorId executor, long nowMillis) {
     assertTrue(
         submissions.containsKey(run.task().job()),
         () -> "start of a job that was not submitted: " + run);
-    boolean lasts = spec(run.task()).lasting().isPresent();
+    boolean longRunning = stepOf(run.task()).lasting().isPresent();
     assertFalse(
-        !lasts && finished.contains(run.task()), () -> run + " starts although its task is done");
-    long orderedAt = lateSince.orElse(nowMillis);
+        !longRunning && finished.contains(run.task()),
+        () -> run + " starts although its task is done");
+    long orderedAt = lateOrderSentAt.orElse(nowMillis);
     long since = orderedAt - cancelledAt.getOrDefault(run.task().job(), orderedAt);
-    assertTrue(since <= CANCEL_MILLIS, () -> run + " starts " + since + " ms after its cancel");
+    assertTrue(
+        since <= START_BOUND_MILLIS, () -> run + " starts " + since + " ms after its cancel");
     for (TaskRun other : running.keySet()) {
       boolean same = other.task().equals(run.task());
       assertFalse(same, () -> run + " starts at " + nowMillis + " beside " + other);
     }
-    for (int earlier : spec(run.task()).dependsOn()) {
+    for (int earlier : stepOf(run.task()).dependsOn()) {
       TaskName task = run.task();
       int count = submissions.get(task.job()).steps().get(earlier).count();
       for (int index = 0; index < count; index++) {
@@ -258,22 +260,22 @@
     }
     running.put(run, executor);
     starts.add(run);
-    lateSince.ifPresent(sentAt -> lateStarts.put(run, nowMillis));
-    crashes.started(run);
+    lateOrderSentAt.ifPresent(sentAt -> lateStarts.put(run, nowMillis));
+    crashingTasks.checkStart(run);
   }
 
   /**
    * Checks that no run of a job whose cancel was acknowledged survives a fault-free period longer
    * than the bound.
    */
-  void checkEnded(long calmSinceMillis, long nowMillis) {
+  void checkEnded(long faultFreeSinceMillis, long nowMillis) {
     for (TaskRun run : running.keySet()) {
       long cancelled = cancelledAt.getOrDefault(run.task().job(), nowMillis);
       Long late = lateStarts.get(run);
-      long from = Math.max(cancelled, calmSinceMillis);
+      long from = Math.max(cancelled, faultFreeSinceMillis);
       long due = late == null ? from : Math.max(from, late + LATE_START_MILLIS);
       assertTrue(
-          nowMillis <= due + GONE_MILLIS,
+          nowMillis <= due + STOP_BOUND_MILLIS,
           () ->
               run
                   + " is alive at "
@@ -281,12 +283,12 @@
                   + ", cancelled at "
                   + cancelled
                   + ", without faults since "
-                  + calmSinceMillis);
+                  + faultFreeSinceMillis);
     }
   }
 
   private boolean done(TaskName task) {
-    if (!spec(task).gang()) {
+    if (!stepOf(task).gang()) {
       return everFinished.contains(task);
     }
     return everFinished.stream()
@@ -294,8 +296,8 @@
   }
 
   /** Returns whether all members of the run's gang are running. */
-  boolean together(TaskRun run) {
-    return !spec(run.task()).gang() || members(run).size() == spec(run.task()).count();
+  boolean gangComplete(TaskRun run) {
+    return !stepOf(run.task()).gang() || members(run).size() == stepOf(run.task()).count();
   }
 
   private List<TaskRun> members(TaskRun run) {
@@ -311,24 +313,25 @@
 
   /** Ends a run whose work is complete, and the other members of its gang with it. */
   void finish(TaskRun run, long nowMillis) {
-    boolean fails = hopeless.contains(run.task()) || sick.contains(running.get(run));
+    boolean fails =
+        failingTasks.contains(run.task()) || failingExecutors.contains(running.get(run));
     RunEnd how = fails ? RunEnd.FAILED : RunEnd.DONE;
-    List<TaskRun> members = spec(run.task()).gang() ? members(run) : List.of(run);
+    List<TaskRun> members = stepOf(run.task()).gang() ? members(run) : List.of(run);
     for (TaskRun member : members) {
       RunEnd end = how == RunEnd.DONE || member.equals(run) ? how : RunEnd.GANG_BROKEN;
       executors.get(running.get(member)).end(member, end, nowMillis);
     }
   }
 
-  void ended(TaskRun run, ExecutorId executor, long number, RunEnd how, long nowMillis) {
-    boolean gang = spec(run.task()).gang();
+  void recordEnd(TaskRun run, ExecutorId executor, long number, RunEnd how, long nowMillis) {
+    boolean gang = stepOf(run.task()).gang();
     List<TaskRun> others =
         gang ? members(run).stream().filter(other -> !other.equals(run)).toList() : List.of();
     running.remove(run);
     if (how == RunEnd.DONE) {
       finished.add(run.task());
       everFinished.add(run.task());
-      unacknowledged.computeIfAbsent(executor, id -> new HashMap<>()).put(number, run);
+      unacknowledgedEnds.computeIfAbsent(executor, id -> new HashMap<>()).put(number, run);
     }
     if (how == RunEnd.FAILED) {
       failures.merge(run.task(), 1, Integer::sum);
@@ -344,26 +347,26 @@
    * Records that an executor has dropped acknowledged ends; losing the executor no longer makes
    * their tasks run again.
    */
-  void acknowledged(ExecutorId executor, long number) {
-    Map<Long, TaskRun> ends = unacknowledged.getOrDefault(executor, Map.of());
+  void recordAcknowledgement(ExecutorId executor, long number) {
+    Map<Long, TaskRun> ends = unacknowledgedEnds.getOrDefault(executor, Map.of());
     ends.keySet().removeIf(end -> end <= number);
   }
 
   /** Removes a run that was lost with its executor, and breaks its gang. */
-  void gone(TaskRun run, long nowMillis) {
+  void removeLost(TaskRun run, long nowMillis) {
     List<TaskRun> others = members(run).stream().filter(other -> !other.equals(run)).toList();
     running.remove(run);
-    if (spec(run.task()).gang()) {
+    if (stepOf(run.task()).gang()) {
       others.forEach(
           other -> executors.get(running.get(other)).end(other, RunEnd.GANG_BROKEN, nowMillis));
     }
   }
 
   /** Forgets the ends of an executor that were not acknowledged; their tasks may run again. */
-  void forget(ExecutorId executor) {
-    Map<Long, TaskRun> ends = unacknowledged.getOrDefault(executor, Map.of());
+  void forgetEnds(ExecutorId executor) {
+    Map<Long, TaskRun> ends = unacknowledgedEnds.getOrDefault(executor, Map.of());
     ends.values().forEach(run -> finished.remove(run.task()));
-    unacknowledged.remove(executor);
+    unacknowledgedEnds.remove(executor);
   }
 
   int failures(TaskName task) {
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/TestFixtures.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/TestFixtures.java
@@ -74,11 +74,11 @@
    * accelerators.
    */
   static BatchConfiguration configuration(int organisations, int guaranteedEach) {
-    List<BatchOrganisation> holders = new ArrayList<>();
+    List<BatchOrganisation> batchOrganisations = new ArrayList<>();
     for (int i = 0; i < organisations; i++) {
-      holders.add(new BatchOrganisation("org-" + i, Set.of(keyOf(i)), guaranteedEach));
+      batchOrganisations.add(new BatchOrganisation("org-" + i, Set.of(keyOf(i)), guaranteedEach));
     }
-    return new BatchConfiguration(1, configuration().queues(), holders);
+    return new BatchConfiguration(1, configuration().queues(), batchOrganisations);
   }
 
   /** Returns the API key of one of several organisations. */
@@ -113,18 +113,18 @@
   }
 
   /** Returns the same executor, reporting when it started. */
-  static ExecutorProfile born(ExecutorProfile profile, long bornMillis) {
-    return inLife(profile, new Incarnation(profile.id(), OptionalLong.of(bornMillis)));
+  static ExecutorProfile withStartTime(ExecutorProfile profile, long bornMillis) {
+    return withIncarnation(profile, new Incarnation(profile.id(), OptionalLong.of(bornMillis)));
   }
 
   /** Returns the same executor as another incarnation, under another id. */
-  static ExecutorProfile renamed(ExecutorProfile profile, String name) {
-    return inLife(profile, Incarnation.undated(new ExecutorId(name)));
+  static ExecutorProfile withId(ExecutorProfile profile, String name) {
+    return withIncarnation(profile, Incarnation.undated(new ExecutorId(name)));
   }
 
-  private static ExecutorProfile inLife(ExecutorProfile profile, Incarnation life) {
+  private static ExecutorProfile withIncarnation(ExecutorProfile profile, Incarnation incarnation) {
     return new ExecutorProfile(
-        life,
+        incarnation,
         profile.address(),
         profile.pool(),
         profile.domain(),
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/UnknownRunCapacityTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/UnknownRunCapacityTest.java
@@ -20,8 +20,8 @@
     cluster.awaitOwner();
     cluster.run(500);
     FakeExecutor executor = cluster.executors.get(new ExecutorId("e0"));
-    executor.startAnything();
-    cluster.work.stopsTake(4000);
+    executor.skipCapacityCheck();
+    cluster.work.setStopMillis(4000);
     String job = cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.tasks(1, 6, 60_000)));
     cluster.runUntil("the start", 1000, () -> cluster.work.starts().size() == 1);
     cluster.call(new BatchCall.Cancel(BatchCluster.URGENT, BatchCluster.KEY, job));
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/UnlistedExecutorTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/UnlistedExecutorTest.java
@@ -29,7 +29,7 @@
     cluster.runUntil("the starts", 2000, () -> cluster.work.starts().size() == 3);
     cluster.run(200);
     cluster.faults.streamsDown.add(StreamName.STATE);
-    cluster.runUntil("the ends", 2000, () -> executor().unacknowledged() == 3);
+    cluster.runUntil("the ends", 2000, () -> executor().unacknowledgedEnds() == 3);
     cluster.run(500);
   }
 
@@ -56,7 +56,7 @@
   @Test
   void endsThatAreNotStoredAreNotAcknowledgedAfterTheExecutorWasUnlisted() {
     unlistAndList();
-    assertEquals(3, executor().unacknowledged());
+    assertEquals(3, executor().unacknowledgedEnds());
   }
 
   @Test
@@ -64,6 +64,6 @@
     unlistAndList();
     replaceOwner();
     assertEquals(3, cluster.work.starts().size());
-    assertEquals(0, executor().unacknowledged());
+    assertEquals(0, executor().unacknowledgedEnds());
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/VmStartBesideLiveOwnerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/VmStartBesideLiveOwnerTest.java
@@ -23,7 +23,7 @@
   @ValueSource(longs = {300, 700, 900, 1400, 2000})
   void aLiveOwnerIsNotReplacedByVmsThatStart(long answerMillis) {
     cluster.awaitOwner();
-    cluster.faults.storeDelay = answerMillis;
+    cluster.faults.storeDelayMillis = answerMillis;
     cluster.faults.appendMillis = answerMillis;
     cluster.run(STEADY_MILLIS);
     cluster.runUntil("an owner", STEADY_MILLIS, () -> cluster.owner().isPresent());
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/WorkloadProfile.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/WorkloadProfile.java
@@ -14,7 +14,7 @@
  * @param stopMillis how long a stop takes
  * @param organisations number of organisations; 0 for a single one with a small guarantee
  * @param guaranteedShare share of all accelerators that is guaranteed to the organisations together
- * @param narrow whether a gang has at most as many members as a rack has executors
+ * @param narrowGangs whether a gang has at most as many members as a rack has executors
  */
 record WorkloadProfile(
     int executors,
@@ -22,27 +22,29 @@
     long stopMillis,
     int organisations,
     double guaranteedShare,
-    boolean narrow,
-    List<Kind> kinds,
-    List<Trouble> troubles) {
+    boolean narrowGangs,
+    List<JobClass> jobClasses,
+    List<ExecutorFault> executorFaults) {
 
   /** Speed of a slow executor relative to a healthy one. */
-  static final double SLOW_SHARE = 0.16;
+  static final double SLOW_EXECUTOR_SPEED = 0.16;
 
   private static final int[] GANG_ACCELERATORS = {1, 2, 4, 8, 8};
   private static final int PER_EXECUTOR = TestFixtures.CAPACITY.accelerators();
 
   /** The workloads of both users combined, with the longer stop time and without faults. */
-  static final WorkloadProfile BOTH =
-      new WorkloadProfile(33, 8, 900, 0, 0, true, kindsOfJobs(0.5, 0.5), List.of());
+  static final WorkloadProfile COMBINED =
+      new WorkloadProfile(33, 8, 900, 0, 0, true, createJobClasses(0.5, 0.5), List.of());
 
   /** Workload of Humidade Viva with slow, hanging and failing executors. */
   static final WorkloadProfile HUMIDADE_VIVA =
-      new WorkloadProfile(33, 8, 200, 4, 0.62, false, kindsOfJobs(0.8, 0.6), sickExecutors());
+      new WorkloadProfile(
+          33, 8, 200, 4, 0.62, false, createJobClasses(0.8, 0.6), createExecutorFaults());
 
   /** Workload of Lakeshore Loop with the same faults, smaller racks and slower stops. */
   static final WorkloadProfile LAKESHORE =
-      new WorkloadProfile(32, 6, 900, 4, 0.62, false, kindsOfJobs(0.8, 0.6), sickExecutors());
+      new WorkloadProfile(
+          32, 6, 900, 4, 0.62, false, createJobClasses(0.8, 0.6), createExecutorFaults());
 
   /**
    * A class of jobs.
@@ -50,37 +52,38 @@
    * @param perSecond jobs per second at load 1
    * @param width mean number of tasks
    * @param millis mean work of a task
-   * @param spread standard deviation of the logarithm of the work
-   * @param estimateOff standard deviation of the logarithm of the estimate relative to the work
+   * @param workSpread standard deviation of the logarithm of the work
+   * @param estimateSpread standard deviation of the logarithm of the estimate relative to the work
    * @param unit resources of a task without its accelerators
    * @param checkpointing share of jobs that save checkpoints
    * @param sameRack share of gangs that run slowly unless they share a rack
-   * @param worth value of a mean job completed in time, relative to the other classes
-   * @param lateShare share of its value that a late job still earns
-   * @param factor a job is in time within this many times its work, plus {@code targetMillis}
+   * @param value value of a mean job completed in time, relative to the other classes
+   * @param lateValueShare share of its value that a late job still earns
+   * @param objectiveFactor a job is in time within this many times its work, plus {@code
+   *     targetMillis}
    * @param backlog number of jobs that are waiting at the start
    */
-  record Kind(
+  record JobClass(
       String queue,
       double perSecond,
       double width,
       double millis,
-      double spread,
-      double estimateOff,
+      double workSpread,
+      double estimateSpread,
       ResourceVector unit,
       double checkpointing,
       double sameRack,
-      double worth,
-      double lateShare,
-      double factor,
+      double value,
+      double lateValueShare,
+      double objectiveFactor,
       long targetMillis,
       int backlog) {}
 
   /** A fault of a share of the executors for a limited time. */
-  record Trouble(What kind, double share, long atMillis, long forMillis) {}
+  record ExecutorFault(FaultKind faultKind, double share, long atMillis, long durationMillis) {}
 
   /** Kinds of faults of executors. */
-  enum What {
+  enum FaultKind {
     /** Work takes several times as long. */
     SLOW,
     /** Work makes no progress. */
@@ -89,12 +92,12 @@
     FAILING
   }
 
-  private static List<Kind> kindsOfJobs(double urgentSameRack, double normalSameRack) {
+  private static List<JobClass> createJobClasses(double urgentSameRack, double normalSameRack) {
     ResourceVector urgent = new ResourceVector(7_500, 31_000, 0);
     ResourceVector normal = new ResourceVector(26_000, 110_000, 0);
     ResourceVector bulk = new ResourceVector(5_600, 16_000, 1);
     return List.of(
-        new Kind(
+        new JobClass(
             TestFixtures.URGENT,
             1.75,
             3.4,
@@ -109,7 +112,7 @@
             1.5,
             250,
             0),
-        new Kind(
+        new JobClass(
             TestFixtures.NORMAL,
             0.46,
             5,
@@ -124,14 +127,15 @@
             3,
             1000,
             5),
-        new Kind(TestFixtures.BULK, 0.54, 16, 6100, 0.3, 0.5, bulk, 0.45, 0, 1, 0.3, 3, 3000, 9));
+        new JobClass(
+            TestFixtures.BULK, 0.54, 16, 6100, 0.3, 0.5, bulk, 0.45, 0, 1, 0.3, 3, 3000, 9));
   }
 
-  private static List<Trouble> sickExecutors() {
+  private static List<ExecutorFault> createExecutorFaults() {
     return List.of(
-        new Trouble(What.HANGING, 0.1, 11_000, 5_000),
-        new Trouble(What.SLOW, 0.15, 22_000, 7_000),
-        new Trouble(What.FAILING, 0.085, 34_000, 6_500));
+        new ExecutorFault(FaultKind.HANGING, 0.1, 11_000, 5_000),
+        new ExecutorFault(FaultKind.SLOW, 0.15, 22_000, 7_000),
+        new ExecutorFault(FaultKind.FAILING, 0.085, 34_000, 6_500));
   }
 
   BatchConfiguration configuration() {
@@ -155,6 +159,6 @@
 
   /** Returns the largest number of gang members that fit into a rack. */
   int widestGang(ResourceVector member) {
-    return narrow ? rackSize : rackSize * TestFixtures.CAPACITY.fits(member);
+    return narrowGangs ? rackSize : rackSize * TestFixtures.CAPACITY.fits(member);
   }
 }
