--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/BatchCluster.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/BatchCluster.java
@@ -24,10 +24,7 @@
 import org.fescuehook.model.fleet.ExecutorId;
 import org.fescuehook.model.fleet.VmId;
 
-/**
- * Simulates VMs, the shared store and executors on a virtual clock, and injects faults between
- * them.
- */
+/** VMs, the shared store and executors on a virtual clock, with faults injected between them. */
 final class BatchCluster {
 
   static final String KEY = TestFixtures.KEY;
@@ -38,13 +35,11 @@
   private static final long STEP_MILLIS = 20;
   private static final long ANSWER_LIMIT_MILLIS = 1000;
 
-  /** Pause between two reads of the ownership stream. */
+  /** Pause between two reads of the ownership stream, and how long each waits for a new record. */
   private static final long READ_PAUSE_MILLIS = 400;
 
-  /** How long a read of the ownership stream waits for a new record. */
   private static final long READ_WAIT_MILLIS = 1000;
 
-  /** End offset of a VM that has not read the ownership stream yet. */
   private static final long UNREAD = -1;
 
   /** How long callers wait for an answer; each call passes it to the owner. */
@@ -124,7 +119,6 @@
       busyUntil = Math.max(busyUntil, nowMillis) + faults.exchangeMillis;
     }
 
-    /** Resumes a frozen VM and delivers the events that arrived meanwhile. */
     void unfreeze() {
       frozen = false;
       List<BatchEvent> late = List.copyOf(heldEvents);
@@ -236,10 +230,7 @@
     return !faults.storeDown && !faults.cutFromStore.contains(vm.id);
   }
 
-  /**
-   * Reads the ownership stream; the store answers once there is a new record, or when the wait is
-   * over.
-   */
+  /** Reads the ownership stream; the store answers once there is a record, or after a while. */
   private void readOwnership(Vm vm, long knownEnd, long until) {
     if (!vm.running) {
       return;
@@ -342,10 +333,7 @@
     return id;
   }
 
-  /**
-   * Returns the answer to a status call for a job; empty if there is none in time. Lets time pass
-   * until the answer comes, since the store has to confirm that a job does not exist.
-   */
+  /** Returns the answer to a status call, which may have to wait for the store; empty if late. */
   Optional<CallAnswer> status(String job) {
     String key = configuration.holders().getFirst().apiKeys().iterator().next();
     Optional<Long> asked = call(new BatchCall.Status(NORMAL, key, job));
@@ -392,7 +380,6 @@
     runUntil("an owner", 10_000, () -> owner().isPresent());
   }
 
-  /** Returns how many claims of ownership were sent. */
   int claims() {
     return appends.claims();
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/CancelHistoriesTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/CancelHistoriesTest.java
@@ -73,6 +73,6 @@
           cluster.restart(owner, away);
         });
     String when = " at " + cluster.nowMillis() + " for " + lostMillis;
-    return "stops lost, then their owner, for " + away + when;
+    return "stops lost, then the owner killed, for " + away + when;
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/LossyStoreTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/LossyStoreTest.java
@@ -22,10 +22,7 @@
   private static final long TROUBLE_MILLIS = 15_000;
   private static final long BETWEEN_JOBS_MILLIS = 50;
 
-  /**
-   * Least share of submissions that are accepted during the trouble; without trouble all of them
-   * are.
-   */
+  /** Least share of submissions that are accepted while answers are lost; otherwise all are. */
   private static final double MIN_SERVED_SHARE = 0.98;
 
   private final BatchCluster cluster = new BatchCluster(8, 20, 4);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/RestartHistoriesTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/RestartHistoriesTest.java
@@ -51,7 +51,7 @@
     long delay = 100L + cluster.random.nextInt(800);
     cluster.faults.storeDelayMillis = delay;
     cluster.in(4000, () -> cluster.faults.storeDelayMillis = 4);
-    return ", store of " + delay;
+    return ", store delay of " + delay;
   }
 
   private static void playAll(Function<BatchCluster, String> beside) {
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/RestartWithSameIdTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/RestartWithSameIdTest.java
@@ -84,7 +84,8 @@
   }
 
   /**
-   * The late orders were sent to the previous incarnation; the new one has no epoch to fence them.
+   * The late orders were meant for the previous incarnation, whose epoch, the fencing token, is
+   * lost with it.
    */
   @Test
   void aStartForThePreviousIncarnationIsRejectedOnceTheNewOneHasBeenPolled() {
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/RestartWithSlowStoreTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/RestartWithSlowStoreTest.java
@@ -14,7 +14,8 @@
  * them decided for 14 s and more, so calls about accepted jobs got no answer. A new owner first
  * raises the epoch of the stream of jobs. The store processed that append for 0.9 s and its answer
  * took as long again, so an append with a time limit of 1 s was given up again and again. A time
- * limit that the store cannot meet takes slowness for a lost answer.
+ * limit that the store cannot meet takes slowness for a lost answer; with a longer one an owner
+ * decided after 3 s.
  */
 class RestartWithSlowStoreTest {
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/StuckTakeoverTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/StuckTakeoverTest.java
@@ -39,8 +39,7 @@
   }
 
   /**
-   * A VM with much more CPU claims from an owner that is alive, and must not do so again after it
-   * has given up.
+   * Much more CPU lets a VM claim from a live owner, also again after it has given up ownership.
    */
   @Test
   void aStrongerVmThatCannotLoadTheJobsDoesNotReplaceAWeakerOwnerRepeatedly() {
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/SuspectPlacementTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/SuspectPlacementTest.java
@@ -17,7 +17,8 @@
  * beside it again, so that two executors had crashed under that task too.
  *
  * <p>A task that may have crashed an executor starts where nothing else runs, and no other work
- * joins it until it has run for a while: the next crash then costs least and identifies the task.
+ * joins it until it has run for a while: the next crash then costs least and shows best whether the
+ * task is the cause.
  */
 class SuspectPlacementTest {
 
