--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/BatchCluster.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/BatchCluster.java
@@ -40,7 +40,7 @@
 
   private static final long READ_WAIT_MILLIS = 1000;
 
-  private static final long UNREAD = -1;
+  private static final long NO_KNOWN_END = -1;
 
   /** How long callers wait for an answer; each call passes it to the owner. */
   static final Duration CALLER_TIMEOUT = Duration.ofMillis(2800);
@@ -202,7 +202,7 @@
     vms.put(id, vm);
     vm.deliver(new BatchEvent.ConfigurationRead(configuration));
     tick(vm);
-    readOwnership(vm, UNREAD, nowMillis);
+    readOwnership(vm, NO_KNOWN_END, nowMillis);
     BatchEvent late = new BatchEvent.OwnershipUnreadable();
     faults.firstReadLateAt().forEach(at -> in(at, () -> vm.deliver(late)));
     return vm;
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/BusyOwnerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/BusyOwnerTest.java
@@ -37,8 +37,8 @@
     apply(new BatchEvent.Tick(), false);
   }
 
-  private List<BatchCommand> apply(BatchEvent event, boolean more) {
-    return core.apply(event, Duration.ofMillis(nowMillis).toNanos(), WALL + nowMillis, more);
+  private List<BatchCommand> apply(BatchEvent event, boolean moreQueued) {
+    return core.apply(event, Duration.ofMillis(nowMillis).toNanos(), WALL + nowMillis, moreQueued);
   }
 
   /** Submits a job that becomes due after a while. */
@@ -48,28 +48,28 @@
   }
 
   /** Submits a job and returns the commands that follow the event by which it is stored. */
-  private List<BatchCommand> accept(boolean more) {
-    return accept(Jobs.of(Jobs.tasks(1, 1, 60_000)), more);
+  private List<BatchCommand> accept(boolean moreQueued) {
+    return accept(Jobs.of(Jobs.tasks(1, 1, 60_000)), moreQueued);
   }
 
-  private List<BatchCommand> accept(Submission submission, boolean more) {
+  private List<BatchCommand> accept(Submission submission, boolean moreQueued) {
     jobs++;
     BatchCall call =
         new BatchCall.Submit(
             BatchCluster.NORMAL, BatchCluster.KEY, "%016x".formatted(jobs), submission);
     List<BatchCommand> sent =
         apply(new BatchEvent.Called(1, call, BatchCluster.CALLER_TIMEOUT), true);
-    List<BatchCommand> stored = store(sent, more);
+    List<BatchCommand> stored = store(sent, moreQueued);
     for (List<BatchCommand> next = stored; append(next).isPresent(); ) {
       next = store(next, true);
     }
     return stored;
   }
 
-  private List<BatchCommand> store(List<BatchCommand> commands, boolean more) {
+  private List<BatchCommand> store(List<BatchCommand> commands, boolean moreQueued) {
     BatchCommand.Append append = append(commands).orElseThrow();
     AppendOutcome stored = new AppendOutcome.Stored(1);
-    return apply(new BatchEvent.Appended(append.stream(), append.position(), stored), more);
+    return apply(new BatchEvent.Appended(append.stream(), append.position(), stored), moreQueued);
   }
 
   private static Optional<BatchCommand.Append> append(List<BatchCommand> commands) {
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/LossyStoreTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/LossyStoreTest.java
@@ -28,23 +28,23 @@
   private final BatchCluster cluster = new BatchCluster(8, 20, 4);
 
   /** Tells all VMs, as callers do, that the owner cannot reach the store. */
-  private void reportRefusals(Set<String> told) {
+  private void reportRefusals(Set<String> reported) {
     for (Map.Entry<String, CallAnswer> answer : cluster.submissions.entrySet()) {
-      boolean away =
+      boolean storeUnavailable =
           answer.getValue() instanceof CallAnswer.Refused refused
               && refused.cause() == RefusalCause.STORE_AWAY;
-      if (away && told.add(answer.getKey())) {
+      if (storeUnavailable && reported.add(answer.getKey())) {
         cluster.vms.values().forEach(vm -> vm.deliver(new BatchEvent.OwnerDoubted()));
       }
     }
   }
 
   private void submitContinuously() {
-    Set<String> told = new HashSet<>();
+    Set<String> reported = new HashSet<>();
     for (long at = 0; at < TROUBLE_MILLIS; at += BETWEEN_JOBS_MILLIS) {
       cluster.submit(BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 1, 400)));
       cluster.run(BETWEEN_JOBS_MILLIS);
-      reportRefusals(told);
+      reportRefusals(reported);
     }
   }
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/OutageInTakeoverTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/OutageInTakeoverTest.java
@@ -19,7 +19,7 @@
 class OutageInTakeoverTest {
 
   private static final long OUTAGE_MILLIS = 8000;
-  private static final long HANGS_MILLIS = 800;
+  private static final long APPEND_HANG_MILLIS = 800;
 
   private int epochs(int vms) {
     BatchCluster cluster = new BatchCluster(0, 8, 1);
@@ -36,7 +36,7 @@
     cluster.run(OUTAGE_MILLIS);
     // An append that was sent just before the end of the outage hangs until its time limit of 1 s.
     cluster.faults.storeDown = false;
-    cluster.in(HANGS_MILLIS, cluster.faults.streamsDown::clear);
+    cluster.in(APPEND_HANG_MILLIS, cluster.faults.streamsDown::clear);
     Set<Long> epochs = new HashSet<>();
     for (int i = 0; i < 250; i++) {
       cluster.vms.values().stream()
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/SlowStoreTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/SlowStoreTest.java
@@ -33,7 +33,7 @@
    */
   private static final long SEEN_MILLIS = 200 + BETWEEN_JOBS_MILLIS;
 
-  private static final long AIM_MILLIS =
+  private static final long EXPECTED_MILLIS =
       3 * (APPEND_MILLIS + SEND_DELAY_MILLIS) + WORK_MILLIS + SEEN_MILLIS;
 
   private static final Optional<CallAnswer> COMPLETED =
@@ -43,7 +43,7 @@
   private final Map<String, Long> submittedAt = new HashMap<>();
   private final List<Long> times = new ArrayList<>();
 
-  private void noteCompleted() {
+  private void recordCompleted() {
     for (String job : List.copyOf(submittedAt.keySet())) {
       boolean accepted = cluster.submissions.get(job) instanceof CallAnswer.Accepted;
       if (accepted && cluster.status(job).equals(COMPLETED)) {
@@ -63,15 +63,15 @@
       String job = cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.tasks(1, 1, WORK_MILLIS)));
       submittedAt.put(job, cluster.nowMillis());
       cluster.run(BETWEEN_JOBS_MILLIS);
-      noteCompleted();
+      recordCompleted();
     }
-    for (long at = 0; at < AIM_MILLIS; at += BETWEEN_JOBS_MILLIS) {
+    for (long at = 0; at < EXPECTED_MILLIS; at += BETWEEN_JOBS_MILLIS) {
       cluster.run(BETWEEN_JOBS_MILLIS);
-      noteCompleted();
+      recordCompleted();
     }
     assertEquals(owners, cluster.ownershipsWon(), "a live owner was replaced");
     assertTrue(times.size() > 20, () -> times.size() + " jobs completed");
-    long late = times.stream().filter(millis -> millis > AIM_MILLIS).count();
+    long late = times.stream().filter(millis -> millis > EXPECTED_MILLIS).count();
     assertTrue(late * 10 <= times.size(), () -> late + " of " + times.size() + " late: " + times);
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/SlowTakeoverTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/SlowTakeoverTest.java
@@ -39,7 +39,7 @@
   private static final double MIN_SERVED_SHARE = 0.98;
 
   private final BatchCluster cluster = new BatchCluster(8, 20, 1);
-  private final Set<String> told = new HashSet<>();
+  private final Set<String> reported = new HashSet<>();
 
   private void restartWithSlowStore(long answerMillis) {
     cluster.awaitOwner();
@@ -64,10 +64,10 @@
   /** Tells all VMs, as callers do, that the owner cannot reach the store. */
   private void reportRefusals() {
     for (Map.Entry<String, CallAnswer> answer : cluster.submissions.entrySet()) {
-      boolean away =
+      boolean storeUnavailable =
           answer.getValue() instanceof CallAnswer.Refused refused
               && refused.cause() == RefusalCause.STORE_AWAY;
-      if (away && told.add(answer.getKey())) {
+      if (storeUnavailable && reported.add(answer.getKey())) {
         cluster.vms.values().forEach(vm -> vm.deliver(new BatchEvent.OwnerDoubted()));
       }
     }
