--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ContactWindow.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/AdaptivePollLimit.java
@@ -12,7 +12,7 @@
  * executors are read after their time limit, so all of them count as silent and are asked again on
  * new connections, and heartbeats wait behind that until another VM takes over and begins the same.
  */
-final class ContactWindow {
+final class AdaptivePollLimit {
 
   /**
    * Size to begin with, and the least: at 5 to 8 ms an exchange on a third of a core, answers are
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/CrashJudge.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/CrashEvaluator.java
@@ -15,7 +15,7 @@
  * Judges which runs may have caused the loss of their executor. Executors are also lost by
  * themselves, so what counts is how soon after its start a run was lost, and what ran beside it.
  */
-public final class CrashJudge {
+public final class CrashEvaluator {
 
   /**
    * Age of a run above which the crash of its executor hardly speaks against it. Executors that are
@@ -24,7 +24,7 @@
    */
   private static final Duration SOON = Duration.ofSeconds(2);
 
-  private CrashJudge() {}
+  private CrashEvaluator() {}
 
   /** How the loss of an executor is known. */
   enum Loss {
@@ -41,11 +41,11 @@
    * @param leaving whether it was about to leave
    * @param crashedLately whether it had crashed not long before, and so may have by itself
    */
-  record Case(Loss loss, long lostAt, boolean leaving, boolean crashedLately) {
+  record LossDetails(Loss loss, long lostAt, boolean leaving, boolean crashedLately) {
 
     /** The loss of the present life of an executor. */
-    static Case of(ExecutorState executor, Loss loss, BatchTurn turn) {
-      return new Case(
+    static LossDetails of(ExecutorState executor, Loss loss, BatchTurn turn) {
+      return new LossDetails(
           loss,
           executor.silentSince().orElse(turn.nowNanos()),
           executor.profile().leaving(),
@@ -53,19 +53,19 @@
     }
 
     /** The loss of a former life; this owner may not have met that one. */
-    static Case ofFormerLife(ExecutorState executor, BatchTurn turn) {
+    static LossDetails ofFormerLife(ExecutorState executor, BatchTurn turn) {
       return executor
           .formerLife()
           .map(
               former ->
-                  new Case(
+                  new LossDetails(
                       Loss.RESTARTED, former.endedAt(), former.leaving(), former.crashedLately()))
-          .orElseGet(() -> new Case(Loss.RESTARTED, turn.nowNanos(), false, false));
+          .orElseGet(() -> new LossDetails(Loss.RESTARTED, turn.nowNanos(), false, false));
     }
   }
 
   /** Judges all runs of an executor that is lost. */
-  static Map<LiveRun, CrashEvidence> judge(Case loss, List<LiveRun> runs) {
+  static Map<LiveRun, CrashEvidence> judge(LossDetails loss, List<LiveRun> runs) {
     Map<LiveRun, CrashEvidence> evidence = new LinkedHashMap<>();
     for (LiveRun run : runs) {
       boolean alone = runs.size() == 1 && !loss.crashedLately();
@@ -74,7 +74,7 @@
     return evidence;
   }
 
-  private static CrashEvidence judge(Case loss, LiveRun run, boolean alone) {
+  private static CrashEvidence judge(LossDetails loss, LiveRun run, boolean alone) {
     boolean neverStarted = run.startOrderedAt().isEmpty() && !run.inherited();
     if (loss.leaving() || neverStarted) {
       return CrashEvidence.NONE;
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorDuty.java
@@ -8,7 +8,7 @@
 import org.fescuehook.logic.batch.BatchCommand;
 import org.fescuehook.logic.batch.BatchLogEvent;
 import org.fescuehook.logic.batch.BatchTurn;
-import org.fescuehook.logic.batch.executor.CrashJudge.Loss;
+import org.fescuehook.logic.batch.executor.CrashEvaluator.Loss;
 import org.fescuehook.logic.batch.executor.OrderOutcome.Rejection;
 import org.fescuehook.logic.batch.state.LiveRun;
 import org.fescuehook.logic.batch.state.LiveRun.Stage;
@@ -36,14 +36,14 @@
   private static final long ROUND_NANOS = Duration.ofMillis(25).toNanos();
 
   private final OrderSender orders;
-  private final PollDuty polls;
-  private final Pacer pacer;
-  private final StartSettler starts;
-  private final ReportReader reports;
-  private final LostExecutors lost;
-  private final Restarts restarts;
+  private final ExecutorPoller polls;
+  private final Throttler pacer;
+  private final StartOutcomeHandler starts;
+  private final ReportHandler reports;
+  private final LostExecutorHandler lost;
+  private final RestartHandler restarts;
   private final long inheritedLeaseNanos;
-  private final ExecutorBook book = new ExecutorBook();
+  private final ExecutorRegistry book = new ExecutorRegistry();
   private final RunListener listener;
   private final OrphanedRuns orphans;
   private final Set<ExecutorState> heardOf = new LinkedHashSet<>();
@@ -65,19 +65,19 @@
       BatchTurn turn) {
     this.nextRoundAt = turn.nowNanos();
     this.orders = new OrderSender(epoch, lease);
-    this.polls = new PollDuty(book, orders);
-    this.pacer = new Pacer(orders);
-    this.starts = new StartSettler(orders, pacer, listener);
+    this.polls = new ExecutorPoller(book, orders);
+    this.pacer = new Throttler(orders);
+    this.starts = new StartOutcomeHandler(orders, pacer, listener);
     this.inheritedLeaseNanos = inheritedLease.toNanos();
     this.orphans = new OrphanedRuns(turn.nowNanos() + inheritedLeaseNanos);
     this.listener = listener;
-    this.reports = new ReportReader(orders, pacer, listener, longestLease);
-    this.lost = new LostExecutors(book, reports);
-    this.restarts = new Restarts(book, orders, polls, pacer, reports, longestLease);
+    this.reports = new ReportHandler(orders, pacer, listener, longestLease);
+    this.lost = new LostExecutorHandler(book, reports);
+    this.restarts = new RestartHandler(book, orders, polls, pacer, reports, longestLease);
   }
 
   /** Returns the executors. */
-  public ExecutorBook book() {
+  public ExecutorRegistry book() {
     return book;
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorJudge.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorEvaluator.java
@@ -8,7 +8,7 @@
 import org.fescuehook.model.batch.RunEnd;
 
 /** Judges executors by how their runs end, and by their progress against the estimates. */
-final class ExecutorJudge {
+final class ExecutorEvaluator {
 
   /**
    * First rest of an executor on which a run failed. One run in twenty fails by its own fault, and
@@ -44,7 +44,7 @@
 
   private static final double PERCENT = 100.0;
 
-  private ExecutorJudge() {}
+  private ExecutorEvaluator() {}
 
   /**
    * Rests an executor on which runs fail, longer each time, until one is done there. A run that has
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/PollDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorPoller.java
@@ -10,7 +10,7 @@
 import org.fescuehook.logic.batch.BatchTurn;
 
 /** Decides when executors are polled, and keeps count of those that do not answer. */
-final class PollDuty {
+final class ExecutorPoller {
 
   /** Pause after polls without an answer; after the first one, which may just be lost, none. */
   private static final long MISSED_POLL_PAUSE_NANOS = Duration.ofMillis(150).toNanos();
@@ -18,12 +18,12 @@
   /** The same where nothing runs, so that nothing waits but new work. */
   private static final long IDLE_POLL_PAUSE_NANOS = Duration.ofMillis(500).toNanos();
 
-  private final ExecutorBook book;
+  private final ExecutorRegistry book;
   private final OrderSender orders;
-  private final ContactWindow contacts = new ContactWindow();
+  private final AdaptivePollLimit contacts = new AdaptivePollLimit();
   private Set<String> pools = Set.of();
 
-  PollDuty(ExecutorBook book, OrderSender orders) {
+  ExecutorPoller(ExecutorRegistry book, OrderSender orders) {
     this.book = book;
     this.orders = orders;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorBook.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorRegistry.java
@@ -10,7 +10,7 @@
 import org.fescuehook.model.fleet.ExecutorId;
 
 /** The executors that the owner knows of: listed ones, and unlisted ones that may still run. */
-public final class ExecutorBook {
+public final class ExecutorRegistry {
 
   /** Time after the confirmation of a cancel in which callers expect the job's tasks gone. */
   private static final long SOON_NANOS = Duration.ofMillis(3200).toNanos();
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorState.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorState.java
@@ -25,8 +25,8 @@
 
   private ExecutorProfile profile;
   private Incarnation incarnation;
-  private final OrderMark mark;
-  private final Optional<FormerLife> formerLife;
+  private final OrderBaseline mark;
+  private final Optional<PreviousIncarnation> formerLife;
   private final Map<TaskRun, LiveRun> runs = new LinkedHashMap<>();
   private Demand used = Demand.NONE;
   private boolean listed = true;
@@ -38,13 +38,13 @@
   private OptionalLong restartedAt = OptionalLong.empty();
   private Optional<PollUnderWay> poll = Optional.empty();
   private long nextPollAt;
-  private LeaseClock lease = new LeaseClock();
-  private final EndLedger ends = new EndLedger();
+  private LeaseTracker lease = new LeaseTracker();
+  private final RunEndTracker ends = new RunEndTracker();
   private long restUntil;
   private boolean resting;
   private boolean runsUnknown;
   private int failuresInRow;
-  private final SpeedRecord speed = new SpeedRecord();
+  private final SlownessDetector speed = new SlownessDetector();
 
   /**
    * A poll that has not been answered.
@@ -59,15 +59,15 @@
    *
    * @param mark where the orders to it begin
    */
-  public ExecutorState(ExecutorProfile profile, OrderMark mark) {
+  public ExecutorState(ExecutorProfile profile, OrderBaseline mark) {
     this(profile, profile.incarnation(), mark, Optional.empty());
   }
 
   private ExecutorState(
       ExecutorProfile profile,
       Incarnation incarnation,
-      OrderMark mark,
-      Optional<FormerLife> formerLife) {
+      OrderBaseline mark,
+      Optional<PreviousIncarnation> formerLife) {
     this.profile = profile;
     this.incarnation = incarnation;
     this.mark = mark;
@@ -75,10 +75,10 @@
   }
 
   /** Creates the state of the next life of the same executor, which has not been asked anything. */
-  ExecutorState successor(Incarnation next, FormerLife former, OrderMark first) {
+  ExecutorState successor(Incarnation next, PreviousIncarnation former, OrderBaseline first) {
     ExecutorState executor = new ExecutorState(profile, next, first, Optional.of(former));
     executor.listed = listed;
-    executor.lease = new LeaseClock(lease.untilNanos());
+    executor.lease = new LeaseTracker(lease.untilNanos());
     return executor;
   }
 
@@ -98,12 +98,12 @@
   }
 
   /** Returns the life before this one; absent if none is known that had the same id. */
-  Optional<FormerLife> formerLife() {
+  Optional<PreviousIncarnation> formerLife() {
     return formerLife;
   }
 
   /** Returns where the orders to it begin. */
-  OrderMark mark() {
+  OrderBaseline mark() {
     return mark;
   }
 
@@ -285,12 +285,12 @@
   }
 
   /** Returns its clock and its leases. */
-  public LeaseClock lease() {
+  public LeaseTracker lease() {
     return lease;
   }
 
   /** Returns which of its ends have been read, stored and acknowledged. */
-  EndLedger ends() {
+  RunEndTracker ends() {
     return ends;
   }
 
@@ -301,7 +301,7 @@
   }
 
   /** Returns what its runs have shown of its speed. */
-  public SpeedRecord speed() {
+  public SlownessDetector speed() {
     return speed;
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/FenceNumbers.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/FencingTokens.java
@@ -5,14 +5,14 @@
  * each restart of an executor that becomes known: a new life has seen no number, so that orders
  * that were meant for the former one are rejected only once a higher one has come.
  */
-final class FenceNumbers {
+final class FencingTokens {
 
   /** Leaves room for a million restarts in an epoch and for epochs up to 2^33 in 53 bits. */
   private static final int RESTART_BITS = 20;
 
   private long newest;
 
-  FenceNumbers(long epoch) {
+  FencingTokens(long epoch) {
     this.newest = epoch << RESTART_BITS;
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/LeaseClock.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/LeaseTracker.java
@@ -4,7 +4,7 @@
 import java.util.OptionalLong;
 
 /** The leases on one life of an executor, which end by its own clock, and until when they last. */
-public final class LeaseClock {
+public final class LeaseTracker {
 
   /** An executor's clock may be slow by this share, so its leases last longer on ours. */
   private static final double SLOWEST_CLOCK = 1.02;
@@ -16,14 +16,14 @@
   private long untilMillis;
   private long untilNanos;
 
-  LeaseClock() {}
+  LeaseTracker() {}
 
   /**
    * Begins the leases of an executor that may have been given some that are not known here.
    *
    * @param untilNanos when they have surely expired, monotonic time
    */
-  LeaseClock(long untilNanos) {
+  LeaseTracker(long untilNanos) {
     this.untilNanos = untilNanos;
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/LostExecutors.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/LostExecutorHandler.java
@@ -10,20 +10,20 @@
 import java.util.Optional;
 import org.fescuehook.logic.batch.BatchLogEvent;
 import org.fescuehook.logic.batch.BatchTurn;
-import org.fescuehook.logic.batch.executor.CrashJudge.Loss;
+import org.fescuehook.logic.batch.executor.CrashEvaluator.Loss;
 import org.fescuehook.logic.batch.state.LiveRun;
 import org.fescuehook.model.batch.ExecutorProfile;
 
 /** Gives up what ran on executors that are lost, and remembers where executors have crashed. */
-final class LostExecutors {
+final class LostExecutorHandler {
 
-  private final ExecutorBook book;
-  private final ReportReader reports;
+  private final ExecutorRegistry book;
+  private final ReportHandler reports;
 
   /** When executors crashed whose next incarnation is not listed yet, monotonic time. */
   private final Map<InetSocketAddress, Long> crashedAt = new HashMap<>();
 
-  LostExecutors(ExecutorBook book, ReportReader reports) {
+  LostExecutorHandler(ExecutorRegistry book, ReportHandler reports) {
     this.book = book;
     this.reports = reports;
   }
@@ -32,7 +32,12 @@
   void loseAll(ExecutorState executor, Loss loss, String cause, BatchTurn turn) {
     Map<Boolean, List<LiveRun>> byLife = byLife(executor, List.copyOf(executor.runs()));
     loseWithFormerLife(executor, byLife.get(false), turn);
-    lose(executor, CrashJudge.Case.of(executor, loss, turn), byLife.get(true), cause, turn);
+    lose(
+        executor,
+        CrashEvaluator.LossDetails.of(executor, loss, turn),
+        byLife.get(true),
+        cause,
+        turn);
   }
 
   /** Gives up runs that an executor does not list. */
@@ -52,17 +57,17 @@
   }
 
   private void loseWithFormerLife(ExecutorState executor, List<LiveRun> runs, BatchTurn turn) {
-    CrashJudge.Case restart = CrashJudge.Case.ofFormerLife(executor, turn);
+    CrashEvaluator.LossDetails restart = CrashEvaluator.LossDetails.ofFormerLife(executor, turn);
     lose(executor, restart, runs, "its executor was restarted", turn);
   }
 
   private void lose(
       ExecutorState executor,
-      CrashJudge.Case loss,
+      CrashEvaluator.LossDetails loss,
       List<LiveRun> runs,
       String cause,
       BatchTurn turn) {
-    Map<LiveRun, CrashEvidence> evidence = CrashJudge.judge(loss, runs);
+    Map<LiveRun, CrashEvidence> evidence = CrashEvaluator.judge(loss, runs);
     for (LiveRun run : evidence.keySet()) {
       note(loss, run, evidence.size() - 1, turn);
     }
@@ -86,7 +91,8 @@
             .anyMatch(other -> book.find(other.executor()).filter(e -> !e.calm()).isPresent());
   }
 
-  private static void note(CrashJudge.Case loss, LiveRun run, int others, BatchTurn turn) {
+  private static void note(
+      CrashEvaluator.LossDetails loss, LiveRun run, int others, BatchTurn turn) {
     String age =
         run.startOrderedAt().isPresent()
             ? Duration.ofNanos(loss.lostAt() - run.startOrderedAt().getAsLong()).toMillis() + " ms"
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/OrderMark.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/OrderBaseline.java
@@ -6,4 +6,4 @@
  * @param lastNumber number of the last order of the epoch that was not meant for this life
  * @param fence the number that its orders carry, which executors compare
  */
-public record OrderMark(long lastNumber, long fence) {}
+public record OrderBaseline(long lastNumber, long fence) {}
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/OrderSender.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/OrderSender.java
@@ -20,7 +20,7 @@
   private static final Duration POLL_WAIT = Duration.ofMillis(1000);
 
   private final long epoch;
-  private final FenceNumbers fences;
+  private final FencingTokens fences;
   private final Duration lease;
   private final Map<Long, RunOrder> ordered = new HashMap<>();
   private long lastNumber;
@@ -39,7 +39,7 @@
    */
   OrderSender(long epoch, Duration lease) {
     this.epoch = epoch;
-    this.fences = new FenceNumbers(epoch);
+    this.fences = new FencingTokens(epoch);
     this.lease = lease;
     this.lastNumber = EpochNumbers.before(epoch);
   }
@@ -125,12 +125,12 @@
   }
 
   /** Returns the mark of an executor that is met now. */
-  OrderMark mark() {
-    return new OrderMark(lastNumber, fences.newest());
+  OrderBaseline mark() {
+    return new OrderBaseline(lastNumber, fences.newest());
   }
 
   /** Returns the mark of the next life of an executor, whose orders fence all former ones off. */
-  OrderMark markOfNextLife() {
+  OrderBaseline markOfNextLife() {
     fences.raise();
     return mark();
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/FormerLife.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/PreviousIncarnation.java
@@ -10,4 +10,5 @@
  * @param leaving whether it was about to leave
  * @param crashedLately whether it had begun not long ago with a crash of the one before
  */
-record FormerLife(Incarnation incarnation, long endedAt, boolean leaving, boolean crashedLately) {}
+record PreviousIncarnation(
+    Incarnation incarnation, long endedAt, boolean leaving, boolean crashedLately) {}
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ReportReader.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ReportHandler.java
@@ -14,7 +14,7 @@
 import org.fescuehook.model.batch.TaskRun;
 
 /** Reads what executors report of their runs: which are at work, and which have ended. */
-final class ReportReader {
+final class ReportHandler {
 
   /**
    * Time after which a confirmed stop that was not carried out is ordered again; stops take 0.2 s.
@@ -22,11 +22,11 @@
   private static final long LONGEST_STOP_NANOS = Duration.ofMillis(500).toNanos();
 
   private final OrderSender orders;
-  private final Pacer pacer;
+  private final Throttler pacer;
   private final RunListener listener;
   private final Duration longestLease;
 
-  ReportReader(OrderSender orders, Pacer pacer, RunListener listener, Duration longestLease) {
+  ReportHandler(OrderSender orders, Throttler pacer, RunListener listener, Duration longestLease) {
     this.orders = orders;
     this.pacer = pacer;
     this.listener = listener;
@@ -93,7 +93,7 @@
       }
       run.get().foundOn(executor.incarnation());
       executor.remove(run.get());
-      ExecutorJudge.ended(executor, run.get(), end.end(), turn);
+      ExecutorEvaluator.ended(executor, run.get(), end.end(), turn);
       listener.ended(run.get(), end, stored, turn);
     }
     stored.release();
@@ -119,7 +119,7 @@
     if (inherited) {
       listener.foundRunning(run, turn);
     }
-    if (ExecutorJudge.standsStill(executor, run, turn.nowNanos())) {
+    if (ExecutorEvaluator.standsStill(executor, run, turn.nowNanos())) {
       listener.stoodStill(run, turn);
     }
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/Restarts.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/RestartHandler.java
@@ -17,13 +17,13 @@
  * reached either life, so all these runs stay booked until the new one has answered a poll that
  * fences these orders off: then it runs what it lists, and nothing else will ever begin there.
  */
-final class Restarts {
+final class RestartHandler {
 
-  private final ExecutorBook book;
+  private final ExecutorRegistry book;
   private final OrderSender orders;
-  private final PollDuty polls;
-  private final Pacer pacer;
-  private final ReportReader reports;
+  private final ExecutorPoller polls;
+  private final Throttler pacer;
+  private final ReportHandler reports;
   private final Duration longestLease;
 
   /**
@@ -31,12 +31,12 @@
    *
    * @param longestLease the longest lease that an executor grants
    */
-  Restarts(
-      ExecutorBook book,
+  RestartHandler(
+      ExecutorRegistry book,
       OrderSender orders,
-      PollDuty polls,
-      Pacer pacer,
-      ReportReader reports,
+      ExecutorPoller polls,
+      Throttler pacer,
+      ReportHandler reports,
       Duration longestLease) {
     this.book = book;
     this.orders = orders;
@@ -105,8 +105,8 @@
    * the day may be wrong, but it was over when it no longer answered, and not before its last
    * answer.
    */
-  private static FormerLife endOf(ExecutorState former, Incarnation next, BatchTurn turn) {
-    Optional<FormerLife> unsettled = former.formerLife();
+  private static PreviousIncarnation endOf(ExecutorState former, Incarnation next, BatchTurn turn) {
+    Optional<PreviousIncarnation> unsettled = former.formerLife();
     if (unsettled.isPresent() && !former.known()) {
       return unsettled.get();
     }
@@ -114,7 +114,7 @@
     long age = Math.max(0, turn.wallMillis() - next.bornMillis().orElse(turn.wallMillis()));
     long began = turn.nowNanos() - Duration.ofMillis(age).toNanos();
     long earliest = former.answeredAt().orElse(latest);
-    return new FormerLife(
+    return new PreviousIncarnation(
         former.incarnation(),
         Math.min(latest, Math.max(earliest, began)),
         former.profile().leaving(),
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/EndLedger.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/RunEndTracker.java
@@ -4,7 +4,7 @@
 import java.util.TreeMap;
 
 /** Which ends of one life of an executor have been read, stored and acknowledged. */
-final class EndLedger {
+final class RunEndTracker {
 
   /** Last numbers of the ends that were taken in together, and whether they are stored. */
   private final NavigableMap<Long, Boolean> taken = new TreeMap<>();
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/SpeedRecord.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/SlownessDetector.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 /** What the runs on one executor have shown of its speed. */
-public final class SpeedRecord {
+public final class SlownessDetector {
 
   /**
    * Runs that hardly progress, with none in between that does well, after which the executor counts
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/StartSettler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/StartOutcomeHandler.java
@@ -8,7 +8,7 @@
 import org.fescuehook.logic.batch.state.LiveRun.Stage;
 
 /** Settles whether a run that was ordered to start runs, will be tried again, or is given up. */
-final class StartSettler {
+final class StartOutcomeHandler {
 
   /** Rest of an executor that has less room than the owner thinks, until a poll tells why. */
   private static final Duration NO_ROOM_REST = Duration.ofMillis(300);
@@ -25,11 +25,11 @@
   private static final int MAX_STARTS = 3;
 
   private final OrderSender orders;
-  private final Pacer pacer;
+  private final Throttler pacer;
   private final RunListener listener;
 
   /** Creates a settler that repeats starts by a sender. */
-  StartSettler(OrderSender orders, Pacer pacer, RunListener listener) {
+  StartOutcomeHandler(OrderSender orders, Throttler pacer, RunListener listener) {
     this.orders = orders;
     this.pacer = pacer;
     this.listener = listener;
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/Pacer.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/Throttler.java
@@ -17,7 +17,7 @@
  * times, and lets it speed up again once they are well below. Each decision is held for a while, as
  * its effect shows half a second later.
  */
-final class Pacer {
+final class Throttler {
 
   private static final int FULL_PERCENT = 100;
 
@@ -42,7 +42,7 @@
   /** The pace of the work on one executor. */
   private record Pace(int percent, long since) {}
 
-  Pacer(OrderSender orders) {
+  Throttler(OrderSender orders) {
     this.orders = orders;
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnershipDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnershipDuty.java
@@ -54,7 +54,7 @@
    */
   private final long claimSequence;
 
-  private final OwnershipPace pace = new OwnershipPace();
+  private final OwnershipTimeouts pace = new OwnershipTimeouts();
   private Optional<OwnerRecord> newest = Optional.empty();
   private OptionalLong end = OptionalLong.empty();
   private OptionalLong epoch = OptionalLong.empty();
@@ -232,7 +232,7 @@
     if (epoch.isPresent() || !another) {
       return Duration.ZERO;
     }
-    return OwnershipPace.calmFor(nowNanos - quietSince);
+    return OwnershipTimeouts.calmFor(nowNanos - quietSince);
   }
 
   private boolean ownerGone(BatchTurn turn) {
@@ -326,7 +326,7 @@
     confirmedAt = OptionalLong.of(heartbeatSentAt);
     sequence = position.sequence() + 1;
     boolean ending = retired || yielding;
-    nextAppendAt = ending ? turn.nowNanos() : heartbeatSentAt + OwnershipPace.HEARTBEAT_NANOS;
+    nextAppendAt = ending ? turn.nowNanos() : heartbeatSentAt + OwnershipTimeouts.HEARTBEAT_NANOS;
     if (released) {
       lose(turn, retired ? "this VM stops" : "this VM could not begin to decide");
     }
@@ -352,7 +352,7 @@
     sequence = claimSequence + 1;
     confirmedAt = OptionalLong.of(heartbeatSentAt);
     // Others have heard nothing since the claim was sent, which a slow store takes long for.
-    nextAppendAt = heartbeatSentAt + OwnershipPace.HEARTBEAT_NANOS;
+    nextAppendAt = heartbeatSentAt + OwnershipTimeouts.HEARTBEAT_NANOS;
     turn.note(BatchLogEvent.OWNERSHIP_WON, won);
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnershipPace.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnershipTimeouts.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.OptionalLong;
 import org.fescuehook.logic.batch.BatchTurn;
-import org.fescuehook.logic.batch.store.RecentTimes;
+import org.fescuehook.logic.batch.store.SlidingWindowMaximum;
 
 /**
  * How long the exchanges about ownership take, as this VM has seen them itself, and the limits that
@@ -13,7 +13,7 @@
  * <p>While the store is quick all limits stand at their least values, so that a dead owner is
  * replaced as soon as it can be.
  */
-final class OwnershipPace {
+final class OwnershipTimeouts {
 
   /** Time between heartbeats; four of them fit into {@link #LEAST_SILENCE_NANOS}. */
   static final long HEARTBEAT_NANOS = Duration.ofMillis(500).toNanos();
@@ -62,9 +62,9 @@
   /** Longest time between two turns of a VM that runs; one that stands by rests for up to 1 s. */
   private static final long USUAL_TURN_NANOS = Duration.ofMillis(1500).toNanos();
 
-  private final RecentTimes reads = new RecentTimes();
-  private final RecentTimes appends = new RecentTimes();
-  private final RecentTimes gaps = new RecentTimes();
+  private final SlidingWindowMaximum reads = new SlidingWindowMaximum();
+  private final SlidingWindowMaximum appends = new SlidingWindowMaximum();
+  private final SlidingWindowMaximum gaps = new SlidingWindowMaximum();
   private OptionalLong readAt = OptionalLong.empty();
   private boolean waited;
   private OptionalLong ranAt = OptionalLong.empty();
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/StoreContact.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/StoreContact.java
@@ -18,6 +18,6 @@
    * @param least the age that is usual while the store is quick
    */
   public long nearNanos(Duration least) {
-    return Math.max(least.toNanos(), OwnershipPace.HEARTBEAT_NANOS + 2 * longestAppendNanos);
+    return Math.max(least.toNanos(), OwnershipTimeouts.HEARTBEAT_NANOS + 2 * longestAppendNanos);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/Slot.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/CandidateExecutor.java
@@ -1,7 +1,7 @@
 package org.fescuehook.logic.batch.plan;
 
 import java.util.Optional;
-import org.fescuehook.logic.batch.executor.CrashJudge;
+import org.fescuehook.logic.batch.executor.CrashEvaluator;
 import org.fescuehook.logic.batch.executor.ExecutorState;
 import org.fescuehook.logic.batch.state.LiveRun;
 import org.fescuehook.logic.batch.state.StepProgress;
@@ -11,7 +11,7 @@
 import org.fescuehook.model.fleet.Incarnation;
 
 /** Room on one executor while a plan is made. */
-final class Slot {
+final class CandidateExecutor {
 
   private final ExecutorState executor;
   private final boolean suspect;
@@ -28,7 +28,7 @@
    * @param suspect whether runs have lately failed there or hardly progressed
    * @param restartedLately whether it is known to have crashed not long ago
    */
-  Slot(ExecutorState executor, Demand free, boolean suspect, boolean restartedLately) {
+  CandidateExecutor(ExecutorState executor, Demand free, boolean suspect, boolean restartedLately) {
     this.executor = executor;
     this.free = free;
     this.suspect = suspect;
@@ -73,7 +73,7 @@
   /** Remembers that a run is here, and whether that may crash the executor. */
   void holds(LiveRun run, long nowNanos) {
     holds(run.step().spec());
-    probation |= CrashJudge.onProbation(run, nowNanos);
+    probation |= CrashEvaluator.onProbation(run, nowNanos);
   }
 
   /** Tells whether something starts or has just started here that may crash the executor. */
@@ -95,8 +95,8 @@
     free = free.plus(demand);
   }
 
-  Slot copy() {
-    Slot copy = new Slot(executor, free, suspect, restartedLately);
+  CandidateExecutor copy() {
+    CandidateExecutor copy = new CandidateExecutor(executor, free, suspect, restartedLately);
     copy.serving = serving;
     copy.filling = filling;
     copy.probation = probation;
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/Room.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/FleetCapacity.java
@@ -22,28 +22,28 @@
  * Free capacity of the usable executors while a plan is made. Sums are kept up to date, and groups
  * are remembered by what decides them, so that a step costs as much as its group is large.
  */
-final class Room {
+final class FleetCapacity {
 
   /** Where more than this share are suspects, the jobs are to blame rather than the executors. */
   private static final double MOST_SUSPECTS = 0.25;
 
   /** Keeps whole executors free. */
-  private static final Comparator<Slot> FULLEST =
-      Comparator.comparing(Slot::suspect)
+  private static final Comparator<CandidateExecutor> FULLEST =
+      Comparator.comparing(CandidateExecutor::suspect)
           .thenComparingInt(slot -> slot.free().accelerators())
           .thenComparingInt(slot -> slot.free().milliCores());
 
   /** Loses the least if the executor crashes, and leaves no other cause for that. */
-  private static final Comparator<Slot> LEAST_LOST =
-      Comparator.comparing(Slot::fragile)
-          .thenComparing(Slot::occupied)
-          .thenComparing(Slot::restartedLately)
-          .thenComparing(Slot::suspect)
+  private static final Comparator<CandidateExecutor> LEAST_LOST =
+      Comparator.comparing(CandidateExecutor::fragile)
+          .thenComparing(CandidateExecutor::occupied)
+          .thenComparing(CandidateExecutor::restartedLately)
+          .thenComparing(CandidateExecutor::suspect)
           .thenComparingDouble(slot -> -slot.free().coreEquivalents());
 
-  private final List<Slot> slots;
-  private final Map<ExecutorState, Slot> byExecutor = new IdentityHashMap<>();
-  private final Map<GroupKey, List<List<Slot>>> groups = new HashMap<>();
+  private final List<CandidateExecutor> slots;
+  private final Map<ExecutorState, CandidateExecutor> byExecutor = new IdentityHashMap<>();
+  private final Map<GroupKey, List<List<CandidateExecutor>>> groups = new HashMap<>();
 
   /** Most tasks of a shape that fitted into one group when that was counted last. */
   private final Map<Shape, Integer> fitted = new HashMap<>();
@@ -64,42 +64,43 @@
   /** What decides how many tasks of a step fit into a group. */
   private record Shape(GroupKey group, Demand demand, boolean serves, boolean toleratesOthers) {}
 
-  Room(List<Slot> slots) {
+  FleetCapacity(List<CandidateExecutor> slots) {
     this.slots = slots;
-    for (Slot slot : slots) {
+    for (CandidateExecutor slot : slots) {
       byExecutor.put(slot.executor(), slot);
       count(slot, 1);
     }
   }
 
   /** Returns what is free now. */
-  static Room now(Collection<ExecutorState> executors, long nowNanos) {
-    Room room = of(executors, ExecutorState::free, nowNanos);
-    for (Slot slot : room.slots) {
+  static FleetCapacity now(Collection<ExecutorState> executors, long nowNanos) {
+    FleetCapacity room = of(executors, ExecutorState::free, nowNanos);
+    for (CandidateExecutor slot : room.slots) {
       slot.executor().runs().forEach(run -> slot.holds(run, nowNanos));
     }
     return room;
   }
 
   /** Returns what the executors have when nothing runs. */
-  static Room empty(Collection<ExecutorState> executors, long nowNanos) {
+  static FleetCapacity empty(Collection<ExecutorState> executors, long nowNanos) {
     return of(executors, executor -> executor.profile().capacity(), nowNanos);
   }
 
-  private static Room of(
+  private static FleetCapacity of(
       Collection<ExecutorState> executors, Function<ExecutorState, Demand> room, long nowNanos) {
     long suspects = executors.stream().filter(executor -> executor.suspect(nowNanos)).count();
     boolean credible = suspects <= executors.size() * MOST_SUSPECTS;
-    List<Slot> slots = new ArrayList<>();
+    List<CandidateExecutor> slots = new ArrayList<>();
     for (ExecutorState executor : executors) {
       boolean suspect = credible && executor.suspect(nowNanos);
       slots.add(
-          new Slot(executor, room.apply(executor), suspect, executor.restartedLately(nowNanos)));
+          new CandidateExecutor(
+              executor, room.apply(executor), suspect, executor.restartedLately(nowNanos)));
     }
-    return new Room(slots);
+    return new FleetCapacity(slots);
   }
 
-  private void count(Slot slot, int sign) {
+  private void count(CandidateExecutor slot, int sign) {
     usableAccelerators += sign * usableAccelerators(slot);
     accelerators += sign * slot.free().accelerators();
     milliCores += sign * slot.free().milliCores();
@@ -113,7 +114,7 @@
     return usableAccelerators;
   }
 
-  private static int usableAccelerators(Slot slot) {
+  private static int usableAccelerators(CandidateExecutor slot) {
     Demand free = slot.free();
     Demand whole = slot.executor().profile().capacity();
     double share =
@@ -124,7 +125,7 @@
   }
 
   /** Tells whether more than half of what the other room has is here, of accelerators and cores. */
-  boolean overHalfOf(Room whole) {
+  boolean overHalfOf(FleetCapacity whole) {
     return 2 * accelerators > whole.accelerators && 2 * milliCores > whole.milliCores;
   }
 
@@ -133,7 +134,7 @@
   }
 
   /** Takes room on an executor for a task; what is taken twice makes it negative. */
-  void take(Place place) {
+  void take(TaskPlacement place) {
     change(place.executor(), slot -> slot.take(place.step(), place.task()));
   }
 
@@ -143,8 +144,8 @@
     change(executor, slot -> slot.give(demand));
   }
 
-  private void change(ExecutorState executor, Consumer<Slot> change) {
-    Slot slot = byExecutor.get(executor);
+  private void change(ExecutorState executor, Consumer<CandidateExecutor> change) {
+    CandidateExecutor slot = byExecutor.get(executor);
     if (slot == null) {
       return;
     }
@@ -154,7 +155,7 @@
   }
 
   /** Returns the slots on which a step may run, in groups that count as near to each other. */
-  List<List<Slot>> groups(WaitingStep waiting, boolean nearOnly) {
+  List<List<CandidateExecutor>> groups(WaitingStep waiting, boolean nearOnly) {
     return groupKey(waiting, nearOnly)
         .map(key -> groups.computeIfAbsent(key, same -> findGroups(waiting, nearOnly)))
         .orElseGet(() -> findGroups(waiting, nearOnly));
@@ -187,12 +188,12 @@
   }
 
   /** Returns the first group; absent if not one task fits there. */
-  Optional<List<Slot>> first(WaitingStep waiting, boolean nearOnly) {
+  Optional<List<CandidateExecutor>> first(WaitingStep waiting, boolean nearOnly) {
     Optional<Shape> shape = shape(waiting, nearOnly);
     if (shape.map(fitted::get).filter(most -> most == 0).isPresent()) {
       return Optional.empty();
     }
-    List<List<Slot>> all = groups(waiting, nearOnly);
+    List<List<CandidateExecutor>> all = groups(waiting, nearOnly);
     if (all.isEmpty() || fits(waiting, all.getFirst()) > 0) {
       return all.stream().findFirst();
     }
@@ -206,15 +207,15 @@
    * Returns the group with the least room to spare in which a number of tasks fits; absent if there
    * is none. Room only shrinks while a plan is made, so that what did not fit is not counted again.
    */
-  Optional<List<Slot>> tightest(WaitingStep waiting, int wanted, boolean nearOnly) {
+  Optional<List<CandidateExecutor>> tightest(WaitingStep waiting, int wanted, boolean nearOnly) {
     Optional<Shape> shape = shape(waiting, nearOnly);
     if (shape.map(fitted::get).filter(most -> most < wanted).isPresent()) {
       return Optional.empty();
     }
-    Optional<List<Slot>> best = Optional.empty();
+    Optional<List<CandidateExecutor>> best = Optional.empty();
     int least = Integer.MAX_VALUE;
     int most = 0;
-    for (List<Slot> group : groups(waiting, nearOnly)) {
+    for (List<CandidateExecutor> group : groups(waiting, nearOnly)) {
       int fitting = fits(waiting, group);
       most = Math.max(most, fitting);
       if (fitting >= wanted && (best.isEmpty() || fitting < least)) {
@@ -227,9 +228,9 @@
     return best;
   }
 
-  private List<List<Slot>> findGroups(WaitingStep waiting, boolean nearOnly) {
+  private List<List<CandidateExecutor>> findGroups(WaitingStep waiting, boolean nearOnly) {
     BatchStep spec = waiting.step().spec();
-    List<Slot> suitable = slots.stream().filter(slot -> slot.suits(waiting)).toList();
+    List<CandidateExecutor> suitable = slots.stream().filter(slot -> slot.suits(waiting)).toList();
     if (!nearOnly) {
       return List.of(suitable);
     }
@@ -240,29 +241,29 @@
     if (!spec.placement().sameRack()) {
       return List.of(suitable);
     }
-    Map<RackId, List<Slot>> racks = new TreeMap<>();
-    for (Slot slot : suitable) {
+    Map<RackId, List<CandidateExecutor>> racks = new TreeMap<>();
+    for (CandidateExecutor slot : suitable) {
       RackId rack = slot.executor().profile().rack();
       racks.computeIfAbsent(rack, name -> new ArrayList<>()).add(slot);
     }
     return List.copyOf(racks.values());
   }
 
-  private static boolean in(Slot slot, RackId rack) {
+  private static boolean in(CandidateExecutor slot, RackId rack) {
     return slot.executor().profile().rack().equals(rack);
   }
 
   /** Returns how many tasks of a step fit into a group of slots. */
-  static int fits(WaitingStep waiting, List<Slot> group) {
+  static int fits(WaitingStep waiting, List<CandidateExecutor> group) {
     long total = 0;
-    for (Slot slot : group) {
+    for (CandidateExecutor slot : group) {
       total += fits(waiting, slot);
     }
     return (int) Math.min(total, Integer.MAX_VALUE);
   }
 
   /** Returns how many tasks of a step fit into a slot. */
-  static int fits(WaitingStep waiting, Slot slot) {
+  static int fits(WaitingStep waiting, CandidateExecutor slot) {
     BatchStep spec = waiting.step().spec();
     if (slot.onProbation() || (slot.disturbs(spec) && !waiting.timing().toleratesOthers())) {
       return 0;
@@ -275,7 +276,7 @@
     return Math.clamp(most - present(waiting.step(), slot), 0, fitting);
   }
 
-  private static int present(StepProgress step, Slot slot) {
+  private static int present(StepProgress step, CandidateExecutor slot) {
     int count = 0;
     for (var run : slot.executor().runs()) {
       if (run.step() == step) {
@@ -292,22 +293,23 @@
    *
    * @return the places; fewer than tasks if the group has no room for all
    */
-  static List<Place> place(WaitingStep waiting, List<TaskProgress> tasks, List<Slot> group) {
-    List<Slot> order = new ArrayList<>();
-    for (Slot slot : group) {
+  static List<TaskPlacement> place(
+      WaitingStep waiting, List<TaskProgress> tasks, List<CandidateExecutor> group) {
+    List<CandidateExecutor> order = new ArrayList<>();
+    for (CandidateExecutor slot : group) {
       if (fits(waiting, slot) > 0) {
         order.add(slot);
       }
     }
     order.sort(waiting.mayCrash() ? LEAST_LOST : FULLEST);
-    List<Place> places = new ArrayList<>();
-    for (Slot slot : order) {
+    List<TaskPlacement> places = new ArrayList<>();
+    for (CandidateExecutor slot : order) {
       int fitting = fits(waiting, slot);
       for (int taken = 0; taken < fitting; taken++) {
         if (places.size() == tasks.size()) {
           return places;
         }
-        places.add(new Place(waiting.step(), tasks.get(places.size()), slot.executor()));
+        places.add(new TaskPlacement(waiting.step(), tasks.get(places.size()), slot.executor()));
       }
     }
     return places;
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/PlanDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/PlanDuty.java
@@ -56,7 +56,7 @@
             .toList();
     ask(waiting, usable, turn);
     Planner.Plan plan = planner.plan(waiting, usable, turn.nowNanos());
-    for (Planner.Displacement stop : plan.stops()) {
+    for (Planner.Preemption stop : plan.stops()) {
       WaitingStep beneficiary = stop.beneficiary();
       String job = beneficiary.step().job().job().id();
       String cause = "job " + job + " needs its place, " + beneficiary.rank();
@@ -107,7 +107,7 @@
       return;
     }
     long accepted = step.job().job().acceptedMillis();
-    Timing timing = timing(step, queue, turn);
+    StepTiming timing = timing(step, queue, turn);
     Optional<Set<Incarnation>> permitted =
         queue.advised() ? Optional.of(advice.permitted(step, turn.nowNanos())) : Optional.empty();
     for (List<TaskProgress> together : placedTogether(step, tasks)) {
@@ -134,7 +134,7 @@
     return together;
   }
 
-  private static Timing timing(StepProgress step, JobQueue queue, BatchTurn turn) {
+  private static StepTiming timing(StepProgress step, JobQueue queue, BatchTurn turn) {
     Submission submission = step.job().job().submission();
     long due = step.job().job().acceptedMillis();
     if (submission.schedule().isPresent()) {
@@ -145,9 +145,9 @@
     long waited = Math.max(0, turn.wallMillis() - due);
     long queued = turn.nowNanos() - step.queuedSince(turn.nowNanos());
     if (step.spec().lasting().isPresent()) {
-      return Timing.ofLasting(queued);
+      return StepTiming.ofLasting(queued);
     }
-    return new Timing(
+    return new StepTiming(
         TimeUnit.MILLISECONDS.toNanos(waited),
         queued,
         TimeUnit.MILLISECONDS.toNanos(spare),
@@ -179,11 +179,11 @@
     return need;
   }
 
-  private void start(List<Place> places, BatchTurn turn) {
+  private void start(List<TaskPlacement> places, BatchTurn turn) {
     Set<OpenJob> touched = new LinkedHashSet<>();
     List<LiveRun> runs = new ArrayList<>();
     Map<StepProgress, Integer> gangRuns = new HashMap<>();
-    for (Place place : places) {
+    for (TaskPlacement place : places) {
       StepProgress step = place.step();
       boolean gang = step.spec().gang();
       int number =
@@ -195,7 +195,7 @@
       Incarnation executor = place.executor().incarnation();
       Optional<String> ticket = advice.ticket(step, executor, turn.nowNanos());
       LiveRun run = LiveRun.placed(name, executor, step, checkpoint, ticket, turn.nowNanos());
-      Timing timing = timing(step, jobs.queue(step.job()), turn);
+      StepTiming timing = timing(step, jobs.queue(step.job()), turn);
       turn.stage("queued", timing.queuedNanos());
       step.begin(place.task(), run);
       place.executor().add(run);
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/Planner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/Planner.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 import org.fescuehook.logic.batch.executor.ExecutorState;
-import org.fescuehook.logic.batch.plan.Timing.Prospect;
+import org.fescuehook.logic.batch.plan.StepTiming.Prospect;
 import org.fescuehook.logic.batch.state.LiveRun;
 import org.fescuehook.logic.batch.state.LiveRun.Stage;
 import org.fescuehook.logic.batch.state.StepProgress;
@@ -79,7 +79,7 @@
    * @param starts where tasks start
    * @param stops runs that give way
    */
-  public record Plan(List<Place> starts, List<Displacement> stops) {}
+  public record Plan(List<TaskPlacement> starts, List<Preemption> stops) {}
 
   /**
    * A run that gives way.
@@ -87,7 +87,7 @@
    * @param run the run
    * @param beneficiary the step that needs its place
    */
-  public record Displacement(LiveRun run, WaitingStep beneficiary) {}
+  public record Preemption(LiveRun run, WaitingStep beneficiary) {}
 
   /**
    * Makes a plan.
@@ -100,7 +100,7 @@
     List<WaitingStep> order = new ArrayList<>(waiting);
     order.sort(WaitingStep.ORDER);
     Pass pass =
-        new Pass(executors, new Displacer(ranks, work, nowNanos), guaranteedPatience(), nowNanos);
+        new Pass(executors, new Preemptor(ranks, work, nowNanos), guaranteedPatience(), nowNanos);
     order.forEach(pass::take);
     return new Plan(List.copyOf(pass.starts), List.copyOf(pass.stops));
   }
@@ -113,25 +113,25 @@
 
   /** One plan being made. */
   private static final class Pass {
-    private final Room free;
-    private final Room expected;
-    private final Room whole;
-    private final List<Place> starts = new ArrayList<>();
-    private final List<Displacement> stops = new ArrayList<>();
+    private final FleetCapacity free;
+    private final FleetCapacity expected;
+    private final FleetCapacity whole;
+    private final List<TaskPlacement> starts = new ArrayList<>();
+    private final List<Preemption> stops = new ArrayList<>();
 
-    private final Displacer displacer;
+    private final Preemptor displacer;
     private final long guaranteedPatienceNanos;
 
     Pass(
         Collection<ExecutorState> executors,
-        Displacer displacer,
+        Preemptor displacer,
         long guaranteedPatienceNanos,
         long nowNanos) {
       this.displacer = displacer;
       this.guaranteedPatienceNanos = guaranteedPatienceNanos;
-      free = Room.now(executors, nowNanos);
-      expected = Room.now(executors, nowNanos);
-      whole = Room.empty(executors, nowNanos);
+      free = FleetCapacity.now(executors, nowNanos);
+      expected = FleetCapacity.now(executors, nowNanos);
+      whole = FleetCapacity.empty(executors, nowNanos);
       for (ExecutorState executor : executors) {
         for (LiveRun run : executor.runs()) {
           if (run.stage() == Stage.STOPPING) {
@@ -154,9 +154,9 @@
       if (allowed == 0) {
         return;
       }
-      List<Place> places =
+      List<TaskPlacement> places =
           free.first(waiting, nearOnly(waiting))
-              .map(group -> Room.place(waiting, waiting.tasks(), group))
+              .map(group -> FleetCapacity.place(waiting, waiting.tasks(), group))
               .orElse(List.of());
       places = places.subList(0, Math.min(places.size(), allowed));
       places.forEach(this::start);
@@ -173,7 +173,7 @@
         return;
       }
       boolean nearOnly = nearOnly(waiting);
-      Optional<List<Place>> now = tightest(waiting, free, nearOnly);
+      Optional<List<TaskPlacement>> now = tightest(waiting, free, nearOnly);
       if (now.isPresent()) {
         now.get().forEach(this::start);
         return;
@@ -183,7 +183,7 @@
 
     /** Waits for capacity that is being freed, or has other work give way. */
     private void displace(WaitingStep waiting, boolean nearOnly) {
-      Optional<List<Place>> soon = tightest(waiting, expected, nearOnly);
+      Optional<List<TaskPlacement>> soon = tightest(waiting, expected, nearOnly);
       if (soon.isPresent()) {
         soon.get().forEach(this::reserve);
         return;
@@ -191,10 +191,10 @@
       if (!waiting.urgent() && !pressed(waiting)) {
         return;
       }
-      Optional<Displacer.Choice> choice = displacer.choose(waiting, expected, nearOnly);
+      Optional<Preemptor.Selection> choice = displacer.choose(waiting, expected, nearOnly);
       if (choice.isPresent()) {
         displacer.carriedOut(choice.get());
-        choice.get().victims().forEach(run -> stops.add(new Displacement(run, waiting)));
+        choice.get().victims().forEach(run -> stops.add(new Preemption(run, waiting)));
         choice.get().places().forEach(this::reserve);
       }
     }
@@ -235,7 +235,7 @@
       if (idleFor(waiting, IDLE_NEARNESS_NANOS)) {
         return true;
       }
-      Timing timing = waiting.timing();
+      StepTiming timing = waiting.timing();
       boolean due = waiting.rank().guaranteed() && !waiting.step().job().begun();
       if (due && timing.waitedNanos() > guaranteedPatienceNanos) {
         return true;
@@ -245,19 +245,19 @@
     }
 
     /** Places all tasks in the group with the least room to spare in which they fit. */
-    private static Optional<List<Place>> tightest(
-        WaitingStep waiting, Room room, boolean nearOnly) {
+    private static Optional<List<TaskPlacement>> tightest(
+        WaitingStep waiting, FleetCapacity room, boolean nearOnly) {
       List<TaskProgress> tasks = waiting.tasks();
       return room.tightest(waiting, tasks.size(), nearOnly)
-          .map(group -> Room.place(waiting, tasks, group));
+          .map(group -> FleetCapacity.place(waiting, tasks, group));
     }
 
-    private void start(Place place) {
+    private void start(TaskPlacement place) {
       starts.add(place);
       reserve(place);
     }
 
-    private void reserve(Place place) {
+    private void reserve(TaskPlacement place) {
       free.take(place);
       expected.take(place);
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/Displacer.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/Preemptor.java
@@ -17,7 +17,7 @@
 import org.fescuehook.model.preferences.WorkPreferences;
 
 /** Chooses which running work gives way so that a step fits. */
-final class Displacer {
+final class Preemptor {
 
   /**
    * Share of the work of a step that may be thrown away to let it start. Above it, displacing would
@@ -38,7 +38,7 @@
   /** Tasks of steps that last which this plan stops already. */
   private final Map<StepProgress, Integer> planned = new HashMap<>();
 
-  Displacer(Function<StepProgress, Rank> ranks, WorkPreferences work, long nowNanos) {
+  Preemptor(Function<StepProgress, Rank> ranks, WorkPreferences work, long nowNanos) {
     this.ranks = ranks;
     this.work = work;
     this.nowNanos = nowNanos;
@@ -57,14 +57,14 @@
    * @param expected room once all that is being stopped is gone
    * @return the runs to stop, and the places that they leave; absent if that would not do
    */
-  Optional<Choice> choose(WaitingStep waiting, Room expected, boolean nearOnly) {
+  Optional<Selection> choose(WaitingStep waiting, FleetCapacity expected, boolean nearOnly) {
     double limit =
         waiting.rank().guaranteed()
             ? Double.MAX_VALUE
             : waiting.estimatedCoreSeconds() * MOST_THROWN_AWAY;
-    Optional<Choice> best = Optional.empty();
-    for (List<Slot> group : expected.groups(waiting, nearOnly)) {
-      Optional<Choice> choice = choose(waiting, group, limit);
+    Optional<Selection> best = Optional.empty();
+    for (List<CandidateExecutor> group : expected.groups(waiting, nearOnly)) {
+      Optional<Selection> choice = choose(waiting, group, limit);
       if (choice.isPresent()
           && best.filter(found -> found.thrownAway() <= choice.get().thrownAway()).isEmpty()) {
         best = choice;
@@ -74,14 +74,15 @@
   }
 
   /** Remembers that a choice is carried out. */
-  void carriedOut(Choice choice) {
+  void carriedOut(Selection choice) {
     choice.victims().forEach(run -> planned.merge(run.step(), 1, Integer::sum));
   }
 
   /** Victims, what they lose, and the places that the step then has. */
-  record Choice(List<LiveRun> victims, double thrownAway, List<Place> places) {}
+  record Selection(List<LiveRun> victims, double thrownAway, List<TaskPlacement> places) {}
 
-  private Optional<Choice> choose(WaitingStep waiting, List<Slot> group, double limit) {
+  private Optional<Selection> choose(
+      WaitingStep waiting, List<CandidateExecutor> group, double limit) {
     Trial trial = new Trial(waiting, group);
     List<Victim> chosen = new ArrayList<>();
     double lost = 0;
@@ -101,7 +102,8 @@
     }
     lost -= spare(trial, chosen);
     List<LiveRun> runs = chosen.stream().flatMap(victim -> victim.runs().stream()).toList();
-    return Optional.of(new Choice(runs, lost, Room.place(waiting, waiting.tasks(), trial.slots)));
+    return Optional.of(
+        new Selection(runs, lost, FleetCapacity.place(waiting, waiting.tasks(), trial.slots)));
   }
 
   /** Takes victims out again that turn out not to be needed; returns the work that this saves. */
@@ -122,15 +124,15 @@
   /** The room of a group without some victims; how many tasks fit is kept up to date. */
   private static final class Trial {
     private final WaitingStep waiting;
-    private final List<Slot> slots;
-    private final Map<ExecutorId, Slot> byExecutor = new HashMap<>();
+    private final List<CandidateExecutor> slots;
+    private final Map<ExecutorId, CandidateExecutor> byExecutor = new HashMap<>();
     private long fitting;
 
-    Trial(WaitingStep waiting, List<Slot> group) {
+    Trial(WaitingStep waiting, List<CandidateExecutor> group) {
       this.waiting = waiting;
-      this.slots = group.stream().map(Slot::copy).toList();
+      this.slots = group.stream().map(CandidateExecutor::copy).toList();
       slots.forEach(slot -> byExecutor.put(slot.executor().profile().id(), slot));
-      this.fitting = Room.fits(waiting, slots);
+      this.fitting = FleetCapacity.fits(waiting, slots);
     }
 
     boolean enough() {
@@ -139,22 +141,22 @@
 
     void give(Victim victim, int sign) {
       for (LiveRun run : victim.runs()) {
-        Slot slot = byExecutor.get(run.executor());
+        CandidateExecutor slot = byExecutor.get(run.executor());
         if (slot != null) {
-          fitting -= Room.fits(waiting, slot);
+          fitting -= FleetCapacity.fits(waiting, slot);
           slot.give(run.demand().times(sign));
-          fitting += Room.fits(waiting, slot);
+          fitting += FleetCapacity.fits(waiting, slot);
         }
       }
     }
   }
 
   /** Returns what may give way, the least important and the least lost first. */
-  private List<Victim> victims(WaitingStep waiting, List<Slot> group) {
+  private List<Victim> victims(WaitingStep waiting, List<CandidateExecutor> group) {
     List<Victim> victims = new ArrayList<>();
     Set<StepProgress> gangs = new LinkedHashSet<>();
     Map<StepProgress, Integer> missed = new HashMap<>(planned);
-    for (Slot slot : group) {
+    for (CandidateExecutor slot : group) {
       ExecutorState executor = slot.executor();
       for (LiveRun run : executor.runs()) {
         Rank rank = ranks.apply(run.step());
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/Timing.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/StepTiming.java
@@ -11,7 +11,7 @@
  * @param spareNanos how long after its acceptance it may start and still meet the objective
  * @param objectiveNanos time from the acceptance of the job to its objective
  */
-public record Timing(long waitedNanos, long queuedNanos, long spareNanos, long objectiveNanos) {
+public record StepTiming(long waitedNanos, long queuedNanos, long spareNanos, long objectiveNanos) {
 
   /**
    * Share of its spare time that work waits for room that comes free by itself, before it may use
@@ -26,8 +26,8 @@
   private static final long ALONE_NANOS = Duration.ofSeconds(3).toNanos();
 
   /** Work without an end is of use whenever it runs, and late from the first moment on. */
-  static Timing ofLasting(long queuedNanos) {
-    return new Timing(queuedNanos, queuedNanos, 0, Long.MAX_VALUE / JobQueue.LATEST_OBJECTIVES);
+  static StepTiming ofLasting(long queuedNanos) {
+    return new StepTiming(queuedNanos, queuedNanos, 0, Long.MAX_VALUE / JobQueue.LATEST_OBJECTIVES);
   }
 
   /** What its caller can still get. */
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/Place.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/TaskPlacement.java
@@ -11,4 +11,4 @@
  * @param task the task
  * @param executor the executor
  */
-public record Place(StepProgress step, TaskProgress task, ExecutorState executor) {}
+public record TaskPlacement(StepProgress step, TaskProgress task, ExecutorState executor) {}
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/WaitingStep.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/WaitingStep.java
@@ -25,7 +25,7 @@
     String pool,
     Rank rank,
     long acceptedMillis,
-    Timing timing,
+    StepTiming timing,
     Optional<Set<Incarnation>> permitted) {
 
   /**
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/Change.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/PendingChange.java
@@ -7,7 +7,7 @@
 import java.util.function.Supplier;
 
 /** What is to be stored under one key, and who waits for it. */
-final class Change {
+final class PendingChange {
 
   final List<Runnable> committed = new ArrayList<>();
   Supplier<Optional<byte[]>> encoder = Optional::empty;
@@ -15,7 +15,7 @@
   long since;
 
   /** Returns the newer change, which also tells those who wait for this one. */
-  Change followedBy(Change newer) {
+  PendingChange followedBy(PendingChange newer) {
     newer.committed.addAll(0, committed);
     return newer;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/RecentTimes.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/SlidingWindowMaximum.java
@@ -9,7 +9,7 @@
  * Times that were measured lately, of which the longest counts. A store that turns slow shows with
  * the first of them, where a mean would follow behind; one that is quick again with time.
  */
-public final class RecentTimes {
+public final class SlidingWindowMaximum {
 
   /** A slow store shows several times within it, and a single late answer counts no longer. */
   private static final long KEPT_NANOS = Duration.ofSeconds(10).toNanos();
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/StateWriter.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/StateWriter.java
@@ -48,13 +48,13 @@
   private static final int MAX_APPEND_BYTES = 1 << 20;
 
   private final long epoch;
-  private final Map<String, Change> waiting = new LinkedHashMap<>();
+  private final Map<String, PendingChange> waiting = new LinkedHashMap<>();
 
   /** Appends that are not known as stored, in the order of their sequences. */
   private final Deque<Sent> sent = new ArrayDeque<>();
 
   private long nextSequence;
-  private final RecentTimes appends = new RecentTimes();
+  private final SlidingWindowMaximum appends = new SlidingWindowMaximum();
   private long otherStreamNanos;
   private long lastTookNanos;
   private long pausedUntil;
@@ -75,7 +75,7 @@
    * @param committed called once the value, or a newer one of the key, is stored
    */
   public void put(String key, Supplier<Optional<byte[]>> encoder, Runnable committed) {
-    Change change = waiting.computeIfAbsent(key, name -> new Change());
+    PendingChange change = waiting.computeIfAbsent(key, name -> new PendingChange());
     change.encoder = encoder;
     change.committed.add(committed);
   }
@@ -92,7 +92,7 @@
       Consumer<CommitLoss> lost,
       BatchTurn turn) {
     put(key, encoder, committed);
-    Change change = waiting.get(key);
+    PendingChange change = waiting.get(key);
     change.lost = Optional.of(lost);
     change.since = turn.nowNanos();
   }
@@ -102,7 +102,7 @@
    * way. What is known in memory alone is lost with this owner, so nothing may be confirmed by it.
    */
   public void whenStored(String key, Runnable committed) {
-    Optional<Change> pending = newestChange(key);
+    Optional<PendingChange> pending = newestChange(key);
     if (pending.isEmpty()) {
       committed.run();
       return;
@@ -110,13 +110,13 @@
     pending.get().committed.add(committed);
   }
 
-  private Optional<Change> newestChange(String key) {
+  private Optional<PendingChange> newestChange(String key) {
     if (waiting.containsKey(key)) {
       return Optional.of(waiting.get(key));
     }
     Iterator<Sent> newestFirst = sent.descendingIterator();
     while (newestFirst.hasNext()) {
-      Change change = newestFirst.next().changes.get(key);
+      PendingChange change = newestFirst.next().changes.get(key);
       if (change != null) {
         return Optional.of(change);
       }
@@ -177,9 +177,9 @@
       return;
     }
     List<Consumer<CommitLoss>> given = new ArrayList<>();
-    Iterator<Change> changes = waiting.values().iterator();
+    Iterator<PendingChange> changes = waiting.values().iterator();
     while (changes.hasNext()) {
-      Change change = changes.next();
+      PendingChange change = changes.next();
       boolean old = turn.nowNanos() - change.since > patienceNanos(turn);
       if (old && change.lost.isPresent()) {
         given.add(change.lost.get());
@@ -299,9 +299,9 @@
 
   private void fill(Sent next) {
     int bytes = 0;
-    Iterator<Map.Entry<String, Change>> entries = waiting.entrySet().iterator();
+    Iterator<Map.Entry<String, PendingChange>> entries = waiting.entrySet().iterator();
     while (entries.hasNext() && bytes < MAX_APPEND_BYTES) {
-      Map.Entry<String, Change> entry = entries.next();
+      Map.Entry<String, PendingChange> entry = entries.next();
       Optional<byte[]> value = entry.getValue().encoder.get();
       bytes += entry.getKey().length() + value.map(content -> content.length).orElse(0);
       next.records.add(new KeyedRecord(entry.getKey(), value));
@@ -342,14 +342,15 @@
     if (!sent.stream().allMatch(Sent::surelyNotStored)) {
       return;
     }
-    Map<String, Change> newer = new LinkedHashMap<>(waiting);
+    Map<String, PendingChange> newer = new LinkedHashMap<>(waiting);
     waiting.clear();
     nextSequence = sent.getFirst().position.sequence();
     for (Sent refused : sent) {
-      refused.changes.forEach((key, change) -> waiting.merge(key, change, Change::followedBy));
+      refused.changes.forEach(
+          (key, change) -> waiting.merge(key, change, PendingChange::followedBy));
     }
     sent.clear();
-    newer.forEach((key, change) -> waiting.merge(key, change, Change::followedBy));
+    newer.forEach((key, change) -> waiting.merge(key, change, PendingChange::followedBy));
   }
 
   private void pause(BatchTurn turn) {
@@ -364,7 +365,7 @@
     private final WriterPosition position;
     private final long since;
     private final List<KeyedRecord> records = new ArrayList<>();
-    private final Map<String, Change> changes = new LinkedHashMap<>();
+    private final Map<String, PendingChange> changes = new LinkedHashMap<>();
     private final Outstanding underWay = new Outstanding(Outstanding.APPEND);
 
     private long sentAt;
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/executor/ExecutorStateTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/executor/ExecutorStateTest.java
@@ -29,7 +29,7 @@
             new Demand(64_000, 262_144, 8),
             false,
             0),
-        new OrderMark(0, 0));
+        new OrderBaseline(0, 0));
   }
 
   /**
@@ -89,7 +89,7 @@
   /** A number that is sent for nothing covers ends of another life that the poll may come to. */
   @Test
   void onlyWhatIsOwedIsAcknowledged() {
-    EndLedger ends = executor().ends();
+    RunEndTracker ends = executor().ends();
     ends.sawUpTo(3);
     ends.stored(3);
     assertEquals(3, ends.owed());
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/FilledFleetTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/FilledFleetTest.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.fescuehook.logic.batch.executor.ExecutorState;
-import org.fescuehook.logic.batch.executor.OrderMark;
+import org.fescuehook.logic.batch.executor.OrderBaseline;
 import org.fescuehook.logic.batch.state.LiveRun;
 import org.fescuehook.logic.batch.state.OpenJob;
 import org.fescuehook.logic.batch.state.StepProgress;
@@ -77,7 +77,7 @@
             new Demand(64_000, 262_144, WHOLE),
             false,
             0),
-        new OrderMark(0, 0));
+        new OrderBaseline(0, 0));
   }
 
   private static StepProgress step(
@@ -101,7 +101,7 @@
 
   private static WaitingStep waiting(StepProgress step, long acceptedMillis) {
     long objective = Duration.ofMinutes(1).toNanos();
-    Timing timing = new Timing(LONG, LONG, objective, objective);
+    StepTiming timing = new StepTiming(LONG, LONG, objective, objective);
     return new WaitingStep(
         step, step.waiting(), "pool", Rank.ofPriority(0), acceptedMillis, timing, Optional.empty());
   }
@@ -114,7 +114,7 @@
   private static List<ExecutorState> executorsOf(WaitingStep waiting, Planner.Plan plan) {
     return plan.starts().stream()
         .filter(place -> place.step() == waiting.step())
-        .map(Place::executor)
+        .map(TaskPlacement::executor)
         .toList();
   }
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/PlannerEquivalenceProperties.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/PlannerEquivalenceProperties.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.fescuehook.logic.batch.executor.ExecutorState;
-import org.fescuehook.logic.batch.executor.OrderMark;
+import org.fescuehook.logic.batch.executor.OrderBaseline;
 import org.fescuehook.logic.batch.state.LiveRun;
 import org.fescuehook.logic.batch.state.OpenJob;
 import org.fescuehook.logic.batch.state.StepProgress;
@@ -36,7 +36,7 @@
 
 /**
  * The planner decides as its former version did, which looked at every executor for each step; that
- * version is kept here as {@link FormerPlanner}.
+ * version is kept here as {@link ReferencePlanner}.
  */
 class PlannerEquivalenceProperties {
 
@@ -87,7 +87,7 @@
                   new Demand(64_000, 262_144, 8),
                   false,
                   0),
-              new OrderMark(0, 0));
+              new OrderBaseline(0, 0));
       if (random.nextInt(8) == 0) {
         executor.failed();
       }
@@ -161,8 +161,8 @@
         step.fail(step.tasks().getFirst(), 1, failed);
       }
       long second = Duration.ofSeconds(1).toNanos();
-      Timing timing =
-          new Timing(
+      StepTiming timing =
+          new StepTiming(
               random.nextInt(20) * second / 2,
               random.nextInt(30) * second,
               random.nextInt(9) * second,
@@ -191,12 +191,12 @@
   private static void assertSamePlan(long seed) {
     Scene scene = new Scene(seed);
     Function<StepProgress, Rank> ranks = scene.ranks::get;
-    FormerPlanner.Plan former =
-        new FormerPlanner(ranks, WORK).plan(scene.waiting, scene.executors, NOW);
+    ReferencePlanner.Plan former =
+        new ReferencePlanner(ranks, WORK).plan(scene.waiting, scene.executors, NOW);
     Planner.Plan plan = new Planner(ranks, WORK).plan(scene.waiting, scene.executors, NOW);
     assertEquals(former.starts(), plan.starts());
     assertEquals(
-        former.stops().stream().map(FormerPlanner.Displacement::run).toList(),
-        plan.stops().stream().map(Planner.Displacement::run).toList());
+        former.stops().stream().map(ReferencePlanner.Preemption::run).toList(),
+        plan.stops().stream().map(Planner.Preemption::run).toList());
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/FormerSlot.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/ReferenceCandidate.java
@@ -6,8 +6,8 @@
 import org.fescuehook.model.batch.Demand;
 import org.fescuehook.model.fleet.Incarnation;
 
-/** FormerRoom on one executor while a plan is made. */
-final class FormerSlot {
+/** Room on one executor while a plan is made. */
+final class ReferenceCandidate {
 
   private final ExecutorState executor;
   private final boolean suspect;
@@ -20,7 +20,7 @@
    *
    * @param suspect whether runs have lately failed there or hardly progressed
    */
-  FormerSlot(ExecutorState executor, Demand free, boolean suspect) {
+  ReferenceCandidate(ExecutorState executor, Demand free, boolean suspect) {
     this.executor = executor;
     this.free = free;
     this.suspect = suspect;
@@ -59,8 +59,8 @@
     free = free.plus(demand);
   }
 
-  FormerSlot copy() {
-    FormerSlot copy = new FormerSlot(executor, free, suspect);
+  ReferenceCandidate copy() {
+    ReferenceCandidate copy = new ReferenceCandidate(executor, free, suspect);
     copy.serving = serving;
     copy.filling = filling;
     return copy;
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/FormerRoom.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/ReferenceCapacity.java
@@ -17,41 +17,41 @@
 import org.fescuehook.model.fleet.RackId;
 
 /** Free capacity of the usable executors while a plan is made. */
-final class FormerRoom {
+final class ReferenceCapacity {
 
   /** Where more than this share are suspects, the jobs are to blame rather than the executors. */
   private static final double MOST_SUSPECTS = 0.25;
 
-  private final List<FormerSlot> slots;
+  private final List<ReferenceCandidate> slots;
 
-  FormerRoom(List<FormerSlot> slots) {
+  ReferenceCapacity(List<ReferenceCandidate> slots) {
     this.slots = slots;
   }
 
   /** Returns what is free now. */
-  static FormerRoom now(Collection<ExecutorState> executors, long nowNanos) {
-    FormerRoom room = of(executors, ExecutorState::free, nowNanos);
-    for (FormerSlot slot : room.slots) {
+  static ReferenceCapacity now(Collection<ExecutorState> executors, long nowNanos) {
+    ReferenceCapacity room = of(executors, ExecutorState::free, nowNanos);
+    for (ReferenceCandidate slot : room.slots) {
       slot.executor().runs().forEach(run -> slot.holds(run.step().spec()));
     }
     return room;
   }
 
   /** Returns what the executors have when nothing runs. */
-  static FormerRoom empty(Collection<ExecutorState> executors, long nowNanos) {
+  static ReferenceCapacity empty(Collection<ExecutorState> executors, long nowNanos) {
     return of(executors, executor -> executor.profile().capacity(), nowNanos);
   }
 
-  private static FormerRoom of(
+  private static ReferenceCapacity of(
       Collection<ExecutorState> executors, Function<ExecutorState, Demand> room, long nowNanos) {
     long suspects = executors.stream().filter(executor -> executor.suspect(nowNanos)).count();
     boolean credible = suspects <= executors.size() * MOST_SUSPECTS;
-    List<FormerSlot> slots = new ArrayList<>();
+    List<ReferenceCandidate> slots = new ArrayList<>();
     for (ExecutorState executor : executors) {
       boolean suspect = credible && executor.suspect(nowNanos);
-      slots.add(new FormerSlot(executor, room.apply(executor), suspect));
+      slots.add(new ReferenceCandidate(executor, room.apply(executor), suspect));
     }
-    return new FormerRoom(slots);
+    return new ReferenceCapacity(slots);
   }
 
   /**
@@ -59,10 +59,10 @@
    * taken, only as large a share of the accelerators counts as is left of these.
    */
   int accelerators() {
-    return slots.stream().mapToInt(FormerRoom::usableAccelerators).sum();
+    return slots.stream().mapToInt(ReferenceCapacity::usableAccelerators).sum();
   }
 
-  private static int usableAccelerators(FormerSlot slot) {
+  private static int usableAccelerators(ReferenceCandidate slot) {
     Demand free = slot.free();
     Demand whole = slot.executor().profile().capacity();
     double share =
@@ -73,7 +73,7 @@
   }
 
   /** Tells whether more than half of what the other room has is here, of accelerators and cores. */
-  boolean overHalfOf(FormerRoom whole) {
+  boolean overHalfOf(ReferenceCapacity whole) {
     return 2 * sum(Demand::accelerators) > whole.sum(Demand::accelerators)
         && 2 * sum(Demand::milliCores) > whole.sum(Demand::milliCores);
   }
@@ -96,8 +96,8 @@
     slot(executor).ifPresent(slot -> slot.give(demand));
   }
 
-  private Optional<FormerSlot> slot(ExecutorState executor) {
-    for (FormerSlot slot : slots) {
+  private Optional<ReferenceCandidate> slot(ExecutorState executor) {
+    for (ReferenceCandidate slot : slots) {
       if (slot.executor() == executor) {
         return Optional.of(slot);
       }
@@ -106,9 +106,9 @@
   }
 
   /** Returns the slots on which a step may run, in groups that count as near to each other. */
-  List<List<FormerSlot>> groups(WaitingStep waiting, boolean nearOnly) {
+  List<List<ReferenceCandidate>> groups(WaitingStep waiting, boolean nearOnly) {
     BatchStep spec = waiting.step().spec();
-    List<FormerSlot> suitable = slots.stream().filter(slot -> slot.suits(waiting)).toList();
+    List<ReferenceCandidate> suitable = slots.stream().filter(slot -> slot.suits(waiting)).toList();
     if (!nearOnly) {
       return List.of(suitable);
     }
@@ -119,28 +119,28 @@
     if (!spec.placement().sameRack()) {
       return List.of(suitable);
     }
-    Map<RackId, List<FormerSlot>> racks = new TreeMap<>();
-    for (FormerSlot slot : suitable) {
+    Map<RackId, List<ReferenceCandidate>> racks = new TreeMap<>();
+    for (ReferenceCandidate slot : suitable) {
       RackId rack = slot.executor().profile().rack();
       racks.computeIfAbsent(rack, name -> new ArrayList<>()).add(slot);
     }
     return List.copyOf(racks.values());
   }
 
-  private static boolean in(FormerSlot slot, RackId rack) {
+  private static boolean in(ReferenceCandidate slot, RackId rack) {
     return slot.executor().profile().rack().equals(rack);
   }
 
   /** Returns how many tasks of a step fit into a group of slots. */
-  static int fits(WaitingStep waiting, List<FormerSlot> group) {
+  static int fits(WaitingStep waiting, List<ReferenceCandidate> group) {
     long total = 0;
-    for (FormerSlot slot : group) {
+    for (ReferenceCandidate slot : group) {
       total += fits(waiting, slot);
     }
     return (int) Math.min(total, Integer.MAX_VALUE);
   }
 
-  private static int fits(WaitingStep waiting, FormerSlot slot) {
+  private static int fits(WaitingStep waiting, ReferenceCandidate slot) {
     BatchStep spec = waiting.step().spec();
     if (slot.disturbs(spec) && !waiting.timing().toleratesOthers()) {
       return 0;
@@ -153,7 +153,7 @@
     return Math.clamp(most - present(waiting.step(), slot), 0, fitting);
   }
 
-  private static int present(StepProgress step, FormerSlot slot) {
+  private static int present(StepProgress step, ReferenceCandidate slot) {
     int count = 0;
     for (var run : slot.executor().runs()) {
       if (run.step() == step) {
@@ -169,20 +169,21 @@
    *
    * @return the places; fewer than tasks if the group has no room for all
    */
-  static List<Place> place(WaitingStep waiting, List<TaskProgress> tasks, List<FormerSlot> group) {
-    List<FormerSlot> order = new ArrayList<>(group);
+  static List<TaskPlacement> place(
+      WaitingStep waiting, List<TaskProgress> tasks, List<ReferenceCandidate> group) {
+    List<ReferenceCandidate> order = new ArrayList<>(group);
     order.sort(
-        Comparator.comparing(FormerSlot::suspect)
+        Comparator.comparing(ReferenceCandidate::suspect)
             .thenComparingInt(slot -> slot.free().accelerators())
             .thenComparingInt(slot -> slot.free().milliCores()));
-    List<Place> places = new ArrayList<>();
-    for (FormerSlot slot : order) {
+    List<TaskPlacement> places = new ArrayList<>();
+    for (ReferenceCandidate slot : order) {
       int fitting = fits(waiting, slot);
       for (int taken = 0; taken < fitting; taken++) {
         if (places.size() == tasks.size()) {
           return places;
         }
-        places.add(new Place(waiting.step(), tasks.get(places.size()), slot.executor()));
+        places.add(new TaskPlacement(waiting.step(), tasks.get(places.size()), slot.executor()));
       }
     }
     return places;
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/FormerPlanner.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/ReferencePlanner.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 import org.fescuehook.logic.batch.executor.ExecutorState;
-import org.fescuehook.logic.batch.plan.Timing.Prospect;
+import org.fescuehook.logic.batch.plan.StepTiming.Prospect;
 import org.fescuehook.logic.batch.state.LiveRun;
 import org.fescuehook.logic.batch.state.LiveRun.Stage;
 import org.fescuehook.logic.batch.state.StepProgress;
@@ -18,7 +18,7 @@
 /**
  * Decides what starts where and what gives way. Without memory: the same state gives the same plan.
  */
-public final class FormerPlanner {
+public final class ReferencePlanner {
 
   /**
    * Part of the bound in which guaranteed work has to begin that is left, beside the time of a
@@ -68,7 +68,7 @@
    * @param ranks precedence of steps that run
    * @param work how work behaves on the executors
    */
-  public FormerPlanner(Function<StepProgress, Rank> ranks, WorkPreferences work) {
+  public ReferencePlanner(Function<StepProgress, Rank> ranks, WorkPreferences work) {
     this.ranks = ranks;
     this.work = work;
   }
@@ -79,7 +79,7 @@
    * @param starts where tasks start
    * @param stops runs that give way
    */
-  public record Plan(List<Place> starts, List<Displacement> stops) {}
+  public record Plan(List<TaskPlacement> starts, List<Preemption> stops) {}
 
   /**
    * A run that gives way.
@@ -87,7 +87,7 @@
    * @param run the run
    * @param beneficiary the step that needs its place
    */
-  public record Displacement(LiveRun run, WaitingStep beneficiary) {}
+  public record Preemption(LiveRun run, WaitingStep beneficiary) {}
 
   /**
    * Makes a plan.
@@ -101,7 +101,10 @@
     order.sort(WaitingStep.ORDER);
     Pass pass =
         new Pass(
-            executors, new FormerDisplacer(ranks, work, nowNanos), guaranteedPatience(), nowNanos);
+            executors,
+            new ReferencePreemptor(ranks, work, nowNanos),
+            guaranteedPatience(),
+            nowNanos);
     order.forEach(pass::take);
     return new Plan(List.copyOf(pass.starts), List.copyOf(pass.stops));
   }
@@ -114,25 +117,25 @@
 
   /** One plan being made. */
   private static final class Pass {
-    private final FormerRoom free;
-    private final FormerRoom expected;
-    private final FormerRoom whole;
-    private final List<Place> starts = new ArrayList<>();
-    private final List<Displacement> stops = new ArrayList<>();
+    private final ReferenceCapacity free;
+    private final ReferenceCapacity expected;
+    private final ReferenceCapacity whole;
+    private final List<TaskPlacement> starts = new ArrayList<>();
+    private final List<Preemption> stops = new ArrayList<>();
 
-    private final FormerDisplacer displacer;
+    private final ReferencePreemptor displacer;
     private final long guaranteedPatienceNanos;
 
     Pass(
         Collection<ExecutorState> executors,
-        FormerDisplacer displacer,
+        ReferencePreemptor displacer,
         long guaranteedPatienceNanos,
         long nowNanos) {
       this.displacer = displacer;
       this.guaranteedPatienceNanos = guaranteedPatienceNanos;
-      free = FormerRoom.now(executors, nowNanos);
-      expected = FormerRoom.now(executors, nowNanos);
-      whole = FormerRoom.empty(executors, nowNanos);
+      free = ReferenceCapacity.now(executors, nowNanos);
+      expected = ReferenceCapacity.now(executors, nowNanos);
+      whole = ReferenceCapacity.empty(executors, nowNanos);
       for (ExecutorState executor : executors) {
         for (LiveRun run : executor.runs()) {
           if (run.stage() == Stage.STOPPING) {
@@ -151,9 +154,9 @@
     }
 
     private void takeTasks(WaitingStep waiting) {
-      List<Place> places = new ArrayList<>();
-      for (List<FormerSlot> group : free.groups(waiting, nearOnly(waiting))) {
-        places.addAll(FormerRoom.place(waiting, waiting.tasks(), group));
+      List<TaskPlacement> places = new ArrayList<>();
+      for (List<ReferenceCandidate> group : free.groups(waiting, nearOnly(waiting))) {
+        places.addAll(ReferenceCapacity.place(waiting, waiting.tasks(), group));
         break;
       }
       int allowed = Math.min(places.size(), allowed(waiting));
@@ -170,7 +173,7 @@
       if (allowed(waiting) < waiting.tasks().size()) {
         return;
       }
-      Optional<List<Place>> now = tightest(waiting, free, nearOnly);
+      Optional<List<TaskPlacement>> now = tightest(waiting, free, nearOnly);
       if (now.isPresent()) {
         now.get().forEach(this::start);
         return;
@@ -180,7 +183,7 @@
 
     /** Waits for capacity that is being freed, or has other work give way. */
     private void displace(WaitingStep waiting, boolean nearOnly) {
-      Optional<List<Place>> soon = tightest(waiting, expected, nearOnly);
+      Optional<List<TaskPlacement>> soon = tightest(waiting, expected, nearOnly);
       if (soon.isPresent()) {
         soon.get().forEach(this::reserve);
         return;
@@ -188,10 +191,10 @@
       if (!waiting.urgent() && !pressed(waiting)) {
         return;
       }
-      Optional<FormerDisplacer.Choice> choice = displacer.choose(waiting, expected, nearOnly);
+      Optional<ReferencePreemptor.Selection> choice = displacer.choose(waiting, expected, nearOnly);
       if (choice.isPresent()) {
         displacer.carriedOut(choice.get());
-        choice.get().victims().forEach(run -> stops.add(new Displacement(run, waiting)));
+        choice.get().victims().forEach(run -> stops.add(new Preemption(run, waiting)));
         choice.get().places().forEach(this::reserve);
       }
     }
@@ -226,14 +229,14 @@
       }
       int wanted = waiting.step().spec().gang() ? waiting.tasks().size() : 1;
       return whole.groups(waiting, true).stream()
-          .anyMatch(group -> FormerRoom.fits(waiting, group) >= wanted);
+          .anyMatch(group -> ReferenceCapacity.fits(waiting, group) >= wanted);
     }
 
     private boolean impatient(WaitingStep waiting) {
       if (idleFor(waiting, IDLE_NEARNESS_NANOS)) {
         return true;
       }
-      Timing timing = waiting.timing();
+      StepTiming timing = waiting.timing();
       boolean due = waiting.rank().guaranteed() && !waiting.step().job().begun();
       if (due && timing.waitedNanos() > guaranteedPatienceNanos) {
         return true;
@@ -243,20 +246,21 @@
     }
 
     /** Finds the group with the least room to spare in which all tasks fit. */
-    private Optional<List<Place>> tightest(WaitingStep waiting, FormerRoom room, boolean nearOnly) {
+    private Optional<List<TaskPlacement>> tightest(
+        WaitingStep waiting, ReferenceCapacity room, boolean nearOnly) {
       int wanted = waiting.tasks().size();
       return room.groups(waiting, nearOnly).stream()
-          .filter(group -> FormerRoom.fits(waiting, group) >= wanted)
-          .min(Comparator.comparingInt(group -> FormerRoom.fits(waiting, group)))
-          .map(group -> FormerRoom.place(waiting, waiting.tasks(), group));
+          .filter(group -> ReferenceCapacity.fits(waiting, group) >= wanted)
+          .min(Comparator.comparingInt(group -> ReferenceCapacity.fits(waiting, group)))
+          .map(group -> ReferenceCapacity.place(waiting, waiting.tasks(), group));
     }
 
-    private void start(Place place) {
+    private void start(TaskPlacement place) {
       starts.add(place);
       reserve(place);
     }
 
-    private void reserve(Place place) {
+    private void reserve(TaskPlacement place) {
       free.take(place.executor(), place.step().spec());
       expected.take(place.executor(), place.step().spec());
     }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/FormerDisplacer.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/ReferencePreemptor.java
@@ -18,7 +18,7 @@
 import org.fescuehook.model.preferences.WorkPreferences;
 
 /** Chooses which running work gives way so that a step fits. */
-final class FormerDisplacer {
+final class ReferencePreemptor {
 
   /**
    * Share of the work of a step that may be thrown away to let it start. Above it, displacing would
@@ -39,7 +39,7 @@
   /** Tasks of steps that last which this plan stops already. */
   private final Map<StepProgress, Integer> planned = new HashMap<>();
 
-  FormerDisplacer(Function<StepProgress, Rank> ranks, WorkPreferences work, long nowNanos) {
+  ReferencePreemptor(Function<StepProgress, Rank> ranks, WorkPreferences work, long nowNanos) {
     this.ranks = ranks;
     this.work = work;
     this.nowNanos = nowNanos;
@@ -58,14 +58,14 @@
    * @param expected room once all that is being stopped is gone
    * @return the runs to stop, and the places that they leave; absent if that would not do
    */
-  Optional<Choice> choose(WaitingStep waiting, FormerRoom expected, boolean nearOnly) {
+  Optional<Selection> choose(WaitingStep waiting, ReferenceCapacity expected, boolean nearOnly) {
     double limit =
         waiting.rank().guaranteed()
             ? Double.MAX_VALUE
             : waiting.estimatedCoreSeconds() * MOST_THROWN_AWAY;
-    Optional<Choice> best = Optional.empty();
-    for (List<FormerSlot> group : expected.groups(waiting, nearOnly)) {
-      Optional<Choice> choice = choose(waiting, group, limit);
+    Optional<Selection> best = Optional.empty();
+    for (List<ReferenceCandidate> group : expected.groups(waiting, nearOnly)) {
+      Optional<Selection> choice = choose(waiting, group, limit);
       if (choice.isPresent()
           && best.filter(found -> found.thrownAway() <= choice.get().thrownAway()).isEmpty()) {
         best = choice;
@@ -75,22 +75,23 @@
   }
 
   /** Remembers that a choice is carried out. */
-  void carriedOut(Choice choice) {
+  void carriedOut(Selection choice) {
     choice.victims().forEach(run -> planned.merge(run.step(), 1, Integer::sum));
   }
 
   /** Victims, what they lose, and the places that the step then has. */
-  record Choice(List<LiveRun> victims, double thrownAway, List<Place> places) {}
+  record Selection(List<LiveRun> victims, double thrownAway, List<TaskPlacement> places) {}
 
-  private Optional<Choice> choose(WaitingStep waiting, List<FormerSlot> group, double limit) {
-    List<FormerSlot> copies = group.stream().map(FormerSlot::copy).toList();
-    Map<ExecutorId, FormerSlot> byExecutor = new LinkedHashMap<>();
+  private Optional<Selection> choose(
+      WaitingStep waiting, List<ReferenceCandidate> group, double limit) {
+    List<ReferenceCandidate> copies = group.stream().map(ReferenceCandidate::copy).toList();
+    Map<ExecutorId, ReferenceCandidate> byExecutor = new LinkedHashMap<>();
     copies.forEach(slot -> byExecutor.put(slot.executor().profile().id(), slot));
     int wanted = waiting.tasks().size();
     List<Victim> chosen = new ArrayList<>();
     double lost = 0;
     for (Victim victim : victims(waiting, copies)) {
-      if (FormerRoom.fits(waiting, copies) >= wanted) {
+      if (ReferenceCapacity.fits(waiting, copies) >= wanted) {
         break;
       }
       if (lost + victim.thrownAway() > limit) {
@@ -100,24 +101,25 @@
       lost += victim.thrownAway();
       give(victim, byExecutor, 1);
     }
-    if (FormerRoom.fits(waiting, copies) < wanted) {
+    if (ReferenceCapacity.fits(waiting, copies) < wanted) {
       return Optional.empty();
     }
     lost -= spare(waiting, copies, byExecutor, chosen);
     List<LiveRun> runs = chosen.stream().flatMap(victim -> victim.runs().stream()).toList();
-    return Optional.of(new Choice(runs, lost, FormerRoom.place(waiting, waiting.tasks(), copies)));
+    return Optional.of(
+        new Selection(runs, lost, ReferenceCapacity.place(waiting, waiting.tasks(), copies)));
   }
 
   /** Takes victims out again that turn out not to be needed; returns the work that this saves. */
   private static double spare(
       WaitingStep waiting,
-      List<FormerSlot> copies,
-      Map<ExecutorId, FormerSlot> byExecutor,
+      List<ReferenceCandidate> copies,
+      Map<ExecutorId, ReferenceCandidate> byExecutor,
       List<Victim> chosen) {
     double saved = 0;
     for (Victim victim : List.copyOf(chosen).reversed()) {
       give(victim, byExecutor, -1);
-      if (FormerRoom.fits(waiting, copies) >= waiting.tasks().size()) {
+      if (ReferenceCapacity.fits(waiting, copies) >= waiting.tasks().size()) {
         chosen.remove(victim);
         saved += victim.thrownAway();
       } else {
@@ -127,7 +129,8 @@
     return saved;
   }
 
-  private static void give(Victim victim, Map<ExecutorId, FormerSlot> byExecutor, int sign) {
+  private static void give(
+      Victim victim, Map<ExecutorId, ReferenceCandidate> byExecutor, int sign) {
     for (LiveRun run : victim.runs()) {
       Optional.ofNullable(byExecutor.get(run.executor()))
           .ifPresent(slot -> slot.give(run.demand().times(sign)));
@@ -135,11 +138,11 @@
   }
 
   /** Returns what may give way, the least important and the least lost first. */
-  private List<Victim> victims(WaitingStep waiting, List<FormerSlot> group) {
+  private List<Victim> victims(WaitingStep waiting, List<ReferenceCandidate> group) {
     List<Victim> victims = new ArrayList<>();
     Set<StepProgress> gangs = new LinkedHashSet<>();
     Map<StepProgress, Integer> missed = new HashMap<>(planned);
-    for (FormerSlot slot : group) {
+    for (ReferenceCandidate slot : group) {
       ExecutorState executor = slot.executor();
       for (LiveRun run : executor.runs()) {
         Rank rank = ranks.apply(run.step());
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/TimingTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/StepTimingTest.java
@@ -4,14 +4,14 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.fescuehook.logic.batch.plan.Timing.Prospect;
+import org.fescuehook.logic.batch.plan.StepTiming.Prospect;
 import org.junit.jupiter.api.Test;
 
-class TimingTest {
+class StepTimingTest {
 
   /** An objective of 10, of which 6 are spare. */
-  private static Timing waited(long nanos) {
-    return new Timing(nanos, nanos, 6, 10);
+  private static StepTiming waited(long nanos) {
+    return new StepTiming(nanos, nanos, 6, 10);
   }
 
   @Test
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/store/RecentTimesTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/store/SlidingWindowMaximumTest.java
@@ -6,9 +6,9 @@
 import org.fescuehook.logic.batch.BatchTurn;
 import org.junit.jupiter.api.Test;
 
-class RecentTimesTest {
+class SlidingWindowMaximumTest {
 
-  private final RecentTimes times = new RecentTimes();
+  private final SlidingWindowMaximum times = new SlidingWindowMaximum();
 
   private static BatchTurn at(long millis) {
     return new BatchTurn(Duration.ofMillis(millis).toNanos(), 0);
