--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/AdaptivePollLimit.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/AdaptivePollLimit.java
@@ -5,77 +5,79 @@
 import java.util.Map;
 
 /**
- * Bounds how many executors are asked at once that have not answered this owner, or not the last
- * time. The bound follows how fast this VM reads their answers.
+ * Limits how many unresponsive executors are polled concurrently: those that have not answered this
+ * owner yet, or did not answer their last poll. The limit adapts to how fast this VM reads their
+ * answers.
  *
- * <p>Without it a new owner asks its whole fleet at once. On a third of a core the answers of 350
- * executors are read after their time limit, so all of them count as silent and are asked again on
- * new connections, and heartbeats wait behind that until another VM takes over and begins the same.
+ * <p>Without a limit a new owner polls its whole fleet at once. On a VM with a third of a core the
+ * answers of 350 executors are then read after their timeout, so all of them count as silent and
+ * are polled again on new connections. Heartbeats are delayed behind these polls until another VM
+ * takes over and repeats the same.
  */
 final class AdaptivePollLimit {
 
   /**
-   * Size to begin with, and the least: at 5 to 8 ms an exchange on a third of a core, answers are
-   * read within 130 ms. Even if each takes the 350 ms of a poll's time limit, 45 executors are
-   * asked a second.
+   * Initial and lowest limit. At 5 to 8 ms an exchange on a third of a core, the answers are read
+   * within 130 ms. Even if each poll takes its full timeout of 350 ms, 45 executors are polled per
+   * second.
    */
-  private static final int FEWEST = 16;
+  private static final int MIN_LIMIT = 16;
 
-  /** More than any VM has under way before its answers come late. */
-  private static final int MOST = 512;
+  /** Highest limit; on any VM, answers become slow before this many polls are in flight. */
+  private static final int MAX_LIMIT = 512;
 
-  /** Answers that are read within this let the window grow; a third of a poll's time limit. */
-  private static final long PROMPT_NANOS = Duration.ofMillis(100).toNanos();
+  /** Answers read within this time raise the limit; about a third of a poll's timeout. */
+  private static final long FAST_ANSWER_NANOS = Duration.ofMillis(100).toNanos();
 
-  /** Answers that take longer let it shrink, before they exceed the limit of 350 ms. */
-  private static final long LATE_NANOS = Duration.ofMillis(200).toNanos();
+  /** Answers that take longer lower the limit, before they exceed the poll timeout of 350 ms. */
+  private static final long SLOW_ANSWER_NANOS = Duration.ofMillis(200).toNanos();
 
-  private final Map<Long, Contact> underWay = new HashMap<>();
-  private int size = FEWEST;
-  private int repeatsUnderWay;
+  private final Map<Long, PollInFlight> inFlight = new HashMap<>();
+  private int limit = MIN_LIMIT;
+  private int retriesInFlight;
 
-  private record Contact(long sentAt, boolean repeated) {}
+  private record PollInFlight(long sentAt, boolean retry) {}
 
   /**
-   * Tells whether another executor may be asked.
+   * Tells whether another executor may be polled now.
    *
-   * @param repeated whether it did not answer the last time; such ones take half of the window at
-   *     most, as many may stay silent
+   * @param retry whether it did not answer its last poll; retries take at most half of the limit,
+   *     since many of these executors may stay silent
    */
-  boolean admits(boolean repeated) {
-    boolean repeatsFull = repeated && repeatsUnderWay >= size / 2;
-    return underWay.size() < size && !repeatsFull;
+  boolean allows(boolean retry) {
+    boolean retriesAtLimit = retry && retriesInFlight >= limit / 2;
+    return inFlight.size() < limit && !retriesAtLimit;
   }
 
-  /** Remembers that an executor was asked. */
-  void sent(long number, boolean repeated, long nowNanos) {
-    underWay.put(number, new Contact(nowNanos, repeated));
-    repeatsUnderWay += repeated ? 1 : 0;
+  /** Records that an executor was polled. */
+  void sent(long number, boolean retry, long nowNanos) {
+    inFlight.put(number, new PollInFlight(nowNanos, retry));
+    retriesInFlight += retry ? 1 : 0;
   }
 
-  /** Takes in that an executor answered; numbers of other orders are left alone. */
+  /** Records the answer to an order and adapts the limit; numbers of other orders are ignored. */
   void answered(long number, long nowNanos) {
-    Contact contact = underWay.remove(number);
-    if (contact == null) {
+    PollInFlight poll = inFlight.remove(number);
+    if (poll == null) {
       return;
     }
-    repeatsUnderWay -= contact.repeated() ? 1 : 0;
-    long took = nowNanos - contact.sentAt();
-    if (took <= PROMPT_NANOS) {
-      size = Math.min(MOST, size + 1);
-    } else if (took > LATE_NANOS) {
-      size = Math.max(FEWEST, size - 1);
+    retriesInFlight -= poll.retry() ? 1 : 0;
+    long took = nowNanos - poll.sentAt();
+    if (took <= FAST_ANSWER_NANOS) {
+      limit = Math.min(MAX_LIMIT, limit + 1);
+    } else if (took > SLOW_ANSWER_NANOS) {
+      limit = Math.max(MIN_LIMIT, limit - 1);
     }
   }
 
   /**
-   * Takes in that an executor did not answer in time: it is silent, or its answer came too late,
-   * which the answers that come show as well.
+   * Records that a poll timed out. The limit stays: the executor may be silent, and if answers are
+   * read too late, the answers that do arrive show that as well.
    */
-  void missed(long number) {
-    Contact contact = underWay.remove(number);
-    if (contact != null) {
-      repeatsUnderWay -= contact.repeated() ? 1 : 0;
+  void unanswered(long number) {
+    PollInFlight poll = inFlight.remove(number);
+    if (poll != null) {
+      retriesInFlight -= poll.retry() ? 1 : 0;
     }
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/Countdown.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/Countdown.java
@@ -1,25 +1,25 @@
 package org.fescuehook.logic.batch.executor;
 
-/** Runs an action once everything that it was told to wait for has happened. */
+/** Runs an action once all its holds are released. */
 public final class Countdown {
 
   private final Runnable action;
-  private int held = 1;
+  private int holds = 1;
 
-  /** Creates a countdown that waits for one {@link #release()}, that of its creator. */
+  /** Creates a countdown with one hold, which its creator releases by {@link #release()}. */
   public Countdown(Runnable action) {
     this.action = action;
   }
 
-  /** Waits for one more release. */
+  /** Adds a hold. */
   public void hold() {
-    held++;
+    holds++;
   }
 
-  /** Releases one; the last one runs the action. */
+  /** Releases one hold; the last release runs the action. */
   public void release() {
-    held--;
-    if (held == 0) {
+    holds--;
+    if (holds == 0) {
       action.run();
     }
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/CrashEvaluator.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/CrashEvaluator.java
@@ -12,94 +12,104 @@
 import org.fescuehook.model.batch.BatchStep;
 
 /**
- * Judges which runs may have caused the loss of their executor. Executors are also lost by
- * themselves, so what counts is how soon after its start a run was lost, and what ran beside it.
+ * Evaluates which runs may have caused the loss of their executor. Executors also fail for other
+ * reasons, so the evidence depends on how soon after its start a run was lost and on what else ran
+ * there.
  */
 public final class CrashEvaluator {
 
   /**
-   * Age of a run above which the crash of its executor hardly speaks against it. Executors that are
-   * lost by themselves rarely are so just after a certain start, and a silent one is noticed by
-   * polls, which take up to 1.4 s.
+   * Age of a run above which the crash of its executor is hardly evidence against it. Executors
+   * that fail for other reasons rarely do so just after a certain start. The time covers the polls
+   * that notice a silent executor, which take up to 1.4 s.
    */
-  private static final Duration SOON = Duration.ofSeconds(2);
+  private static final Duration EARLY_CRASH = Duration.ofSeconds(2);
 
   private CrashEvaluator() {}
 
-  /** How the loss of an executor is known. */
+  /** How the loss of an executor was detected. */
   enum Loss {
-    /** Another life of it answers: it has crashed. */
+    /** Another incarnation of the executor answers, so this one has crashed. */
     RESTARTED,
-    /** It was silent until its leases had expired: it has crashed, or is cut off. */
+    /** The executor was silent until its leases had expired: it has crashed, or is cut off. */
     SILENT
   }
 
   /**
-   * How an executor, or a former life of it, was lost.
+   * How an incarnation of an executor was lost.
    *
-   * @param lostAt when it was lost at the latest, monotonic time
+   * @param lostAt latest time at which it was lost, monotonic
    * @param leaving whether it was about to leave
-   * @param crashedLately whether it had crashed not long before, and so may have by itself
+   * @param recentlyCrashed whether it had crashed shortly before, so that it may have crashed again
+   *     on its own
    */
-  record LossDetails(Loss loss, long lostAt, boolean leaving, boolean crashedLately) {
+  record LossDetails(Loss loss, long lostAt, boolean leaving, boolean recentlyCrashed) {
 
-    /** The loss of the present life of an executor. */
+    /** Describes the loss of the current incarnation of an executor. */
     static LossDetails of(ExecutorState executor, Loss loss, BatchTurn turn) {
       return new LossDetails(
           loss,
           executor.silentSince().orElse(turn.nowNanos()),
           executor.profile().leaving(),
-          executor.restartedLately(turn.nowNanos()));
+          executor.recentlyRestarted(turn.nowNanos()));
     }
 
-    /** The loss of a former life; this owner may not have met that one. */
-    static LossDetails ofFormerLife(ExecutorState executor, BatchTurn turn) {
+    /** Describes the loss of the previous incarnation, which this owner may never have polled. */
+    static LossDetails ofPreviousIncarnation(ExecutorState executor, BatchTurn turn) {
       return executor
-          .formerLife()
+          .previousIncarnation()
           .map(
-              former ->
+              previous ->
                   new LossDetails(
-                      Loss.RESTARTED, former.endedAt(), former.leaving(), former.crashedLately()))
+                      Loss.RESTARTED,
+                      previous.endedAt(),
+                      previous.leaving(),
+                      previous.recentlyCrashed()))
           .orElseGet(() -> new LossDetails(Loss.RESTARTED, turn.nowNanos(), false, false));
     }
   }
 
-  /** Judges all runs of an executor that is lost. */
-  static Map<LiveRun, CrashEvidence> judge(LossDetails loss, List<LiveRun> runs) {
+  /** Evaluates all runs on a lost executor. */
+  static Map<LiveRun, CrashEvidence> evaluate(LossDetails loss, List<LiveRun> runs) {
     Map<LiveRun, CrashEvidence> evidence = new LinkedHashMap<>();
     for (LiveRun run : runs) {
-      boolean alone = runs.size() == 1 && !loss.crashedLately();
-      evidence.put(run, judge(loss, run, alone));
+      boolean alone = runs.size() == 1 && !loss.recentlyCrashed();
+      evidence.put(run, evaluate(loss, run, alone));
     }
     return evidence;
   }
 
-  private static CrashEvidence judge(LossDetails loss, LiveRun run, boolean alone) {
+  private static CrashEvidence evaluate(LossDetails loss, LiveRun run, boolean alone) {
     boolean neverStarted = run.startOrderedAt().isEmpty() && !run.inherited();
     if (loss.leaving() || neverStarted) {
       return CrashEvidence.NONE;
     }
     boolean crashed = loss.loss() == Loss.RESTARTED && run.seenRunning();
     long lostAt = loss.lostAt();
-    if (crashed && within(run.startOrderedAt(), lostAt, soonNanos(run))) {
+    if (crashed && within(run.startOrderedAt(), lostAt, earlyCrashNanos(run))) {
       return alone ? CrashEvidence.STRONG_ALONE : CrashEvidence.STRONG;
     }
-    // A task that lasts outlives many executors, and any of them may be lost by itself.
+    // A long-running task outlives many executors, and any of them may fail on its own.
     boolean lasting = run.step().spec().lasting().isPresent();
-    boolean longAtWork = run.seenRunning() && !within(run.runningSince(), lostAt, SOON.toNanos());
-    if (lasting && longAtWork) {
+    boolean ranLong =
+        run.seenRunning() && !within(run.runningSince(), lostAt, EARLY_CRASH.toNanos());
+    if (lasting && ranLong) {
       return CrashEvidence.NONE;
     }
     return crashed ? CrashEvidence.WEAK : CrashEvidence.DOUBTFUL;
   }
 
-  /** A run that has worked for half of its estimate may have ended before its executor was lost. */
-  private static long soonNanos(LiveRun run) {
+  /**
+   * Returns the age up to which a run counts as just started. A run that has worked for half of its
+   * estimated duration may have ended before its executor was lost.
+   */
+  private static long earlyCrashNanos(LiveRun run) {
     BatchStep spec = run.step().spec();
     if (spec.lasting().isPresent()) {
-      return SOON.toNanos();
+      return EARLY_CRASH.toNanos();
     }
-    return Math.min(SOON.toNanos(), TimeUnit.MILLISECONDS.toNanos(spec.estimateMillis()) / 2);
+    return Math.min(
+        EARLY_CRASH.toNanos(), TimeUnit.MILLISECONDS.toNanos(spec.estimateMillis()) / 2);
   }
 
   private static boolean within(OptionalLong since, long nowNanos, long longestNanos) {
@@ -107,14 +117,14 @@
   }
 
   /**
-   * Tells whether a run that may crash its executor has not shown yet that it does not, so that
-   * nothing else should start beside it.
+   * Tells whether a run that is suspected of crashing executors started too recently to be cleared.
+   * Nothing else should start next to it meanwhile.
    */
   public static boolean onProbation(LiveRun run, long nowNanos) {
     if (!run.mayCrash()) {
       return false;
     }
     OptionalLong since = run.inherited() ? OptionalLong.of(run.placedAt()) : run.startOrderedAt();
-    return run.stage() == Stage.PLACED || within(since, nowNanos, SOON.toNanos());
+    return run.stage() == Stage.PLACED || within(since, nowNanos, EARLY_CRASH.toNanos());
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/CrashEvidence.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/CrashEvidence.java
@@ -2,20 +2,20 @@
 
 import java.util.Locale;
 
-/** How strongly the loss of an executor speaks against a run that was there. */
+/** How strongly the loss of an executor suggests that a run on it caused a crash. */
 public enum CrashEvidence {
-  /** Not at all: the run had not been started there, or the executor was about to leave. */
+  /** No evidence: the run had not been started there, or the executor was about to leave. */
   NONE,
-  /** It is not known that the executor crashed, or that it ran the task. */
+  /** It is unknown whether the executor crashed, or whether it ran the task. */
   DOUBTFUL,
   /** The executor crashed after it had run the task for a while. */
   WEAK,
-  /** The executor crashed soon after it had started the run, beside others. */
+  /** The executor crashed soon after it had started the run, and other runs were there too. */
   STRONG,
-  /** The executor crashed soon after it had started the run, which was alone there. */
+  /** The executor crashed soon after it had started the run, the only one there. */
   STRONG_ALONE;
 
-  /** Returns the value of a metric's tag. */
+  /** Returns the value used as a metric tag. */
   public String tag() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorDuty.java
@@ -16,43 +16,46 @@
 import org.fescuehook.model.fleet.ExecutorId;
 
 /**
- * Polls executors, renews their leases and gives them orders until each doubt about a run is
- * settled.
+ * Polls executors, renews their leases and sends them orders until it is certain what became of
+ * each run.
  */
 public final class ExecutorDuty {
 
-  /** Time between repeated stops of a run. */
-  private static final long STOP_REPEAT_NANOS = Duration.ofMillis(600).toNanos();
+  /** Time after which an unconfirmed stop of a run is ordered again. */
+  private static final long STOP_RETRY_NANOS = Duration.ofMillis(600).toNanos();
 
   /**
-   * Wait for the outcome of an order after which it counts as lost on its way to the decisions.
-   * Polls end after 1.4 s; other orders to one executor go out three at a time and end after 0.6 s
-   * each. It is longer than any lag of the decisions that was seen on weak VMs (2.2 s), as outcomes
-   * that wait in front of them are not lost.
+   * Time after which the outcome of an order counts as lost between the network and the decisions.
+   * Polls end after 1.4 s; other orders to one executor are sent three at a time and end after 0.6
+   * s each. The timeout exceeds the longest lag of the decisions on weak VMs, 2.2 s, since outcomes
+   * queued for the decisions are not lost.
    */
-  private static final long OVERDUE_NANOS = Duration.ofSeconds(10).toNanos();
+  private static final long OUTCOME_TIMEOUT_NANOS = Duration.ofSeconds(10).toNanos();
 
-  /** Time between looks at all executors; half of the tick, which leases and polls are kept to. */
-  private static final long ROUND_NANOS = Duration.ofMillis(25).toNanos();
+  /**
+   * Interval between checks of all executors; half of the tick on which polls and lease renewals
+   * rely.
+   */
+  private static final long FULL_PASS_INTERVAL_NANOS = Duration.ofMillis(25).toNanos();
 
   private final OrderSender orders;
-  private final ExecutorPoller polls;
-  private final Throttler pacer;
-  private final StartOutcomeHandler starts;
-  private final ReportHandler reports;
-  private final LostExecutorHandler lost;
+  private final ExecutorPoller poller;
+  private final Throttler throttler;
+  private final StartOutcomeHandler startOutcomes;
+  private final ReportHandler reportHandler;
+  private final LostExecutorHandler lostExecutors;
   private final RestartHandler restarts;
   private final long inheritedLeaseNanos;
   private final ExecutorRegistry book = new ExecutorRegistry();
   private final RunListener listener;
   private final OrphanedRuns orphans;
-  private final Set<ExecutorState> heardOf = new LinkedHashSet<>();
-  private long nextRoundAt;
+  private final Set<ExecutorState> withNewOutcomes = new LinkedHashSet<>();
+  private long nextFullPassAt;
 
   /**
    * Creates the duty of an epoch.
    *
-   * @param lease length of the leases given
+   * @param lease length of the leases that orders grant
    * @param longestLease the longest lease that an executor grants
    * @param inheritedLease how long leases of a former owner may last from now on
    */
@@ -63,33 +66,34 @@
       Duration inheritedLease,
       RunListener listener,
       BatchTurn turn) {
-    this.nextRoundAt = turn.nowNanos();
+    this.nextFullPassAt = turn.nowNanos();
     this.orders = new OrderSender(epoch, lease);
-    this.polls = new ExecutorPoller(book, orders);
-    this.pacer = new Throttler(orders);
-    this.starts = new StartOutcomeHandler(orders, pacer, listener);
+    this.poller = new ExecutorPoller(book, orders);
+    this.throttler = new Throttler(orders);
+    this.startOutcomes = new StartOutcomeHandler(orders, throttler, listener);
     this.inheritedLeaseNanos = inheritedLease.toNanos();
     this.orphans = new OrphanedRuns(turn.nowNanos() + inheritedLeaseNanos);
     this.listener = listener;
-    this.reports = new ReportHandler(orders, pacer, listener, longestLease);
-    this.lost = new LostExecutorHandler(book, reports);
-    this.restarts = new RestartHandler(book, orders, polls, pacer, reports, longestLease);
+    this.reportHandler = new ReportHandler(orders, throttler, listener, longestLease);
+    this.lostExecutors = new LostExecutorHandler(book, reportHandler);
+    this.restarts =
+        new RestartHandler(book, orders, poller, throttler, reportHandler, longestLease);
   }
 
-  /** Returns the executors. */
+  /** Returns the registry of executors. */
   public ExecutorRegistry book() {
     return book;
   }
 
   /**
-   * Names the pools that jobs may run in. An executor of any other pool is not contacted, unless
-   * something runs there.
+   * Sets the pools that jobs may run in. Executors of other pools are polled only if a run may be
+   * alive there.
    */
   public void serve(Set<String> newer) {
-    polls.serve(newer);
+    poller.setPools(newer);
   }
 
-  /** Takes over runs of a former owner, once, before the first step. */
+  /** Takes over the runs of a former owner; called once, before the first step. */
   public void inherit(List<LiveRun> runs, BatchTurn turn) {
     for (LiveRun run : runs) {
       Optional<ExecutorState> executor = book.find(run.executor());
@@ -99,28 +103,28 @@
         orphans.add(run);
       }
     }
-    pacer.inherited(runs, run -> book.find(run.executor()), turn);
+    throttler.releaseInherited(runs, run -> book.find(run.executor()), turn);
   }
 
   private void adopt(ExecutorState executor, LiveRun run, BatchTurn turn) {
     executor.add(run);
     executor.lease().mayLastUntil(turn.nowNanos() + inheritedLeaseNanos);
     if (run.stage() == Stage.STOPPING) {
-      // Its executor was not listed when the stop was decided.
+      // The executor was not listed when the stop was decided.
       orders.stop(executor, run, turn);
     }
   }
 
   /**
-   * Takes in an entry of the list.
+   * Handles an entry of the executor list.
    *
-   * @return whether it tells anything new
+   * @return whether the entry contains anything new
    */
   public boolean seen(ExecutorProfile profile, BatchTurn turn) {
     Optional<ExecutorState> found = book.find(profile.id());
     if (found.isEmpty()) {
-      ExecutorState executor = new ExecutorState(profile, orders.mark());
-      lost.listed(executor);
+      ExecutorState executor = new ExecutorState(profile, orders.baseline());
+      lostExecutors.listed(executor);
       book.add(executor);
       orphans.take(profile.id()).forEach(run -> adopt(executor, run, turn));
       return true;
@@ -128,10 +132,10 @@
     if (profile.incarnation().before(found.get().incarnation())) {
       return false;
     }
-    ExecutorState executor = restarts.described(found.get(), profile.incarnation(), turn);
+    ExecutorState executor = restarts.entryListed(found.get(), profile.incarnation(), turn);
     boolean same = executor.listed() && executor.profile().equals(profile);
     boolean wasLeaving = executor.profile().leaving();
-    executor.describe(profile);
+    executor.updateProfile(profile);
     if (profile.leaving() && !wasLeaving) {
       turn.note(BatchLogEvent.EXECUTOR_LEAVING, executor.incarnation(), executor.runs().size());
       listener.leaving(executor, turn);
@@ -139,53 +143,55 @@
     return !same;
   }
 
-  /** Takes in that an executor is no longer listed. */
+  /** Records that an executor is no longer listed. */
   public void unlisted(ExecutorId id) {
-    book.find(id).ifPresent(ExecutorState::unlisted);
+    book.find(id).ifPresent(ExecutorState::markUnlisted);
   }
 
   /**
-   * Sends what is due: to the executors that were heard of since the last step at once, to all
-   * others in intervals, since a look at each of a large fleet costs more than most events.
+   * Sends the orders that are due. Executors with new order outcomes since the last step are
+   * checked at once and all others at intervals, since checking each executor of a large fleet
+   * costs more than handling most events.
    */
   public void step(BatchTurn turn) {
-    if (turn.nowNanos() - nextRoundAt < 0) {
-      List.copyOf(heardOf).forEach(executor -> look(executor, turn));
-      heardOf.clear();
+    if (turn.nowNanos() - nextFullPassAt < 0) {
+      List.copyOf(withNewOutcomes).forEach(executor -> check(executor, turn));
+      withNewOutcomes.clear();
       return;
     }
-    nextRoundAt = turn.nowNanos() + ROUND_NANOS;
-    heardOf.clear();
-    book.snapshot().forEach(executor -> look(executor, turn));
-    polls.contact(turn);
+    nextFullPassAt = turn.nowNanos() + FULL_PASS_INTERVAL_NANOS;
+    withNewOutcomes.clear();
+    book.snapshot().forEach(executor -> check(executor, turn));
+    poller.pollUnresponsive(turn);
     orphans
         .takeLost(turn.nowNanos())
         .forEach(
             run ->
-                reports.loseWithExecutor(
+                reportHandler.reportLostWithExecutor(
                     run,
                     CrashEvidence.DOUBTFUL,
                     "its executor is not listed and its lease has expired",
                     turn));
   }
 
-  private void look(ExecutorState executor, BatchTurn turn) {
-    polls.missOverdue(executor, OVERDUE_NANOS, turn);
-    settleSilence(executor, turn);
+  private void check(ExecutorState executor, BatchTurn turn) {
+    poller.timeOutOverdue(executor, OUTCOME_TIMEOUT_NANOS, turn);
+    resolveSilence(executor, turn);
     repeatOrders(executor, turn);
-    polls.poll(executor, turn);
+    poller.poll(executor, turn);
   }
 
-  private void settleSilence(ExecutorState executor, BatchTurn turn) {
+  private void resolveSilence(ExecutorState executor, BatchTurn turn) {
     boolean silent = executor.missedPolls() > 0;
-    if (silent && turn.nowNanos() - executor.lease().untilNanos() > 0) {
-      lost.loseAll(executor, Loss.SILENT, "silent until its lease had expired", turn);
+    if (silent && turn.nowNanos() - executor.lease().expiryNanos() > 0) {
+      lostExecutors.loseAll(executor, Loss.SILENT, "silent until its lease had expired", turn);
     }
-    boolean mayRun = !executor.runs().isEmpty() || (executor.runsUnknown() && !silent);
+    boolean mayRun = !executor.runs().isEmpty() || (executor.hasUnknownRuns() && !silent);
     boolean idle = !mayRun && executor.poll().isEmpty();
-    boolean acknowledges = executor.ends().owes() && !silent;
-    // It may be listed again in a moment, and then lists ends that are on their way to the store.
-    if (!executor.listed() && idle && !acknowledges && !executor.ends().unstored()) {
+    boolean acknowledges = executor.runEnds().needsAcknowledgement() && !silent;
+    // It may be listed again in a moment, and would then report run ends again that are still
+    // being stored.
+    if (!executor.listed() && idle && !acknowledges && !executor.runEnds().hasUnstored()) {
       turn.note(BatchLogEvent.EXECUTOR_FORGOTTEN, executor.incarnation());
       forget(executor, turn);
     }
@@ -193,20 +199,20 @@
 
   private void forget(ExecutorState executor, BatchTurn turn) {
     book.remove(executor);
-    heardOf.remove(executor);
-    pacer.forget(executor);
+    withNewOutcomes.remove(executor);
+    throttler.forget(executor);
     turn.add(new BatchCommand.ForgetExecutor(executor.profile().id()));
   }
 
   private void repeatOrders(ExecutorState executor, BatchTurn turn) {
     for (LiveRun run : List.copyOf(executor.runs())) {
-      boolean overdue = turn.nowNanos() - run.orderedAt() > OVERDUE_NANOS;
-      if (run.stage() == Stage.STARTING && executor.known() && overdue) {
-        starts.ended(executor, run, new OrderOutcome.Unanswered("no outcome came"), turn);
+      boolean overdue = turn.nowNanos() - run.orderedAt() > OUTCOME_TIMEOUT_NANOS;
+      if (run.stage() == Stage.STARTING && executor.reached() && overdue) {
+        startOutcomes.handle(executor, run, new OrderOutcome.Unanswered("no outcome came"), turn);
         continue;
       }
-      boolean stopOwed = run.stage() == Stage.STOPPING && !run.stopTaken();
-      if (stopOwed && turn.nowNanos() - run.orderedAt() > STOP_REPEAT_NANOS) {
+      boolean stopPending = run.stage() == Stage.STOPPING && !run.stopTaken();
+      if (stopPending && turn.nowNanos() - run.orderedAt() > STOP_RETRY_NANOS) {
         orders.stop(executor, run, turn);
       }
     }
@@ -214,25 +220,26 @@
 
   /**
    * Orders the start of a run whose placement is stored. Storing takes seconds if the store is
-   * slow; where the executor has less room by now, or is about to leave, another place is looked
-   * for.
+   * slow. If the executor has too little capacity by then, or is about to leave, the run is given
+   * up and its task is placed elsewhere.
    */
   public void start(LiveRun run, BatchTurn turn) {
     Optional<ExecutorState> executor = book.find(run.executor());
-    if (executor.isEmpty() || !executor.get().known()) {
+    if (executor.isEmpty() || !executor.get().reached()) {
       return;
     }
     boolean leaving = executor.get().profile().leaving();
     if (leaving || executor.get().overbooked()) {
       executor.get().remove(run);
-      reports.lose(run, leaving ? "its executor leaves" : "its executor has less room now", turn);
+      reportHandler.reportLost(
+          run, leaving ? "its executor leaves" : "its executor has less room now", turn);
       return;
     }
     run.enter(Stage.STARTING, turn.nowNanos());
     orders.start(executor.get(), run, turn);
   }
 
-  /** Orders the end of a run; one that was not started yet is dropped at once. */
+  /** Orders the stop of a run; one that was not started yet is given up at once. */
   public void stop(LiveRun run, String cause, BatchTurn turn) {
     if (run.stage() == Stage.STOPPING) {
       return;
@@ -252,9 +259,9 @@
   }
 
   /**
-   * Takes in what became of an order.
+   * Handles the outcome of an order.
    *
-   * @return whether the executor can be used from now on and could not before
+   * @return whether the executor has become usable by it
    */
   public boolean ended(ExecutorId id, long number, OrderOutcome outcome, BatchTurn turn) {
     if (!orders.ofThisEpoch(number)) {
@@ -264,17 +271,18 @@
       orders.notSent(number);
     }
     Optional<LiveRun> run = orders.takeRun(number);
-    polls.orderEnded(number, outcome, turn);
+    poller.orderCompleted(number, outcome, turn);
     Optional<ExecutorState> found = book.find(id);
     if (found.isEmpty()) {
       return false;
     }
     ExecutorState executor = found.get();
-    if (number <= executor.mark().lastNumber()) {
-      // It was meant for a former life; the first answer of this one settles what became of it.
+    if (number <= executor.baseline().lastNumber()) {
+      // It was meant for an earlier incarnation; the first answer of this one shows what became of
+      // it.
       return false;
     }
-    heardOf.add(executor);
+    withNewOutcomes.add(executor);
     if (outcome instanceof OrderOutcome.OtherIncarnation) {
       turn.note(
           BatchLogEvent.EXECUTOR_GONE,
@@ -283,9 +291,9 @@
           executor.runs().size());
       run.filter(live -> live.stage() == Stage.STARTING && !live.startUncertain())
           .ifPresent(LiveRun::startNeverArrived);
-      lost.loseAll(executor, Loss.RESTARTED, "its executor was restarted", turn);
+      lostExecutors.loseAll(executor, Loss.RESTARTED, "its executor was restarted", turn);
       forget(executor, turn);
-      lost.crashed(executor.profile(), turn);
+      lostExecutors.crashed(executor.profile(), turn);
       return false;
     }
     if (outcome instanceof OrderOutcome.Rejected(Rejection rejection)
@@ -298,7 +306,7 @@
       pollEnded(executor, outcome, turn);
       return !usable && executor.usable(turn.nowNanos());
     }
-    // A run that ended or was given up meanwhile holds no capacity any more.
+    // A run that has ended or been given up meanwhile holds no capacity any more.
     run.filter(live -> executor.run(live.run()).isPresent())
         .ifPresent(live -> orderEnded(executor, live, outcome, turn));
     return false;
@@ -307,10 +315,10 @@
   private void orderEnded(
       ExecutorState executor, LiveRun run, OrderOutcome outcome, BatchTurn turn) {
     if (outcome instanceof OrderOutcome.Done(long clock)) {
-      executor.lease().read(clock, turn.nowNanos());
+      executor.lease().clockRead(clock, turn.nowNanos());
     }
     switch (run.stage()) {
-      case STARTING -> starts.ended(executor, run, outcome, turn);
+      case STARTING -> startOutcomes.handle(executor, run, outcome, turn);
       case STOPPING -> stopEnded(run, outcome, turn);
       case PLACED, RUNNING, INHERITED -> {}
     }
@@ -332,13 +340,13 @@
 
   private void pollEnded(ExecutorState executor, OrderOutcome outcome, BatchTurn turn) {
     if (outcome instanceof OrderOutcome.Polled polled) {
-      if (restarts.answered(executor, polled.bornMillis(), turn)) {
-        heardOf.remove(executor);
+      if (restarts.pollAnswered(executor, polled.bornMillis(), turn)) {
+        withNewOutcomes.remove(executor);
         return;
       }
-      lost.loseUnlisted(executor, reports.take(executor, polled, turn), turn);
+      lostExecutors.loseUnlisted(executor, reportHandler.handle(executor, polled, turn), turn);
       return;
     }
-    polls.missed(executor, outcome, turn);
+    poller.unanswered(executor, outcome, turn);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorEvaluator.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorEvaluator.java
@@ -7,48 +7,56 @@
 import org.fescuehook.logic.batch.state.LiveRun.Stage;
 import org.fescuehook.model.batch.RunEnd;
 
-/** Judges executors by how their runs end, and by their progress against the estimates. */
+/**
+ * Evaluates the health of executors from the results of their runs and from the progress of runs
+ * compared with their estimates.
+ */
 final class ExecutorEvaluator {
 
   /**
-   * First rest of an executor on which a run failed. One run in twenty fails by its own fault, and
-   * a sick executor, of which there are few, fails each: after one failure either is as likely.
+   * First backoff of an executor on which a run failed. One run in twenty fails for its own
+   * reasons. A faulty executor fails every run, but such executors are rare, so after one failure
+   * either cause is equally likely.
    */
-  private static final Duration FAILURE_REST = Duration.ofSeconds(2);
+  private static final Duration FAILURE_BACKOFF = Duration.ofSeconds(2);
 
-  /** The longest rest is this often doubled: 16 s, somewhat longer than such trouble lasts. */
-  private static final int MOST_REST_DOUBLINGS = 3;
+  /** Limits the backoff to 16 s, somewhat longer than such faults last. */
+  private static final int MAX_BACKOFF_DOUBLINGS = 3;
 
   /**
-   * Speed against the estimate below which a run hardly progresses. Estimates are off by half or
-   * more, so that one run in fifty looks so by its estimate alone.
+   * Speed relative to the estimate below which a run counts as slow. Estimates are off by half or
+   * more, so one run in fifty falls below this because of its estimate alone.
    */
-  private static final double SLUGGISH = 0.2;
+  private static final double SLOW_RATIO = 0.2;
 
-  /** Speed against the estimate above which a run progresses well. */
-  private static final double BRISK = 0.5;
+  /** Speed relative to the estimate from which on a run counts as progressing normally. */
+  private static final double NORMAL_RATIO = 0.5;
 
-  /** A run is judged after this time and this share of its estimate. */
-  private static final Duration LEAST_TIME = Duration.ofMillis(900);
+  /**
+   * A run is evaluated once it has run for this time and for {@link #MIN_ELAPSED_SHARE} of its
+   * estimated duration.
+   */
+  private static final Duration MIN_ELAPSED = Duration.ofMillis(900);
 
-  private static final double LEAST_SHARE = 0.3;
+  private static final double MIN_ELAPSED_SHARE = 0.3;
 
-  /** A run is moved if it would still take this many times its estimate where it is. */
-  private static final double WORTH_MOVING = 4;
+  /** A run is moved if its remaining time where it is exceeds this multiple of its estimate. */
+  private static final double MOVE_THRESHOLD = 4;
 
   /**
-   * Share of the speed of the others of its step below which a run shows that its executor is slow;
-   * tasks of a step differ by a third, and executors by as much.
+   * Share of the usual speed of the other runs of its step below which a run shows that its
+   * executor is slow. Tasks of a step differ by a third in speed, and executors by as much.
    */
-  private static final double SLOWER_THAN_OTHERS = 0.4;
+  private static final double SLOW_AGAINST_OTHERS = 0.4;
 
   private static final double PERCENT = 100.0;
 
   private ExecutorEvaluator() {}
 
   /**
-   * Rests an executor on which runs fail, longer each time, until one is done there. A run that has
-   * failed elsewhere before is no evidence: a hopeless job would rest one executor after the other.
+   * Backs off from an executor on which a run failed, for twice as long after each further failure,
+   * until a run is done there. A run that has failed elsewhere before is no evidence: a job that
+   * always fails would otherwise make one executor after the other unavailable.
    */
   static void ended(ExecutorState executor, LiveRun run, RunEnd end, BatchTurn turn) {
     if (end == RunEnd.DONE) {
@@ -57,16 +65,16 @@
     if (end != RunEnd.FAILED || run.step().failedElsewhere(run.incarnation())) {
       return;
     }
-    int doublings = Math.min(executor.failed() - 1, MOST_REST_DOUBLINGS);
-    executor.rest(FAILURE_REST.multipliedBy(1L << doublings), "a run failed there", turn);
+    int doublings = Math.min(executor.failed() - 1, MAX_BACKOFF_DOUBLINGS);
+    executor.backOff(FAILURE_BACKOFF.multipliedBy(1L << doublings), "a run failed there", turn);
   }
 
   /**
-   * Takes a look at the progress of a run.
+   * Evaluates the progress of a run.
    *
-   * @return whether the run should start again elsewhere
+   * @return whether the run should be restarted on another executor
    */
-  static boolean standsStill(ExecutorState executor, LiveRun run, long nowNanos) {
+  static boolean shouldMove(ExecutorState executor, LiveRun run, long nowNanos) {
     boolean comparable =
         run.stage() == Stage.RUNNING
             && run.checkpoint().isEmpty()
@@ -75,31 +83,32 @@
             && !run.step().spec().placement().sameRack();
     double estimate = run.step().spec().estimateMillis();
     double elapsed = Duration.ofNanos(nowNanos - run.stageSince()).toMillis();
-    if (!comparable || elapsed < Math.max(LEAST_TIME.toMillis(), estimate * LEAST_SHARE)) {
+    if (!comparable || elapsed < Math.max(MIN_ELAPSED.toMillis(), estimate * MIN_ELAPSED_SHARE)) {
       return false;
     }
     double speed = run.percent() / PERCENT * estimate / elapsed;
-    if (speed >= BRISK) {
-      executor.speed().brisk();
+    if (speed >= NORMAL_RATIO) {
+      executor.slowness().normalRun();
       return false;
     }
-    if (speed >= SLUGGISH || asFastAsOthers(run)) {
+    if (speed >= SLOW_RATIO || asFastAsOthers(run)) {
       return false;
     }
     if (run.judgeOnce()) {
-      executor.speed().sluggish(nowNanos);
+      executor.slowness().slowRun(nowNanos);
     }
     double left = (PERCENT - run.percent()) / Math.max(1, run.percent()) * elapsed;
-    boolean worthMoving = executor.speed().slow(nowNanos) && left > estimate * WORTH_MOVING;
-    return worthMoving && run.step().mayMove(run);
+    boolean movingPays = executor.slowness().slow(nowNanos) && left > estimate * MOVE_THRESHOLD;
+    return movingPays && run.step().mayMove(run);
   }
 
   /**
-   * Tells whether the other runs of its step are hardly faster: then the estimate is off, which it
-   * may be by ten times, and not the executor. Two executors of a gang are rarely slow at once.
+   * Tells whether the other runs of its step are hardly faster. Then the estimate is wrong, which
+   * may be by a factor of ten, and not the executor slow. Two executors of a gang are rarely slow
+   * at the same time.
    */
   private static boolean asFastAsOthers(LiveRun run) {
     OptionalDouble usual = run.step().usualSpeed(run);
-    return usual.isPresent() && run.speed() > usual.getAsDouble() * SLOWER_THAN_OTHERS;
+    return usual.isPresent() && run.speed() > usual.getAsDouble() * SLOW_AGAINST_OTHERS;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorPoller.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorPoller.java
@@ -9,111 +9,117 @@
 import org.fescuehook.logic.batch.BatchLogEvent;
 import org.fescuehook.logic.batch.BatchTurn;
 
-/** Decides when executors are polled, and keeps count of those that do not answer. */
+/** Decides when executors are polled, and counts the polls that are not answered. */
 final class ExecutorPoller {
 
-  /** Pause after polls without an answer; after the first one, which may just be lost, none. */
-  private static final long MISSED_POLL_PAUSE_NANOS = Duration.ofMillis(150).toNanos();
+  /**
+   * Pause after unanswered polls; there is none after the first one, which may just have been lost.
+   */
+  private static final long RETRY_PAUSE_NANOS = Duration.ofMillis(150).toNanos();
 
-  /** The same where nothing runs, so that nothing waits but new work. */
-  private static final long IDLE_POLL_PAUSE_NANOS = Duration.ofMillis(500).toNanos();
+  /** The same for an executor without runs, where only new work would wait. */
+  private static final long IDLE_RETRY_PAUSE_NANOS = Duration.ofMillis(500).toNanos();
 
-  private final ExecutorRegistry book;
+  private final ExecutorRegistry registry;
   private final OrderSender orders;
-  private final AdaptivePollLimit contacts = new AdaptivePollLimit();
+  private final AdaptivePollLimit pollLimit = new AdaptivePollLimit();
   private Set<String> pools = Set.of();
 
-  ExecutorPoller(ExecutorRegistry book, OrderSender orders) {
-    this.book = book;
+  ExecutorPoller(ExecutorRegistry registry, OrderSender orders) {
+    this.registry = registry;
     this.orders = orders;
   }
 
-  /** Names the pools whose executors are asked also if nothing is known to run there. */
-  void serve(Set<String> newer) {
-    pools = Set.copyOf(newer);
+  /**
+   * Sets the pools that jobs may run in; their executors are polled even if no run is known there.
+   */
+  void setPools(Set<String> poolsOfJobs) {
+    pools = Set.copyOf(poolsOfJobs);
   }
 
   /**
-   * Asks executors that have not answered this owner, or not the last time, as far as the window
-   * admits: first those with runs, whose leases need renewal, and of these first who is due
-   * longest, so that some that stay silent do not take the places of the others each time.
+   * Polls unresponsive executors, as many as the limit allows. Executors with runs come first,
+   * since their leases need renewal, and among them those whose polls have been due longest, so
+   * that executors which stay silent do not displace the others each time.
    */
-  void contact(BatchTurn turn) {
+  void pollUnresponsive(BatchTurn turn) {
     List<ExecutorState> due = new ArrayList<>();
-    for (ExecutorState executor : book.all()) {
-      if (!executor.calm() && needsPoll(executor) && executor.pollDue(turn.nowNanos())) {
+    for (ExecutorState executor : registry.all()) {
+      if (!executor.responsive() && needsPoll(executor) && executor.pollDue(turn.nowNanos())) {
         due.add(executor);
       }
     }
     due.sort(
         comparing((ExecutorState executor) -> executor.runs().isEmpty())
             .thenComparingLong(ExecutorState::nextPollAt));
-    due.forEach(executor -> contact(executor, turn));
+    due.forEach(executor -> pollUnresponsive(executor, turn));
   }
 
-  /** Asks an executor now that is due by {@link #contact(BatchTurn)}, if the window admits it. */
-  void contact(ExecutorState executor, BatchTurn turn) {
-    boolean missed = executor.missedPolls() > 0;
-    if (contacts.admits(missed)) {
-      contacts.sent(orders.poll(executor, turn), missed, turn.nowNanos());
+  /** Polls one unresponsive executor now, if the limit allows it. */
+  void pollUnresponsive(ExecutorState executor, BatchTurn turn) {
+    boolean retry = executor.missedPolls() > 0;
+    if (pollLimit.allows(retry)) {
+      pollLimit.sent(orders.poll(executor, turn), retry, turn.nowNanos());
     }
   }
 
-  /** Polls an executor that answers, if it is due. */
+  /** Polls a responsive executor, if a poll is due. */
   void poll(ExecutorState executor, BatchTurn turn) {
-    if (executor.calm() && needsPoll(executor) && executor.pollDue(turn.nowNanos())) {
+    if (executor.responsive() && needsPoll(executor) && executor.pollDue(turn.nowNanos())) {
       orders.poll(executor, turn);
     }
   }
 
   private boolean needsPoll(ExecutorState executor) {
-    boolean unknown = !executor.known() && pools.contains(executor.profile().pool());
-    boolean holds = !executor.runs().isEmpty() || executor.runsUnknown();
-    // One that did not answer is not used, and only an answer shows that it can be used again.
-    boolean doubted = (executor.missedPolls() > 0 || executor.doubted()) && executor.listed();
-    return unknown || holds || doubted || executor.ends().owes();
+    boolean unreached = !executor.reached() && pools.contains(executor.profile().pool());
+    boolean mayHaveRuns = !executor.runs().isEmpty() || executor.hasUnknownRuns();
+    // An executor that did not answer is not used, and only an answer shows that it can be used
+    // again.
+    boolean unsure = (executor.missedPolls() > 0 || executor.unconfirmed()) && executor.listed();
+    return unreached || mayHaveRuns || unsure || executor.runEnds().needsAcknowledgement();
   }
 
-  /** Takes in how an order ended, as far as it shows how fast executors answer. */
-  void orderEnded(long number, OrderOutcome outcome, BatchTurn turn) {
+  /** Records the outcome of an order, as far as it shows how fast executors answer. */
+  void orderCompleted(long number, OrderOutcome outcome, BatchTurn turn) {
     if (outcome.answered()) {
-      contacts.answered(number, turn.nowNanos());
+      pollLimit.answered(number, turn.nowNanos());
     } else {
-      contacts.missed(number);
+      pollLimit.unanswered(number);
     }
   }
 
-  /** Waits no longer for a poll of an executor that is forgotten. */
+  /** Stops waiting for the poll of an executor that is forgotten. */
   void forget(ExecutorState executor) {
-    executor.poll().ifPresent(poll -> contacts.missed(poll.number()));
+    executor.poll().ifPresent(poll -> pollLimit.unanswered(poll.number()));
   }
 
-  /** Gives up waiting for a poll whose outcome has not come for too long. */
-  void missOverdue(ExecutorState executor, long overdueNanos, BatchTurn turn) {
+  /** Treats a poll as unanswered whose outcome has been missing for too long. */
+  void timeOutOverdue(ExecutorState executor, long overdueNanos, BatchTurn turn) {
     executor
         .poll()
         .filter(poll -> turn.nowNanos() - poll.sentAt() > overdueNanos)
         .ifPresent(
             poll -> {
-              contacts.missed(poll.number());
-              missed(executor, new OrderOutcome.Unanswered("no outcome came"), turn);
+              pollLimit.unanswered(poll.number());
+              unanswered(executor, new OrderOutcome.Unanswered("no outcome came"), turn);
             });
   }
 
-  /** Takes in that a poll had no answer. */
-  void missed(ExecutorState executor, OrderOutcome outcome, BatchTurn turn) {
+  /** Records that a poll was not answered. */
+  void unanswered(ExecutorState executor, OrderOutcome outcome, BatchTurn turn) {
     if (executor.missedPolls() == 0) {
-      long left = Duration.ofNanos(executor.lease().untilNanos() - turn.nowNanos()).toMillis();
+      long leaseMillis =
+          Duration.ofNanos(executor.lease().expiryNanos() - turn.nowNanos()).toMillis();
       turn.note(
           BatchLogEvent.EXECUTOR_SILENT,
           executor.incarnation(),
           outcome,
           executor.runs().size(),
-          left);
+          leaseMillis);
     }
     boolean idle = executor.runs().isEmpty();
-    long repeated = idle ? IDLE_POLL_PAUSE_NANOS : MISSED_POLL_PAUSE_NANOS;
-    long pause = executor.missedPolls() == 0 ? 0 : repeated;
+    long retryPause = idle ? IDLE_RETRY_PAUSE_NANOS : RETRY_PAUSE_NANOS;
+    long pause = executor.missedPolls() == 0 ? 0 : retryPause;
     executor.pollMissed(turn.nowNanos(), pause);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorRegistry.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorRegistry.java
@@ -9,11 +9,14 @@
 import org.fescuehook.logic.batch.state.LiveRun;
 import org.fescuehook.model.fleet.ExecutorId;
 
-/** The executors that the owner knows of: listed ones, and unlisted ones that may still run. */
+/**
+ * The executors known to the owner: listed ones, and unlisted ones on which runs may still be
+ * alive.
+ */
 public final class ExecutorRegistry {
 
-  /** Time after the confirmation of a cancel in which callers expect the job's tasks gone. */
-  private static final long SOON_NANOS = Duration.ofMillis(3200).toNanos();
+  /** Time after a confirmed cancel within which callers expect the tasks of the job to be gone. */
+  private static final long CANCEL_CONFIRMATION_NANOS = Duration.ofMillis(3200).toNanos();
 
   private final Map<ExecutorId, ExecutorState> executors = new LinkedHashMap<>();
 
@@ -27,7 +30,7 @@
     executors.put(executor.profile().id(), executor);
   }
 
-  /** Removes an executor on which nothing can run. */
+  /** Removes an executor that has no live runs. */
   public void remove(ExecutorState executor) {
     executors.remove(executor.profile().id(), executor);
   }
@@ -37,19 +40,20 @@
     return executors.values();
   }
 
-  /** Returns all executors as a copy, for loops that remove some. */
+  /** Returns a copy of all executors, for loops that remove some. */
   public List<ExecutorState> snapshot() {
     return List.copyOf(executors.values());
   }
 
   /**
-   * Tells whether a run ends soon whatever becomes of this owner: its executor has taken the stop,
-   * or has not answered for so long that its leases are nearly over.
+   * Tells whether a run ends soon even if this owner fails: its executor has confirmed the stop, or
+   * has been silent for so long that its leases are about to expire.
    */
   public boolean endsSoon(LiveRun run, long nowNanos) {
     return run.stopTaken()
         || find(run.executor())
-            .filter(executor -> executor.lease().untilNanos() - nowNanos <= SOON_NANOS)
+            .filter(
+                executor -> executor.lease().expiryNanos() - nowNanos <= CANCEL_CONFIRMATION_NANOS)
             .isPresent();
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorState.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorState.java
@@ -14,40 +14,43 @@
 import org.fescuehook.model.batch.TaskRun;
 import org.fescuehook.model.fleet.Incarnation;
 
-/** What the owner knows of one life of an executor. */
+/** The state of one incarnation of an executor as the owner knows it. */
 public final class ExecutorState {
 
-  /** How long a poll is put off for ends that are being stored; an append takes some 10 ms. */
-  private static final long STORE_PATIENCE_NANOS = Duration.ofMillis(80).toNanos();
+  /**
+   * Longest time for which a poll is delayed because run ends are being stored; an append takes
+   * about 10 ms.
+   */
+  private static final long MAX_STORE_WAIT_NANOS = Duration.ofMillis(80).toNanos();
 
-  /** How long an executor that has crashed may be about to crash again. */
-  private static final long LATELY_NANOS = Duration.ofSeconds(30).toNanos();
+  /** Time after a crash during which the executor may well crash again. */
+  private static final long RECENT_CRASH_NANOS = Duration.ofSeconds(30).toNanos();
 
   private ExecutorProfile profile;
   private Incarnation incarnation;
-  private final OrderBaseline mark;
-  private final Optional<PreviousIncarnation> formerLife;
+  private final OrderBaseline baseline;
+  private final Optional<PreviousIncarnation> previousIncarnation;
   private final Map<TaskRun, LiveRun> runs = new LinkedHashMap<>();
-  private Demand used = Demand.NONE;
+  private Demand reserved = Demand.NONE;
   private boolean listed = true;
-  private boolean known;
+  private boolean reached;
   private int missedPolls;
-  private boolean doubted;
+  private boolean unconfirmed;
   private OptionalLong answeredAt = OptionalLong.empty();
   private OptionalLong silentSince = OptionalLong.empty();
   private OptionalLong restartedAt = OptionalLong.empty();
   private Optional<PollUnderWay> poll = Optional.empty();
   private long nextPollAt;
   private LeaseTracker lease = new LeaseTracker();
-  private final RunEndTracker ends = new RunEndTracker();
-  private long restUntil;
-  private boolean resting;
-  private boolean runsUnknown;
+  private final RunEndTracker runEnds = new RunEndTracker();
+  private long backoffUntil;
+  private boolean backingOff;
+  private boolean hasUnknownRuns;
   private int failuresInRow;
-  private final SlownessDetector speed = new SlownessDetector();
+  private final SlownessDetector slowness = new SlownessDetector();
 
   /**
-   * A poll that has not been answered.
+   * A poll that has not been answered yet.
    *
    * @param number number of the order
    * @param sentAt monotonic time
@@ -55,80 +58,81 @@
   public record PollUnderWay(long number, long sentAt) {}
 
   /**
-   * Creates the state of an executor that has not been asked anything.
+   * Creates the state of an executor that has not been polled.
    *
-   * @param mark where the orders to it begin
+   * @param baseline where the orders to it begin
    */
-  public ExecutorState(ExecutorProfile profile, OrderBaseline mark) {
-    this(profile, profile.incarnation(), mark, Optional.empty());
+  public ExecutorState(ExecutorProfile profile, OrderBaseline baseline) {
+    this(profile, profile.incarnation(), baseline, Optional.empty());
   }
 
   private ExecutorState(
       ExecutorProfile profile,
       Incarnation incarnation,
-      OrderBaseline mark,
-      Optional<PreviousIncarnation> formerLife) {
+      OrderBaseline baseline,
+      Optional<PreviousIncarnation> previousIncarnation) {
     this.profile = profile;
     this.incarnation = incarnation;
-    this.mark = mark;
-    this.formerLife = formerLife;
+    this.baseline = baseline;
+    this.previousIncarnation = previousIncarnation;
   }
 
-  /** Creates the state of the next life of the same executor, which has not been asked anything. */
-  ExecutorState successor(Incarnation next, PreviousIncarnation former, OrderBaseline first) {
-    ExecutorState executor = new ExecutorState(profile, next, first, Optional.of(former));
+  /** Creates the state of the next incarnation of the same executor, which has not been polled. */
+  ExecutorState nextIncarnation(
+      Incarnation next, PreviousIncarnation previous, OrderBaseline baseline) {
+    ExecutorState executor = new ExecutorState(profile, next, baseline, Optional.of(previous));
     executor.listed = listed;
-    executor.lease = new LeaseTracker(lease.untilNanos());
+    executor.lease = new LeaseTracker(lease.expiryNanos());
     return executor;
   }
 
-  /** Returns how the executor describes itself. */
+  /** Returns the profile that the executor published. */
   public ExecutorProfile profile() {
     return profile;
   }
 
-  /** Returns which life of the executor it is. */
+  /** Returns the incarnation of the executor that this state describes. */
   public Incarnation incarnation() {
     return incarnation;
   }
 
-  /** Takes in when this life began, if that was not known. */
+  /** Sets when this incarnation started, if that was unknown. */
   void datedBy(OptionalLong bornMillis) {
     incarnation = incarnation.datedBy(bornMillis);
   }
 
-  /** Returns the life before this one; absent if none is known that had the same id. */
-  Optional<PreviousIncarnation> formerLife() {
-    return formerLife;
+  /** Returns the incarnation before this one; absent if none with the same id is known. */
+  Optional<PreviousIncarnation> previousIncarnation() {
+    return previousIncarnation;
   }
 
-  /** Returns where the orders to it begin. */
-  OrderBaseline mark() {
-    return mark;
+  /** Returns where the orders to this incarnation begin. */
+  OrderBaseline baseline() {
+    return baseline;
   }
 
-  /** Takes a newer description. */
-  public void describe(ExecutorProfile newer) {
+  /** Replaces the profile by a newer one, which also shows that the executor is listed. */
+  public void updateProfile(ExecutorProfile newer) {
     profile = newer;
     listed = true;
   }
 
-  /** Tells whether the executor is on the list. */
+  /** Tells whether the executor is listed in the store. */
   public boolean listed() {
     return listed;
   }
 
-  /** Remembers that it is no longer on the list. */
-  public void unlisted() {
+  /** Records that the executor is no longer listed. */
+  public void markUnlisted() {
     listed = false;
   }
 
-  /** Returns the runs that may be alive there. */
+  /** Returns the runs that may be alive on this executor. */
   public Collection<LiveRun> runs() {
     return runs.values();
   }
 
-  /** Finds a run that may be alive there. */
+  /** Finds a run that may be alive on this executor. */
   public Optional<LiveRun> run(TaskRun run) {
     return Optional.ofNullable(runs.get(run));
   }
@@ -136,122 +140,132 @@
   /** Reserves capacity for a run. */
   public void add(LiveRun run) {
     if (runs.put(run.run(), run) == null) {
-      used = used.plus(run.demand());
+      reserved = reserved.plus(run.demand());
     }
   }
 
   /** Frees the capacity of a run. */
   public void remove(LiveRun run) {
     if (runs.remove(run.run(), run)) {
-      used = used.minus(run.demand());
+      reserved = reserved.minus(run.demand());
     }
   }
 
-  /** Remembers whether the newest report lists a run that the owner does not know. */
-  void unknownRunsSeen(boolean seenAny) {
-    runsUnknown = seenAny;
+  /** Records whether the newest report lists runs that the owner does not know. */
+  void setHasUnknownRuns(boolean present) {
+    hasUnknownRuns = present;
   }
 
   /**
-   * Tells whether it may run something that the owner does not know, such as a start that arrived
-   * after its job was cancelled. It is looked at until a report lists none.
+   * Tells whether the executor may have runs that the owner does not know, such as one whose start
+   * order arrived after its job was cancelled. It is polled until a report lists none.
    */
-  public boolean runsUnknown() {
-    return runsUnknown;
+  public boolean hasUnknownRuns() {
+    return hasUnknownRuns;
   }
 
-  /** Returns what is not reserved. */
+  /** Returns the capacity that is not reserved. */
   public Demand free() {
-    return profile.capacity().minus(used);
+    return profile.capacity().minus(reserved);
   }
 
-  /** Tells whether its capacity, which may have shrunk, no longer covers what is reserved. */
+  /** Tells whether the reservations exceed the capacity, which may have shrunk. */
   boolean overbooked() {
-    return !profile.capacity().contains(used);
+    return !profile.capacity().contains(reserved);
   }
 
   /**
-   * Tells whether new runs may be placed there now. Not beside a run that the owner does not know,
-   * which takes room until it has ended, nor while its entry describes another life, which may have
-   * been of another kind.
+   * Tells whether new runs may be placed here now. They may not while a run that the owner does not
+   * know is here, which takes capacity until it has ended, nor while the profile is that of another
+   * incarnation, whose properties may have differed.
    */
   public boolean usable(long nowNanos) {
     boolean described = !profile.incarnation().differsFrom(incarnation);
-    boolean answers = listed && described && calm();
-    return answers && !runsUnknown && !profile.leaving() && !rests(nowNanos);
+    boolean available = listed && described && responsive();
+    return available && !hasUnknownRuns && !profile.leaving() && !inBackoff(nowNanos);
   }
 
-  /** Tells whether it has answered this owner. */
-  public boolean known() {
-    return known;
+  /** Tells whether the executor has ever answered this owner. */
+  public boolean reached() {
+    return reached;
   }
 
-  /** Tells whether it has answered this owner's last poll, and nothing contradicts that answer. */
-  boolean calm() {
-    return known && missedPolls == 0 && !doubted;
+  /**
+   * Tells whether the executor answered the last poll of this owner and no later answer contradicts
+   * it.
+   */
+  boolean responsive() {
+    return reached && missedPolls == 0 && !unconfirmed;
   }
 
-  /** Remembers that an answer contradicts what is known, so that it is polled before it is used. */
-  void doubt() {
-    doubted = true;
+  /**
+   * Records that an answer contradicts what is known, so that the executor is polled again before
+   * it is used.
+   */
+  void markUnconfirmed() {
+    unconfirmed = true;
   }
 
   /** Tells whether an answer contradicts what is known and no poll has been answered since. */
-  boolean doubted() {
-    return doubted;
+  boolean unconfirmed() {
+    return unconfirmed;
   }
 
-  /** Returns since when a poll is due, monotonic time. */
+  /** Returns the time from which on the next poll is due, monotonic. */
   long nextPollAt() {
     return nextPollAt;
   }
 
-  /** Returns how many polls in a row had no answer. */
+  /** Returns the number of consecutive polls that were not answered. */
   public int missedPolls() {
     return missedPolls;
   }
 
-  /** Returns the poll under way. */
+  /** Returns the poll in flight. */
   public Optional<PollUnderWay> poll() {
     return poll;
   }
 
   /**
-   * Tells whether a poll is due. While ends wait to be stored none is, for a moment: it would be
-   * answered at once with the same ends.
+   * Tells whether a poll is due. While run ends are being stored it is delayed for a moment, since
+   * the executor would return the same ends again at once.
    */
   public boolean pollDue(long nowNanos) {
-    boolean waits = ends.unstored() && missedPolls == 0;
-    long notBefore = waits ? nextPollAt + STORE_PATIENCE_NANOS : nextPollAt;
+    boolean waits = runEnds.hasUnstored() && missedPolls == 0;
+    long notBefore = waits ? nextPollAt + MAX_STORE_WAIT_NANOS : nextPollAt;
     return poll.isEmpty() && nowNanos - notBefore >= 0;
   }
 
   /**
-   * Remembers that a poll was sent.
+   * Records that a poll was sent.
    *
    * @param acknowledged the number up to which it acknowledges ends
    */
   public void pollSent(long number, long acknowledged, long nowNanos) {
     poll = Optional.of(new PollUnderWay(number, nowNanos));
-    ends.sent(acknowledged);
+    runEnds.acknowledgementSent(acknowledged);
   }
 
-  /** Remembers that the poll was answered. */
+  /** Records that the poll was answered. */
   public void pollAnswered(long nowNanos) {
     poll = Optional.empty();
-    ends.answered();
-    known = true;
-    doubted = false;
+    runEnds.acknowledgementConfirmed();
+    reached = true;
+    unconfirmed = false;
     missedPolls = 0;
     answeredAt = OptionalLong.of(nowNanos);
     silentSince = OptionalLong.empty();
     nextPollAt = nowNanos;
   }
 
-  /** Remembers that the poll had no answer. */
+  /**
+   * Records that the poll was not answered.
+   *
+   * @param pauseNanos delay of the next poll
+   */
   public void pollMissed(long nowNanos, long pauseNanos) {
     poll = Optional.empty();
-    ends.missed();
+    runEnds.acknowledgementLost();
     missedPolls++;
     nextPollAt = nowNanos + pauseNanos;
     if (silentSince.isEmpty()) {
@@ -259,73 +273,83 @@
     }
   }
 
-  /** Remembers that the life before it, at the same address, is known to have crashed. */
+  /** Records that the previous incarnation at the same address is known to have crashed. */
   void restarted(long nowNanos) {
     restartedAt = OptionalLong.of(nowNanos);
   }
 
-  /** Tells whether it crashed not long ago, and so may crash again by itself. */
-  public boolean restartedLately(long nowNanos) {
-    return restartedAt.isPresent() && !longAgo(restartedAt.getAsLong(), nowNanos);
+  /** Tells whether the executor crashed recently, so that it may well crash again on its own. */
+  public boolean recentlyRestarted(long nowNanos) {
+    return restartedAt.isPresent() && !crashIsStale(restartedAt.getAsLong(), nowNanos);
   }
 
-  /** Tells whether a crash says nothing any more of the executor at its address. */
-  static boolean longAgo(long crashedAt, long nowNanos) {
-    return nowNanos - crashedAt >= LATELY_NANOS;
+  /** Tells whether a crash is too long ago to matter for what runs at the same address now. */
+  static boolean crashIsStale(long crashedAt, long nowNanos) {
+    return nowNanos - crashedAt >= RECENT_CRASH_NANOS;
   }
 
-  /** Returns since when polls have had no answer, monotonic time; absent while they have. */
+  /**
+   * Returns since when polls have not been answered, monotonic time; absent if the last one was.
+   */
   public OptionalLong silentSince() {
     return silentSince;
   }
 
-  /** Returns when it last answered a poll, monotonic time; absent if it did not. */
+  /** Returns when the last poll was answered, monotonic time; absent if none was. */
   OptionalLong answeredAt() {
     return answeredAt;
   }
 
-  /** Returns its clock and its leases. */
+  /** Returns the leases on this executor. */
   public LeaseTracker lease() {
     return lease;
   }
 
-  /** Returns which of its ends have been read, stored and acknowledged. */
-  RunEndTracker ends() {
-    return ends;
+  /** Returns which run ends of this executor have been read, stored and acknowledged. */
+  RunEndTracker runEnds() {
+    return runEnds;
   }
 
-  /** Counts a run that failed here; returns how many have failed since one was done. */
+  /**
+   * Counts a run that failed here.
+   *
+   * @return how many runs have failed since one was done here
+   */
   public int failed() {
     failuresInRow++;
     return failuresInRow;
   }
 
-  /** Returns what its runs have shown of its speed. */
-  public SlownessDetector speed() {
-    return speed;
+  /** Returns the detector that tells from its runs whether the executor is slow. */
+  public SlownessDetector slowness() {
+    return slowness;
   }
 
-  /** Tells whether a run has failed here and none was done since, or its runs hardly progress. */
+  /** Tells whether a run has failed here and none was done since, or the executor is slow. */
   public boolean suspect(long nowNanos) {
-    return failuresInRow > 0 || speed.slow(nowNanos);
+    return failuresInRow > 0 || slowness.slow(nowNanos);
   }
 
-  /** Remembers that a run was done here. */
+  /** Records that a run was done here. */
   public void succeeded() {
     failuresInRow = 0;
   }
 
-  /** Gives it nothing new for a while. */
-  public void rest(Duration length, String cause, BatchTurn turn) {
-    resting = true;
-    restUntil = turn.nowNanos() + length.toNanos();
+  /**
+   * Excludes the executor from new placements for a while.
+   *
+   * @param cause reason, for the log
+   */
+  public void backOff(Duration length, String cause, BatchTurn turn) {
+    backingOff = true;
+    backoffUntil = turn.nowNanos() + length.toNanos();
     turn.note(BatchLogEvent.EXECUTOR_RESTED, incarnation, length.toMillis(), cause);
   }
 
-  private boolean rests(long nowNanos) {
-    if (resting && nowNanos - restUntil >= 0) {
-      resting = false;
+  private boolean inBackoff(long nowNanos) {
+    if (backingOff && nowNanos - backoffUntil >= 0) {
+      backingOff = false;
     }
-    return resting;
+    return backingOff;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/FencingTokens.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/FencingTokens.java
@@ -1,13 +1,14 @@
 package org.fescuehook.logic.batch.executor;
 
 /**
- * The numbers that executors fence orders by. They rise with the epoch and, within an epoch, with
- * each restart of an executor that becomes known: a new life has seen no number, so that orders
- * that were meant for the former one are rejected only once a higher one has come.
+ * The fencing tokens of an epoch, by which executors reject orders with a lower one. A token rises
+ * with the epoch and, within an epoch, with each restart of an executor that becomes known. A new
+ * incarnation has seen no token yet, so it rejects orders that were meant for the previous one only
+ * once it has received a higher token.
  */
 final class FencingTokens {
 
-  /** Leaves room for a million restarts in an epoch and for epochs up to 2^33 in 53 bits. */
+  /** Allows a million restarts in an epoch and epochs up to 2^33 in 53 bits. */
   private static final int RESTART_BITS = 20;
 
   private long newest;
@@ -16,13 +17,13 @@
     this.newest = epoch << RESTART_BITS;
   }
 
-  /** Returns the highest number of this epoch so far. */
+  /** Returns the highest token of this epoch so far. */
   long newest() {
     return newest;
   }
 
-  /** Has the orders to executors that are met from now on carry a higher number. */
-  void raise() {
+  /** Increases the token that executors which become known from now on receive. */
+  void increase() {
     newest++;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/LeaseTracker.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/LeaseTracker.java
@@ -3,77 +3,90 @@
 import java.time.Duration;
 import java.util.OptionalLong;
 
-/** The leases on one life of an executor, which end by its own clock, and until when they last. */
+/**
+ * Tracks the leases on one incarnation of an executor. They expire by the clock of the executor;
+ * this class bounds by the clock of this VM how long they may last.
+ */
 public final class LeaseTracker {
 
-  /** An executor's clock may be slow by this share, so its leases last longer on ours. */
-  private static final double SLOWEST_CLOCK = 1.02;
+  /**
+   * The clock of an executor may be slow by this factor, so its leases last longer by the clock of
+   * this VM.
+   */
+  private static final double MAX_CLOCK_SLOWNESS = 1.02;
 
-  /** Added to the computed end of a lease, for clock readings that were delayed on their way. */
-  private static final long MARGIN_NANOS = Duration.ofMillis(250).toNanos();
+  /**
+   * Added to the computed end of a lease, for readings of the executor's clock that were delayed in
+   * transit.
+   */
+  private static final long CLOCK_READING_MARGIN_NANOS = Duration.ofMillis(250).toNanos();
 
-  private OptionalLong aheadMillis = OptionalLong.empty();
-  private long untilMillis;
-  private long untilNanos;
+  private OptionalLong clockOffsetMillis = OptionalLong.empty();
+  private long grantedUntilMillis;
+  private long expiryNanos;
 
   LeaseTracker() {}
 
   /**
-   * Begins the leases of an executor that may have been given some that are not known here.
+   * Creates a tracker for an executor that may hold leases of a former owner.
    *
-   * @param untilNanos when they have surely expired, monotonic time
+   * @param expiryNanos when they have certainly expired, monotonic time
    */
-  LeaseTracker(long untilNanos) {
-    this.untilNanos = untilNanos;
+  LeaseTracker(long expiryNanos) {
+    this.expiryNanos = expiryNanos;
   }
 
-  /** Takes a reading of its clock. It is late by its way here, which shortens leases by as much. */
-  void read(long clockMillis, long nowNanos) {
-    aheadMillis = OptionalLong.of(clockMillis - Duration.ofNanos(nowNanos).toMillis());
+  /**
+   * Records a reading of the executor's clock. It is late by the time of its transit, which
+   * shortens leases by as much.
+   */
+  void clockRead(long clockMillis, long nowNanos) {
+    clockOffsetMillis = OptionalLong.of(clockMillis - Duration.ofNanos(nowNanos).toMillis());
   }
 
   /**
-   * Names the end of a lease on the executor's clock, which has been read, and remembers until when
-   * it may last.
+   * Extends the lease and records how long it may last. The executor's clock must have been read
+   * before.
    *
    * @param length length of the lease from now
+   * @return the end of the lease by the clock of the executor
    */
   long extend(Duration length, long nowNanos) {
-    long nowThere = Duration.ofNanos(nowNanos).toMillis() + aheadMillis.orElseThrow();
-    untilMillis = Math.max(untilMillis, nowThere + length.toMillis());
+    long executorMillis = Duration.ofNanos(nowNanos).toMillis() + clockOffsetMillis.orElseThrow();
+    grantedUntilMillis = Math.max(grantedUntilMillis, executorMillis + length.toMillis());
     mayLastFor(length, nowNanos);
-    return untilMillis;
+    return grantedUntilMillis;
   }
 
-  private static long longestNanos(Duration lease) {
-    return (long) (lease.toNanos() * SLOWEST_CLOCK) + MARGIN_NANOS;
+  private static long maxDurationNanos(Duration lease) {
+    return (long) (lease.toNanos() * MAX_CLOCK_SLOWNESS) + CLOCK_READING_MARGIN_NANOS;
   }
 
   /**
-   * Remembers that it has taken an order of this owner: no former owner can extend its lease any
-   * more, so that what runs there ends within the longest lease unless this owner extends it.
+   * Records that the executor has accepted an order of this owner. From then on no former owner can
+   * extend its lease, so that runs there end within the longest lease unless this owner extends it.
    */
-  void shutFormerOwnersOut(Duration longest, long nowNanos) {
-    untilNanos = Math.min(untilNanos, nowNanos + longestNanos(longest));
+  void excludeFormerOwners(Duration longest, long nowNanos) {
+    expiryNanos = Math.min(expiryNanos, nowNanos + maxDurationNanos(longest));
   }
 
-  /** Remembers that a lease may have been given just now. */
+  /** Records that a lease may have been granted just now. */
   void mayLastFor(Duration lease, long nowNanos) {
-    mayLastUntil(nowNanos + longestNanos(lease));
+    mayLastUntil(nowNanos + maxDurationNanos(lease));
   }
 
-  /** Remembers that a lease that another owner gave may last until a time. */
+  /** Records that a lease granted by another owner may last until a time. */
   void mayLastUntil(long nanos) {
-    untilNanos = Math.max(untilNanos, nanos);
+    expiryNanos = Math.max(expiryNanos, nanos);
   }
 
-  /** Returns the end of the newest lease on the executor's clock; 0 if none was given. */
-  long untilMillis() {
-    return untilMillis;
+  /** Returns the end of the newest lease by the clock of the executor; 0 if none was granted. */
+  long grantedUntilMillis() {
+    return grantedUntilMillis;
   }
 
-  /** Returns when the last lease has surely expired, monotonic time. */
-  public long untilNanos() {
-    return untilNanos;
+  /** Returns when the last lease has certainly expired, monotonic time. */
+  public long expiryNanos() {
+    return expiryNanos;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/LostExecutorHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/LostExecutorHandler.java
@@ -14,50 +14,63 @@
 import org.fescuehook.logic.batch.state.LiveRun;
 import org.fescuehook.model.batch.ExecutorProfile;
 
-/** Gives up what ran on executors that are lost, and remembers where executors have crashed. */
+/**
+ * Handles executors that are lost: reports their runs as lost, and records which addresses
+ * executors crashed at.
+ */
 final class LostExecutorHandler {
 
-  private final ExecutorRegistry book;
-  private final ReportHandler reports;
+  private final ExecutorRegistry registry;
+  private final ReportHandler reportHandler;
 
-  /** When executors crashed whose next incarnation is not listed yet, monotonic time. */
-  private final Map<InetSocketAddress, Long> crashedAt = new HashMap<>();
+  /**
+   * Times of crashes, monotonic, by the address of the executor, until its next incarnation is
+   * listed.
+   */
+  private final Map<InetSocketAddress, Long> unlistedCrashes = new HashMap<>();
 
-  LostExecutorHandler(ExecutorRegistry book, ReportHandler reports) {
-    this.book = book;
-    this.reports = reports;
+  LostExecutorHandler(ExecutorRegistry registry, ReportHandler reportHandler) {
+    this.registry = registry;
+    this.reportHandler = reportHandler;
   }
 
-  /** Gives up all runs of an executor that is lost. */
+  /** Reports all runs of a lost executor as lost. */
   void loseAll(ExecutorState executor, Loss loss, String cause, BatchTurn turn) {
-    Map<Boolean, List<LiveRun>> byLife = byLife(executor, List.copyOf(executor.runs()));
-    loseWithFormerLife(executor, byLife.get(false), turn);
+    Map<Boolean, List<LiveRun>> byIncarnation =
+        byIncarnation(executor, List.copyOf(executor.runs()));
+    loseWithPreviousIncarnation(executor, byIncarnation.get(false), turn);
     lose(
         executor,
         CrashEvaluator.LossDetails.of(executor, loss, turn),
-        byLife.get(true),
+        byIncarnation.get(true),
         cause,
         turn);
   }
 
-  /** Gives up runs that an executor does not list. */
+  /** Reports runs as lost that an executor should list and does not. */
   void loseUnlisted(ExecutorState executor, List<LiveRun> runs, BatchTurn turn) {
-    Map<Boolean, List<LiveRun>> byLife = byLife(executor, runs);
-    loseWithFormerLife(executor, byLife.get(false), turn);
-    for (LiveRun run : byLife.get(true)) {
+    Map<Boolean, List<LiveRun>> byIncarnation = byIncarnation(executor, runs);
+    loseWithPreviousIncarnation(executor, byIncarnation.get(false), turn);
+    for (LiveRun run : byIncarnation.get(true)) {
       executor.remove(run);
-      reports.lose(run, "its executor does not list it", turn);
+      reportHandler.reportLost(run, "its executor does not list it", turn);
     }
   }
 
-  /** Separates runs that were placed on the present life of an executor from all others. */
-  private static Map<Boolean, List<LiveRun>> byLife(ExecutorState executor, List<LiveRun> runs) {
+  /**
+   * Separates the runs that were placed on the current incarnation of an executor (true) from all
+   * others.
+   */
+  private static Map<Boolean, List<LiveRun>> byIncarnation(
+      ExecutorState executor, List<LiveRun> runs) {
     return runs.stream()
         .collect(partitioningBy(run -> !run.incarnation().differsFrom(executor.incarnation())));
   }
 
-  private void loseWithFormerLife(ExecutorState executor, List<LiveRun> runs, BatchTurn turn) {
-    CrashEvaluator.LossDetails restart = CrashEvaluator.LossDetails.ofFormerLife(executor, turn);
+  private void loseWithPreviousIncarnation(
+      ExecutorState executor, List<LiveRun> runs, BatchTurn turn) {
+    CrashEvaluator.LossDetails restart =
+        CrashEvaluator.LossDetails.ofPreviousIncarnation(executor, turn);
     lose(executor, restart, runs, "its executor was restarted", turn);
   }
 
@@ -67,28 +80,29 @@
       List<LiveRun> runs,
       String cause,
       BatchTurn turn) {
-    Map<LiveRun, CrashEvidence> evidence = CrashEvaluator.judge(loss, runs);
+    Map<LiveRun, CrashEvidence> evidence = CrashEvaluator.evaluate(loss, runs);
     for (LiveRun run : evidence.keySet()) {
       note(loss, run, evidence.size() - 1, turn);
     }
     evidence.forEach(
-        (run, against) -> {
+        (run, ofRun) -> {
           executor.remove(run);
-          boolean unclear = against != CrashEvidence.NONE && mayHaveEndedBefore(run);
-          CrashEvidence known = unclear ? CrashEvidence.DOUBTFUL : against;
-          reports.loseWithExecutor(run, known, cause, turn);
+          boolean unclear = ofRun != CrashEvidence.NONE && mayHaveEndedBefore(run);
+          CrashEvidence adjusted = unclear ? CrashEvidence.DOUBTFUL : ofRun;
+          reportHandler.reportLostWithExecutor(run, adjusted, cause, turn);
         });
   }
 
   /**
-   * Tells whether the run of a gang may have ended with another member before its executor was
-   * lost, as the executor of that one does not answer either.
+   * Tells whether a gang may already have ended before the executor of this member was lost, since
+   * an executor of another member does not answer either.
    */
   private boolean mayHaveEndedBefore(LiveRun run) {
     return run.step().spec().gang()
         && run.step().liveRuns().stream()
             .filter(other -> !other.executor().equals(run.executor()))
-            .anyMatch(other -> book.find(other.executor()).filter(e -> !e.calm()).isPresent());
+            .anyMatch(
+                other -> registry.find(other.executor()).filter(e -> !e.responsive()).isPresent());
   }
 
   private static void note(
@@ -102,22 +116,25 @@
         BatchLogEvent.RUN_LOST_WITH_EXECUTOR, run.run(), run.incarnation(), seen, age, others);
   }
 
-  /** Takes in that an executor has crashed: what is listed at its address is a new incarnation. */
+  /** Records that an executor has crashed, for the next incarnation listed at its address. */
   void crashed(ExecutorProfile profile, BatchTurn turn) {
     InetSocketAddress address = profile.address();
-    crashedAt.values().removeIf(at -> ExecutorState.longAgo(at, turn.nowNanos()));
+    unlistedCrashes.values().removeIf(at -> ExecutorState.crashIsStale(at, turn.nowNanos()));
     Optional<ExecutorState> next =
-        book.all().stream()
+        registry.all().stream()
             .filter(executor -> executor.profile().address().equals(address))
             .findFirst();
     next.ifPresentOrElse(
         executor -> executor.restarted(turn.nowNanos()),
-        () -> crashedAt.put(address, turn.nowNanos()));
+        () -> unlistedCrashes.put(address, turn.nowNanos()));
   }
 
-  /** Takes in that an executor is listed for the first time. */
+  /**
+   * Tells an executor that is listed for the first time whether another one crashed at its address
+   * before.
+   */
   void listed(ExecutorState executor) {
-    Optional.ofNullable(crashedAt.remove(executor.profile().address()))
+    Optional.ofNullable(unlistedCrashes.remove(executor.profile().address()))
         .ifPresent(executor::restarted);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/OrderBaseline.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/OrderBaseline.java
@@ -1,9 +1,9 @@
 package org.fescuehook.logic.batch.executor;
 
 /**
- * Where the orders to one life of an executor begin.
+ * Where the orders to one incarnation of an executor begin.
  *
- * @param lastNumber number of the last order of the epoch that was not meant for this life
- * @param fence the number that its orders carry, which executors compare
+ * @param lastNumber number of the last order of the epoch that was not meant for this incarnation
+ * @param fencingToken token that the orders to it carry
  */
-public record OrderBaseline(long lastNumber, long fence) {}
+public record OrderBaseline(long lastNumber, long fencingToken) {}
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/OrderOutcome.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/OrderOutcome.java
@@ -5,38 +5,38 @@
 import org.fescuehook.model.batch.RunEnd;
 import org.fescuehook.model.batch.TaskRun;
 
-/** What became of an order to an executor. */
+/** The outcome of an order to an executor. */
 public sealed interface OrderOutcome {
 
-  /** It was carried out. */
+  /** The executor has carried out the order. */
   record Done(long clockMillis) implements OrderOutcome {}
 
   /**
-   * A poll was answered.
+   * The executor has answered a poll.
    *
-   * @param bornMillis when the executor started by its own word, milliseconds since 1970; absent if
-   *     it does not tell
-   * @param clockMillis the executor's clock
-   * @param active what runs there
-   * @param ended ends that are not acknowledged, in order of their numbers
+   * @param bornMillis when the executor started by its own clock, milliseconds since 1970; absent
+   *     if it does not report that
+   * @param clockMillis the current time of the executor's clock
+   * @param active the runs that are alive there
+   * @param ended run ends that are not acknowledged yet, in order of their numbers
    */
   record Polled(
       OptionalLong bornMillis, long clockMillis, List<ActiveRun> active, List<EndedRun> ended)
       implements OrderOutcome {}
 
-  /** The executor did not carry it out and never will. */
+  /** The executor has rejected the order and will never carry it out. */
   record Rejected(Rejection rejection) implements OrderOutcome {}
 
-  /** Another incarnation answered: the one meant is gone, with all that ran on it. */
+  /** Another incarnation of the executor answered: the one addressed is gone, with all its runs. */
   record OtherIncarnation() implements OrderOutcome {}
 
-  /** No answer came; it may be carried out now, later or never. */
+  /** No answer arrived: the order may be carried out now, later or never. */
   record Unanswered(String reason) implements OrderOutcome {}
 
-  /** No connection was made for it: it has not been carried out and never will be. */
+  /** No connection could be opened for the order, so it is never carried out. */
   record NotSent(String reason) implements OrderOutcome {}
 
-  /** Tells whether an answer came that could be read. */
+  /** Tells whether a readable answer arrived. */
   default boolean answered() {
     return switch (this) {
       case Done _, Polled _, Rejected _, OtherIncarnation _ -> true;
@@ -44,40 +44,40 @@
     };
   }
 
-  /** Why an order was rejected. */
+  /** The reason for a rejection. */
   enum Rejection {
-    /** The executor has seen a higher epoch. */
+    /** The executor has received an order of a higher epoch. */
     FENCED,
-    /** A run with the same or a higher number was stopped or ended there. */
+    /** A run of the task with the same or a higher number has been stopped or has ended there. */
     SUPERSEDED,
     /** The lease in the order had expired on arrival. */
     EXPIRED,
-    /** It has no valid ticket of the advice service. */
+    /** The order carries no valid ticket of the advice service. */
     NO_TICKET,
-    /** There is no room. */
+    /** The free capacity does not suffice. */
     NO_ROOM,
-    /** The executor is unhealthy and does nothing. */
+    /** The executor is unhealthy and accepts no work. */
     UNHEALTHY,
-    /** Anything else. */
+    /** Any other reason. */
     OTHER
   }
 
   /**
-   * A run at work.
+   * A run that is alive on an executor.
    *
-   * @param checkpoint newest saved progress; empty for none
-   * @param percent share of the work that is done, 0 to 100; of a lasting task 100 once it is at
-   *     work
-   * @param load for a task that serves users the tail of its response times, in milliseconds; for
-   *     any other the thousandths of a core in use; both over the last half second
+   * @param checkpoint newest saved progress; empty if there is none
+   * @param percent share of the work that is done, 0 to 100; for a lasting task 100 once it has
+   *     started up
+   * @param load for a task that serves users, the tail of its response times in milliseconds; for
+   *     any other task, the CPU usage in thousandths of a core; both over the last half second
    */
   record ActiveRun(TaskRun run, String checkpoint, int percent, long load) {}
 
   /**
-   * A run that has ended.
+   * A run that has ended on an executor.
    *
    * @param number number of the end on this executor, from 1
-   * @param checkpoint newest saved progress; empty for none
+   * @param checkpoint newest saved progress; empty if there is none
    */
   record EndedRun(long number, TaskRun run, RunEnd end, String checkpoint) {}
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/OrphanedRuns.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/OrphanedRuns.java
@@ -7,16 +7,16 @@
 import org.fescuehook.logic.batch.state.LiveRun;
 import org.fescuehook.model.fleet.ExecutorId;
 
-/** Runs of a former owner whose executors are not listed, until their leases have expired. */
+/** Runs of former owners whose executors are not listed, kept until their leases have expired. */
 final class OrphanedRuns {
 
   private final long lostAt;
   private final Map<ExecutorId, List<LiveRun>> runs = new LinkedHashMap<>();
 
   /**
-   * Creates a set without runs.
+   * Creates an empty collection.
    *
-   * @param lostAt when the leases of former owners have surely expired, monotonic time
+   * @param lostAt when the leases of former owners have certainly expired, monotonic time
    */
   OrphanedRuns(long lostAt) {
     this.lostAt = lostAt;
@@ -30,13 +30,13 @@
     return runs.getOrDefault(run.executor(), List.of()).contains(run);
   }
 
-  /** Removes and returns the runs of an executor that is listed now. */
+  /** Removes and returns the runs of an executor that has been listed. */
   List<LiveRun> take(ExecutorId id) {
     List<LiveRun> ofExecutor = runs.remove(id);
     return ofExecutor == null ? List.of() : ofExecutor;
   }
 
-  /** Removes and returns the runs that are known to be gone, as their leases have expired. */
+  /** Removes and returns the runs that must have ended because their leases have expired. */
   List<LiveRun> takeLost(long nowNanos) {
     if (runs.isEmpty() || nowNanos - lostAt < 0) {
       return List.of();
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/PreviousIncarnation.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/PreviousIncarnation.java
@@ -3,12 +3,13 @@
 import org.fescuehook.model.fleet.Incarnation;
 
 /**
- * What is known of the life that an executor had before it started again under its id.
+ * What is known of the incarnation that an executor had before it restarted under the same id.
  *
- * @param incarnation which life it was
- * @param endedAt when it was over at the latest, monotonic time
+ * @param incarnation the previous incarnation
+ * @param endedAt latest time at which it had ended, monotonic
  * @param leaving whether it was about to leave
- * @param crashedLately whether it had begun not long ago with a crash of the one before
+ * @param recentlyCrashed whether it had itself started shortly before, after a crash of its
+ *     predecessor
  */
 record PreviousIncarnation(
-    Incarnation incarnation, long endedAt, boolean leaving, boolean crashedLately) {}
+    Incarnation incarnation, long endedAt, boolean leaving, boolean recentlyCrashed) {}
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ReportHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ReportHandler.java
@@ -13,79 +13,83 @@
 import org.fescuehook.logic.batch.state.LiveRun.Stage;
 import org.fescuehook.model.batch.TaskRun;
 
-/** Reads what executors report of their runs: which are at work, and which have ended. */
+/** Handles the answers to polls: which runs are alive on an executor, and which have ended. */
 final class ReportHandler {
 
   /**
-   * Time after which a confirmed stop that was not carried out is ordered again; stops take 0.2 s.
+   * Time after which a stop that was confirmed but not carried out is ordered again; a stop takes
+   * 0.2 s.
    */
-  private static final long LONGEST_STOP_NANOS = Duration.ofMillis(500).toNanos();
+  private static final long MAX_STOP_NANOS = Duration.ofMillis(500).toNanos();
 
   private final OrderSender orders;
-  private final Throttler pacer;
+  private final Throttler throttler;
   private final RunListener listener;
   private final Duration longestLease;
 
-  ReportHandler(OrderSender orders, Throttler pacer, RunListener listener, Duration longestLease) {
+  ReportHandler(
+      OrderSender orders, Throttler throttler, RunListener listener, Duration longestLease) {
     this.orders = orders;
-    this.pacer = pacer;
+    this.throttler = throttler;
     this.listener = listener;
     this.longestLease = longestLease;
   }
 
-  /** Tells that a run that is no longer booked on its executor is gone. */
-  void lose(LiveRun run, String cause, BatchTurn turn) {
+  /** Reports a run as lost that no longer holds capacity of its executor. */
+  void reportLost(LiveRun run, String cause, BatchTurn turn) {
     turn.note(BatchLogEvent.RUN_LOST, run.run(), run.incarnation(), cause);
     listener.lost(run, cause, turn);
   }
 
-  /** Tells that a run is gone with its executor. */
-  void loseWithExecutor(LiveRun run, CrashEvidence evidence, String cause, BatchTurn turn) {
+  /** Reports a run as lost together with its executor. */
+  void reportLostWithExecutor(LiveRun run, CrashEvidence evidence, String cause, BatchTurn turn) {
     turn.note(BatchLogEvent.RUN_LOST, run.run(), run.incarnation(), cause);
     listener.lostWithExecutor(run, evidence, turn);
   }
 
   /**
-   * Takes in the answer of the poll under way.
+   * Handles the answer to the poll in flight.
    *
-   * @return runs that are booked there, and that it would list if they were alive
+   * @return runs that the owner believes to be on this executor and that it would have listed if
+   *     they were alive
    */
-  List<LiveRun> take(ExecutorState executor, OrderOutcome.Polled answer, BatchTurn turn) {
+  List<LiveRun> handle(ExecutorState executor, OrderOutcome.Polled answer, BatchTurn turn) {
     long sentAt = executor.poll().orElseThrow().sentAt();
-    boolean first = !executor.known();
+    boolean first = !executor.reached();
     if (first || executor.missedPolls() > 0) {
       turn.note(BatchLogEvent.EXECUTOR_REACHED, executor.incarnation(), answer.active().size());
     }
     if (first) {
-      executor.lease().shutFormerOwnersOut(longestLease, turn.nowNanos());
+      executor.lease().excludeFormerOwners(longestLease, turn.nowNanos());
     }
     executor.pollAnswered(turn.nowNanos());
-    executor.lease().read(answer.clockMillis(), turn.nowNanos());
-    takeEnds(executor, answer.ended(), turn);
+    executor.lease().clockRead(answer.clockMillis(), turn.nowNanos());
+    handleEnds(executor, answer.ended(), turn);
     Set<TaskRun> active = new HashSet<>();
-    executor.unknownRunsSeen(false);
+    executor.setHasUnknownRuns(false);
     for (ActiveRun run : answer.active()) {
       active.add(run.run());
-      takeActive(executor, run, sentAt, turn);
+      handleActive(executor, run, sentAt, turn);
     }
-    pacer.look(executor, answer, turn);
+    throttler.evaluate(executor, answer, turn);
     return executor.runs().stream()
         .filter(run -> !active.contains(run.run()))
-        // What was ordered before the first answer is there by then, or is fenced off for good.
+        // Orders sent before the first answer have arrived by then, or are rejected for good by
+        // their fencing token.
         .filter(run -> first ? run.stage() != Stage.PLACED : run.mustBeListed(sentAt))
         .toList();
   }
 
-  private void takeEnds(ExecutorState executor, List<EndedRun> ends, BatchTurn turn) {
-    List<EndedRun> fresh =
-        ends.stream().filter(end -> end.number() > executor.ends().seen()).toList();
-    if (fresh.isEmpty()) {
+  private void handleEnds(ExecutorState executor, List<EndedRun> ends, BatchTurn turn) {
+    List<EndedRun> newEnds =
+        ends.stream().filter(end -> end.number() > executor.runEnds().lastRead()).toList();
+    if (newEnds.isEmpty()) {
       return;
     }
-    long last = fresh.getLast().number();
-    executor.ends().sawUpTo(last);
-    Countdown stored = new Countdown(() -> executor.ends().stored(last));
-    for (EndedRun end : fresh) {
+    long last = newEnds.getLast().number();
+    executor.runEnds().readUpTo(last);
+    Countdown stored = new Countdown(() -> executor.runEnds().markStored(last));
+    for (EndedRun end : newEnds) {
       Optional<LiveRun> run = executor.run(end.run());
       if (run.isEmpty()) {
         listener.strayEnded(end, stored, turn);
@@ -99,10 +103,10 @@
     stored.release();
   }
 
-  private void takeActive(ExecutorState executor, ActiveRun active, long sentAt, BatchTurn turn) {
+  private void handleActive(ExecutorState executor, ActiveRun active, long sentAt, BatchTurn turn) {
     Optional<LiveRun> found = executor.run(active.run());
     if (found.isEmpty()) {
-      executor.unknownRunsSeen(true);
+      executor.setHasUnknownRuns(true);
       turn.note(BatchLogEvent.RUN_UNKNOWN, active.run(), executor.incarnation());
       orders.stopUnknown(executor, active.run(), turn);
       return;
@@ -110,7 +114,7 @@
     LiveRun run = found.get();
     run.foundOn(executor.incarnation());
     run.progressed(active.percent(), turn.nowNanos());
-    run.stillListed(sentAt, LONGEST_STOP_NANOS);
+    run.stillListed(sentAt, MAX_STOP_NANOS);
     listener.saved(run, active.checkpoint());
     boolean inherited = run.stage() == Stage.INHERITED;
     if (inherited || run.stage() == Stage.STARTING) {
@@ -119,7 +123,7 @@
     if (inherited) {
       listener.foundRunning(run, turn);
     }
-    if (ExecutorEvaluator.standsStill(executor, run, turn.nowNanos())) {
+    if (ExecutorEvaluator.shouldMove(executor, run, turn.nowNanos())) {
       listener.stoodStill(run, turn);
     }
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/RestartHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/RestartHandler.java
@@ -12,112 +12,124 @@
 import org.fescuehook.model.fleet.Incarnation;
 
 /**
- * Begins the next life of executors that have started again under their ids. Nothing that was
- * counted in the former life is valid in it. What was ordered before the restart was known may have
- * reached either life, so all these runs stay booked until the new one has answered a poll that
- * fences these orders off: then it runs what it lists, and nothing else will ever begin there.
+ * Replaces the state of executors that have restarted under their ids by that of the next
+ * incarnation. Nothing that was counted for the previous incarnation is valid for it. Orders that
+ * were sent before the restart was known may have reached either incarnation. All their runs
+ * therefore keep their capacity until the new incarnation has answered a poll whose fencing token
+ * makes it reject these orders: from then on, only the runs that it lists are alive there.
  */
 final class RestartHandler {
 
-  private final ExecutorRegistry book;
+  private final ExecutorRegistry registry;
   private final OrderSender orders;
-  private final ExecutorPoller polls;
-  private final Throttler pacer;
-  private final ReportHandler reports;
+  private final ExecutorPoller poller;
+  private final Throttler throttler;
+  private final ReportHandler reportHandler;
   private final Duration longestLease;
 
   /**
-   * Creates a duty of an epoch.
+   * Creates the handler of an epoch.
    *
    * @param longestLease the longest lease that an executor grants
    */
   RestartHandler(
-      ExecutorRegistry book,
+      ExecutorRegistry registry,
       OrderSender orders,
-      ExecutorPoller polls,
-      Throttler pacer,
-      ReportHandler reports,
+      ExecutorPoller poller,
+      Throttler throttler,
+      ReportHandler reportHandler,
       Duration longestLease) {
-    this.book = book;
+    this.registry = registry;
     this.orders = orders;
-    this.polls = polls;
-    this.pacer = pacer;
-    this.reports = reports;
+    this.poller = poller;
+    this.throttler = throttler;
+    this.reportHandler = reportHandler;
     this.longestLease = longestLease;
   }
 
   /**
-   * Takes in which life of an executor an entry describes.
+   * Handles the incarnation that an entry of the executor list names.
    *
-   * @return the state of the newest life; what it knows is older than the entry or the same
+   * @return the state of the newest known incarnation, which is that of the entry or a newer one
    */
-  ExecutorState described(ExecutorState executor, Incarnation described, BatchTurn turn) {
-    if (executor.incarnation().before(described)) {
-      return succeed(executor, described, "entry", turn);
+  ExecutorState entryListed(ExecutorState executor, Incarnation listed, BatchTurn turn) {
+    if (executor.incarnation().before(listed)) {
+      return replace(executor, listed, "entry", turn);
     }
-    executor.datedBy(described.bornMillis());
+    executor.datedBy(listed.bornMillis());
     return executor;
   }
 
   /**
-   * Takes in which life of an executor has answered a poll.
+   * Handles the incarnation that has answered a poll.
    *
    * @return whether it is another one than the poll was meant for
    */
-  boolean answered(ExecutorState executor, OptionalLong bornMillis, BatchTurn turn) {
+  boolean pollAnswered(ExecutorState executor, OptionalLong bornMillis, BatchTurn turn) {
     Incarnation answering = new Incarnation(executor.incarnation().id(), bornMillis);
-    boolean toldNothing = executor.known() && executor.incarnation().bornMillis().isEmpty();
+    boolean undated = executor.reached() && executor.incarnation().bornMillis().isEmpty();
     boolean other = answering.differsFrom(executor.incarnation());
-    // The clocks of two lives may differ, so the one that answers counts, whichever is greater.
-    if (other || (toldNothing && bornMillis.isPresent())) {
-      succeed(executor, answering, "answer", turn);
+    // The clocks of two incarnations may differ, so the one that answers counts, whichever started
+    // later by its clock.
+    if (other || (undated && bornMillis.isPresent())) {
+      replace(executor, answering, "answer", turn);
       return true;
     }
     executor.datedBy(bornMillis);
     return false;
   }
 
-  private ExecutorState succeed(
-      ExecutorState former, Incarnation next, String source, BatchTurn turn) {
+  private ExecutorState replace(
+      ExecutorState previous, Incarnation next, String source, BatchTurn turn) {
     turn.note(
-        BatchLogEvent.EXECUTOR_RESTARTED, former.incarnation(), next, source, former.runs().size());
+        BatchLogEvent.EXECUTOR_RESTARTED,
+        previous.incarnation(),
+        next,
+        source,
+        previous.runs().size());
     turn.count("fescuehook.batch.executors.restarted", "told-by", source);
     ExecutorState executor =
-        former.successor(next, endOf(former, next, turn), orders.markOfNextLife());
+        previous.nextIncarnation(
+            next, describeEnd(previous, next, turn), orders.baselineOfNextIncarnation());
     executor.restarted(turn.nowNanos());
     executor.lease().mayLastFor(longestLease, turn.nowNanos());
-    List<LiveRun> runs = List.copyOf(former.runs());
+    List<LiveRun> runs = List.copyOf(previous.runs());
     runs.stream().filter(run -> run.stage() != Stage.PLACED).forEach(executor::add);
-    book.add(executor);
-    polls.forget(former);
-    pacer.forget(former);
+    registry.add(executor);
+    poller.forget(previous);
+    throttler.forget(previous);
     turn.add(new BatchCommand.ForgetExecutor(next.id()));
     runs.stream()
         .filter(run -> run.stage() == Stage.PLACED)
-        .forEach(run -> reports.lose(run, "its executor was restarted before its start", turn));
-    // Until it has been asked, an order to the former life may be carried out there.
-    polls.contact(executor, turn);
+        .forEach(
+            run ->
+                reportHandler.reportLost(run, "its executor was restarted before its start", turn));
+    // Until it has been polled, it may still carry out an order meant for the previous
+    // incarnation.
+    poller.pollUnresponsive(executor, turn);
     return executor;
   }
 
   /**
-   * Returns what is known of a life that is over. It ended before the next one began; the clocks of
-   * the day may be wrong, but it was over when it no longer answered, and not before its last
-   * answer.
+   * Describes how the previous incarnation ended. It ended before the next one started. That time
+   * is only an estimate, since clocks may be wrong, so it is limited to the time between its last
+   * answer and the first poll that was not answered.
    */
-  private static PreviousIncarnation endOf(ExecutorState former, Incarnation next, BatchTurn turn) {
-    Optional<PreviousIncarnation> unsettled = former.formerLife();
-    if (unsettled.isPresent() && !former.known()) {
-      return unsettled.get();
+  private static PreviousIncarnation describeEnd(
+      ExecutorState previous, Incarnation next, BatchTurn turn) {
+    Optional<PreviousIncarnation> earlier = previous.previousIncarnation();
+    if (earlier.isPresent() && !previous.reached()) {
+      return earlier.get();
     }
-    long latest = former.silentSince().orElse(turn.nowNanos());
-    long age = Math.max(0, turn.wallMillis() - next.bornMillis().orElse(turn.wallMillis()));
-    long began = turn.nowNanos() - Duration.ofMillis(age).toNanos();
-    long earliest = former.answeredAt().orElse(latest);
+    long latest = previous.silentSince().orElse(turn.nowNanos());
+    long nextAgeMillis =
+        Math.max(0, turn.wallMillis() - next.bornMillis().orElse(turn.wallMillis()));
+    long nextStartedAt = turn.nowNanos() - Duration.ofMillis(nextAgeMillis).toNanos();
+    long earliest = previous.answeredAt().orElse(latest);
     return new PreviousIncarnation(
-        former.incarnation(),
-        Math.min(latest, Math.max(earliest, began)),
-        former.profile().leaving(),
-        former.restartedLately(turn.nowNanos()));
+        previous.incarnation(),
+        Math.min(latest, Math.max(earliest, nextStartedAt)),
+        previous.profile().leaving(),
+        previous.recentlyRestarted(turn.nowNanos()));
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/RunEndTracker.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/RunEndTracker.java
@@ -3,74 +3,78 @@
 import java.util.NavigableMap;
 import java.util.TreeMap;
 
-/** Which ends of one life of an executor have been read, stored and acknowledged. */
+/**
+ * Tracks which run ends reported by one incarnation of an executor have been read, stored and
+ * acknowledged. The executor numbers them in ascending order.
+ */
 final class RunEndTracker {
 
-  /** Last numbers of the ends that were taken in together, and whether they are stored. */
-  private final NavigableMap<Long, Boolean> taken = new TreeMap<>();
+  /** For each batch of ends that was read together: its last number, and whether it is stored. */
+  private final NavigableMap<Long, Boolean> storedByBatch = new TreeMap<>();
 
-  private long seen;
-  private long stored;
-  private long sent;
-  private long known;
+  private long lastRead;
+  private long lastStored;
+  private long lastSent;
+  private long lastConfirmed;
 
-  /** Returns the number of the last end that was taken in. */
-  long seen() {
-    return seen;
+  /** Returns the number of the last end that was read. */
+  long lastRead() {
+    return lastRead;
   }
 
-  /** Remembers that ends up to a number were taken in together; they are not stored yet. */
-  void sawUpTo(long number) {
-    seen = Math.max(seen, number);
-    taken.put(number, false);
+  /** Records that ends up to a number were read as one batch, which is not stored yet. */
+  void readUpTo(long number) {
+    lastRead = Math.max(lastRead, number);
+    storedByBatch.put(number, false);
   }
 
   /**
-   * Takes in that what follows from the ends that were taken in up to a number is stored. They are
-   * acknowledged once all earlier ones are stored too, since an acknowledgement covers those.
+   * Records that the results of the batch that ends with a number are stored. It can be
+   * acknowledged once all earlier batches are stored too, since an acknowledgement covers those as
+   * well.
    */
-  void stored(long number) {
-    taken.put(number, true);
-    while (!taken.isEmpty() && taken.firstEntry().getValue()) {
-      stored = taken.pollFirstEntry().getKey();
+  void markStored(long number) {
+    storedByBatch.put(number, true);
+    while (!storedByBatch.isEmpty() && storedByBatch.firstEntry().getValue()) {
+      lastStored = storedByBatch.pollFirstEntry().getKey();
     }
   }
 
-  /** Tells whether ends that were taken in are not stored yet. */
-  boolean unstored() {
-    return !taken.isEmpty();
+  /** Tells whether ends have been read but not stored yet. */
+  boolean hasUnstored() {
+    return !storedByBatch.isEmpty();
   }
 
   /** Returns the number up to which ends may be acknowledged. */
   long acknowledgeable() {
-    return stored;
+    return lastStored;
   }
 
-  /** Tells whether ends have been stored that no poll under way acknowledges. */
-  boolean owes() {
-    return stored > sent;
+  /** Tells whether there are stored ends that no poll in flight acknowledges. */
+  boolean needsAcknowledgement() {
+    return lastStored > lastSent;
   }
 
   /**
-   * Returns the number that the next poll acknowledges ends up to; 0 if none is owed, since a
-   * number that is sent for nothing would cover ends of another life that the poll may come to.
+   * Returns the number up to which the next poll acknowledges ends; 0 if no acknowledgement is due.
+   * A number sent without need could reach another incarnation and acknowledge its ends unread.
    */
-  long owed() {
-    return stored > known ? stored : 0;
+  long numberToAcknowledge() {
+    return lastStored > lastConfirmed ? lastStored : 0;
   }
 
-  /** Remembers what a poll acknowledges. */
-  void sent(long number) {
-    sent = Math.max(sent, number);
+  /** Records up to which number a poll acknowledges ends. */
+  void acknowledgementSent(long number) {
+    lastSent = Math.max(lastSent, number);
   }
 
-  /** Remembers that the poll was answered. */
-  void answered() {
-    known = sent;
+  /** Records that the poll was answered. */
+  void acknowledgementConfirmed() {
+    lastConfirmed = lastSent;
   }
 
-  /** Remembers that the poll had no answer. */
-  void missed() {
-    sent = known;
+  /** Records that the poll was not answered. */
+  void acknowledgementLost() {
+    lastSent = lastConfirmed;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/RunListener.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/RunListener.java
@@ -5,46 +5,64 @@
 import org.fescuehook.logic.batch.executor.OrderOutcome.Rejection;
 import org.fescuehook.logic.batch.state.LiveRun;
 
-/** Hears what executors say of runs. */
+/** Receives what executors report about runs. */
 public interface RunListener {
 
   /**
-   * A run that holds capacity has ended; the capacity is free.
+   * A run that held capacity has ended; its capacity is free.
    *
-   * @param stored to be held until what follows from the end is stored
+   * @param stored held until the results of the end are stored
    */
   void ended(LiveRun run, EndedRun end, Countdown stored, BatchTurn turn);
 
-  /** A run that the owner had given up, or never knew, has ended. */
+  /**
+   * A run has ended that the owner had given up, or never knew.
+   *
+   * @param stored held until the results of the end are stored
+   */
   void strayEnded(EndedRun end, Countdown stored, BatchTurn turn);
 
-  /** A run is known not to be alive, and no end of it was seen; its capacity is free. */
+  /** A run cannot be alive any more, and its end was not seen; its capacity is free. */
   void lost(LiveRun run, String cause, BatchTurn turn);
 
-  /** The same, as its executor is lost; the run may have caused that. */
+  /**
+   * A run is lost together with its executor; its capacity is free.
+   *
+   * @param evidence how strongly the loss suggests that the run caused it
+   */
   void lostWithExecutor(LiveRun run, CrashEvidence evidence, BatchTurn turn);
 
-  /** An executor rejected a start; it has not run and will not. Its capacity is free. */
+  /**
+   * An executor rejected the start of a run, which has not run and will not. Its capacity is free.
+   */
   void rejected(LiveRun run, Rejection rejection, BatchTurn turn);
 
-  /** No order to start a run was sent; it has not run and will not. Its capacity is free. */
+  /**
+   * None of the start orders of a run was sent, so it has not run and will not. Its capacity is
+   * free.
+   */
   void unsent(LiveRun run, BatchTurn turn);
 
-  /** A start had no answer several times and is being stopped. */
+  /** The start orders of a run were not answered several times; the run is being stopped. */
   void startGivenUp(LiveRun run, BatchTurn turn);
 
-  /** A report lists a run that a former owner had placed. */
+  /** An executor lists a run that a former owner had placed. */
   void foundRunning(LiveRun run, BatchTurn turn);
 
-  /** A run has saved progress. */
+  /** A run has saved its progress. */
   void saved(LiveRun run, String checkpoint);
 
-  /** A run hardly progresses on an executor that looks slow, and would be done sooner elsewhere. */
+  /**
+   * A run makes little progress on an executor that appears slow, and would end sooner elsewhere.
+   */
   void stoodStill(LiveRun run, BatchTurn turn);
 
   /** An executor is about to leave. */
   void leaving(ExecutorState executor, BatchTurn turn);
 
-  /** An executor has seen a higher epoch: this VM owns no longer. */
+  /**
+   * An executor has rejected an order because it knows a higher epoch, so this VM no longer is the
+   * owner.
+   */
   void fenced(BatchTurn turn);
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/SlownessDetector.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/SlownessDetector.java
@@ -2,34 +2,35 @@
 
 import java.time.Duration;
 
-/** What the runs on one executor have shown of its speed. */
+/** Detects from the progress of its runs whether an executor is slow. */
 public final class SlownessDetector {
 
   /**
-   * Runs that hardly progress, with none in between that does well, after which the executor counts
-   * as slow. One may be a bad estimate, or a gang that waits for a member elsewhere.
+   * Number of slow runs, with none in between that progresses normally, from which on the executor
+   * counts as slow. A single one may have a wrong estimate, or belong to a gang that waits for a
+   * member elsewhere.
    */
-  private static final int ENOUGH = 2;
+  private static final int MIN_SLOW_RUNS = 2;
 
-  /** How long a finding counts; such trouble lasts some 7 s. */
-  private static final long COUNTS_NANOS = Duration.ofSeconds(10).toNanos();
+  /** How long a slow run counts; such slowness lasts about 7 s. */
+  private static final long RETENTION_NANOS = Duration.ofSeconds(10).toNanos();
 
-  private int sluggish;
-  private long lastSluggishAt;
+  private int slowRuns;
+  private long lastSlowRunAt;
 
-  /** A run hardly progresses here. */
-  public void sluggish(long nowNanos) {
-    sluggish++;
-    lastSluggishAt = nowNanos;
+  /** Records that a run here is much slower than its estimate. */
+  public void slowRun(long nowNanos) {
+    slowRuns++;
+    lastSlowRunAt = nowNanos;
   }
 
-  /** A run progresses well here. */
-  public void brisk() {
-    sluggish = 0;
+  /** Records that a run here progresses normally. */
+  public void normalRun() {
+    slowRuns = 0;
   }
 
   /** Tells whether the executor counts as slow. */
   public boolean slow(long nowNanos) {
-    return sluggish >= ENOUGH && nowNanos - lastSluggishAt < COUNTS_NANOS;
+    return slowRuns >= MIN_SLOW_RUNS && nowNanos - lastSlowRunAt < RETENTION_NANOS;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/StartOutcomeHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/StartOutcomeHandler.java
@@ -7,36 +7,46 @@
 import org.fescuehook.logic.batch.state.LiveRun;
 import org.fescuehook.logic.batch.state.LiveRun.Stage;
 
-/** Settles whether a run that was ordered to start runs, will be tried again, or is given up. */
+/**
+ * Handles the outcomes of start orders: decides whether the run is running, is ordered to start
+ * again, or is given up.
+ */
 final class StartOutcomeHandler {
 
-  /** Rest of an executor that has less room than the owner thinks, until a poll tells why. */
-  private static final Duration NO_ROOM_REST = Duration.ofMillis(300);
+  /**
+   * Backoff from an executor that has less free capacity than the owner assumed. It bridges the
+   * time until the next poll shows the cause, such as a run unknown to the owner.
+   */
+  private static final Duration NO_CAPACITY_BACKOFF = Duration.ofMillis(300);
 
-  /** Rest of an executor that calls itself unhealthy. */
-  private static final Duration UNHEALTHY_REST = Duration.ofSeconds(2);
+  /** Backoff from an executor that reports itself unhealthy. */
+  private static final Duration UNHEALTHY_BACKOFF = Duration.ofSeconds(2);
 
   /**
-   * Rest of an executor to which no connection can be made; one that crashed is back in seconds.
+   * Backoff from an executor to which no connection can be opened; one that crashed restarts within
+   * seconds.
    */
-  private static final Duration UNREACHED_REST = Duration.ofSeconds(2);
+  private static final Duration UNREACHABLE_BACKOFF = Duration.ofSeconds(2);
 
-  /** Starts of one run before it is given up; with their timeouts half of a gang's patience. */
-  private static final int MAX_STARTS = 3;
+  /**
+   * Start orders of one run before it is given up; with their timeouts, they take half of the time
+   * that a gang waits for its members.
+   */
+  private static final int MAX_START_ORDERS = 3;
 
   private final OrderSender orders;
-  private final Throttler pacer;
+  private final Throttler throttler;
   private final RunListener listener;
 
-  /** Creates a settler that repeats starts by a sender. */
-  StartOutcomeHandler(OrderSender orders, Throttler pacer, RunListener listener) {
+  /** Creates a handler that retries starts through a sender. */
+  StartOutcomeHandler(OrderSender orders, Throttler throttler, RunListener listener) {
     this.orders = orders;
-    this.pacer = pacer;
+    this.throttler = throttler;
     this.listener = listener;
   }
 
-  /** Takes in what became of the order to start a run. */
-  void ended(ExecutorState executor, LiveRun run, OrderOutcome outcome, BatchTurn turn) {
+  /** Handles the outcome of the order to start a run. */
+  void handle(ExecutorState executor, LiveRun run, OrderOutcome outcome, BatchTurn turn) {
     switch (outcome) {
       case OrderOutcome.Done done -> {
         long nanos = turn.nowNanos() - run.placedAt();
@@ -44,25 +54,25 @@
         long millis = Duration.ofNanos(nanos).toMillis();
         turn.note(BatchLogEvent.RUN_STARTED, run.run(), run.incarnation(), millis);
         run.enter(Stage.RUNNING, turn.nowNanos());
-        pacer.started(executor, run, turn);
+        throttler.runStarted(executor, run, turn);
       }
       case OrderOutcome.Rejected(Rejection rejection) -> rejected(executor, run, rejection, turn);
       case OrderOutcome.Unanswered unanswered -> {
         turn.count("fescuehook.batch.starts.unanswered", "sent", "maybe");
         run.startBecameUncertain();
-        repeatOrGiveUp(executor, run, unanswered.reason(), turn);
+        retryOrGiveUp(executor, run, unanswered.reason(), turn);
       }
       case OrderOutcome.NotSent notSent -> {
         turn.count("fescuehook.batch.starts.unanswered", "sent", "no");
-        repeatOrGiveUp(executor, run, notSent.reason(), turn);
+        retryOrGiveUp(executor, run, notSent.reason(), turn);
       }
       case OrderOutcome.Polled polled -> {}
       case OrderOutcome.OtherIncarnation other -> {}
     }
   }
 
-  private void repeatOrGiveUp(ExecutorState executor, LiveRun run, String reason, BatchTurn turn) {
-    if (run.orders() < MAX_STARTS && !executor.overbooked()) {
+  private void retryOrGiveUp(ExecutorState executor, LiveRun run, String reason, BatchTurn turn) {
+    if (run.orders() < MAX_START_ORDERS && !executor.overbooked()) {
       orders.start(executor, run, turn);
       return;
     }
@@ -70,8 +80,9 @@
       listener.startGivenUp(run, turn);
       return;
     }
-    // None of its orders was sent, so the task may start elsewhere before the lease has expired.
-    executor.rest(UNREACHED_REST, "no connection to it can be made", turn);
+    // None of its start orders was sent, so the task may start elsewhere before the lease has
+    // expired.
+    executor.backOff(UNREACHABLE_BACKOFF, "no connection to it can be opened", turn);
     executor.remove(run);
     turn.note(
         BatchLogEvent.RUN_LOST, run.run(), run.incarnation(), "its start was not sent: " + reason);
@@ -81,10 +92,11 @@
   private void rejected(ExecutorState executor, LiveRun run, Rejection rejection, BatchTurn turn) {
     turn.count("fescuehook.batch.starts.rejected", "reason", tag(rejection));
     switch (rejection) {
-      case UNHEALTHY -> executor.rest(UNHEALTHY_REST, "it calls itself unhealthy", turn);
-      case NO_ROOM -> executor.rest(NO_ROOM_REST, "it has less room than thought", turn);
-      // Its clock is not the one that was read.
-      case EXPIRED -> executor.doubt();
+      case UNHEALTHY -> executor.backOff(UNHEALTHY_BACKOFF, "it reports itself unhealthy", turn);
+      case NO_ROOM ->
+          executor.backOff(NO_CAPACITY_BACKOFF, "it has less free capacity than expected", turn);
+      // The lease was computed from a wrong reading of the executor's clock.
+      case EXPIRED -> executor.markUnconfirmed();
       case FENCED, SUPERSEDED, NO_TICKET, OTHER -> {}
     }
     if (run.startUncertain()) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/Throttler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/Throttler.java
@@ -13,54 +13,65 @@
 import org.fescuehook.model.batch.BatchStep;
 
 /**
- * Slows work down on executors where tasks that serve users come near the bound of their response
- * times, and lets it speed up again once they are well below. Each decision is held for a while, as
- * its effect shows half a second later.
+ * Throttles other work on executors where tasks that serve users come close to their response time
+ * target, and releases it again once they are well below. Each decision is kept for a while, as its
+ * effect shows only half a second later.
  */
 final class Throttler {
 
   private static final int FULL_PERCENT = 100;
 
-  /** First step of slowing down; the second is to stand still. */
-  private static final int SLOWED_PERCENT = 30;
+  /** First throttling level; the second one is to halt the work. */
+  private static final int THROTTLED_PERCENT = 30;
 
-  /** Share of the bound from which on work beside is slowed down. */
-  private static final double NEAR = 0.85;
+  /** Ratio of response time to target from which on other work is throttled. */
+  private static final double THROTTLE_RATIO = 0.85;
 
-  /** Share of the bound up to which work beside speeds up again. */
-  private static final double FAR = 0.5;
+  /** Ratio of response time to target up to which other work is released. */
+  private static final double RELEASE_RATIO = 0.5;
 
-  /** Reported figures are of the last half second, and a pace takes effect after 0.1 s. */
-  private static final long HOLD_NANOS = Duration.ofMillis(900).toNanos();
+  /**
+   * Least time for which a level is kept: reported figures cover the last half second, and a new
+   * level takes effect after 0.1 s.
+   */
+  private static final long MIN_HOLD_NANOS = Duration.ofMillis(900).toNanos();
 
-  /** Time well below the bound before work speeds up again. */
-  private static final long CALM_NANOS = Duration.ofMillis(2500).toNanos();
+  /** Time at the present level before work is released. */
+  private static final long RELEASE_DELAY_NANOS = Duration.ofMillis(2500).toNanos();
 
   private final OrderSender orders;
-  private final Map<ExecutorState, Pace> paces = new HashMap<>();
+  private final Map<ExecutorState, Level> levels = new HashMap<>();
 
-  /** The pace of the work on one executor. */
-  private record Pace(int percent, long since) {}
+  /**
+   * The throttling level of the work on one executor.
+   *
+   * @param percent percentage of full speed
+   * @param since when the level was set, monotonic time
+   */
+  private record Level(int percent, long since) {}
 
   Throttler(OrderSender orders) {
     this.orders = orders;
   }
 
-  /** Looks at what an executor reports of its runs. */
-  void look(ExecutorState executor, OrderOutcome.Polled report, BatchTurn turn) {
-    double nearest = 0;
+  /** Adapts the throttling level of an executor to the loads that it reports. */
+  void evaluate(ExecutorState executor, OrderOutcome.Polled report, BatchTurn turn) {
+    double maxRatio = 0;
     for (ActiveRun active : report.active()) {
-      nearest = Math.max(nearest, nearness(executor, active));
+      maxRatio = Math.max(maxRatio, loadRatio(executor, active));
     }
-    Pace pace = paces.getOrDefault(executor, new Pace(FULL_PERCENT, Long.MIN_VALUE / 2));
-    int percent = next(pace, nearest, turn.nowNanos() - pace.since());
-    if (percent != pace.percent()) {
-      change(executor, percent, nearest, turn);
+    Level level = levels.getOrDefault(executor, new Level(FULL_PERCENT, Long.MIN_VALUE / 2));
+    int percent = nextPercent(level, maxRatio, turn.nowNanos() - level.since());
+    if (percent != level.percent()) {
+      applyLevel(executor, percent, maxRatio, turn);
     }
   }
 
-  /** Returns the tail of a serving task over its bound; 0 for other tasks. */
-  private static double nearness(ExecutorState executor, ActiveRun active) {
+  /**
+   * Returns the ratio of the tail of a serving task's response times to its target; 0 for other
+   * tasks.
+   */
+  private static double loadRatio(ExecutorState executor, ActiveRun active) {
     Optional<BatchStep> step = executor.run(active.run()).map(run -> run.step().spec());
     if (step.isEmpty() || !step.get().serves()) {
       return 0;
@@ -68,57 +79,59 @@
     return (double) active.load() / step.get().lasting().orElseThrow().targetMillis();
   }
 
-  private static int next(Pace pace, double nearest, long heldNanos) {
-    if (nearest >= NEAR && heldNanos > HOLD_NANOS) {
-      return pace.percent() > SLOWED_PERCENT ? SLOWED_PERCENT : 0;
+  private static int nextPercent(Level level, double maxRatio, long heldNanos) {
+    if (maxRatio >= THROTTLE_RATIO && heldNanos > MIN_HOLD_NANOS) {
+      return level.percent() > THROTTLED_PERCENT ? THROTTLED_PERCENT : 0;
     }
-    if (nearest <= FAR && heldNanos > CALM_NANOS) {
-      return pace.percent() < SLOWED_PERCENT ? SLOWED_PERCENT : FULL_PERCENT;
+    if (maxRatio <= RELEASE_RATIO && heldNanos > RELEASE_DELAY_NANOS) {
+      return level.percent() < THROTTLED_PERCENT ? THROTTLED_PERCENT : FULL_PERCENT;
     }
-    return pace.percent();
+    return level.percent();
   }
 
-  private void change(ExecutorState executor, int percent, double nearest, BatchTurn turn) {
-    paces.put(executor, new Pace(percent, turn.nowNanos()));
+  private void applyLevel(ExecutorState executor, int percent, double maxRatio, BatchTurn turn) {
+    levels.put(executor, new Level(percent, turn.nowNanos()));
     turn.note(
         BatchLogEvent.WORK_PACED,
         executor.incarnation(),
         percent,
-        Math.round(nearest * FULL_PERCENT));
+        Math.round(maxRatio * FULL_PERCENT));
     for (LiveRun run : executor.runs()) {
       if (!run.step().spec().serves()) {
-        orders.pace(executor, run, percent, turn);
+        orders.throttle(executor, run, percent, turn);
       }
     }
   }
 
-  /** Has a run that starts now work at the pace of its executor. */
-  void started(ExecutorState executor, LiveRun run, BatchTurn turn) {
-    Pace pace = paces.get(executor);
-    boolean slowed = pace != null && pace.percent() < FULL_PERCENT;
-    if (slowed && !run.step().spec().serves()) {
-      orders.pace(executor, run, pace.percent(), turn);
+  /** Throttles a run that has just started to the level of its executor. */
+  void runStarted(ExecutorState executor, LiveRun run, BatchTurn turn) {
+    Level level = levels.get(executor);
+    boolean throttled = level != null && level.percent() < FULL_PERCENT;
+    if (throttled && !run.step().spec().serves()) {
+      orders.throttle(executor, run, level.percent(), turn);
     }
   }
 
   /**
-   * Lets inherited runs work at full pace, since the former owner may have slowed them down; only
-   * where some of the inherited tasks serve users, as it had no reason elsewhere.
+   * Releases inherited runs, since the former owner may have throttled them. It had no reason to
+   * where no inherited task serves users, so these orders are left out then.
    */
-  void inherited(
+  void releaseInherited(
       List<LiveRun> runs, Function<LiveRun, Optional<ExecutorState>> executors, BatchTurn turn) {
     if (runs.stream().noneMatch(run -> run.step().spec().serves())) {
       return;
     }
     for (LiveRun run : runs) {
       if (!run.step().spec().serves()) {
-        executors.apply(run).ifPresent(executor -> orders.pace(executor, run, FULL_PERCENT, turn));
+        executors
+            .apply(run)
+            .ifPresent(executor -> orders.throttle(executor, run, FULL_PERCENT, turn));
       }
     }
   }
 
   /** Forgets an executor that is gone. */
   void forget(ExecutorState executor) {
-    paces.remove(executor);
+    levels.remove(executor);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/package-info.java
@@ -1,4 +1,4 @@
-/** What the owner knows of each executor: contact, lease, capacity in use, health. */
+/** Tracks the executors: polls, leases, orders, reserved capacity and health. */
 @NullMarked
 package org.fescuehook.logic.batch.executor;
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/CandidateExecutor.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/CandidateExecutor.java
@@ -39,7 +39,7 @@
     return suspect;
   }
 
-  boolean restartedLately() {
+  boolean recentlyRestarted() {
     return restartedLately;
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/FleetCapacity.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/FleetCapacity.java
@@ -37,7 +37,7 @@
   private static final Comparator<CandidateExecutor> LEAST_LOST =
       Comparator.comparing(CandidateExecutor::fragile)
           .thenComparing(CandidateExecutor::occupied)
-          .thenComparing(CandidateExecutor::restartedLately)
+          .thenComparing(CandidateExecutor::recentlyRestarted)
           .thenComparing(CandidateExecutor::suspect)
           .thenComparingDouble(slot -> -slot.free().coreEquivalents());
 
@@ -95,7 +95,7 @@
       boolean suspect = credible && executor.suspect(nowNanos);
       slots.add(
           new CandidateExecutor(
-              executor, room.apply(executor), suspect, executor.restartedLately(nowNanos)));
+              executor, room.apply(executor), suspect, executor.recentlyRestarted(nowNanos)));
     }
     return new FleetCapacity(slots);
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/executor/ExecutorStateTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/executor/ExecutorStateTest.java
@@ -33,74 +33,80 @@
   }
 
   /**
-   * An acknowledgement covers all ends up to its number. While the store was away, a later end that
-   * needed no record was acknowledged, and with it an earlier one that was not stored: its task was
-   * done, nobody knew, and it ran again under the next owner.
+   * An acknowledgement covers all ends up to its number. Guards against acknowledging a later end
+   * while an earlier one is not stored: that end would be lost, and the next owner would run its
+   * task again although it was done.
    */
   @Test
-  void aLaterEndIsNotAcknowledgedBeforeAnEarlierOneIsStored() {
+  void laterEndIsNotAcknowledgedBeforeEarlierOneIsStored() {
     ExecutorState executor = executor();
-    executor.ends().sawUpTo(5);
-    executor.ends().sawUpTo(7);
+    executor.runEnds().readUpTo(5);
+    executor.runEnds().readUpTo(7);
 
-    executor.ends().stored(7);
-    assertEquals(0, executor.ends().acknowledgeable());
+    executor.runEnds().markStored(7);
+    assertEquals(0, executor.runEnds().acknowledgeable());
 
-    executor.ends().stored(5);
-    assertEquals(7, executor.ends().acknowledgeable());
+    executor.runEnds().markStored(5);
+    assertEquals(7, executor.runEnds().acknowledgeable());
   }
 
   @Test
-  void endsAreAcknowledgedAsTheyAreStored() {
+  void endsAreAcknowledgedOnceTheyAreStored() {
     ExecutorState executor = executor();
-    executor.ends().sawUpTo(2);
-    executor.ends().stored(2);
-    assertEquals(2, executor.ends().acknowledgeable());
-
-    executor.ends().sawUpTo(3);
-    assertEquals(2, executor.ends().acknowledgeable());
-    executor.ends().stored(3);
-    assertEquals(3, executor.ends().acknowledgeable());
+    executor.runEnds().readUpTo(2);
+    executor.runEnds().markStored(2);
+    assertEquals(2, executor.runEnds().acknowledgeable());
+
+    executor.runEnds().readUpTo(3);
+    assertEquals(2, executor.runEnds().acknowledgeable());
+    executor.runEnds().markStored(3);
+    assertEquals(3, executor.runEnds().acknowledgeable());
   }
 
-  /** Each such poll came back at once with the same ends: over half of all polls of a full day. */
+  /**
+   * Guards against polls that an executor answers at once with the same ends, because their
+   * acknowledgement waits for the store; these were over half of all polls.
+   */
   @Test
-  void noPollIsDueWhileEndsAreBeingStored() {
+  void pollIsDelayedWhileEndsAreBeingStored() {
     ExecutorState executor = executor();
     executor.pollSent(1, 0, 0);
-    executor.ends().sawUpTo(3);
+    executor.runEnds().readUpTo(3);
     executor.pollAnswered(millis(1000));
     assertFalse(executor.pollDue(millis(1010)));
 
-    executor.ends().stored(3);
+    executor.runEnds().markStored(3);
     assertTrue(executor.pollDue(millis(1010)));
   }
 
   @Test
-  void pollsGoOnWhenTheStoreTakesLong() {
+  void pollingContinuesIfStoringEndsTakesLong() {
     ExecutorState executor = executor();
     executor.pollSent(1, 0, 0);
-    executor.ends().sawUpTo(3);
+    executor.runEnds().readUpTo(3);
     executor.pollAnswered(millis(1000));
 
     assertTrue(executor.pollDue(millis(1100)));
   }
 
-  /** A number that is sent for nothing covers ends of another life that the poll may come to. */
+  /**
+   * Guards against sending an acknowledgement that is not due: if another incarnation received it,
+   * that one would discard its ends unread.
+   */
   @Test
-  void onlyWhatIsOwedIsAcknowledged() {
-    RunEndTracker ends = executor().ends();
-    ends.sawUpTo(3);
-    ends.stored(3);
-    assertEquals(3, ends.owed());
-
-    ends.sent(3);
-    ends.missed();
-    assertEquals(3, ends.owed());
-
-    ends.sent(3);
-    ends.answered();
-    assertEquals(0, ends.owed());
+  void pollAcknowledgesNothingOnceAllIsConfirmed() {
+    RunEndTracker ends = executor().runEnds();
+    ends.readUpTo(3);
+    ends.markStored(3);
+    assertEquals(3, ends.numberToAcknowledge());
+
+    ends.acknowledgementSent(3);
+    ends.acknowledgementLost();
+    assertEquals(3, ends.numberToAcknowledge());
+
+    ends.acknowledgementSent(3);
+    ends.acknowledgementConfirmed();
+    assertEquals(0, ends.numberToAcknowledge());
   }
 
   private static long millis(long millis) {
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/store/SlowStoreWatchTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/store/SlowStoreWatchTest.java
@@ -20,21 +20,14 @@
   @Test
   void theBeginningAndTheEndOfATimeOfSlownessAreToldOnce() {
     assertEquals(
-        List.of(
-            Change.NONE,
-            Change.SLOWER,
-            Change.NONE,
-            Change.NONE,
-            Change.QUICKER,
-            Change.NONE),
+        List.of(Change.NONE, Change.SLOWER, Change.NONE, Change.NONE, Change.QUICKER, Change.NONE),
         changes(4, 700, 690, 710, 5, 4));
   }
 
   @Test
   void aTimeBetweenTheBoundsChangesNothing() {
     assertEquals(
-        List.of(
-            Change.NONE, Change.SLOWER, Change.NONE, Change.QUICKER),
+        List.of(Change.NONE, Change.SLOWER, Change.NONE, Change.QUICKER),
         changes(100, 200, 100, 4));
   }
 }
