--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/CandidateExecutor.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/CandidateExecutor.java
@@ -10,29 +10,30 @@
 import org.fescuehook.model.batch.Demand;
 import org.fescuehook.model.fleet.Incarnation;
 
-/** Room on one executor while a plan is made. */
+/** An executor and its free capacity while a plan is made. */
 final class CandidateExecutor {
 
   private final ExecutorState executor;
   private final boolean suspect;
-  private final boolean restartedLately;
+  private final boolean recentlyRestarted;
   private Demand free;
-  private boolean serving;
-  private boolean filling;
-  private boolean probation;
+  private boolean servesUsers;
+  private boolean runsOtherWork;
+  private boolean onProbation;
   private boolean fragile;
 
   /**
-   * Creates a slot.
+   * Creates a candidate.
    *
-   * @param suspect whether runs have lately failed there or hardly progressed
-   * @param restartedLately whether it is known to have crashed not long ago
+   * @param suspect whether runs have recently failed or been slow there
+   * @param recentlyRestarted whether the executor is known to have crashed recently
    */
-  CandidateExecutor(ExecutorState executor, Demand free, boolean suspect, boolean restartedLately) {
+  CandidateExecutor(
+      ExecutorState executor, Demand free, boolean suspect, boolean recentlyRestarted) {
     this.executor = executor;
     this.free = free;
     this.suspect = suspect;
-    this.restartedLately = restartedLately;
+    this.recentlyRestarted = recentlyRestarted;
   }
 
   boolean suspect() {
@@ -40,12 +41,12 @@
   }
 
   boolean recentlyRestarted() {
-    return restartedLately;
+    return recentlyRestarted;
   }
 
-  /** Tells whether any work is here. */
+  /** Tells whether any work is on the executor. */
   boolean occupied() {
-    return serving || filling;
+    return servesUsers || runsOtherWork;
   }
 
   ExecutorState executor() {
@@ -56,64 +57,70 @@
     return free;
   }
 
-  /** Takes room for a task. */
-  void take(StepProgress step, TaskProgress task) {
+  /** Reserves capacity for a task. */
+  void reserve(StepProgress step, TaskProgress task) {
     free = free.minus(step.spec().demand());
-    holds(step.spec());
-    probation |= task.crashes().mayCrash();
+    addWork(step.spec());
+    onProbation |= task.crashes().mayCrash();
   }
 
-  /** Remembers that a task of a step is here. */
-  void holds(BatchStep step) {
-    serving |= step.serves();
-    filling |= !step.serves();
+  /** Records that a task of a step is on the executor. */
+  void addWork(BatchStep step) {
+    servesUsers |= step.serves();
+    runsOtherWork |= !step.serves();
     fragile |= step.gang() || step.lasting().isPresent();
   }
 
-  /** Remembers that a run is here, and whether that may crash the executor. */
-  void holds(LiveRun run, long nowNanos) {
-    holds(run.step().spec());
-    probation |= CrashEvaluator.onProbation(run, nowNanos);
+  /** Records that a run is on the executor, and whether it is suspected of crashing executors. */
+  void addWork(LiveRun run, long nowNanos) {
+    addWork(run.step().spec());
+    onProbation |= CrashEvaluator.onProbation(run, nowNanos);
   }
 
-  /** Tells whether something starts or has just started here that may crash the executor. */
+  /** Tells whether a run suspected of crashing executors is starting here, or has just started. */
   boolean onProbation() {
-    return probation;
+    return onProbation;
   }
 
-  /** Tells whether a crash would cost more than the work that is here: a gang, or lasting work. */
+  /**
+   * Tells whether a crash would cost more than the runs that are here, because one of them belongs
+   * to a gang or to a long-running step.
+   */
   boolean fragile() {
     return fragile;
   }
 
-  /** Tells whether other work here would lengthen response times: this step's, or by this step. */
-  boolean disturbs(BatchStep step) {
-    return step.serves() ? filling : serving;
+  /**
+   * Tells whether sharing the executor would lengthen the response times of the step, or of tasks
+   * that are here.
+   */
+  boolean interferesWith(BatchStep step) {
+    return step.serves() ? runsOtherWork : servesUsers;
   }
 
-  void give(Demand demand) {
+  void release(Demand demand) {
     free = free.plus(demand);
   }
 
   CandidateExecutor copy() {
-    CandidateExecutor copy = new CandidateExecutor(executor, free, suspect, restartedLately);
-    copy.serving = serving;
-    copy.filling = filling;
-    copy.probation = probation;
+    CandidateExecutor copy = new CandidateExecutor(executor, free, suspect, recentlyRestarted);
+    copy.servesUsers = servesUsers;
+    copy.runsOtherWork = runsOtherWork;
+    copy.onProbation = onProbation;
     copy.fragile = fragile;
     return copy;
   }
 
   /**
-   * Tells whether the step may run here at all, room aside. A step that has failed avoids where it
-   * failed, and suspects: it has few attempts left. Gangs avoid suspects, since one would hold all
-   * members up.
+   * Tells whether a step may run here at all, regardless of capacity. A step that has failed avoids
+   * the executors on which it failed and suspect ones, since it has few attempts left. Gangs avoid
+   * suspect executors, since one slow member delays all others.
    */
-  boolean suits(WaitingStep waiting) {
+  boolean isEligible(WaitingStep waiting) {
     StepProgress step = waiting.step();
     boolean avoided = suspect && (step.hasFailed() || step.spec().gang());
-    Incarnation life = executor.incarnation();
-    if (avoided || step.failedOn(life) || !waiting.permits(life)) {
+    Incarnation incarnation = executor.incarnation();
+    if (avoided || step.failedOn(incarnation) || !waiting.permits(incarnation)) {
       return false;
     }
     Optional<String> label = step.spec().placement().label();
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/FleetCapacity.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/FleetCapacity.java
@@ -19,40 +19,47 @@
 import org.fescuehook.model.fleet.RackId;
 
 /**
- * Free capacity of the usable executors while a plan is made. Sums are kept up to date, and groups
- * are remembered by what decides them, so that a step costs as much as its group is large.
+ * Capacity of the usable executors while a plan is made. Sums are kept up to date, and groups of
+ * candidates are cached by the properties of a step that determine them, so that planning a step
+ * costs time proportional to the size of its group only.
  */
 final class FleetCapacity {
 
-  /** Where more than this share are suspects, the jobs are to blame rather than the executors. */
-  private static final double MOST_SUSPECTS = 0.25;
+  /**
+   * If more than this share of the executors is suspect, the jobs are the cause rather than the
+   * executors, and none is treated as suspect.
+   */
+  private static final double MAX_SUSPECT_SHARE = 0.25;
 
-  /** Keeps whole executors free. */
-  private static final Comparator<CandidateExecutor> FULLEST =
+  /** Prefers executors that are already in use, so that whole ones stay free. */
+  private static final Comparator<CandidateExecutor> FULLEST_FIRST =
       Comparator.comparing(CandidateExecutor::suspect)
-          .thenComparingInt(slot -> slot.free().accelerators())
-          .thenComparingInt(slot -> slot.free().milliCores());
+          .thenComparingInt(candidate -> candidate.free().accelerators())
+          .thenComparingInt(candidate -> candidate.free().milliCores());
 
-  /** Loses the least if the executor crashes, and leaves no other cause for that. */
-  private static final Comparator<CandidateExecutor> LEAST_LOST =
+  /** Prefers executors whose crash costs least, and on which nothing else could have caused it. */
+  private static final Comparator<CandidateExecutor> LEAST_RISK_FIRST =
       Comparator.comparing(CandidateExecutor::fragile)
           .thenComparing(CandidateExecutor::occupied)
           .thenComparing(CandidateExecutor::recentlyRestarted)
           .thenComparing(CandidateExecutor::suspect)
-          .thenComparingDouble(slot -> -slot.free().coreEquivalents());
+          .thenComparingDouble(candidate -> -candidate.free().coreEquivalents());
 
-  private final List<CandidateExecutor> slots;
+  private final List<CandidateExecutor> candidates;
   private final Map<ExecutorState, CandidateExecutor> byExecutor = new IdentityHashMap<>();
   private final Map<GroupKey, List<List<CandidateExecutor>>> groups = new HashMap<>();
 
-  /** Most tasks of a shape that fitted into one group when that was counted last. */
-  private final Map<Shape, Integer> fitted = new HashMap<>();
+  /** For each shape, the most tasks that fitted into one group when this was last counted. */
+  private final Map<Shape, Integer> maxFittingTasks = new HashMap<>();
 
   private int usableAccelerators;
   private long accelerators;
   private long milliCores;
 
-  /** What decides the groups of a step that has not failed and that nobody advises on. */
+  /**
+   * The properties that determine the groups of a step, as long as none of its runs has failed and
+   * no external advice applies to it.
+   */
   private record GroupKey(
       String pool,
       Optional<String> label,
@@ -61,100 +68,104 @@
       boolean gang,
       boolean nearOnly) {}
 
-  /** What decides how many tasks of a step fit into a group. */
-  private record Shape(GroupKey group, Demand demand, boolean serves, boolean toleratesOthers) {}
+  /** The properties that determine how many tasks of a step fit into a group. */
+  private record Shape(GroupKey group, Demand demand, boolean serves, boolean acceptsSharing) {}
 
-  FleetCapacity(List<CandidateExecutor> slots) {
-    this.slots = slots;
-    for (CandidateExecutor slot : slots) {
-      byExecutor.put(slot.executor(), slot);
-      count(slot, 1);
+  FleetCapacity(List<CandidateExecutor> candidates) {
+    this.candidates = candidates;
+    for (CandidateExecutor candidate : candidates) {
+      byExecutor.put(candidate.executor(), candidate);
+      addToTotals(candidate, 1);
     }
   }
 
-  /** Returns what is free now. */
-  static FleetCapacity now(Collection<ExecutorState> executors, long nowNanos) {
-    FleetCapacity room = of(executors, ExecutorState::free, nowNanos);
-    for (CandidateExecutor slot : room.slots) {
-      slot.executor().runs().forEach(run -> slot.holds(run, nowNanos));
+  /** Returns the capacity that is free now. */
+  static FleetCapacity available(Collection<ExecutorState> executors, long nowNanos) {
+    FleetCapacity capacity = of(executors, ExecutorState::free, nowNanos);
+    for (CandidateExecutor candidate : capacity.candidates) {
+      candidate.executor().runs().forEach(run -> candidate.addWork(run, nowNanos));
     }
-    return room;
+    return capacity;
   }
 
-  /** Returns what the executors have when nothing runs. */
-  static FleetCapacity empty(Collection<ExecutorState> executors, long nowNanos) {
+  /** Returns the whole capacity of the executors, as if nothing ran there. */
+  static FleetCapacity total(Collection<ExecutorState> executors, long nowNanos) {
     return of(executors, executor -> executor.profile().capacity(), nowNanos);
   }
 
   private static FleetCapacity of(
-      Collection<ExecutorState> executors, Function<ExecutorState, Demand> room, long nowNanos) {
+      Collection<ExecutorState> executors,
+      Function<ExecutorState, Demand> capacity,
+      long nowNanos) {
     long suspects = executors.stream().filter(executor -> executor.suspect(nowNanos)).count();
-    boolean credible = suspects <= executors.size() * MOST_SUSPECTS;
-    List<CandidateExecutor> slots = new ArrayList<>();
+    boolean credible = suspects <= executors.size() * MAX_SUSPECT_SHARE;
+    List<CandidateExecutor> candidates = new ArrayList<>();
     for (ExecutorState executor : executors) {
       boolean suspect = credible && executor.suspect(nowNanos);
-      slots.add(
+      candidates.add(
           new CandidateExecutor(
-              executor, room.apply(executor), suspect, executor.recentlyRestarted(nowNanos)));
+              executor, capacity.apply(executor), suspect, executor.recentlyRestarted(nowNanos)));
     }
-    return new FleetCapacity(slots);
+    return new FleetCapacity(candidates);
   }
 
-  private void count(CandidateExecutor slot, int sign) {
-    usableAccelerators += sign * usableAccelerators(slot);
-    accelerators += sign * slot.free().accelerators();
-    milliCores += sign * slot.free().milliCores();
+  private void addToTotals(CandidateExecutor candidate, int sign) {
+    usableAccelerators += sign * usableAccelerators(candidate);
+    accelerators += sign * candidate.free().accelerators();
+    milliCores += sign * candidate.free().milliCores();
   }
 
   /**
-   * Returns the accelerators of all slots together that work can use: where cores or memory are
-   * taken, only as large a share of the accelerators counts as is left of these.
+   * Returns the number of accelerators that can be used together with cores and memory: of each
+   * executor, at most the share of its accelerators that equals the free share of its cores and of
+   * its memory.
    */
   int accelerators() {
     return usableAccelerators;
   }
 
-  private static int usableAccelerators(CandidateExecutor slot) {
-    Demand free = slot.free();
-    Demand whole = slot.executor().profile().capacity();
+  private static int usableAccelerators(CandidateExecutor candidate) {
+    Demand free = candidate.free();
+    Demand total = candidate.executor().profile().capacity();
     double share =
         Math.min(
-            share(free.milliCores(), whole.milliCores()),
-            share(free.memoryMegabytes(), whole.memoryMegabytes()));
-    return (int) Math.max(0, Math.min(free.accelerators(), share * whole.accelerators()));
+            share(free.milliCores(), total.milliCores()),
+            share(free.memoryMegabytes(), total.memoryMegabytes()));
+    return (int) Math.max(0, Math.min(free.accelerators(), share * total.accelerators()));
   }
 
-  /** Tells whether more than half of what the other room has is here, of accelerators and cores. */
-  boolean overHalfOf(FleetCapacity whole) {
-    return 2 * accelerators > whole.accelerators && 2 * milliCores > whole.milliCores;
+  /** Tells whether this capacity exceeds half of another one, both in accelerators and in cores. */
+  boolean exceedsHalfOf(FleetCapacity total) {
+    return 2 * accelerators > total.accelerators && 2 * milliCores > total.milliCores;
   }
 
-  private static double share(int free, int whole) {
-    return whole == 0 ? 1 : (double) free / whole;
+  private static double share(int free, int total) {
+    return total == 0 ? 1 : (double) free / total;
   }
 
-  /** Takes room on an executor for a task; what is taken twice makes it negative. */
-  void take(TaskPlacement place) {
-    change(place.executor(), slot -> slot.take(place.step(), place.task()));
+  /** Reserves the capacity for a task; reserving more than is free makes the rest negative. */
+  void reserve(TaskPlacement placement) {
+    update(
+        placement.executor(), candidate -> candidate.reserve(placement.step(), placement.task()));
   }
 
-  /** Gives capacity of an executor back. */
-  void give(ExecutorState executor, Demand demand) {
-    fitted.clear();
-    change(executor, slot -> slot.give(demand));
+  /** Releases capacity of an executor. */
+  void release(ExecutorState executor, Demand demand) {
+    maxFittingTasks.clear();
+    update(executor, candidate -> candidate.release(demand));
   }
 
-  private void change(ExecutorState executor, Consumer<CandidateExecutor> change) {
-    CandidateExecutor slot = byExecutor.get(executor);
-    if (slot == null) {
+  private void update(ExecutorState executor, Consumer<CandidateExecutor> update) {
+    CandidateExecutor candidate = byExecutor.get(executor);
+    if (candidate == null) {
       return;
     }
-    count(slot, -1);
-    change.accept(slot);
-    count(slot, 1);
+    addToTotals(candidate, -1);
+    update.accept(candidate);
+    addToTotals(candidate, 1);
   }
 
-  /** Returns the slots on which a step may run, in groups that count as near to each other. */
+  /** Returns the executors on which a step may run, in groups that count as near to each other. */
   List<List<CandidateExecutor>> groups(WaitingStep waiting, boolean nearOnly) {
     return groupKey(waiting, nearOnly)
         .map(key -> groups.computeIfAbsent(key, same -> findGroups(waiting, nearOnly)))
@@ -182,15 +193,15 @@
     if (spec.placement().mostPerExecutor() > 0) {
       return Optional.empty();
     }
-    boolean tolerates = waiting.timing().toleratesOthers();
+    boolean acceptsSharing = waiting.timing().acceptsSharing();
     return groupKey(waiting, nearOnly)
-        .map(group -> new Shape(group, spec.demand(), spec.serves(), tolerates));
+        .map(group -> new Shape(group, spec.demand(), spec.serves(), acceptsSharing));
   }
 
-  /** Returns the first group; absent if not one task fits there. */
-  Optional<List<CandidateExecutor>> first(WaitingStep waiting, boolean nearOnly) {
+  /** Returns the first group; absent if it has no capacity for even one task. */
+  Optional<List<CandidateExecutor>> firstGroup(WaitingStep waiting, boolean nearOnly) {
     Optional<Shape> shape = shape(waiting, nearOnly);
-    if (shape.map(fitted::get).filter(most -> most == 0).isPresent()) {
+    if (shape.map(maxFittingTasks::get).filter(most -> most == 0).isPresent()) {
       return Optional.empty();
     }
     List<List<CandidateExecutor>> all = groups(waiting, nearOnly);
@@ -198,18 +209,20 @@
       return all.stream().findFirst();
     }
     if (all.size() == 1) {
-      shape.ifPresent(key -> fitted.put(key, 0));
+      shape.ifPresent(key -> maxFittingTasks.put(key, 0));
     }
     return Optional.empty();
   }
 
   /**
-   * Returns the group with the least room to spare in which a number of tasks fits; absent if there
-   * is none. Room only shrinks while a plan is made, so that what did not fit is not counted again.
+   * Returns the group with the least capacity to spare into which a number of tasks fits; absent if
+   * there is none. Capacity only shrinks while a plan is made, so that a shape which did not fit
+   * need not be counted again.
    */
-  Optional<List<CandidateExecutor>> tightest(WaitingStep waiting, int wanted, boolean nearOnly) {
+  Optional<List<CandidateExecutor>> tightestGroup(
+      WaitingStep waiting, int wanted, boolean nearOnly) {
     Optional<Shape> shape = shape(waiting, nearOnly);
-    if (shape.map(fitted::get).filter(most -> most < wanted).isPresent()) {
+    if (shape.map(maxFittingTasks::get).filter(most -> most < wanted).isPresent()) {
       return Optional.empty();
     }
     Optional<List<CandidateExecutor>> best = Optional.empty();
@@ -224,61 +237,63 @@
       }
     }
     int counted = most;
-    shape.ifPresent(key -> fitted.put(key, counted));
+    shape.ifPresent(key -> maxFittingTasks.put(key, counted));
     return best;
   }
 
   private List<List<CandidateExecutor>> findGroups(WaitingStep waiting, boolean nearOnly) {
     BatchStep spec = waiting.step().spec();
-    List<CandidateExecutor> suitable = slots.stream().filter(slot -> slot.suits(waiting)).toList();
+    List<CandidateExecutor> suitable =
+        candidates.stream().filter(candidate -> candidate.isEligible(waiting)).toList();
     if (!nearOnly) {
       return List.of(suitable);
     }
     if (spec.placement().affinity().isPresent()) {
       RackId rack = spec.placement().affinity().get();
-      return List.of(suitable.stream().filter(slot -> in(slot, rack)).toList());
+      return List.of(suitable.stream().filter(candidate -> isInRack(candidate, rack)).toList());
     }
     if (!spec.placement().sameRack()) {
       return List.of(suitable);
     }
     Map<RackId, List<CandidateExecutor>> racks = new TreeMap<>();
-    for (CandidateExecutor slot : suitable) {
-      RackId rack = slot.executor().profile().rack();
-      racks.computeIfAbsent(rack, name -> new ArrayList<>()).add(slot);
+    for (CandidateExecutor candidate : suitable) {
+      RackId rack = candidate.executor().profile().rack();
+      racks.computeIfAbsent(rack, name -> new ArrayList<>()).add(candidate);
     }
     return List.copyOf(racks.values());
   }
 
-  private static boolean in(CandidateExecutor slot, RackId rack) {
-    return slot.executor().profile().rack().equals(rack);
+  private static boolean isInRack(CandidateExecutor candidate, RackId rack) {
+    return candidate.executor().profile().rack().equals(rack);
   }
 
-  /** Returns how many tasks of a step fit into a group of slots. */
+  /** Returns how many tasks of a step fit into a group of executors. */
   static int fits(WaitingStep waiting, List<CandidateExecutor> group) {
     long total = 0;
-    for (CandidateExecutor slot : group) {
-      total += fits(waiting, slot);
+    for (CandidateExecutor candidate : group) {
+      total += fits(waiting, candidate);
     }
     return (int) Math.min(total, Integer.MAX_VALUE);
   }
 
-  /** Returns how many tasks of a step fit into a slot. */
-  static int fits(WaitingStep waiting, CandidateExecutor slot) {
+  /** Returns how many tasks of a step fit onto an executor. */
+  static int fits(WaitingStep waiting, CandidateExecutor candidate) {
     BatchStep spec = waiting.step().spec();
-    if (slot.onProbation() || (slot.disturbs(spec) && !waiting.timing().toleratesOthers())) {
+    if (candidate.onProbation()
+        || (candidate.interferesWith(spec) && !waiting.timing().acceptsSharing())) {
       return 0;
     }
-    int fitting = slot.free().fits(spec.demand());
+    int fitting = candidate.free().fits(spec.demand());
     int most = spec.placement().mostPerExecutor();
     if (most == 0) {
       return fitting;
     }
-    return Math.clamp(most - present(waiting.step(), slot), 0, fitting);
+    return Math.clamp(most - countTasks(waiting.step(), candidate), 0, fitting);
   }
 
-  private static int present(StepProgress step, CandidateExecutor slot) {
+  private static int countTasks(StepProgress step, CandidateExecutor candidate) {
     int count = 0;
-    for (var run : slot.executor().runs()) {
+    for (var run : candidate.executor().runs()) {
       if (run.step() == step) {
         count++;
       }
@@ -287,31 +302,32 @@
   }
 
   /**
-   * Places tasks in a group, the fullest executors first so that whole ones stay free, and those on
-   * which a run has failed last. Tasks that may crash their executor go where least is lost, and
-   * where a crash tells most.
+   * Places tasks in a group. The fullest executors come first, so that whole ones stay free, and
+   * suspect ones last. Tasks suspected of crashing executors go where a crash costs least and
+   * leaves the least doubt about its cause.
    *
-   * @return the places; fewer than tasks if the group has no room for all
+   * @return the placements; fewer than tasks if the group has no capacity for all
    */
-  static List<TaskPlacement> place(
+  static List<TaskPlacement> placeTasks(
       WaitingStep waiting, List<TaskProgress> tasks, List<CandidateExecutor> group) {
-    List<CandidateExecutor> order = new ArrayList<>();
-    for (CandidateExecutor slot : group) {
-      if (fits(waiting, slot) > 0) {
-        order.add(slot);
+    List<CandidateExecutor> ordered = new ArrayList<>();
+    for (CandidateExecutor candidate : group) {
+      if (fits(waiting, candidate) > 0) {
+        ordered.add(candidate);
       }
     }
-    order.sort(waiting.mayCrash() ? LEAST_LOST : FULLEST);
-    List<TaskPlacement> places = new ArrayList<>();
-    for (CandidateExecutor slot : order) {
-      int fitting = fits(waiting, slot);
-      for (int taken = 0; taken < fitting; taken++) {
-        if (places.size() == tasks.size()) {
-          return places;
+    ordered.sort(waiting.mayCrash() ? LEAST_RISK_FIRST : FULLEST_FIRST);
+    List<TaskPlacement> placements = new ArrayList<>();
+    for (CandidateExecutor candidate : ordered) {
+      int fitting = fits(waiting, candidate);
+      for (int placed = 0; placed < fitting; placed++) {
+        if (placements.size() == tasks.size()) {
+          return placements;
         }
-        places.add(new TaskPlacement(waiting.step(), tasks.get(places.size()), slot.executor()));
+        placements.add(
+            new TaskPlacement(waiting.step(), tasks.get(placements.size()), candidate.executor()));
       }
     }
-    return places;
+    return placements;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/PlanDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/PlanDuty.java
@@ -25,14 +25,14 @@
 import org.fescuehook.model.fleet.Incarnation;
 import org.fescuehook.model.preferences.WorkPreferences;
 
-/** Carries plans out: stores each placement, then orders the start. */
+/** Plans the waiting steps, stores each placement and then orders the start of the run. */
 public final class PlanDuty {
 
   private final JobDuty jobs;
   private final ExecutorDuty executors;
   private final AdviceDuty advice;
   private final Planner planner;
-  private final List<LiveRun> stored = new ArrayList<>();
+  private final List<LiveRun> storedRuns = new ArrayList<>();
   private Map<String, Integer> guaranteedNeed = Map.of();
 
   /** Creates the duty. */
@@ -43,7 +43,7 @@
     this.planner = new Planner(step -> rank(step.job()), work);
   }
 
-  /** Plans and carries the plan out. */
+  /** Makes a plan and applies it. */
   public void step(BatchTurn turn) {
     guaranteedNeed = guaranteedNeed();
     List<WaitingStep> waiting = waiting(turn);
@@ -54,7 +54,7 @@
         executors.book().all().stream()
             .filter(executor -> executor.usable(turn.nowNanos()))
             .toList();
-    ask(waiting, usable, turn);
+    requestAdvice(waiting, usable, turn);
     Planner.Plan plan = planner.plan(waiting, usable, turn.nowNanos());
     for (Planner.Preemption stop : plan.stops()) {
       WaitingStep beneficiary = stop.beneficiary();
@@ -65,8 +65,11 @@
     start(plan.starts(), turn);
   }
 
-  /** Asks for advice on the first step that lacks it. */
-  private void ask(List<WaitingStep> waiting, List<ExecutorState> usable, BatchTurn turn) {
+  /**
+   * Requests external advice for the steps that need it, in the order in which they are planned.
+   */
+  private void requestAdvice(
+      List<WaitingStep> waiting, List<ExecutorState> usable, BatchTurn turn) {
     advice.forgetEnded();
     List<WaitingStep> advised =
         waiting.stream()
@@ -74,12 +77,12 @@
             .sorted(WaitingStep.ORDER)
             .toList();
     for (WaitingStep step : advised) {
-      List<Incarnation> pool =
+      List<Incarnation> executorsOfPool =
           usable.stream()
               .filter(executor -> executor.profile().pool().equals(step.pool()))
               .map(ExecutorState::incarnation)
               .toList();
-      advice.ask(step.step(), pool, turn);
+      advice.ask(step.step(), executorsOfPool, turn);
     }
   }
 
@@ -110,48 +113,51 @@
     StepTiming timing = timing(step, queue, turn);
     Optional<Set<Incarnation>> permitted =
         queue.advised() ? Optional.of(advice.permitted(step, turn.nowNanos())) : Optional.empty();
-    for (List<TaskProgress> together : placedTogether(step, tasks)) {
+    for (List<TaskProgress> group : placementGroups(step, tasks)) {
       waiting.add(
           new WaitingStep(
-              step, together, queue.pool(), rank(step.job()), accepted, timing, permitted));
+              step, group, queue.pool(), rank(step.job()), accepted, timing, permitted));
     }
   }
 
-  /** Tasks that may crash their executors are placed one by one, so that none hides another. */
-  private static List<List<TaskProgress>> placedTogether(
+  /**
+   * Divides tasks into the groups that are planned together. Tasks suspected of crashing executors
+   * are planned one by one, so that a crash can be attributed to one of them.
+   */
+  private static List<List<TaskProgress>> placementGroups(
       StepProgress step, List<TaskProgress> tasks) {
     if (step.spec().gang() || tasks.stream().noneMatch(task -> task.crashes().mayCrash())) {
       return List.of(tasks);
     }
-    List<List<TaskProgress>> together = new ArrayList<>();
+    List<List<TaskProgress>> groups = new ArrayList<>();
     List<TaskProgress> others = tasks.stream().filter(task -> !task.crashes().mayCrash()).toList();
     if (!others.isEmpty()) {
-      together.add(others);
+      groups.add(others);
     }
     tasks.stream()
         .filter(task -> task.crashes().mayCrash())
-        .forEach(task -> together.add(List.of(task)));
-    return together;
+        .forEach(task -> groups.add(List.of(task)));
+    return groups;
   }
 
   private static StepTiming timing(StepProgress step, JobQueue queue, BatchTurn turn) {
     Submission submission = step.job().job().submission();
-    long due = step.job().job().acceptedMillis();
+    long dueMillis = step.job().job().acceptedMillis();
     if (submission.schedule().isPresent()) {
-      due = Math.max(due, submission.schedule().get().dueMillis(step.occurrence()));
+      dueMillis = Math.max(dueMillis, submission.schedule().get().dueMillis(step.occurrence()));
     }
-    long objective = queue.objectiveMillis(step.job().estimatedChainMillis());
-    long spare = objective - step.estimatedChainMillis();
-    long waited = Math.max(0, turn.wallMillis() - due);
-    long queued = turn.nowNanos() - step.queuedSince(turn.nowNanos());
+    long objectiveMillis = queue.objectiveMillis(step.job().estimatedChainMillis());
+    long spareMillis = objectiveMillis - step.estimatedChainMillis();
+    long waitedMillis = Math.max(0, turn.wallMillis() - dueMillis);
+    long queuedNanos = turn.nowNanos() - step.queuedSince(turn.nowNanos());
     if (step.spec().lasting().isPresent()) {
-      return StepTiming.ofLasting(queued);
+      return StepTiming.ofLongRunning(queuedNanos);
     }
     return new StepTiming(
-        TimeUnit.MILLISECONDS.toNanos(waited),
-        queued,
-        TimeUnit.MILLISECONDS.toNanos(spare),
-        TimeUnit.MILLISECONDS.toNanos(objective));
+        TimeUnit.MILLISECONDS.toNanos(waitedMillis),
+        queuedNanos,
+        TimeUnit.MILLISECONDS.toNanos(spareMillis),
+        TimeUnit.MILLISECONDS.toNanos(objectiveMillis));
   }
 
   private Rank rank(OpenJob job) {
@@ -159,11 +165,11 @@
     String organisation = job.job().organisation();
     int guaranteed = jobs.configuration().guaranteedAccelerators(organisation);
     int needed = guaranteedNeed.getOrDefault(organisation, 0);
-    boolean covered = queue.priority() == 0 && needed > 0 && needed <= guaranteed;
-    return covered ? Rank.GUARANTEED : Rank.ofPriority(queue.priority());
+    boolean coveredByGuarantee = queue.priority() == 0 && needed > 0 && needed <= guaranteed;
+    return coveredByGuarantee ? Rank.GUARANTEED : Rank.ofPriority(queue.priority());
   }
 
-  /** Returns the accelerators that the open jobs of priority 0 need, by organisation. */
+  /** Returns the number of accelerators that the open jobs of priority 0 need, by organisation. */
   private Map<String, Integer> guaranteedNeed() {
     Map<String, Integer> need = new HashMap<>();
     for (OpenJob job : jobs.book().openJobs()) {
@@ -179,52 +185,52 @@
     return need;
   }
 
-  private void start(List<TaskPlacement> places, BatchTurn turn) {
-    Set<OpenJob> touched = new LinkedHashSet<>();
+  private void start(List<TaskPlacement> placements, BatchTurn turn) {
+    Set<OpenJob> changedJobs = new LinkedHashSet<>();
     List<LiveRun> runs = new ArrayList<>();
     Map<StepProgress, Integer> gangRuns = new HashMap<>();
-    for (TaskPlacement place : places) {
-      StepProgress step = place.step();
+    for (TaskPlacement placement : placements) {
+      StepProgress step = placement.step();
       boolean gang = step.spec().gang();
       int number =
           gang
               ? gangRuns.computeIfAbsent(step, StepProgress::nextGangRun)
-              : place.task().lastRun() + 1;
-      String checkpoint = gang ? step.gangCheckpoint() : place.task().checkpoint();
-      TaskRun name = new TaskRun(step.name(place.task()), number);
-      Incarnation executor = place.executor().incarnation();
+              : placement.task().lastRun() + 1;
+      String checkpoint = gang ? step.gangCheckpoint() : placement.task().checkpoint();
+      TaskRun name = new TaskRun(step.name(placement.task()), number);
+      Incarnation executor = placement.executor().incarnation();
       Optional<String> ticket = advice.ticket(step, executor, turn.nowNanos());
       LiveRun run = LiveRun.placed(name, executor, step, checkpoint, ticket, turn.nowNanos());
       StepTiming timing = timing(step, jobs.queue(step.job()), turn);
       turn.stage("queued", timing.queuedNanos());
-      step.begin(place.task(), run);
-      place.executor().add(run);
-      touched.add(step.job());
+      step.begin(placement.task(), run);
+      placement.executor().add(run);
+      changedJobs.add(step.job());
       runs.add(run);
       turn.note(
           BatchLogEvent.RUN_PLACED,
           name,
           run.incarnation(),
-          place.executor().profile().rack(),
+          placement.executor().profile().rack(),
           rank(step.job()),
           TimeUnit.NANOSECONDS.toMillis(timing.waitedNanos()),
           TimeUnit.NANOSECONDS.toMillis(timing.spareNanos()));
     }
-    for (OpenJob job : touched) {
-      List<LiveRun> own = runs.stream().filter(run -> run.step().job() == job).toList();
-      jobs.persist(job, () -> stored.addAll(own));
+    for (OpenJob job : changedJobs) {
+      List<LiveRun> runsOfJob = runs.stream().filter(run -> run.step().job() == job).toList();
+      jobs.persist(job, () -> storedRuns.addAll(runsOfJob));
     }
   }
 
-  /** Orders the starts whose placements have been stored since the last call. */
+  /** Orders the start of the runs whose placements have been stored since the last call. */
   public void startStored(BatchTurn turn) {
-    for (LiveRun run : stored) {
-      boolean held =
+    for (LiveRun run : storedRuns) {
+      boolean stillReserved =
           executors.book().find(run.executor()).flatMap(state -> state.run(run.run())).isPresent();
-      if (held && run.stage() == Stage.PLACED) {
+      if (stillReserved && run.stage() == Stage.PLACED) {
         executors.start(run, turn);
       }
     }
-    stored.clear();
+    storedRuns.clear();
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/Preemptor.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/Preemptor.java
@@ -16,156 +16,172 @@
 import org.fescuehook.model.fleet.ExecutorId;
 import org.fescuehook.model.preferences.WorkPreferences;
 
-/** Chooses which running work gives way so that a step fits. */
+/** Chooses the runs to preempt so that a step fits. */
 final class Preemptor {
 
   /**
-   * Share of the work of a step that may be thrown away to let it start. Above it, displacing would
-   * slow the others down more than it speeds the step up; on heavy days 0.3 was better than 0.5, 1
-   * and 3. Guarantees have no such limit.
+   * Largest share of a step's work that preemption may discard to let the step start. Above it,
+   * preemption would delay other jobs more than it speeds up the step: on days of heavy load 0.3
+   * gave better results than 0.5, 1 and 3. Steps covered by a guarantee have no such limit.
    */
-  private static final double MOST_THROWN_AWAY = 0.3;
+  private static final double MAX_DISCARDED_SHARE = 0.3;
 
-  /** What a start costs beside the restoring of saved work: its order, and the store. */
-  private static final double START_SECONDS = 0.05;
+  /** Cost of a start besides restoring saved work: the order and storing the placement. */
+  private static final double START_COST_SECONDS = 0.05;
 
   private static final double NANOS_PER_SECOND = 1e9;
 
   private final Function<StepProgress, Rank> ranks;
-  private final WorkPreferences work;
+  private final WorkPreferences preferences;
   private final long nowNanos;
 
-  /** Tasks of steps that last which this plan stops already. */
-  private final Map<StepProgress, Integer> planned = new HashMap<>();
+  /** Numbers of tasks of long-running steps that this plan preempts already. */
+  private final Map<StepProgress, Integer> plannedStops = new HashMap<>();
 
-  Preemptor(Function<StepProgress, Rank> ranks, WorkPreferences work, long nowNanos) {
+  Preemptor(Function<StepProgress, Rank> ranks, WorkPreferences preferences, long nowNanos) {
     this.ranks = ranks;
-    this.work = work;
+    this.preferences = preferences;
     this.nowNanos = nowNanos;
   }
 
   /**
-   * Runs that give way together: one task, or all members of a gang.
+   * Runs that are preempted together: one task, or all members of a gang.
    *
-   * @param thrownAway work that has to be done again, in seconds of one core
+   * @param discarded work that has to be repeated, in seconds of one core
    */
-  private record Victim(List<LiveRun> runs, Rank rank, double thrownAway) {}
+  private record Victim(List<LiveRun> runs, Rank rank, double discarded) {}
 
   /**
-   * Chooses victims.
+   * Chooses the runs to preempt for a step.
    *
-   * @param expected room once all that is being stopped is gone
-   * @return the runs to stop, and the places that they leave; absent if that would not do
+   * @param expected capacity once all runs that are being stopped have ended
+   * @return the runs to stop and the placements that become possible; absent if preemption within
+   *     the limit doesn't free enough capacity
    */
   Optional<Selection> choose(WaitingStep waiting, FleetCapacity expected, boolean nearOnly) {
     double limit =
         waiting.rank().guaranteed()
             ? Double.MAX_VALUE
-            : waiting.estimatedCoreSeconds() * MOST_THROWN_AWAY;
+            : waiting.estimatedCoreSeconds() * MAX_DISCARDED_SHARE;
     Optional<Selection> best = Optional.empty();
     for (List<CandidateExecutor> group : expected.groups(waiting, nearOnly)) {
       Optional<Selection> choice = choose(waiting, group, limit);
       if (choice.isPresent()
-          && best.filter(found -> found.thrownAway() <= choice.get().thrownAway()).isEmpty()) {
+          && best.filter(found -> found.discarded() <= choice.get().discarded()).isEmpty()) {
         best = choice;
       }
     }
     return best;
   }
 
-  /** Remembers that a choice is carried out. */
-  void carriedOut(Selection choice) {
-    choice.victims().forEach(run -> planned.merge(run.step(), 1, Integer::sum));
+  /** Records that a selection becomes part of the plan. */
+  void markApplied(Selection choice) {
+    choice.victims().forEach(run -> plannedStops.merge(run.step(), 1, Integer::sum));
   }
 
-  /** Victims, what they lose, and the places that the step then has. */
-  record Selection(List<LiveRun> victims, double thrownAway, List<TaskPlacement> places) {}
+  /**
+   * The result of a selection.
+   *
+   * @param victims the runs to preempt
+   * @param discarded work that has to be repeated, in seconds of one core
+   * @param placements where the step can start then
+   */
+  record Selection(List<LiveRun> victims, double discarded, List<TaskPlacement> placements) {}
 
   private Optional<Selection> choose(
       WaitingStep waiting, List<CandidateExecutor> group, double limit) {
     Trial trial = new Trial(waiting, group);
     List<Victim> chosen = new ArrayList<>();
-    double lost = 0;
-    for (Victim victim : victims(waiting, trial.slots)) {
-      if (trial.enough()) {
+    double discarded = 0;
+    for (Victim victim : victims(waiting, trial.candidates)) {
+      if (trial.allFit()) {
         break;
       }
-      if (lost + victim.thrownAway() > limit) {
+      if (discarded + victim.discarded() > limit) {
         continue;
       }
       chosen.add(victim);
-      lost += victim.thrownAway();
-      trial.give(victim, 1);
+      discarded += victim.discarded();
+      trial.release(victim, 1);
     }
-    if (!trial.enough()) {
+    if (!trial.allFit()) {
       return Optional.empty();
     }
-    lost -= spare(trial, chosen);
+    discarded -= dropUnneeded(trial, chosen);
     List<LiveRun> runs = chosen.stream().flatMap(victim -> victim.runs().stream()).toList();
     return Optional.of(
-        new Selection(runs, lost, FleetCapacity.place(waiting, waiting.tasks(), trial.slots)));
+        new Selection(
+            runs, discarded, FleetCapacity.placeTasks(waiting, waiting.tasks(), trial.candidates)));
   }
 
-  /** Takes victims out again that turn out not to be needed; returns the work that this saves. */
-  private static double spare(Trial trial, List<Victim> chosen) {
+  /**
+   * Removes victims that turn out to be unnecessary.
+   *
+   * @return the work that this saves, in seconds of one core
+   */
+  private static double dropUnneeded(Trial trial, List<Victim> chosen) {
     double saved = 0;
     for (Victim victim : List.copyOf(chosen).reversed()) {
-      trial.give(victim, -1);
-      if (trial.enough()) {
+      trial.release(victim, -1);
+      if (trial.allFit()) {
         chosen.remove(victim);
-        saved += victim.thrownAway();
+        saved += victim.discarded();
       } else {
-        trial.give(victim, 1);
+        trial.release(victim, 1);
       }
     }
     return saved;
   }
 
-  /** The room of a group without some victims; how many tasks fit is kept up to date. */
+  /** The capacity of a group as if some victims were gone; keeps count of the tasks that fit. */
   private static final class Trial {
     private final WaitingStep waiting;
-    private final List<CandidateExecutor> slots;
+    private final List<CandidateExecutor> candidates;
     private final Map<ExecutorId, CandidateExecutor> byExecutor = new HashMap<>();
     private long fitting;
 
     Trial(WaitingStep waiting, List<CandidateExecutor> group) {
       this.waiting = waiting;
-      this.slots = group.stream().map(CandidateExecutor::copy).toList();
-      slots.forEach(slot -> byExecutor.put(slot.executor().profile().id(), slot));
-      this.fitting = FleetCapacity.fits(waiting, slots);
+      this.candidates = group.stream().map(CandidateExecutor::copy).toList();
+      candidates.forEach(
+          candidate -> byExecutor.put(candidate.executor().profile().id(), candidate));
+      this.fitting = FleetCapacity.fits(waiting, candidates);
     }
 
-    boolean enough() {
+    boolean allFit() {
       return fitting >= waiting.tasks().size();
     }
 
-    void give(Victim victim, int sign) {
+    void release(Victim victim, int sign) {
       for (LiveRun run : victim.runs()) {
-        CandidateExecutor slot = byExecutor.get(run.executor());
-        if (slot != null) {
-          fitting -= FleetCapacity.fits(waiting, slot);
-          slot.give(run.demand().times(sign));
-          fitting += FleetCapacity.fits(waiting, slot);
+        CandidateExecutor candidate = byExecutor.get(run.executor());
+        if (candidate != null) {
+          fitting -= FleetCapacity.fits(waiting, candidate);
+          candidate.release(run.demand().times(sign));
+          fitting += FleetCapacity.fits(waiting, candidate);
         }
       }
     }
   }
 
-  /** Returns what may give way, the least important and the least lost first. */
+  /**
+   * Returns the possible victims, those whose preemption discards the least work first and, among
+   * equals, the least important first.
+   */
   private List<Victim> victims(WaitingStep waiting, List<CandidateExecutor> group) {
     List<Victim> victims = new ArrayList<>();
     Set<StepProgress> gangs = new LinkedHashSet<>();
-    Map<StepProgress, Integer> missed = new HashMap<>(planned);
-    for (CandidateExecutor slot : group) {
-      ExecutorState executor = slot.executor();
+    Map<StepProgress, Integer> stopped = new HashMap<>(plannedStops);
+    for (CandidateExecutor candidate : group) {
+      ExecutorState executor = candidate.executor();
       for (LiveRun run : executor.runs()) {
         Rank rank = ranks.apply(run.step());
-        boolean movable = run.stage() != Stage.STOPPING && !run.step().done();
-        if (!movable || !waiting.rank().before(rank)) {
+        boolean preemptible = run.stage() != Stage.STOPPING && !run.step().done();
+        if (!preemptible || !waiting.rank().before(rank)) {
           continue;
         }
         boolean lasting = run.step().spec().lasting().isPresent();
-        if (lasting && missed.merge(run.step(), 1, Integer::sum) > run.step().mayMiss()) {
+        if (lasting && stopped.merge(run.step(), 1, Integer::sum) > run.step().mayMiss()) {
           continue;
         }
         if (run.step().spec().gang()) {
@@ -177,27 +193,29 @@
     }
     gangs.forEach(gang -> victims.add(victim(gang.liveRuns(), ranks.apply(gang))));
     victims.sort(
-        Comparator.comparing(Victim::thrownAway)
+        Comparator.comparing(Victim::discarded)
             .thenComparing(Victim::rank, Comparator.reverseOrder()));
     return victims;
   }
 
   private Victim victim(List<LiveRun> runs, Rank rank) {
-    double lost = 0;
+    double discarded = 0;
     for (LiveRun run : runs) {
-      double restore = run.step().spec().checkpointing() ? work.restoreSeconds() : 0;
-      double seconds = START_SECONDS + restore + workedSeconds(run);
-      lost += seconds * run.demand().coreEquivalents();
+      double restore = run.step().spec().checkpointing() ? preferences.restoreSeconds() : 0;
+      double seconds = START_COST_SECONDS + restore + discardedSeconds(run);
+      discarded += seconds * run.demand().coreEquivalents();
     }
-    return new Victim(runs, rank, lost);
+    return new Victim(runs, rank, discarded);
   }
 
-  /** Returns the work of a run that is not saved. */
-  private double workedSeconds(LiveRun run) {
+  /** Returns the work of a run that is not saved, in seconds. */
+  private double discardedSeconds(LiveRun run) {
     if (run.stage() != Stage.RUNNING) {
       return 0;
     }
     double seconds = (nowNanos - run.stageSince()) / NANOS_PER_SECOND;
-    return run.step().spec().checkpointing() ? Math.min(seconds, work.unsavedSeconds()) : seconds;
+    return run.step().spec().checkpointing()
+        ? Math.min(seconds, preferences.unsavedSeconds())
+        : seconds;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/Rank.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/Rank.java
@@ -1,7 +1,7 @@
 package org.fescuehook.logic.batch.plan;
 
 /**
- * Precedence of a job: a lower value goes first and may displace higher ones.
+ * The precedence of a job: a lower value goes first and may preempt higher ones.
  *
  * @param value 0 for work that its organisation's guarantee covers, else 1 + the queue's priority
  */
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/TaskPlacement.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/TaskPlacement.java
@@ -5,7 +5,7 @@
 import org.fescuehook.logic.batch.state.TaskProgress;
 
 /**
- * Where a task starts.
+ * The executor on which a task is to start.
  *
  * @param step the step
  * @param task the task
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/WaitingStep.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/WaitingStep.java
@@ -9,15 +9,15 @@
 import org.fescuehook.model.fleet.Incarnation;
 
 /**
- * A step whose turn has come and of which tasks need a run.
+ * A step that is ready to start and has tasks that need a run.
  *
  * @param step the step
  * @param tasks the tasks that need a run; for a gang all of them
  * @param pool pool of the executors that may run it
  * @param rank its precedence
  * @param acceptedMillis when its job was accepted, milliseconds since 1970
- * @param timing how it stands in time
- * @param permitted the executors that may run it by external advice; absent if any may
+ * @param timing its waiting times and objective
+ * @param permitted the executors that may run it according to external advice; absent if any may
  */
 public record WaitingStep(
     StepProgress step,
@@ -29,8 +29,8 @@
     Optional<Set<Incarnation>> permitted) {
 
   /**
-   * Order of planning: by rank, then those that can still meet their objective, then the late ones,
-   * last those that come too late anyway, each in the order of their acceptance.
+   * Order of planning: by rank, then by whether the step can still meet its objective, is late or
+   * is too late to be of use, and among equals by the acceptance of the job.
    */
   public static final Comparator<WaitingStep> ORDER =
       Comparator.comparing(WaitingStep::rank)
@@ -42,28 +42,31 @@
     tasks = List.copyOf(tasks);
   }
 
-  /** Tells whether the step goes first: its queue has priority 0. */
+  /** Tells whether the step is urgent: its queue has priority 0. */
   public boolean urgent() {
     return !Rank.ofPriority(0).before(rank);
   }
 
-  /** Tells whether one of the tasks may crash its executor; of a gang all start or none. */
+  /**
+   * Tells whether one of the tasks is suspected of crashing executors. This holds for a gang as a
+   * whole, since all its members start or none.
+   */
   public boolean mayCrash() {
     return tasks.stream().anyMatch(task -> task.crashes().mayCrash());
   }
 
-  /** Returns the same step without the first tasks. */
-  public WaitingStep rest(int placed) {
-    List<TaskProgress> left = tasks.subList(placed, tasks.size());
-    return new WaitingStep(step, left, pool, rank, acceptedMillis, timing, permitted);
+  /** Returns the same step without the first tasks, which have been placed. */
+  public WaitingStep withoutFirst(int placed) {
+    List<TaskProgress> remaining = tasks.subList(placed, tasks.size());
+    return new WaitingStep(step, remaining, pool, rank, acceptedMillis, timing, permitted);
   }
 
-  /** Tells whether an executor may run it as far as external advice goes. */
+  /** Tells whether external advice permits an executor to run the step. */
   public boolean permits(Incarnation executor) {
     return permitted.map(executors -> executors.contains(executor)).orElse(true);
   }
 
-  /** Returns the work of the waiting tasks by their estimate, in seconds of one core. */
+  /** Returns the estimated work of the waiting tasks, in seconds of one core. */
   public double estimatedCoreSeconds() {
     return step.spec().estimatedCoreSeconds() * tasks.size() / step.spec().count();
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/package-info.java
@@ -1,4 +1,4 @@
-/** Chooses what starts where and what gives way. */
+/** Chooses which waiting tasks start on which executors, and which runs are preempted for them. */
 @NullMarked
 package org.fescuehook.logic.batch.plan;
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/FilledFleetTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/FilledFleetTest.java
@@ -27,21 +27,21 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A step fills a fleet that was idle. Seen: in the same plan it also stopped the work of others
- * away from its data, and what it took there was missing to the step after it. How it came about:
- * two of three executors were free and one half, and three tasks had waited for the rack with their
- * data; after 12 s in an idle fleet they could start anywhere, and two did. Cause: the third was
- * still planned as if the fleet were idle, although the two had just filled it.
+ * Guards against preemption for the remaining tasks of a step that has just filled an idle fleet.
+ * Two of three executors are free and one is half used. Of three tasks that have waited for the
+ * rack with their data, two start elsewhere, which is allowed in an idle fleet. The third must then
+ * not be planned as if the fleet were still idle: that preempted work of others away from the data
+ * and took the capacity that the next step needed.
  */
 class FilledFleetTest {
 
   private static final long NOW = Duration.ofHours(1).toNanos();
-  private static final long LONG = Duration.ofSeconds(13).toNanos();
-  private static final long BRIEFLY = Duration.ofSeconds(1).toNanos();
-  private static final int WHOLE = 8;
-  private static final int HALF = 4;
-  private static final RackId DATA = new RackId("data");
-  private static final RackId AWAY = new RackId("away");
+  private static final long LONG_WAIT = Duration.ofSeconds(13).toNanos();
+  private static final long SHORT_WAIT = Duration.ofSeconds(1).toNanos();
+  private static final int WHOLE_EXECUTOR = 8;
+  private static final int HALF_EXECUTOR = 4;
+  private static final RackId DATA_RACK = new RackId("data");
+  private static final RackId OTHER_RACK = new RackId("away");
   private static final WorkPreferences WORK =
       new WorkPreferences(
           Duration.ofSeconds(2),
@@ -49,18 +49,19 @@
           Duration.ofMillis(200),
           Duration.ofMillis(2700));
 
-  private final ExecutorState near = executor("near", DATA);
-  private final ExecutorState far = executor("far", AWAY);
-  private final ExecutorState shared = executor("shared", AWAY);
-  private final WaitingStep filling = waiting(step(1, 0, 3, WHOLE, Optional.of(DATA)), 1);
-  private final WaitingStep next = waiting(step(2, 0, 1, HALF, Optional.empty()), 2);
+  private final ExecutorState near = executor("near", DATA_RACK);
+  private final ExecutorState far = executor("far", OTHER_RACK);
+  private final ExecutorState shared = executor("shared", OTHER_RACK);
+  private final WaitingStep fillingStep =
+      waiting(step(1, 0, 3, WHOLE_EXECUTOR, Optional.of(DATA_RACK)), 1);
+  private final WaitingStep nextStep = waiting(step(2, 0, 1, HALF_EXECUTOR, Optional.empty()), 2);
 
   FilledFleetTest() {
-    StepProgress other = step(3, 1, 1, HALF, Optional.empty());
+    StepProgress other = step(3, 1, 1, HALF_EXECUTOR, Optional.empty());
     TaskRun name = new TaskRun(other.name(other.tasks().getFirst()), 1);
     LiveRun run =
-        LiveRun.placed(name, shared.incarnation(), other, "", Optional.empty(), NOW - BRIEFLY);
-    run.enter(LiveRun.Stage.RUNNING, NOW - BRIEFLY);
+        LiveRun.placed(name, shared.incarnation(), other, "", Optional.empty(), NOW - SHORT_WAIT);
+    run.enter(LiveRun.Stage.RUNNING, NOW - SHORT_WAIT);
     other.begin(other.tasks().getFirst(), run);
     shared.add(run);
   }
@@ -74,7 +75,7 @@
             new FailureDomain("domain"),
             rack,
             Set.of(),
-            new Demand(64_000, 262_144, WHOLE),
+            new Demand(64_000, 262_144, WHOLE_EXECUTOR),
             false,
             0),
         new OrderBaseline(0, 0));
@@ -101,35 +102,35 @@
 
   private static WaitingStep waiting(StepProgress step, long acceptedMillis) {
     long objective = Duration.ofMinutes(1).toNanos();
-    StepTiming timing = new StepTiming(LONG, LONG, objective, objective);
+    StepTiming timing = new StepTiming(LONG_WAIT, LONG_WAIT, objective, objective);
     return new WaitingStep(
         step, step.waiting(), "pool", Rank.ofPriority(0), acceptedMillis, timing, Optional.empty());
   }
 
   private Planner.Plan plan() {
     return new Planner(step -> Rank.ofPriority(step.job().job().queue().priority()), WORK)
-        .plan(List.of(filling, next), List.of(near, far, shared), NOW);
+        .plan(List.of(fillingStep, nextStep), List.of(near, far, shared), NOW);
   }
 
   private static List<ExecutorState> executorsOf(WaitingStep waiting, Planner.Plan plan) {
     return plan.starts().stream()
-        .filter(place -> place.step() == waiting.step())
+        .filter(placement -> placement.step() == waiting.step())
         .map(TaskPlacement::executor)
         .toList();
   }
 
   @Test
-  void allThatIsFreeIsUsedAwayFromTheDataToo() {
-    assertEquals(List.of(near, far), executorsOf(filling, plan()));
+  void stepUsesTheFreeExecutorsAwayFromItsDataToo() {
+    assertEquals(List.of(near, far), executorsOf(fillingStep, plan()));
   }
 
   @Test
-  void onceTheFleetIsFilledNothingIsStoppedForAStartAwayFromTheData() {
+  void nothingIsPreemptedForStartsAwayFromTheDataOnceTheFleetIsFilled() {
     assertEquals(List.of(), plan().stops());
   }
 
   @Test
-  void theStepAfterItStartsInTheRoomThatIsLeft() {
-    assertEquals(List.of(shared), executorsOf(next, plan()));
+  void nextStepStartsInTheRemainingCapacity() {
+    assertEquals(List.of(shared), executorsOf(nextStep, plan()));
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/PlannerEquivalenceProperties.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/PlannerEquivalenceProperties.java
@@ -35,8 +35,8 @@
 import org.fescuehook.model.preferences.WorkPreferences;
 
 /**
- * The planner decides as its former version did, which looked at every executor for each step; that
- * version is kept here as {@link ReferencePlanner}.
+ * Guards against plans that change because of the caches and running sums of the planner. {@link
+ * ReferencePlanner} evaluates every executor for each step and must give the same plans.
  */
 class PlannerEquivalenceProperties {
 
@@ -49,15 +49,15 @@
           Duration.ofMillis(2700));
   private static final int[] ACCELERATORS = {0, 1, 1, 2, 4, 8};
 
-  /** One fleet with running and waiting work. */
-  private static final class Scene {
+  /** A random fleet with running and waiting work. */
+  private static final class Scenario {
     private final Random random;
     private final List<ExecutorState> executors = new ArrayList<>();
     private final Map<StepProgress, Rank> ranks = new HashMap<>();
     private final List<WaitingStep> waiting = new ArrayList<>();
     private int jobs;
 
-    Scene(long seed) {
+    Scenario(long seed) {
       random = new Random(seed);
       int size = 1 + random.nextInt(24);
       for (int i = 0; i < size; i++) {
@@ -133,7 +133,7 @@
       return step;
     }
 
-    /** Puts the tasks of a step on executors with room, as far as there is. */
+    /** Places the tasks of a step on random executors, as far as their free capacity suffices. */
     private void run() {
       StepProgress step = step(random.nextInt(4) == 0);
       for (TaskProgress task : step.tasks()) {
@@ -150,7 +150,7 @@
       }
     }
 
-    private static Incarnation life(String executor) {
+    private static Incarnation incarnation(String executor) {
       return Incarnation.undated(new ExecutorId(executor));
     }
 
@@ -168,35 +168,37 @@
               random.nextInt(9) * second,
               random.nextInt(9) * second);
       Optional<Set<Incarnation>> permitted =
-          random.nextInt(8) == 0 ? Optional.of(Set.of(life("e0"), life("e3"))) : Optional.empty();
+          random.nextInt(8) == 0
+              ? Optional.of(Set.of(incarnation("e0"), incarnation("e3")))
+              : Optional.empty();
       return new WaitingStep(
           step, step.waiting(), "pool", ranks.get(step), random.nextInt(9), timing, permitted);
     }
   }
 
   @Property(tries = 3000)
-  void theSamePlanIsMadeAsByTheFormerPlanner(@ForAll long seed) {
+  void planEqualsThatOfTheReferencePlanner(@ForAll long seed) {
     assertSamePlan(seed);
   }
 
   /**
-   * Five of nine tasks fill a fleet that was idle; the other four may stop nothing away from their
-   * data, and five tasks of the next step start in the room that is left.
+   * Five of nine tasks fill an idle fleet. The other four may not preempt anything away from their
+   * data, and five tasks of the next step start in the capacity that is left.
    */
   @Example
-  void theSamePlanIsMadeWhenAStepFillsAnIdleFleet() {
+  void planEqualsThatOfTheReferencePlannerWhenAStepFillsAnIdleFleet() {
     assertSamePlan(1_086_075_471L);
   }
 
   private static void assertSamePlan(long seed) {
-    Scene scene = new Scene(seed);
-    Function<StepProgress, Rank> ranks = scene.ranks::get;
-    ReferencePlanner.Plan former =
-        new ReferencePlanner(ranks, WORK).plan(scene.waiting, scene.executors, NOW);
-    Planner.Plan plan = new Planner(ranks, WORK).plan(scene.waiting, scene.executors, NOW);
-    assertEquals(former.starts(), plan.starts());
+    Scenario scenario = new Scenario(seed);
+    Function<StepProgress, Rank> ranks = scenario.ranks::get;
+    ReferencePlanner.Plan expected =
+        new ReferencePlanner(ranks, WORK).plan(scenario.waiting, scenario.executors, NOW);
+    Planner.Plan plan = new Planner(ranks, WORK).plan(scenario.waiting, scenario.executors, NOW);
+    assertEquals(expected.starts(), plan.starts());
     assertEquals(
-        former.stops().stream().map(ReferencePlanner.Preemption::run).toList(),
+        expected.stops().stream().map(ReferencePlanner.Preemption::run).toList(),
         plan.stops().stream().map(Planner.Preemption::run).toList());
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/ReferenceCandidate.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/ReferenceCandidate.java
@@ -6,19 +6,19 @@
 import org.fescuehook.model.batch.Demand;
 import org.fescuehook.model.fleet.Incarnation;
 
-/** Room on one executor while a plan is made. */
+/** An executor and its free capacity while a plan is made. */
 final class ReferenceCandidate {
 
   private final ExecutorState executor;
   private final boolean suspect;
   private Demand free;
-  private boolean serving;
-  private boolean filling;
+  private boolean servesUsers;
+  private boolean runsOtherWork;
 
   /**
-   * Creates a slot.
+   * Creates a candidate.
    *
-   * @param suspect whether runs have lately failed there or hardly progressed
+   * @param suspect whether runs have recently failed or been slow there
    */
   ReferenceCandidate(ExecutorState executor, Demand free, boolean suspect) {
     this.executor = executor;
@@ -38,44 +38,47 @@
     return free;
   }
 
-  /** Takes room for a task of a step. */
-  void take(BatchStep step) {
+  /** Reserves capacity for a task. */
+  void reserve(BatchStep step) {
     free = free.minus(step.demand());
-    holds(step);
+    addWork(step);
   }
 
-  /** Remembers that a task of a step is here. */
-  void holds(BatchStep step) {
-    serving |= step.serves();
-    filling |= !step.serves();
+  /** Records that a task of a step is on the executor. */
+  void addWork(BatchStep step) {
+    servesUsers |= step.serves();
+    runsOtherWork |= !step.serves();
   }
 
-  /** Tells whether other work here would lengthen response times: this step's, or by this step. */
-  boolean disturbs(BatchStep step) {
-    return step.serves() ? filling : serving;
+  /**
+   * Tells whether sharing the executor would lengthen the response times of the step, or of tasks
+   * that are here.
+   */
+  boolean interferesWith(BatchStep step) {
+    return step.serves() ? runsOtherWork : servesUsers;
   }
 
-  void give(Demand demand) {
+  void release(Demand demand) {
     free = free.plus(demand);
   }
 
   ReferenceCandidate copy() {
     ReferenceCandidate copy = new ReferenceCandidate(executor, free, suspect);
-    copy.serving = serving;
-    copy.filling = filling;
+    copy.servesUsers = servesUsers;
+    copy.runsOtherWork = runsOtherWork;
     return copy;
   }
 
   /**
-   * Tells whether the step may run here at all, room aside. A step that has failed avoids where it
-   * failed, and suspects: it has few attempts left. Gangs avoid suspects, since one would hold all
-   * members up.
+   * Tells whether a step may run here at all, regardless of capacity. A step that has failed avoids
+   * the executors on which it failed and suspect ones, since it has few attempts left. Gangs avoid
+   * suspect executors, since one slow member delays all others.
    */
-  boolean suits(WaitingStep waiting) {
+  boolean isEligible(WaitingStep waiting) {
     StepProgress step = waiting.step();
     boolean avoided = suspect && (step.hasFailed() || step.spec().gang());
-    Incarnation life = executor.incarnation();
-    if (avoided || step.failedOn(life) || !waiting.permits(life)) {
+    Incarnation incarnation = executor.incarnation();
+    if (avoided || step.failedOn(incarnation) || !waiting.permits(incarnation)) {
       return false;
     }
     boolean labelled =
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/ReferenceCapacity.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/ReferenceCapacity.java
@@ -16,146 +16,153 @@
 import org.fescuehook.model.batch.Demand;
 import org.fescuehook.model.fleet.RackId;
 
-/** Free capacity of the usable executors while a plan is made. */
+/** Capacity of the usable executors while a plan is made. */
 final class ReferenceCapacity {
 
-  /** Where more than this share are suspects, the jobs are to blame rather than the executors. */
-  private static final double MOST_SUSPECTS = 0.25;
+  /**
+   * If more than this share of the executors is suspect, the jobs are the cause rather than the
+   * executors, and none is treated as suspect.
+   */
+  private static final double MAX_SUSPECT_SHARE = 0.25;
 
-  private final List<ReferenceCandidate> slots;
+  private final List<ReferenceCandidate> candidates;
 
-  ReferenceCapacity(List<ReferenceCandidate> slots) {
-    this.slots = slots;
+  ReferenceCapacity(List<ReferenceCandidate> candidates) {
+    this.candidates = candidates;
   }
 
-  /** Returns what is free now. */
-  static ReferenceCapacity now(Collection<ExecutorState> executors, long nowNanos) {
-    ReferenceCapacity room = of(executors, ExecutorState::free, nowNanos);
-    for (ReferenceCandidate slot : room.slots) {
-      slot.executor().runs().forEach(run -> slot.holds(run.step().spec()));
+  /** Returns the capacity that is free now. */
+  static ReferenceCapacity available(Collection<ExecutorState> executors, long nowNanos) {
+    ReferenceCapacity capacity = of(executors, ExecutorState::free, nowNanos);
+    for (ReferenceCandidate candidate : capacity.candidates) {
+      candidate.executor().runs().forEach(run -> candidate.addWork(run.step().spec()));
     }
-    return room;
+    return capacity;
   }
 
-  /** Returns what the executors have when nothing runs. */
-  static ReferenceCapacity empty(Collection<ExecutorState> executors, long nowNanos) {
+  /** Returns the whole capacity of the executors, as if nothing ran there. */
+  static ReferenceCapacity total(Collection<ExecutorState> executors, long nowNanos) {
     return of(executors, executor -> executor.profile().capacity(), nowNanos);
   }
 
   private static ReferenceCapacity of(
-      Collection<ExecutorState> executors, Function<ExecutorState, Demand> room, long nowNanos) {
+      Collection<ExecutorState> executors,
+      Function<ExecutorState, Demand> capacity,
+      long nowNanos) {
     long suspects = executors.stream().filter(executor -> executor.suspect(nowNanos)).count();
-    boolean credible = suspects <= executors.size() * MOST_SUSPECTS;
-    List<ReferenceCandidate> slots = new ArrayList<>();
+    boolean credible = suspects <= executors.size() * MAX_SUSPECT_SHARE;
+    List<ReferenceCandidate> candidates = new ArrayList<>();
     for (ExecutorState executor : executors) {
       boolean suspect = credible && executor.suspect(nowNanos);
-      slots.add(new ReferenceCandidate(executor, room.apply(executor), suspect));
+      candidates.add(new ReferenceCandidate(executor, capacity.apply(executor), suspect));
     }
-    return new ReferenceCapacity(slots);
+    return new ReferenceCapacity(candidates);
   }
 
   /**
-   * Returns the accelerators of all slots together that work can use: where cores or memory are
-   * taken, only as large a share of the accelerators counts as is left of these.
+   * Returns the number of accelerators that can be used together with cores and memory: of each
+   * executor, at most the share of its accelerators that equals the free share of its cores and of
+   * its memory.
    */
   int accelerators() {
-    return slots.stream().mapToInt(ReferenceCapacity::usableAccelerators).sum();
+    return candidates.stream().mapToInt(ReferenceCapacity::usableAccelerators).sum();
   }
 
-  private static int usableAccelerators(ReferenceCandidate slot) {
-    Demand free = slot.free();
-    Demand whole = slot.executor().profile().capacity();
+  private static int usableAccelerators(ReferenceCandidate candidate) {
+    Demand free = candidate.free();
+    Demand total = candidate.executor().profile().capacity();
     double share =
         Math.min(
-            share(free.milliCores(), whole.milliCores()),
-            share(free.memoryMegabytes(), whole.memoryMegabytes()));
-    return (int) Math.max(0, Math.min(free.accelerators(), share * whole.accelerators()));
+            share(free.milliCores(), total.milliCores()),
+            share(free.memoryMegabytes(), total.memoryMegabytes()));
+    return (int) Math.max(0, Math.min(free.accelerators(), share * total.accelerators()));
   }
 
-  /** Tells whether more than half of what the other room has is here, of accelerators and cores. */
-  boolean overHalfOf(ReferenceCapacity whole) {
-    return 2 * sum(Demand::accelerators) > whole.sum(Demand::accelerators)
-        && 2 * sum(Demand::milliCores) > whole.sum(Demand::milliCores);
+  /** Tells whether this capacity exceeds half of another one, both in accelerators and in cores. */
+  boolean exceedsHalfOf(ReferenceCapacity total) {
+    return 2 * sum(Demand::accelerators) > total.sum(Demand::accelerators)
+        && 2 * sum(Demand::milliCores) > total.sum(Demand::milliCores);
   }
 
   private long sum(ToIntFunction<Demand> resource) {
-    return slots.stream().mapToLong(slot -> resource.applyAsInt(slot.free())).sum();
+    return candidates.stream().mapToLong(candidate -> resource.applyAsInt(candidate.free())).sum();
   }
 
-  private static double share(int free, int whole) {
-    return whole == 0 ? 1 : (double) free / whole;
+  private static double share(int free, int total) {
+    return total == 0 ? 1 : (double) free / total;
   }
 
-  /** Takes room on an executor for a task; what is taken twice makes it negative. */
-  void take(ExecutorState executor, BatchStep step) {
-    slot(executor).ifPresent(slot -> slot.take(step));
+  /** Reserves the capacity for a task; reserving more than is free makes the rest negative. */
+  void reserve(ExecutorState executor, BatchStep step) {
+    candidate(executor).ifPresent(candidate -> candidate.reserve(step));
   }
 
-  /** Gives capacity of an executor back. */
-  void give(ExecutorState executor, Demand demand) {
-    slot(executor).ifPresent(slot -> slot.give(demand));
+  /** Releases capacity of an executor. */
+  void release(ExecutorState executor, Demand demand) {
+    candidate(executor).ifPresent(candidate -> candidate.release(demand));
   }
 
-  private Optional<ReferenceCandidate> slot(ExecutorState executor) {
-    for (ReferenceCandidate slot : slots) {
-      if (slot.executor() == executor) {
-        return Optional.of(slot);
+  private Optional<ReferenceCandidate> candidate(ExecutorState executor) {
+    for (ReferenceCandidate candidate : candidates) {
+      if (candidate.executor() == executor) {
+        return Optional.of(candidate);
       }
     }
     return Optional.empty();
   }
 
-  /** Returns the slots on which a step may run, in groups that count as near to each other. */
+  /** Returns the executors on which a step may run, in groups that count as near to each other. */
   List<List<ReferenceCandidate>> groups(WaitingStep waiting, boolean nearOnly) {
     BatchStep spec = waiting.step().spec();
-    List<ReferenceCandidate> suitable = slots.stream().filter(slot -> slot.suits(waiting)).toList();
+    List<ReferenceCandidate> suitable =
+        candidates.stream().filter(candidate -> candidate.isEligible(waiting)).toList();
     if (!nearOnly) {
       return List.of(suitable);
     }
     if (spec.placement().affinity().isPresent()) {
       RackId rack = spec.placement().affinity().get();
-      return List.of(suitable.stream().filter(slot -> in(slot, rack)).toList());
+      return List.of(suitable.stream().filter(candidate -> isInRack(candidate, rack)).toList());
     }
     if (!spec.placement().sameRack()) {
       return List.of(suitable);
     }
     Map<RackId, List<ReferenceCandidate>> racks = new TreeMap<>();
-    for (ReferenceCandidate slot : suitable) {
-      RackId rack = slot.executor().profile().rack();
-      racks.computeIfAbsent(rack, name -> new ArrayList<>()).add(slot);
+    for (ReferenceCandidate candidate : suitable) {
+      RackId rack = candidate.executor().profile().rack();
+      racks.computeIfAbsent(rack, name -> new ArrayList<>()).add(candidate);
     }
     return List.copyOf(racks.values());
   }
 
-  private static boolean in(ReferenceCandidate slot, RackId rack) {
-    return slot.executor().profile().rack().equals(rack);
+  private static boolean isInRack(ReferenceCandidate candidate, RackId rack) {
+    return candidate.executor().profile().rack().equals(rack);
   }
 
-  /** Returns how many tasks of a step fit into a group of slots. */
+  /** Returns how many tasks of a step fit into a group of executors. */
   static int fits(WaitingStep waiting, List<ReferenceCandidate> group) {
     long total = 0;
-    for (ReferenceCandidate slot : group) {
-      total += fits(waiting, slot);
+    for (ReferenceCandidate candidate : group) {
+      total += fits(waiting, candidate);
     }
     return (int) Math.min(total, Integer.MAX_VALUE);
   }
 
-  private static int fits(WaitingStep waiting, ReferenceCandidate slot) {
+  private static int fits(WaitingStep waiting, ReferenceCandidate candidate) {
     BatchStep spec = waiting.step().spec();
-    if (slot.disturbs(spec) && !waiting.timing().toleratesOthers()) {
+    if (candidate.interferesWith(spec) && !waiting.timing().acceptsSharing()) {
       return 0;
     }
-    int fitting = slot.free().fits(spec.demand());
+    int fitting = candidate.free().fits(spec.demand());
     int most = spec.placement().mostPerExecutor();
     if (most == 0) {
       return fitting;
     }
-    return Math.clamp(most - present(waiting.step(), slot), 0, fitting);
+    return Math.clamp(most - countTasks(waiting.step(), candidate), 0, fitting);
   }
 
-  private static int present(StepProgress step, ReferenceCandidate slot) {
+  private static int countTasks(StepProgress step, ReferenceCandidate candidate) {
     int count = 0;
-    for (var run : slot.executor().runs()) {
+    for (var run : candidate.executor().runs()) {
       if (run.step() == step) {
         count++;
       }
@@ -164,28 +171,29 @@
   }
 
   /**
-   * Places tasks in a group, the fullest executors first so that whole ones stay free, and those on
-   * which a run has failed last.
+   * Places tasks in a group. The fullest executors come first, so that whole ones stay free, and
+   * suspect ones last.
    *
-   * @return the places; fewer than tasks if the group has no room for all
+   * @return the placements; fewer than tasks if the group has no capacity for all
    */
-  static List<TaskPlacement> place(
+  static List<TaskPlacement> placeTasks(
       WaitingStep waiting, List<TaskProgress> tasks, List<ReferenceCandidate> group) {
-    List<ReferenceCandidate> order = new ArrayList<>(group);
-    order.sort(
+    List<ReferenceCandidate> ordered = new ArrayList<>(group);
+    ordered.sort(
         Comparator.comparing(ReferenceCandidate::suspect)
-            .thenComparingInt(slot -> slot.free().accelerators())
-            .thenComparingInt(slot -> slot.free().milliCores()));
-    List<TaskPlacement> places = new ArrayList<>();
-    for (ReferenceCandidate slot : order) {
-      int fitting = fits(waiting, slot);
-      for (int taken = 0; taken < fitting; taken++) {
-        if (places.size() == tasks.size()) {
-          return places;
+            .thenComparingInt(candidate -> candidate.free().accelerators())
+            .thenComparingInt(candidate -> candidate.free().milliCores()));
+    List<TaskPlacement> placements = new ArrayList<>();
+    for (ReferenceCandidate candidate : ordered) {
+      int fitting = fits(waiting, candidate);
+      for (int placed = 0; placed < fitting; placed++) {
+        if (placements.size() == tasks.size()) {
+          return placements;
         }
-        places.add(new TaskPlacement(waiting.step(), tasks.get(places.size()), slot.executor()));
+        placements.add(
+            new TaskPlacement(waiting.step(), tasks.get(placements.size()), candidate.executor()));
       }
     }
-    return places;
+    return placements;
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/ReferencePlanner.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/ReferencePlanner.java
@@ -16,253 +16,272 @@
 import org.fescuehook.model.preferences.WorkPreferences;
 
 /**
- * Decides what starts where and what gives way. Without memory: the same state gives the same plan.
+ * Decides which tasks start where and which runs are preempted. The planner keeps no state: equal
+ * input gives equal plans.
  */
 public final class ReferencePlanner {
 
   /**
-   * Part of the bound in which guaranteed work has to begin that is left, beside the time of a
-   * stop, once it no longer waits for a place near its data: for a plan that was put off, the store
-   * and a start without an answer.
+   * Part of the time bound for the first start of guaranteed work that remains, besides the stop of
+   * other runs, once the work no longer waits for a placement near its data. It covers a postponed
+   * plan, storing the placement and one unanswered start order.
    */
   private static final Duration RECLAIM_RESERVE = Duration.ofMillis(1300);
 
   /**
-   * How long other work waits for a place near its data, in its estimated duration. Elsewhere it
-   * takes three times as long and holds its room for as long; on heavy days 8 was better than 2 to
-   * 4 and than the former 8 s for all (docs/MEASUREMENTS.md, heavy days).
+   * How long other work waits for a placement near its data, in multiples of its estimated
+   * duration. Elsewhere it takes three times as long and occupies its capacity for as long. On days
+   * of heavy load a multiple of 8 gave better results than 2 to 4, or than a wait of 8 s for all
+   * work.
    */
-  private static final int PATIENCE_DURATIONS = 8;
+  private static final int NEARNESS_WAIT_DURATIONS = 8;
 
   /**
    * Share of the accelerators that work which is not urgent leaves free, so that urgent work starts
-   * without waiting for others to stop. Heavy days: best of 0.2 to 0.45.
+   * without waiting for others to stop. On days of heavy load 0.35 gave the best results between
+   * 0.2 and 0.45.
    */
-  private static final double HEADROOM = 0.35;
+  private static final double URGENT_RESERVE_SHARE = 0.35;
 
   /**
-   * The same for work that has hardly any spare time left. What starts in this room is soon thrown
-   * out again by urgent work, so it is not given up altogether.
+   * The same share for work whose spare time is almost used up. It is not zero, since urgent work
+   * soon preempts what starts in the reserved capacity.
    */
-  private static final double PRESSED_HEADROOM = 0.25;
+  private static final double NEARLY_LATE_RESERVE_SHARE = 0.25;
 
   /**
-   * Work that has waited this long while less than half of the fleet is in use may take what is
-   * kept for urgent work. The users' bound on idle room is 3 s.
+   * Work that has waited this long while more than half of the fleet is free may use the capacity
+   * reserved for urgent work. Users accept capacity that is idle for at most 3 s while work waits.
    */
-  private static final long IDLE_PATIENCE_NANOS = Duration.ofSeconds(2).toNanos();
+  private static final long IDLE_WAIT_NANOS = Duration.ofSeconds(2).toNanos();
 
   /**
-   * After this time in an idle fleet it also starts away from its data. Longer than the work of
-   * most jobs, as a start elsewhere after a shorter wait ends later than one near the data after
-   * all.
+   * Work that has waited this long in an idle fleet may also start away from its data. The time
+   * exceeds the duration of most jobs, since a start elsewhere after a shorter wait would still end
+   * later than one near the data.
    */
-  private static final long IDLE_NEARNESS_NANOS = Duration.ofSeconds(12).toNanos();
+  private static final long IDLE_NEARNESS_WAIT_NANOS = Duration.ofSeconds(12).toNanos();
 
   private final Function<StepProgress, Rank> ranks;
-  private final WorkPreferences work;
+  private final WorkPreferences preferences;
 
   /**
    * Creates a planner.
    *
-   * @param ranks precedence of steps that run
-   * @param work how work behaves on the executors
+   * @param ranks returns the precedence of steps that are running
+   * @param preferences properties of work on the executors, such as its stop time
    */
-  public ReferencePlanner(Function<StepProgress, Rank> ranks, WorkPreferences work) {
+  public ReferencePlanner(Function<StepProgress, Rank> ranks, WorkPreferences preferences) {
     this.ranks = ranks;
-    this.work = work;
+    this.preferences = preferences;
   }
 
   /**
-   * What to do.
+   * The result of planning.
    *
    * @param starts where tasks start
-   * @param stops runs that give way
+   * @param stops runs that are preempted
    */
   public record Plan(List<TaskPlacement> starts, List<Preemption> stops) {}
 
   /**
-   * A run that gives way.
+   * A run that is preempted.
    *
    * @param run the run
-   * @param beneficiary the step that needs its place
+   * @param beneficiary the step that needs its capacity
    */
   public record Preemption(LiveRun run, WaitingStep beneficiary) {}
 
   /**
    * Makes a plan.
    *
-   * @param waiting steps whose turn has come, in any order
-   * @param executors executors that may get new runs
+   * @param waiting steps that are ready to start, in any order
+   * @param executors executors on which new runs may be placed
    */
   public Plan plan(
       Collection<WaitingStep> waiting, Collection<ExecutorState> executors, long nowNanos) {
-    List<WaitingStep> order = new ArrayList<>(waiting);
-    order.sort(WaitingStep.ORDER);
+    List<WaitingStep> ordered = new ArrayList<>(waiting);
+    ordered.sort(WaitingStep.ORDER);
     Pass pass =
         new Pass(
             executors,
-            new ReferencePreemptor(ranks, work, nowNanos),
-            guaranteedPatience(),
+            new ReferencePreemptor(ranks, preferences, nowNanos),
+            guaranteedNearnessWait(),
             nowNanos);
-    order.forEach(pass::take);
+    ordered.forEach(pass::planStep);
     return new Plan(List.copyOf(pass.starts), List.copyOf(pass.stops));
   }
 
-  /** Returns how long guaranteed work waits for a place near its data before its first start. */
-  private long guaranteedPatience() {
-    Duration patience = work.reclaimBound().minus(work.stopTime()).minus(RECLAIM_RESERVE);
-    return Math.max(0, patience.toNanos());
+  /**
+   * Returns how long guaranteed work waits for a placement near its data before its first start.
+   */
+  private long guaranteedNearnessWait() {
+    Duration wait = preferences.reclaimBound().minus(preferences.stopTime()).minus(RECLAIM_RESERVE);
+    return Math.max(0, wait.toNanos());
   }
 
-  /** One plan being made. */
+  /** The state of one plan while it is made. */
   private static final class Pass {
-    private final ReferenceCapacity free;
+    private final ReferenceCapacity available;
     private final ReferenceCapacity expected;
-    private final ReferenceCapacity whole;
+    private final ReferenceCapacity total;
     private final List<TaskPlacement> starts = new ArrayList<>();
     private final List<Preemption> stops = new ArrayList<>();
 
-    private final ReferencePreemptor displacer;
-    private final long guaranteedPatienceNanos;
+    private final ReferencePreemptor preemptor;
+    private final long guaranteedNearnessWaitNanos;
 
     Pass(
         Collection<ExecutorState> executors,
-        ReferencePreemptor displacer,
-        long guaranteedPatienceNanos,
+        ReferencePreemptor preemptor,
+        long guaranteedNearnessWaitNanos,
         long nowNanos) {
-      this.displacer = displacer;
-      this.guaranteedPatienceNanos = guaranteedPatienceNanos;
-      free = ReferenceCapacity.now(executors, nowNanos);
-      expected = ReferenceCapacity.now(executors, nowNanos);
-      whole = ReferenceCapacity.empty(executors, nowNanos);
+      this.preemptor = preemptor;
+      this.guaranteedNearnessWaitNanos = guaranteedNearnessWaitNanos;
+      available = ReferenceCapacity.available(executors, nowNanos);
+      expected = ReferenceCapacity.available(executors, nowNanos);
+      total = ReferenceCapacity.total(executors, nowNanos);
       for (ExecutorState executor : executors) {
         for (LiveRun run : executor.runs()) {
           if (run.stage() == Stage.STOPPING) {
-            expected.give(executor, run.demand());
+            expected.release(executor, run.demand());
           }
         }
       }
     }
 
-    void take(WaitingStep waiting) {
+    void planStep(WaitingStep waiting) {
       if (waiting.step().spec().gang()) {
-        takeGang(waiting);
+        planGang(waiting);
       } else {
-        takeTasks(waiting);
+        planTasks(waiting);
       }
     }
 
-    private void takeTasks(WaitingStep waiting) {
-      List<TaskPlacement> places = new ArrayList<>();
-      for (List<ReferenceCandidate> group : free.groups(waiting, nearOnly(waiting))) {
-        places.addAll(ReferenceCapacity.place(waiting, waiting.tasks(), group));
+    private void planTasks(WaitingStep waiting) {
+      List<TaskPlacement> placements = new ArrayList<>();
+      for (List<ReferenceCandidate> group : available.groups(waiting, nearOnly(waiting))) {
+        placements.addAll(ReferenceCapacity.placeTasks(waiting, waiting.tasks(), group));
         break;
       }
-      int allowed = Math.min(places.size(), allowed(waiting));
-      places = places.subList(0, allowed);
-      places.forEach(this::start);
-      boolean incomplete = places.size() < waiting.tasks().size();
+      int allowedStarts = Math.min(placements.size(), allowedStarts(waiting));
+      placements = placements.subList(0, allowedStarts);
+      placements.forEach(this::start);
+      boolean incomplete = placements.size() < waiting.tasks().size();
       if (incomplete && waiting.urgent()) {
-        displace(waiting.rest(places.size()), nearOnly(waiting));
+        waitOrPreempt(waiting.withoutFirst(placements.size()), nearOnly(waiting));
       }
     }
 
-    private void takeGang(WaitingStep waiting) {
+    private void planGang(WaitingStep waiting) {
       boolean nearOnly = nearOnly(waiting);
-      if (allowed(waiting) < waiting.tasks().size()) {
+      if (allowedStarts(waiting) < waiting.tasks().size()) {
         return;
       }
-      Optional<List<TaskPlacement>> now = tightest(waiting, free, nearOnly);
+      Optional<List<TaskPlacement>> now = placeInTightestGroup(waiting, available, nearOnly);
       if (now.isPresent()) {
         now.get().forEach(this::start);
         return;
       }
-      displace(waiting, nearOnly);
+      waitOrPreempt(waiting, nearOnly);
     }
 
-    /** Waits for capacity that is being freed, or has other work give way. */
-    private void displace(WaitingStep waiting, boolean nearOnly) {
-      Optional<List<TaskPlacement>> soon = tightest(waiting, expected, nearOnly);
-      if (soon.isPresent()) {
-        soon.get().forEach(this::reserve);
+    /** Reserves capacity that is being freed for the step, or else preempts other runs for it. */
+    private void waitOrPreempt(WaitingStep waiting, boolean nearOnly) {
+      Optional<List<TaskPlacement>> afterStops = placeInTightestGroup(waiting, expected, nearOnly);
+      if (afterStops.isPresent()) {
+        afterStops.get().forEach(this::reserve);
         return;
       }
-      if (!waiting.urgent() && !pressed(waiting)) {
+      if (!waiting.urgent() && !nearlyLate(waiting)) {
         return;
       }
-      Optional<ReferencePreemptor.Selection> choice = displacer.choose(waiting, expected, nearOnly);
-      if (choice.isPresent()) {
-        displacer.carriedOut(choice.get());
-        choice.get().victims().forEach(run -> stops.add(new Preemption(run, waiting)));
-        choice.get().places().forEach(this::reserve);
+      Optional<ReferencePreemptor.Selection> selection =
+          preemptor.choose(waiting, expected, nearOnly);
+      if (selection.isPresent()) {
+        preemptor.markApplied(selection.get());
+        selection.get().victims().forEach(run -> stops.add(new Preemption(run, waiting)));
+        selection.get().placements().forEach(this::reserve);
       }
     }
 
-    /** Returns how many tasks of a step may start without using up what urgent work may need. */
-    private int allowed(WaitingStep waiting) {
+    /**
+     * Returns how many tasks of a step may start without using the capacity reserved for urgent
+     * work.
+     */
+    private int allowedStarts(WaitingStep waiting) {
       int accelerators = waiting.step().spec().demand().accelerators();
       if (waiting.urgent() || accelerators == 0) {
         return Integer.MAX_VALUE;
       }
-      if (idleFor(waiting, IDLE_PATIENCE_NANOS)) {
+      if (idleFor(waiting, IDLE_WAIT_NANOS)) {
         return Integer.MAX_VALUE;
       }
-      double kept = whole.accelerators() * (pressed(waiting) ? PRESSED_HEADROOM : HEADROOM);
-      return (int) Math.max(0, (free.accelerators() - kept) / accelerators);
+      double reserved =
+          total.accelerators()
+              * (nearlyLate(waiting) ? NEARLY_LATE_RESERVE_SHARE : URGENT_RESERVE_SHARE);
+      return (int) Math.max(0, (available.accelerators() - reserved) / accelerators);
     }
 
-    /** Tells whether a step has hardly any time left; what comes too late anyway is not pressed. */
-    private static boolean pressed(WaitingStep waiting) {
-      return waiting.timing().pressed() && waiting.timing().prospect() != Prospect.TOO_LATE;
+    /**
+     * Tells whether the spare time of a step is almost used up. A step that is too late to be of
+     * use is not preferred.
+     */
+    private static boolean nearlyLate(WaitingStep waiting) {
+      return waiting.timing().nearlyLate() && waiting.timing().prospect() != Prospect.TOO_LATE;
     }
 
-    /** Tells whether a step has waited for a time although most of the fleet is free. */
+    /**
+     * Tells whether a step has waited for some time although more than half of the fleet is free.
+     */
     private boolean idleFor(WaitingStep waiting, long nanos) {
-      return waiting.timing().queuedNanos() > nanos && free.overHalfOf(whole);
+      return waiting.timing().queuedNanos() > nanos && available.exceedsHalfOf(total);
     }
 
-    /** Tells whether a step has to start near its data: it could, and has not waited long. */
+    /**
+     * Tells whether a step has to start near its data: this is possible, and it has not waited for
+     * long.
+     */
     private boolean nearOnly(WaitingStep waiting) {
-      if (impatient(waiting)) {
+      if (mayStartAnywhere(waiting)) {
         return false;
       }
       int wanted = waiting.step().spec().gang() ? waiting.tasks().size() : 1;
-      return whole.groups(waiting, true).stream()
+      return total.groups(waiting, true).stream()
           .anyMatch(group -> ReferenceCapacity.fits(waiting, group) >= wanted);
     }
 
-    private boolean impatient(WaitingStep waiting) {
-      if (idleFor(waiting, IDLE_NEARNESS_NANOS)) {
+    private boolean mayStartAnywhere(WaitingStep waiting) {
+      if (idleFor(waiting, IDLE_NEARNESS_WAIT_NANOS)) {
         return true;
       }
       StepTiming timing = waiting.timing();
-      boolean due = waiting.rank().guaranteed() && !waiting.step().job().begun();
-      if (due && timing.waitedNanos() > guaranteedPatienceNanos) {
+      boolean firstStart = waiting.rank().guaranteed() && !waiting.step().job().begun();
+      if (firstStart && timing.waitedNanos() > guaranteedNearnessWaitNanos) {
         return true;
       }
       long duration = TimeUnit.MILLISECONDS.toNanos(waiting.step().spec().estimateMillis());
-      return timing.queuedNanos() > duration * PATIENCE_DURATIONS;
+      return timing.queuedNanos() > duration * NEARNESS_WAIT_DURATIONS;
     }
 
-    /** Finds the group with the least room to spare in which all tasks fit. */
-    private Optional<List<TaskPlacement>> tightest(
-        WaitingStep waiting, ReferenceCapacity room, boolean nearOnly) {
+    /** Places all tasks in the group with the least capacity to spare into which they fit. */
+    private Optional<List<TaskPlacement>> placeInTightestGroup(
+        WaitingStep waiting, ReferenceCapacity capacity, boolean nearOnly) {
       int wanted = waiting.tasks().size();
-      return room.groups(waiting, nearOnly).stream()
+      return capacity.groups(waiting, nearOnly).stream()
           .filter(group -> ReferenceCapacity.fits(waiting, group) >= wanted)
           .min(Comparator.comparingInt(group -> ReferenceCapacity.fits(waiting, group)))
-          .map(group -> ReferenceCapacity.place(waiting, waiting.tasks(), group));
+          .map(group -> ReferenceCapacity.placeTasks(waiting, waiting.tasks(), group));
     }
 
-    private void start(TaskPlacement place) {
-      starts.add(place);
-      reserve(place);
+    private void start(TaskPlacement placement) {
+      starts.add(placement);
+      reserve(placement);
     }
 
-    private void reserve(TaskPlacement place) {
-      free.take(place.executor(), place.step().spec());
-      expected.take(place.executor(), place.step().spec());
+    private void reserve(TaskPlacement placement) {
+      available.reserve(placement.executor(), placement.step().spec());
+      expected.reserve(placement.executor(), placement.step().spec());
     }
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/StepTimingTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/StepTimingTest.java
@@ -9,26 +9,26 @@
 
 class StepTimingTest {
 
-  /** An objective of 10, of which 6 are spare. */
+  /** Returns the timing of a step with an objective of 10 ns, of which 6 are spare. */
   private static StepTiming waited(long nanos) {
     return new StepTiming(nanos, nanos, 6, 10);
   }
 
   @Test
-  void workIsInTimeWhileItsSpareTimeLasts() {
+  void workIsInTimeWhileItHasSpareTime() {
     assertEquals(Prospect.IN_TIME, waited(6).prospect());
     assertEquals(Prospect.LATE, waited(7).prospect());
   }
 
   @Test
-  void workIsOfUseUpToThreeTimesItsObjective() {
+  void workIsUsefulUpToThreeTimesItsObjective() {
     assertEquals(Prospect.LATE, waited(26).prospect());
     assertEquals(Prospect.TOO_LATE, waited(27).prospect());
   }
 
   @Test
-  void workIsPressedOnceItsSpareTimeIsAlmostOver() {
-    assertFalse(waited(4).pressed());
-    assertTrue(waited(5).pressed());
+  void workIsNearlyLateOnceItsSpareTimeIsAlmostUsedUp() {
+    assertFalse(waited(4).nearlyLate());
+    assertTrue(waited(5).nearlyLate());
   }
 }
