--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorDuty.java
@@ -232,7 +232,7 @@
     if (leaving || executor.get().overbooked()) {
       executor.get().remove(run);
       reportHandler.reportLost(
-          run, leaving ? "its executor leaves" : "its executor has less room now", turn);
+          run, leaving ? "its executor is leaving" : "its executor has less free capacity now", turn);
       return;
     }
     run.enter(Stage.STARTING, turn.nowNanos());
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnerCodec.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnerCodec.java
@@ -5,15 +5,15 @@
 import org.fescuehook.model.fleet.VmId;
 import org.fescuehook.wire.batch.StoredOwner;
 
-/** Stored form of {@link OwnerRecord}. */
+/** Encodes and decodes {@link OwnerRecord} for the store. */
 public final class OwnerCodec {
 
-  /** Key of all records of the stream of ownership. */
+  /** Key of all records of the ownership stream. */
   public static final String KEY = "owner";
 
   private OwnerCodec() {}
 
-  /** Encodes a record; the epoch of a claim follows from its offset and is left out. */
+  /** Encodes a record. The epoch of a claim is left out, since it follows from the offset. */
   public static byte[] encode(OwnerRecord record) {
     StoredOwner.Builder stored =
         StoredOwner.newBuilder()
@@ -32,7 +32,8 @@
   /**
    * Decodes a record.
    *
-   * @throws UnreadableRecordException if the bytes are not a record of an owner
+   * @param offset offset of the record in the stream
+   * @throws UnreadableRecordException if the bytes are not an owner record
    */
   public static OwnerRecord decode(byte[] value, long offset) throws UnreadableRecordException {
     try {
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnerIdentity.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnerIdentity.java
@@ -3,11 +3,11 @@
 import org.fescuehook.model.fleet.VmId;
 
 /**
- * How this VM names itself in the stream of ownership.
+ * The identity of this VM in the ownership stream.
  *
  * @param vm name of the VM
  * @param incarnation distinguishes starts of the same VM
- * @param address where it takes calls of its peers, IP number and port
+ * @param address where it accepts calls of its peers, IP number and port
  * @param milliCores its processing power, in thousandths of a core of usual speed
  */
 public record OwnerIdentity(VmId vm, String incarnation, String address, int milliCores) {}
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnerRecord.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnerRecord.java
@@ -3,15 +3,15 @@
 import org.fescuehook.model.fleet.VmId;
 
 /**
- * A record of the stream of ownership.
+ * A record of the ownership stream.
  *
- * @param kind what it says
+ * @param kind what it states
  * @param vm name of the VM that wrote it
  * @param incarnation distinguishes starts of the same VM
- * @param address where the VM takes calls of its peers, IP number and port
+ * @param address where the VM accepts calls of its peers, IP number and port
  * @param epoch epoch of the owner; for a claim its offset + 1
- * @param offset place in the stream
- * @param milliCores processing power of the VM, in thousandths of a core; 0 if it is not known
+ * @param offset position in the stream
+ * @param milliCores processing power of the VM, in thousandths of a core; 0 if unknown
  */
 public record OwnerRecord(
     Kind kind,
@@ -22,33 +22,33 @@
     long offset,
     int milliCores) {
 
-  /** What a record says. */
+  /** The statement of a record. */
   public enum Kind {
-    /** The VM takes ownership over. */
+    /** The VM takes over ownership. */
     CLAIM,
-    /** The VM still owns. */
+    /** The VM still is the owner. */
     HEARTBEAT,
-    /** The VM gives ownership up. */
+    /** The VM gives up ownership. */
     RELEASE
   }
 
-  /** Incarnation of an owner that a peer told of. */
-  private static final String UNKNOWN = "";
+  /** Incarnation of an owner that is known from a peer only. */
+  private static final String UNKNOWN_INCARNATION = "";
 
-  /** Returns what a peer's word for an owner says, as if it had been read at an offset. */
-  static OwnerRecord ofPeersWord(OwnerHint hint, long offset) {
+  /** Converts the hint of a peer to a record, as if it had been read at an offset. */
+  static OwnerRecord fromHint(OwnerHint hint, long offset) {
     return new OwnerRecord(
         Kind.HEARTBEAT,
         hint.vm(),
-        UNKNOWN,
+        UNKNOWN_INCARNATION,
         hint.address(),
         hint.epoch(),
         offset,
         ProcessingPower.UNKNOWN);
   }
 
-  /** Tells whether this VM wrote it in this start. */
-  public boolean by(VmId otherVm, String otherIncarnation) {
+  /** Tells whether the given incarnation of a VM wrote the record. */
+  public boolean writtenBy(VmId otherVm, String otherIncarnation) {
     return vm.equals(otherVm) && incarnation.equals(otherIncarnation);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnershipDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnershipDuty.java
@@ -14,96 +14,103 @@
 import org.fescuehook.logic.batch.store.WriterPosition;
 
 /**
- * Decides when this VM claims ownership, keeps it alive by heartbeats and notices its loss.
+ * Decides when this VM claims ownership, keeps it by heartbeats and detects its loss.
  *
- * <p>A claim is an append that the store takes only if the stream still ends where the claimant has
- * read it to; its offset makes its epoch, so no two owners share one. The claim raises the epoch of
- * the stream, and with it shuts out the former owner's heartbeats.
+ * <p>A claim is an append that the store accepts only if the stream still ends where the claimant
+ * has read it to. Its offset determines the epoch, so no two owners share one. The claim raises the
+ * epoch of the stream, so that heartbeats of the former owner are rejected.
  */
 public final class OwnershipDuty {
 
-  /** How long a doubt counts; calls that renew it come several times a second. */
-  private static final long DOUBT_NANOS = Duration.ofMillis(1500).toNanos();
+  /**
+   * How long a suspicion of the owner lasts; the calls that renew it come several times a second.
+   */
+  private static final long SUSPICION_NANOS = Duration.ofMillis(1500).toNanos();
 
-  /** Pause before a claim or heartbeat that the store did not take is repeated. */
-  private static final long RETRY_NANOS = Duration.ofMillis(100).toNanos();
+  /** Pause before a claim or heartbeat that was not stored is repeated. */
+  private static final long RETRY_PAUSE_NANOS = Duration.ofMillis(100).toNanos();
 
   /**
-   * How long a much weaker VM than the former owner leaves the claim to others of its kind, if
-   * there are any; they read of a silence within some 0.4 s of each other.
+   * Delay after which a VM that is much weaker than the former owner claims, to let stronger VMs
+   * claim first; all VMs notice a silence within about 0.4 s of each other.
    */
-  private static final long WEAKER_WAIT_NANOS = Duration.ofMillis(500).toNanos();
+  private static final long WEAKER_VM_DELAY_NANOS = Duration.ofMillis(500).toNanos();
 
   /**
-   * How long a VM that could not begin to decide claims only where nobody else does; what kept it
-   * from it, such as a thin link, rarely passes sooner.
+   * How long a VM that could not complete a take-over claims only if no other VM does; the cause,
+   * such as a slow network link, rarely passes sooner.
    */
-  private static final long YIELD_NANOS = Duration.ofSeconds(60).toNanos();
+  private static final long YIELD_PERIOD_NANOS = Duration.ofSeconds(60).toNanos();
 
-  /** Longer than any other VM waits, so that each of them claims first. */
-  private static final long YIELD_WAIT_NANOS = Duration.ofMillis(2000).toNanos();
+  /**
+   * Delay of a claim during that period; longer than that of any other VM, so that each of them
+   * claims first.
+   */
+  private static final long YIELD_DELAY_NANOS = Duration.ofMillis(2000).toNanos();
 
-  /** Offset of what a peer told before any record was read. */
-  private static final long BEFORE_FIRST = -1;
+  /** Offset of an owner reported by a peer before any record was read. */
+  private static final long BEFORE_FIRST_OFFSET = -1;
 
   private final OwnerIdentity self;
 
   /**
-   * Sequence of this VM's claims. The store answers a repeated epoch and sequence as it answered
-   * the first, so claimants must not share a sequence: each would read that it has won.
+   * Sequence number of this VM's claims. The store answers a repeated epoch and sequence number
+   * with the first answer, so claimants must not share a sequence number: each would be told that
+   * it has won.
    */
   private final long claimSequence;
 
-  private final OwnershipTimeouts pace = new OwnershipTimeouts();
+  private final OwnershipTimeouts timeouts = new OwnershipTimeouts();
   private Optional<OwnerRecord> newest = Optional.empty();
   private OptionalLong end = OptionalLong.empty();
   private OptionalLong epoch = OptionalLong.empty();
-  private long quietSince;
+  private long silentSince;
 
   /** Whether the silence began with a record of the owner. */
-  private boolean quietSinceHeard;
+  private boolean silentSinceRecord;
 
-  private OptionalLong doubtedAt = OptionalLong.empty();
+  private OptionalLong suspectedAt = OptionalLong.empty();
   private long sequence;
   private boolean readable;
   private final Outstanding appending = new Outstanding(Outstanding.APPEND);
 
   /**
-   * What was sent under the present sequence and may have been stored. It is sent again until it
-   * surely is: the store answers a repeated sequence as it answered the first, whatever it carries.
+   * The append with the present sequence number, if its outcome is open. It is repeated until it is
+   * certainly stored: the store answers a repeated sequence number with the first answer, whatever
+   * the repeat contains.
    */
-  private Optional<OwnerRecord.Kind> unsettled = Optional.empty();
+  private Optional<OwnerRecord.Kind> unconfirmed = Optional.empty();
 
-  /** Whether it may have been stored before it was sent the last time. */
-  private boolean unsettledUnsure;
+  /** Whether that append may have been stored before it was sent the last time. */
+  private boolean mayBeStoredAlready;
 
   private long nextAppendAt;
-  private long sentAt;
-  private long heartbeatSentAt;
+  private long lastSentAt;
+  private long firstSentAt;
   private OptionalLong confirmedAt = OptionalLong.empty();
   private boolean retired;
   private boolean yielding;
   private OptionalLong yieldedAt = OptionalLong.empty();
 
-  /** Creates the duty of a VM that has read nothing. */
+  /** Creates the duty of a VM that has not read anything. */
   public OwnershipDuty(OwnerIdentity self) {
     this.self = self;
     this.claimSequence = Integer.toUnsignedLong((self.vm() + self.incarnation()).hashCode());
   }
 
-  /** Returns the epoch if this VM owns as far as it knows. */
+  /** Returns the epoch if this VM is the owner as far as it knows. */
   public OptionalLong epoch() {
     return epoch;
   }
 
-  /** Returns the epoch if this VM may decide; it may not while it gives ownership up. */
+  /** Returns the epoch if this VM may decide; absent while it gives ownership up. */
   public OptionalLong decidingEpoch() {
     return retired || yielding ? OptionalLong.empty() : epoch;
   }
 
   /**
-   * Returns the newest record of an owner that may decide; absent if there is none, if it has given
-   * up, or if it is this VM itself and has lost its epoch.
+   * Returns the newest record of an owner that may decide; absent if there is none, if the owner
+   * has given up, or if it is this VM and has lost its epoch.
    */
   public Optional<OwnerRecord> owner() {
     return newest
@@ -111,24 +118,28 @@
         .filter(record -> epoch.isPresent() || !bySelf(record));
   }
 
-  /** Returns what is known of this VM's way to the store. */
+  /** Returns how well this VM reaches the store. */
   public StoreContact contact(BatchTurn turn) {
-    return pace.contact(confirmedAt.orElse(turn.nowNanos()), turn);
+    return timeouts.storeReachability(confirmedAt.orElse(turn.nowNanos()), turn);
   }
 
-  /** Takes in that this VM runs. The stream is read from the first call on. */
+  /** Records that this VM is running. Reading of the stream starts with the first call. */
   public void runs(BatchTurn turn) {
-    pace.runs(turn);
+    timeouts.recordActivity(turn);
   }
 
-  /** Takes in that the stream was read to its end. */
+  /**
+   * Records that the stream was read to its end.
+   *
+   * @param record the newest record; absent if there was no new one
+   */
   public void read(Optional<OwnerRecord> record, long streamEnd, BatchTurn turn) {
     end = OptionalLong.of(Math.max(streamEnd, end.orElse(0)));
     readable = true;
-    if (pace.readLate(turn)) {
-      quietFromNow(false, turn);
+    if (timeouts.readOverdue(turn)) {
+      restartSilence(false, turn);
     }
-    pace.read(turn);
+    timeouts.readCompleted(turn);
     if (record.isEmpty()) {
       return;
     }
@@ -137,37 +148,40 @@
       return;
     }
     boolean changed = newest.isEmpty() || newest.get().epoch() != seen.epoch();
-    if (!changed && quietSinceHeard) {
-      pace.heard(turn.nowNanos() - quietSince, turn);
+    if (!changed && silentSinceRecord) {
+      timeouts.heartbeatReceived(turn.nowNanos() - silentSince, turn);
     }
     newest = record;
-    quietFromNow(true, turn);
-    doubtedAt = OptionalLong.empty();
+    restartSilence(true, turn);
+    suspectedAt = OptionalLong.empty();
     if (changed) {
       turn.note(BatchLogEvent.OWNER_SEEN, seen.vm(), seen.epoch(), seen.kind());
     }
     if (epoch.isPresent() && seen.epoch() > epoch.getAsLong()) {
-      lose(turn, "a claim of " + seen.vm());
+      loseOwnership(turn, "a claim of " + seen.vm());
     }
     boolean ownClaim = seen.kind() == OwnerRecord.Kind.CLAIM && bySelf(seen);
     if (ownClaim && epoch.isEmpty() && !retired) {
-      win(seen.epoch(), turn);
+      becomeOwner(seen.epoch(), turn);
     }
   }
 
-  /** Takes in that the stream could not be read: silence counts anew from here. */
+  /**
+   * Records that the stream could not be read: the silence of the owner is measured anew from now
+   * on.
+   */
   public void unreadable(BatchTurn turn) {
     readable = false;
-    pace.unreadable(turn);
-    quietFromNow(false, turn);
+    timeouts.readFailed(turn);
+    restartSilence(false, turn);
   }
 
-  private void quietFromNow(boolean heard, BatchTurn turn) {
-    quietSince = turn.nowNanos();
-    quietSinceHeard = heard;
+  private void restartSilence(boolean byRecord, BatchTurn turn) {
+    silentSince = turn.nowNanos();
+    silentSinceRecord = byRecord;
   }
 
-  /** Returns the owner to tell others: this VM, or the one that it knows. */
+  /** Returns the owner to report to peers: this VM, or the one it knows. */
   public Optional<OwnerHint> hint() {
     if (epoch.isPresent()) {
       return Optional.of(new OwnerHint(self.vm(), epoch.getAsLong(), self.address()));
@@ -176,32 +190,32 @@
   }
 
   /**
-   * Takes a peer's word for a newer owner. It matters while this VM cannot read the stream itself;
-   * what it reads later counts more.
+   * Handles an owner reported by a peer, if it is newer than the known one. This matters while this
+   * VM cannot read the stream itself; what it reads later has precedence.
    */
   public void hinted(OwnerHint hint, BatchTurn turn) {
     long known = Math.max(epoch.orElse(0), newest.map(OwnerRecord::epoch).orElse(0L));
     if (hint.epoch() <= known || hint.vm().equals(self.vm())) {
       return;
     }
-    long offset = newest.map(OwnerRecord::offset).orElse(BEFORE_FIRST);
-    newest = Optional.of(OwnerRecord.ofPeersWord(hint, offset));
-    quietFromNow(false, turn);
-    doubtedAt = OptionalLong.empty();
+    long offset = newest.map(OwnerRecord::offset).orElse(BEFORE_FIRST_OFFSET);
+    newest = Optional.of(OwnerRecord.fromHint(hint, offset));
+    restartSilence(false, turn);
+    suspectedAt = OptionalLong.empty();
     turn.note(BatchLogEvent.OWNER_SEEN, hint.vm(), hint.epoch(), "peer's word");
     if (epoch.isPresent()) {
-      lose(turn, "a peer knows " + hint.vm() + " at epoch " + hint.epoch());
+      loseOwnership(turn, "a peer knows " + hint.vm() + " at epoch " + hint.epoch());
     }
   }
 
-  /** Takes in that the owner has shown that it does not decide at present. */
+  /** Records that the owner has shown that it currently makes no decisions. */
   public void doubted(BatchTurn turn) {
     if (epoch.isEmpty()) {
-      doubtedAt = OptionalLong.of(turn.nowNanos());
+      suspectedAt = OptionalLong.of(turn.nowNanos());
     }
   }
 
-  /** Claims or sends a heartbeat if it is time. */
+  /** Sends a claim or a heartbeat if one is due. */
   public void step(BatchTurn turn) {
     if (appending.present(turn) || turn.nowNanos() - nextAppendAt < 0) {
       return;
@@ -209,17 +223,17 @@
     if (epoch.isPresent()) {
       OwnerRecord.Kind wanted =
           retired || yielding ? OwnerRecord.Kind.RELEASE : OwnerRecord.Kind.HEARTBEAT;
-      append(unsettled.orElse(wanted), OptionalLong.empty(), turn);
+      append(unconfirmed.orElse(wanted), OptionalLong.empty(), turn);
       return;
     }
-    if (!retired && end.isPresent() && ownerGone(turn)) {
+    if (!retired && end.isPresent() && mayClaim(turn)) {
       claim(turn);
     }
   }
 
   /**
-   * Returns how long no claim can become due while nothing new is heard; zero if one may be due
-   * now, or if this VM owns.
+   * Returns how long no claim can become due if no news arrives; zero if one may be due now, or if
+   * this VM is the owner.
    *
    * @param nowNanos monotonic time
    */
@@ -232,52 +246,55 @@
     if (epoch.isPresent() || !another) {
       return Duration.ZERO;
     }
-    return OwnershipTimeouts.calmFor(nowNanos - quietSince);
+    return OwnershipTimeouts.minTimeToClaim(nowNanos - silentSince);
   }
 
-  private boolean ownerGone(BatchTurn turn) {
+  private boolean mayClaim(BatchTurn turn) {
     if (newest.isEmpty()) {
       return true;
     }
     OwnerRecord owner = newest.get();
-    boolean formerStart = owner.vm().equals(self.vm()) && !bySelf(owner);
+    boolean ownPreviousIncarnation = owner.vm().equals(self.vm()) && !bySelf(owner);
     boolean yielded =
-        yieldedAt.isPresent() && turn.nowNanos() - yieldedAt.getAsLong() < YIELD_NANOS;
-    boolean displaces =
+        yieldedAt.isPresent() && turn.nowNanos() - yieldedAt.getAsLong() < YIELD_PERIOD_NANOS;
+    boolean takesOver =
         readable && ProcessingPower.muchStronger(self.milliCores(), owner.milliCores());
-    if (formerStart || (displaces && !yielded)) {
+    if (ownPreviousIncarnation || (takesOver && !yielded)) {
       return true;
     }
     boolean released = owner.kind() == OwnerRecord.Kind.RELEASE;
-    boolean weaker = ProcessingPower.muchStronger(owner.milliCores(), self.milliCores());
-    long patience =
-        (released ? 0 : patienceNanos(turn))
-            + (weaker ? WEAKER_WAIT_NANOS : 0)
-            + (yielded ? YIELD_WAIT_NANOS : 0);
-    return patience == 0 || (turn.nowNanos() - quietSince > patience && !pace.readLate(turn));
+    boolean muchWeaker = ProcessingPower.muchStronger(owner.milliCores(), self.milliCores());
+    long delay =
+        (released ? 0 : silenceTimeoutNanos(turn))
+            + (muchWeaker ? WEAKER_VM_DELAY_NANOS : 0)
+            + (yielded ? YIELD_DELAY_NANOS : 0);
+    return delay == 0 || (turn.nowNanos() - silentSince > delay && !timeouts.readOverdue(turn));
   }
 
-  private long patienceNanos(BatchTurn turn) {
-    boolean doubted =
-        doubtedAt.isPresent() && turn.nowNanos() - doubtedAt.getAsLong() < DOUBT_NANOS;
-    return doubted ? pace.doubtedSilenceNanos(turn) : pace.silenceNanos(turn);
+  private long silenceTimeoutNanos(BatchTurn turn) {
+    boolean suspected =
+        suspectedAt.isPresent() && turn.nowNanos() - suspectedAt.getAsLong() < SUSPICION_NANOS;
+    return suspected
+        ? timeouts.suspectedSilenceTimeoutNanos(turn)
+        : timeouts.silenceTimeoutNanos(turn);
   }
 
   private void claim(BatchTurn turn) {
     sequence = claimSequence;
-    settled();
+    clearUnconfirmed();
     append(OwnerRecord.Kind.CLAIM, end, turn);
   }
 
   private void append(OwnerRecord.Kind kind, OptionalLong expectedEnd, BatchTurn turn) {
     appending.begin(turn);
-    sentAt = turn.nowNanos();
-    if (unsettled.isEmpty()) {
-      heartbeatSentAt = turn.nowNanos();
+    lastSentAt = turn.nowNanos();
+    if (unconfirmed.isEmpty()) {
+      firstSentAt = turn.nowNanos();
     }
-    // What is still unsettled had no outcome, or one that leaves it open.
-    unsettledUnsure = unsettled.isPresent();
-    unsettled = Optional.of(kind);
+    // An append that is still unconfirmed had no outcome, or one that does not tell whether it was
+    // stored.
+    mayBeStoredAlready = unconfirmed.isPresent();
+    unconfirmed = Optional.of(kind);
     long appendEpoch = epoch.orElseGet(() -> expectedEnd.getAsLong() + 1);
     OwnerRecord record =
         new OwnerRecord(
@@ -291,93 +308,95 @@
             List.of(keyed)));
   }
 
-  /** Takes the outcome of a claim or a heartbeat. */
+  /** Handles the outcome of a claim or a heartbeat. */
   public void answered(WriterPosition position, AppendOutcome outcome, BatchTurn turn) {
     appending.end();
-    if (outcome.ofTheStore()) {
-      pace.appended(turn.nowNanos() - sentAt, turn);
+    if (outcome.processedByStore()) {
+      timeouts.appended(turn.nowNanos() - lastSentAt, turn);
     }
     boolean claimed = position.sequence() == claimSequence;
     switch (outcome) {
       case AppendOutcome.Stored stored -> stored(position, claimed, turn);
       case AppendOutcome.Refused refused -> {
-        unsettled = unsettledUnsure ? unsettled : Optional.empty();
-        nextAppendAt = turn.nowNanos() + RETRY_NANOS;
+        unconfirmed = mayBeStoredAlready ? unconfirmed : Optional.empty();
+        nextAppendAt = turn.nowNanos() + RETRY_PAUSE_NANOS;
       }
       case AppendOutcome.Unanswered unanswered -> {
-        unsettledUnsure = true;
-        nextAppendAt = turn.nowNanos() + (claimed ? pace.claimPauseNanos(turn) : RETRY_NANOS);
+        mayBeStoredAlready = true;
+        nextAppendAt =
+            turn.nowNanos() + (claimed ? timeouts.claimPauseNanos(turn) : RETRY_PAUSE_NANOS);
       }
-      case AppendOutcome.Fenced fenced -> refusedForGood(position, "a higher epoch", turn);
-      case AppendOutcome.Conflict conflict -> refusedForGood(position, "a later record", turn);
-      case AppendOutcome.OutOfSequence _ -> refusedForGood(position, "another sequence", turn);
+      case AppendOutcome.Fenced fenced -> superseded(position, "a higher epoch", turn);
+      case AppendOutcome.Conflict conflict -> superseded(position, "a later record", turn);
+      case AppendOutcome.OutOfSequence _ -> superseded(position, "another sequence", turn);
     }
   }
 
   private void stored(WriterPosition position, boolean claimed, BatchTurn turn) {
     if (claimed && epoch.isEmpty() && !retired) {
-      win(position.epoch(), turn);
+      becomeOwner(position.epoch(), turn);
     }
     if (epoch.isEmpty() || epoch.getAsLong() != position.epoch()) {
       return;
     }
-    boolean released = unsettled.equals(Optional.of(OwnerRecord.Kind.RELEASE));
-    settled();
-    confirmedAt = OptionalLong.of(heartbeatSentAt);
+    boolean released = unconfirmed.equals(Optional.of(OwnerRecord.Kind.RELEASE));
+    clearUnconfirmed();
+    confirmedAt = OptionalLong.of(firstSentAt);
     sequence = position.sequence() + 1;
     boolean ending = retired || yielding;
-    nextAppendAt = ending ? turn.nowNanos() : heartbeatSentAt + OwnershipTimeouts.HEARTBEAT_NANOS;
+    nextAppendAt = ending ? turn.nowNanos() : firstSentAt + OwnershipTimeouts.HEARTBEAT_NANOS;
     if (released) {
-      lose(turn, retired ? "this VM stops" : "this VM could not begin to decide");
+      loseOwnership(turn, retired ? "this VM stops" : "this VM could not begin to decide");
     }
   }
 
-  private void settled() {
-    unsettled = Optional.empty();
-    unsettledUnsure = false;
+  private void clearUnconfirmed() {
+    unconfirmed = Optional.empty();
+    mayBeStoredAlready = false;
   }
 
-  private void refusedForGood(WriterPosition position, String cause, BatchTurn turn) {
-    // Another claim has come first; its record is read before this VM may claim again.
-    nextAppendAt = turn.nowNanos() + pace.claimPauseNanos(turn);
-    quietFromNow(false, turn);
+  private void superseded(WriterPosition position, String cause, BatchTurn turn) {
+    // Another claim was stored first; its record is read before this VM may claim again.
+    nextAppendAt = turn.nowNanos() + timeouts.claimPauseNanos(turn);
+    restartSilence(false, turn);
     if (epoch.isPresent() && epoch.getAsLong() == position.epoch()) {
-      lose(turn, cause);
+      loseOwnership(turn, cause);
     }
   }
 
-  private void win(long won, BatchTurn turn) {
-    settled();
+  private void becomeOwner(long won, BatchTurn turn) {
+    clearUnconfirmed();
     epoch = OptionalLong.of(won);
     sequence = claimSequence + 1;
-    confirmedAt = OptionalLong.of(heartbeatSentAt);
-    // Others have heard nothing since the claim was sent, which a slow store takes long for.
-    nextAppendAt = heartbeatSentAt + OwnershipTimeouts.HEARTBEAT_NANOS;
+    confirmedAt = OptionalLong.of(firstSentAt);
+    // Others have received nothing since the claim was sent, which may be long ago if the store is
+    // slow.
+    nextAppendAt = firstSentAt + OwnershipTimeouts.HEARTBEAT_NANOS;
     turn.note(BatchLogEvent.OWNERSHIP_WON, won);
   }
 
-  private void lose(BatchTurn turn, String cause) {
+  private void loseOwnership(BatchTurn turn, String cause) {
     turn.note(BatchLogEvent.OWNERSHIP_LOST, epoch.orElse(0), cause);
     if (yielding) {
       yielding = false;
       yieldedAt = OptionalLong.of(turn.nowNanos());
     }
-    settled();
+    clearUnconfirmed();
     epoch = OptionalLong.empty();
     confirmedAt = OptionalLong.empty();
-    quietFromNow(false, turn);
+    restartSilence(false, turn);
   }
 
-  /** Ownership was lost in another stream, or is given up for a fault. */
+  /** Ends ownership that was lost in another stream, or that is given up because of a fault. */
   public void abandon(String cause, BatchTurn turn) {
     if (epoch.isPresent()) {
-      lose(turn, cause);
+      loseOwnership(turn, cause);
     }
   }
 
   /**
-   * Gives ownership up, so that another VM claims at once, and claims later only where none does.
-   * Its heartbeats would keep the others from claiming while it decides nothing.
+   * Gives ownership up, so that another VM claims at once; this VM then claims only if no other
+   * does. Its heartbeats would keep the others from claiming although it makes no decisions.
    */
   public void yield(BatchTurn turn) {
     if (epoch.isPresent() && !yielding) {
@@ -394,6 +413,6 @@
   }
 
   private boolean bySelf(OwnerRecord record) {
-    return record.by(self.vm(), self.incarnation());
+    return record.writtenBy(self.vm(), self.incarnation());
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnershipTimeouts.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnershipTimeouts.java
@@ -6,179 +6,199 @@
 import org.fescuehook.logic.batch.store.SlidingWindowMaximum;
 
 /**
- * How long the exchanges about ownership take, as this VM has seen them itself, and the limits that
- * follow: an owner whose heartbeats the store delays is alive, and one that a VM has not heard of
- * because its own reads are late may be.
+ * Timeouts of the ownership protocol, adapted to how long reads, appends and heartbeats have
+ * recently taken on this VM. An owner whose heartbeats the store delays is alive, and one whose
+ * heartbeats this VM reads late may be.
  *
- * <p>While the store is quick all limits stand at their least values, so that a dead owner is
- * replaced as soon as it can be.
+ * <p>While the store is fast, all timeouts have their minimum, so that a dead owner is replaced as
+ * early as possible.
  */
 final class OwnershipTimeouts {
 
-  /** Time between heartbeats; four of them fit into {@link #LEAST_SILENCE_NANOS}. */
+  /** Interval between heartbeats; four of them fit into {@link #MIN_SILENCE_NANOS}. */
   static final long HEARTBEAT_NANOS = Duration.ofMillis(500).toNanos();
 
   /**
-   * Silence of the owner after which another VM claims. A take-over and the first renewals have to
-   * fit into a lease of 6 s beside it.
+   * Least silence of the owner after which another VM claims ownership. The silence, the take-over
+   * and the first lease renewals have to fit into a lease of 6 s.
    */
-  private static final long LEAST_SILENCE_NANOS = Duration.ofMillis(2000).toNanos();
+  private static final long MIN_SILENCE_NANOS = Duration.ofMillis(2000).toNanos();
 
   /**
-   * Silence after which an owner is replaced that is doubted: it says itself that it cannot reach
-   * the store, or cannot be connected to.
+   * Least silence after which a suspected owner is replaced: one that reports that it cannot reach
+   * the store, or to which no connection can be opened.
    */
-  private static final long LEAST_DOUBTED_SILENCE_NANOS = Duration.ofMillis(1000).toNanos();
+  private static final long MIN_SUSPECTED_SILENCE_NANOS = Duration.ofMillis(1000).toNanos();
 
   /**
-   * Pause between claims: one without an answer may still land, and of one that came too late the
-   * winner's record is read within some 0.4 s.
+   * Least pause between claims. A claim without an answer may still be stored, and if a claim came
+   * too late the winner's record is read within about 0.4 s.
    */
-  private static final long LEAST_CLAIM_PAUSE_NANOS = Duration.ofMillis(700).toNanos();
+  private static final long MIN_CLAIM_PAUSE_NANOS = Duration.ofMillis(700).toNanos();
 
-  /** Longest silence, however slow the store is; leases have run out by then. */
-  private static final long LONGEST_SILENCE_NANOS = Duration.ofSeconds(12).toNanos();
+  /** Longest silence that is tolerated, however slow the store is; leases have expired by then. */
+  private static final long MAX_SILENCE_NANOS = Duration.ofSeconds(12).toNanos();
 
-  /** A read in a store that is slow for this VM; some tens of the usual 4 ms. */
+  /**
+   * Duration of a read from which on the store counts as slow for this VM; about 40 times the usual
+   * 4 ms.
+   */
   private static final long SLOW_READ_NANOS = Duration.ofMillis(150).toNanos();
 
-  /** Heartbeats at their usual pace that fit into the silence after which an owner is replaced. */
-  private static final int USUAL_HEARTBEATS = 4;
+  /**
+   * Number of heartbeats, at their usual gap, that fit into the silence after which an owner is
+   * replaced.
+   */
+  private static final int HEARTBEATS_AT_USUAL_GAP = 4;
 
-  /** Heartbeats at the slowest pace of late that fit into it. */
-  private static final int SLOW_HEARTBEATS = 2;
+  /** Number of heartbeats, at the longest recent gap, that fit into that silence. */
+  private static final int HEARTBEATS_AT_LONGEST_GAP = 2;
 
-  /** Weight of a gap in the usual one: it follows a store that turns slow sooner than its end. */
-  private static final double LONGER_WEIGHT = 1.0 / 2;
+  /**
+   * Weights of a new gap in the usual gap: the usual gap adapts faster to a store that becomes slow
+   * than to one that becomes fast again.
+   */
+  private static final double LONGER_GAP_WEIGHT = 1.0 / 2;
 
-  private static final double SHORTER_WEIGHT = 1.0 / 8;
+  private static final double SHORTER_GAP_WEIGHT = 1.0 / 8;
 
-  /** Time between two reads in a quick store: a pause, and the wait for a record. */
-  private static final long READ_NANOS = Duration.ofMillis(1400).toNanos();
+  /** Interval between reads while the store is fast: a pause, and the wait for a record. */
+  private static final long READ_INTERVAL_NANOS = Duration.ofMillis(1400).toNanos();
 
-  /** How much later a read may be before nothing is made of a silence. */
-  private static final long LEAST_READ_SLACK_NANOS = Duration.ofMillis(700).toNanos();
+  /** Least delay of a read from which on silence of the owner is ignored. */
+  private static final long MIN_READ_DELAY_NANOS = Duration.ofMillis(700).toNanos();
 
-  /** Longest time between two turns of a VM that runs; one that stands by rests for up to 1 s. */
-  private static final long USUAL_TURN_NANOS = Duration.ofMillis(1500).toNanos();
+  /**
+   * Longest usual time between two events on a VM that is running; one that is on standby sleeps
+   * for up to 1 s.
+   */
+  private static final long MAX_USUAL_IDLE_NANOS = Duration.ofMillis(1500).toNanos();
 
-  private final SlidingWindowMaximum reads = new SlidingWindowMaximum();
-  private final SlidingWindowMaximum appends = new SlidingWindowMaximum();
-  private final SlidingWindowMaximum gaps = new SlidingWindowMaximum();
-  private OptionalLong readAt = OptionalLong.empty();
-  private boolean waited;
-  private OptionalLong ranAt = OptionalLong.empty();
+  private final SlidingWindowMaximum readTimes = new SlidingWindowMaximum();
+  private final SlidingWindowMaximum appendTimes = new SlidingWindowMaximum();
+  private final SlidingWindowMaximum heartbeatGaps = new SlidingWindowMaximum();
+  private OptionalLong lastReadAt = OptionalLong.empty();
+  private boolean readsWaitForRecord;
+  private OptionalLong lastActiveAt = OptionalLong.empty();
 
-  /** How long this VM did not run since the last read. */
+  /** How long this VM was paused since the last read. */
   private long pausedNanos;
 
   private double usualGapNanos = HEARTBEAT_NANOS;
   private long lastAppendNanos;
 
-  /** Takes in that this VM runs. Reading begins with the first turn. */
-  void runs(BatchTurn turn) {
-    if (readAt.isEmpty()) {
-      readAt = OptionalLong.of(turn.nowNanos());
+  /**
+   * Records that this VM is running, which detects pauses of it. The first call starts the first
+   * read.
+   */
+  void recordActivity(BatchTurn turn) {
+    if (lastReadAt.isEmpty()) {
+      lastReadAt = OptionalLong.of(turn.nowNanos());
     }
-    long idle = turn.nowNanos() - ranAt.orElse(turn.nowNanos());
-    pausedNanos += idle > USUAL_TURN_NANOS ? idle : 0;
-    ranAt = OptionalLong.of(turn.nowNanos());
+    long idle = turn.nowNanos() - lastActiveAt.orElse(turn.nowNanos());
+    pausedNanos += idle > MAX_USUAL_IDLE_NANOS ? idle : 0;
+    lastActiveAt = OptionalLong.of(turn.nowNanos());
   }
 
-  /** Takes in a read to the end; the first one of a VM does not wait for a record. */
-  void read(BatchTurn turn) {
-    // A pause of this VM is no time that the store took.
-    long since = turn.nowNanos() - readAt.orElse(turn.nowNanos()) - pausedNanos;
-    reads.add(Math.max(0, since - (waited ? READ_NANOS : 0)), turn);
-    restart(turn);
+  /**
+   * Records that a read has reached the end of the stream; the first one does not wait for a
+   * record.
+   */
+  void readCompleted(BatchTurn turn) {
+    // A pause of this VM is not time that the store took.
+    long since = turn.nowNanos() - lastReadAt.orElse(turn.nowNanos()) - pausedNanos;
+    readTimes.add(Math.max(0, since - (readsWaitForRecord ? READ_INTERVAL_NANOS : 0)), turn);
+    startNextRead(turn);
   }
 
-  /** Takes in that a read has failed, so that nothing is known of how long one takes. */
-  void unreadable(BatchTurn turn) {
-    restart(turn);
+  /** Records that a read has failed, so that its duration says nothing about the store. */
+  void readFailed(BatchTurn turn) {
+    startNextRead(turn);
   }
 
-  private void restart(BatchTurn turn) {
-    readAt = OptionalLong.of(turn.nowNanos());
+  private void startNextRead(BatchTurn turn) {
+    lastReadAt = OptionalLong.of(turn.nowNanos());
     pausedNanos = 0;
-    waited = true;
+    readsWaitForRecord = true;
   }
 
-  /** Takes in how long the store took to answer a claim or a heartbeat of this VM. */
+  /** Records how long the store took to answer a claim or heartbeat of this VM. */
   void appended(long nanos, BatchTurn turn) {
     lastAppendNanos = nanos;
-    appends.add(nanos, turn);
+    appendTimes.add(nanos, turn);
   }
 
-  /** Takes in how far apart two heartbeats of the owner were read. */
-  void heard(long gapNanos, BatchTurn turn) {
-    gaps.add(gapNanos, turn);
-    double weight = gapNanos > usualGapNanos ? LONGER_WEIGHT : SHORTER_WEIGHT;
+  /** Records the gap between the last two heartbeats of the owner. */
+  void heartbeatReceived(long gapNanos, BatchTurn turn) {
+    heartbeatGaps.add(gapNanos, turn);
+    double weight = gapNanos > usualGapNanos ? LONGER_GAP_WEIGHT : SHORTER_GAP_WEIGHT;
     usualGapNanos += weight * (gapNanos - usualGapNanos);
   }
 
   /**
-   * Tells whether the next read is late, by more than is usual at present. A silence says nothing
-   * then: the owner may have written all the while.
+   * Tells whether the next read is overdue, by more than is usual at present. Silence of the owner
+   * says nothing then, as it may have written all the time.
    */
-  boolean readLate(BatchTurn turn) {
-    if (readAt.isEmpty()) {
+  boolean readOverdue(BatchTurn turn) {
+    if (lastReadAt.isEmpty()) {
       return false;
     }
-    long slack = Math.max(LEAST_READ_SLACK_NANOS, 2 * reads.longest(turn));
-    return turn.nowNanos() - readAt.getAsLong() > READ_NANOS + slack;
+    long allowedDelay = Math.max(MIN_READ_DELAY_NANOS, 2 * readTimes.longest(turn));
+    return turn.nowNanos() - lastReadAt.getAsLong() > READ_INTERVAL_NANOS + allowedDelay;
   }
 
   /**
-   * Returns what this VM's own appends have shown of the store.
+   * Returns how well this VM reaches the store, by its own appends.
    *
    * @param confirmedAt when the last heartbeat that the store confirmed was sent, monotonic time
    */
-  StoreContact contact(long confirmedAt, BatchTurn turn) {
-    return new StoreContact(confirmedAt, lastAppendNanos, appends.longest(turn));
+  StoreContact storeReachability(long confirmedAt, BatchTurn turn) {
+    return new StoreContact(confirmedAt, lastAppendNanos, appendTimes.longest(turn));
   }
 
   /** Returns the silence after which an owner is replaced. */
-  long silenceNanos(BatchTurn turn) {
+  long silenceTimeoutNanos(BatchTurn turn) {
     long ofHeartbeats =
         Math.max(
-            SLOW_HEARTBEATS * gaps.longest(turn), Math.round(USUAL_HEARTBEATS * usualGapNanos));
-    long needed = Math.max(ofHeartbeats, heartbeatNanos(turn) + reads.longest(turn));
-    return Math.clamp(needed, LEAST_SILENCE_NANOS, LONGEST_SILENCE_NANOS);
+            HEARTBEATS_AT_LONGEST_GAP * heartbeatGaps.longest(turn),
+            Math.round(HEARTBEATS_AT_USUAL_GAP * usualGapNanos));
+    long needed = Math.max(ofHeartbeats, heartbeatDelayNanos(turn) + readTimes.longest(turn));
+    return Math.clamp(needed, MIN_SILENCE_NANOS, MAX_SILENCE_NANOS);
   }
 
   /**
-   * Returns the silence after which a doubted owner is replaced. Where this VM's own reads are
-   * slow, the store explains the owner's trouble, and a claimant would do no better.
+   * Returns the silence after which a suspected owner is replaced. If this VM's own reads are slow,
+   * the store explains the owner's trouble, and another owner would do no better.
    */
-  long doubtedSilenceNanos(BatchTurn turn) {
-    if (reads.longest(turn) > SLOW_READ_NANOS) {
-      return silenceNanos(turn);
+  long suspectedSilenceTimeoutNanos(BatchTurn turn) {
+    if (readTimes.longest(turn) > SLOW_READ_NANOS) {
+      return silenceTimeoutNanos(turn);
     }
-    long needed = Math.max(gaps.longest(turn) + reads.longest(turn), heartbeatNanos(turn));
-    return Math.clamp(needed, LEAST_DOUBTED_SILENCE_NANOS, LONGEST_SILENCE_NANOS);
+    long needed =
+        Math.max(heartbeatGaps.longest(turn) + readTimes.longest(turn), heartbeatDelayNanos(turn));
+    return Math.clamp(needed, MIN_SUSPECTED_SILENCE_NANOS, MAX_SILENCE_NANOS);
   }
 
-  /** Returns the pause after a claim that the store did not take. */
+  /** Returns the pause after a claim that was not successful. */
   long claimPauseNanos(BatchTurn turn) {
-    return LEAST_CLAIM_PAUSE_NANOS + 2 * reads.longest(turn);
+    return MIN_CLAIM_PAUSE_NANOS + 2 * readTimes.longest(turn);
   }
 
   /**
-   * Returns how long the least silence lasts, in which nothing is to be done but to hear.
+   * Returns the least time after which this VM could claim, if nothing is heard until then.
    *
-   * @param quietNanos how long nothing has been heard
+   * @param silentNanos how long the owner has been silent
    */
-  static Duration calmFor(long quietNanos) {
-    return Duration.ofNanos(Math.max(0, LEAST_DOUBTED_SILENCE_NANOS - quietNanos));
+  static Duration minTimeToClaim(long silentNanos) {
+    return Duration.ofNanos(Math.max(0, MIN_SUSPECTED_SILENCE_NANOS - silentNanos));
   }
 
   /**
-   * Returns how long a heartbeat takes until it is read: its append waits for its turn and is then
-   * worked on, either for about as long as a read takes.
+   * Returns how long it takes until a heartbeat is read: its append waits in the queue of the store
+   * and is then processed, each for about as long as a read takes.
    */
-  private long heartbeatNanos(BatchTurn turn) {
-    long read = reads.longest(turn);
-    return HEARTBEAT_NANOS + Math.max(appends.longest(turn), 2 * read) + read;
+  private long heartbeatDelayNanos(BatchTurn turn) {
+    long read = readTimes.longest(turn);
+    return HEARTBEAT_NANOS + Math.max(appendTimes.longest(turn), 2 * read) + read;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/ProcessingPower.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/ProcessingPower.java
@@ -6,14 +6,18 @@
   static final int UNKNOWN = 0;
 
   /**
-   * A VM with this many times the processing power of the owner takes over from it. The owner's
-   * work does not shrink with its VM, and on VMs of a third of a core decisions came seconds late.
+   * Ratio of processing power from which on a VM takes over from a weaker owner. The owner's work
+   * does not shrink with its VM, and on VMs with a third of a core decisions were delayed by
+   * seconds.
    */
   private static final double MUCH_STRONGER = 1.5;
 
   private ProcessingPower() {}
 
-  /** Tells whether one VM has much more power than another; no if that of the other is unknown. */
+  /**
+   * Tells whether one VM has much more processing power than another; false if that of the other is
+   * unknown.
+   */
   static boolean muchStronger(int milliCores, int otherMilliCores) {
     return otherMilliCores > UNKNOWN && milliCores >= otherMilliCores * MUCH_STRONGER;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/package-info.java
@@ -1,4 +1,4 @@
-/** Claims, heartbeats and the loss of ownership. */
+/** Claims ownership, keeps it by heartbeats and detects its loss. */
 @NullMarked
 package org.fescuehook.logic.batch.ownership;
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/AnswerTimes.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/AnswerTimes.java
@@ -4,104 +4,110 @@
 import java.util.Optional;
 
 /**
- * How long the store's answers take, estimated from those seen as TCP estimates its round trips
- * (RFC 6298): a smoothed time and a smoothed deviation. A store that is slow for everybody is thus
- * told from one that has lost an answer.
+ * Estimates the response time of the store from observed answers, the way TCP estimates its
+ * round-trip time (RFC 6298): with a smoothed time and a smoothed deviation. This distinguishes a
+ * store that is slow from one whose answer was lost.
  */
 public final class AnswerTimes {
 
-  /** Longest time until an answer counts as late; callers have left long before. */
-  private static final Duration LONGEST = Duration.ofSeconds(5);
+  /** Longest time until an answer counts as late; callers have given up long before. */
+  private static final Duration MAX_LATE_THRESHOLD = Duration.ofSeconds(5);
 
-  /** Weight of a new answer in the smoothed time, and in the smoothed deviation (RFC 6298). */
+  /** Weight of a new sample in the smoothed time, and in the smoothed deviation (RFC 6298). */
   private static final double TIME_WEIGHT = 1.0 / 8;
 
   private static final double DEVIATION_WEIGHT = 1.0 / 4;
 
   /**
-   * Deviation that the first answer is taken to have, as a part of its time. RFC 6298 takes a half;
-   * one lost answer of a slow store is then asked for again after three answers' time.
+   * Deviation assumed for the first sample, as a share of its time. RFC 6298 uses a half; with
+   * that, an answer lost by a slow store would only be noticed after three times its response time.
    */
-  private static final double FIRST_DEVIATION = 1.0 / 4;
+  private static final double INITIAL_DEVIATION_SHARE = 1.0 / 4;
 
-  /** Deviations beyond the smoothed time before an answer counts as late (RFC 6298). */
-  private static final int DEVIATIONS = 4;
+  /**
+   * Number of deviations above the smoothed time from which on an answer counts as late (RFC 6298).
+   */
+  private static final int DEVIATION_FACTOR = 4;
 
   /**
-   * One answer counts as this many times the time after which it was late at most: a store that was
-   * silent answers what has waited for it, and that is no time that it needs.
+   * Limits one sample to this multiple of the time after which its answer was late. A store that
+   * was silent for a while then answers all that has queued up, which says nothing about its
+   * response time.
    */
-  private static final int MOST_GROWTH = 4;
+  private static final int MAX_GROWTH = 4;
 
-  private final Duration shortest;
-  private final Optional<AnswerTimes> simpler;
+  private final Duration minThreshold;
+  private final Optional<AnswerTimes> simplerCalls;
   private double smoothedNanos;
   private double deviationNanos;
-  private boolean seen;
+  private boolean hasSample;
 
   /**
-   * Creates an estimate that has seen no answer.
+   * Creates an estimator without samples.
    *
-   * @param shortest time within which no answer counts as late, also of a store that is quick
+   * @param minThreshold time within which no answer counts as late, even if the store is fast
    */
-  public AnswerTimes(Duration shortest) {
-    this(shortest, Optional.empty());
+  public AnswerTimes(Duration minThreshold) {
+    this(minThreshold, Optional.empty());
   }
 
   /**
-   * Creates an estimate that has seen no answer, for calls that take up to twice as long as simpler
-   * ones: a store that is slow for those is not pressed by the first of these.
+   * Creates an estimator without samples for calls that take up to twice as long as simpler ones.
+   * While the store is slow for those, the first of these calls isn't repeated too early.
    *
-   * @param shortest time within which no answer counts as late, also of a store that is quick
-   * @param simpler what is known of simpler calls
+   * @param minThreshold time within which no answer counts as late, even if the store is fast
+   * @param simplerCalls the estimator for the simpler calls
    */
-  public AnswerTimes(Duration shortest, AnswerTimes simpler) {
-    this(shortest, Optional.of(simpler));
+  public AnswerTimes(Duration minThreshold, AnswerTimes simplerCalls) {
+    this(minThreshold, Optional.of(simplerCalls));
   }
 
-  private AnswerTimes(Duration shortest, Optional<AnswerTimes> simpler) {
-    this.shortest = shortest;
-    this.simpler = simpler;
+  private AnswerTimes(Duration minThreshold, Optional<AnswerTimes> simplerCalls) {
+    this.minThreshold = minThreshold;
+    this.simplerCalls = simplerCalls;
   }
 
-  /** Takes in how long the answer to one send took. */
+  /** Records how long the answer to one call took. */
   public void answered(long nanos) {
-    if (!seen) {
-      seen = true;
+    if (!hasSample) {
+      hasSample = true;
       smoothedNanos = nanos;
-      deviationNanos = nanos * FIRST_DEVIATION;
+      deviationNanos = nanos * INITIAL_DEVIATION_SHARE;
       return;
     }
-    long taken = Math.min(nanos, MOST_GROWTH * late().toNanos());
-    double off = Math.abs(smoothedNanos - taken);
-    // An answer sooner than expected must not make later ones seem less late.
-    double counted = taken < smoothedNanos ? Math.min(off, deviationNanos) : off;
-    deviationNanos += DEVIATION_WEIGHT * (counted - deviationNanos);
-    smoothedNanos += TIME_WEIGHT * (taken - smoothedNanos);
+    long sample = Math.min(nanos, MAX_GROWTH * late().toNanos());
+    double deviation = Math.abs(smoothedNanos - sample);
+    // An answer faster than expected must not make later ones count as late sooner.
+    double countedDeviation =
+        sample < smoothedNanos ? Math.min(deviation, deviationNanos) : deviation;
+    deviationNanos += DEVIATION_WEIGHT * (countedDeviation - deviationNanos);
+    smoothedNanos += TIME_WEIGHT * (sample - smoothedNanos);
   }
 
-  /** Returns the time after which an answer is late. */
+  /** Returns the time after which an answer counts as late. */
   public Duration late() {
-    double own = seen ? estimateNanos() : Double.POSITIVE_INFINITY;
-    double nanos = Math.min(own, simplerNanos());
+    double own = hasSample ? estimateNanos() : Double.POSITIVE_INFINITY;
+    double nanos = Math.min(own, simplerCallsNanos());
     if (nanos == Double.POSITIVE_INFINITY) {
-      return shortest;
+      return minThreshold;
     }
-    return Duration.ofNanos(Math.clamp(Math.round(nanos), shortest.toNanos(), LONGEST.toNanos()));
+    return Duration.ofNanos(
+        Math.clamp(Math.round(nanos), minThreshold.toNanos(), MAX_LATE_THRESHOLD.toNanos()));
   }
 
   /**
-   * Returns what the simpler calls say. Own answers are longer where calls wait for each other, or
-   * for repeats of lost ones; to ask again so late would make the next ones wait as well.
+   * Returns the time derived from the simpler calls. Samples of the calls themselves are longer
+   * where these wait for each other, or for repeats of lost ones; using those times would make the
+   * next calls wait as well.
    */
-  private double simplerNanos() {
-    return simpler
-        .filter(calls -> calls.seen)
+  private double simplerCallsNanos() {
+    return simplerCalls
+        .filter(calls -> calls.hasSample)
         .map(calls -> 2 * calls.estimateNanos())
         .orElse(Double.POSITIVE_INFINITY);
   }
 
   private double estimateNanos() {
-    return smoothedNanos + DEVIATIONS * deviationNanos;
+    return smoothedNanos + DEVIATION_FACTOR * deviationNanos;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/AppendOutcome.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/AppendOutcome.java
@@ -1,31 +1,34 @@
 package org.fescuehook.logic.batch.store;
 
-/** What became of an append. */
+/** The outcome of an append. */
 public sealed interface AppendOutcome {
 
-  /** Tells whether the store has worked on the append, so that its time is that of the store. */
-  default boolean ofTheStore() {
+  /**
+   * Tells whether the store has processed the append, so that its duration shows how fast the store
+   * is.
+   */
+  default boolean processedByStore() {
     return switch (this) {
       case Stored _, Fenced _, Conflict _, OutOfSequence _ -> true;
       case Refused _, Unanswered _ -> false;
     };
   }
 
-  /** It is stored. */
+  /** The records are stored. */
   record Stored(long offset) implements AppendOutcome {}
 
-  /** A writer with a higher epoch has taken over; nothing was stored. */
+  /** A writer with a higher epoch has taken over the stream; nothing was stored. */
   record Fenced() implements AppendOutcome {}
 
-  /** The stream did not end where the append expected; nothing was stored. */
+  /** The stream doesn't end where the append expected; nothing was stored. */
   record Conflict(long end) implements AppendOutcome {}
 
-  /** The store expects another sequence; nothing was stored. */
+  /** The store expects another sequence number; nothing was stored. */
   record OutOfSequence(long expected) implements AppendOutcome {}
 
-  /** The store did nothing. */
+  /** The store did not process the append. */
   record Refused(String reason) implements AppendOutcome {}
 
-  /** No answer came; it may be stored now, later or never. */
+  /** No answer arrived: the records may be stored now, later or never. */
   record Unanswered(String reason) implements AppendOutcome {}
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/CommitLoss.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/CommitLoss.java
@@ -1,9 +1,9 @@
 package org.fescuehook.logic.batch.store;
 
-/** Why a change did not become known as stored. */
+/** Why a change was not confirmed as stored. */
 public enum CommitLoss {
-  /** It was never sent, or the store said that it did nothing. */
+  /** It was never sent, or the store reported that it did nothing. */
   NOT_STORED,
-  /** It was sent and ownership was lost before an answer came. */
+  /** It was sent, and ownership was lost before an answer arrived. */
   UNKNOWN
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/KeyedRecord.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/KeyedRecord.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /**
- * A record of a keyed stream; the newest of each key is kept.
+ * A record of a keyed stream, which keeps the newest record of each key.
  *
  * @param key the key
  * @param value the value; absent deletes the key
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/Outstanding.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/Outstanding.java
@@ -5,41 +5,45 @@
 import org.fescuehook.logic.batch.BatchTurn;
 
 /**
- * Marks that the outcome of a call is waited for, but not without end: an outcome that is lost with
- * a fault of this VM would otherwise stop its duty for good. Each call ends by time limits of its
- * own long before.
+ * Marks a call whose outcome is awaited, for a limited time. Without the limit, an outcome that is
+ * lost by a fault of this VM would block its duty forever. Each call ends by its own timeout long
+ * before.
  */
 public final class Outstanding {
 
-  /** For appends; longer than their own limit and the way of the largest. */
+  /** For appends; longer than their own time limit and the transfer time of the largest. */
   public static final Duration APPEND = RepeatedAppend.LIMIT.plusSeconds(2);
 
-  /** For pages of the store, whose own limit is 10 s while they come steadily. */
+  /** For pages read from the store, whose own time limit is 10 s while they arrive steadily. */
   public static final Duration PAGE = Duration.ofSeconds(11);
 
-  /** For questions to the advice service, whose own limit is 5 s. */
+  /** For requests to the advice service, whose own timeout is 5 s. */
   public static final Duration ADVICE = Duration.ofSeconds(6);
 
-  private final long longestNanos;
+  private final long timeoutNanos;
   private OptionalLong since = OptionalLong.empty();
 
-  /** Creates a mark that is not set; it is taken back after the longest wait. */
-  public Outstanding(Duration longest) {
-    this.longestNanos = longest.toNanos();
+  /**
+   * Creates a mark that is not set.
+   *
+   * @param timeout time after which a set mark expires
+   */
+  public Outstanding(Duration timeout) {
+    this.timeoutNanos = timeout.toNanos();
   }
 
-  /** Begins to wait. */
+  /** Sets the mark: a call has begun. */
   public void begin(BatchTurn turn) {
     since = OptionalLong.of(turn.nowNanos());
   }
 
-  /** Ends the wait. */
+  /** Clears the mark: the outcome has arrived. */
   public void end() {
     since = OptionalLong.empty();
   }
 
-  /** Tells whether an outcome is waited for and may still come. */
+  /** Tells whether a call is under way whose outcome may still arrive. */
   public boolean present(BatchTurn turn) {
-    return since.isPresent() && turn.nowNanos() - since.getAsLong() < longestNanos;
+    return since.isPresent() && turn.nowNanos() - since.getAsLong() < timeoutNanos;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/PendingChange.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/PendingChange.java
@@ -6,21 +6,21 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** What is to be stored under one key, and who waits for it. */
+/** The newest value to be stored under one key, and the callbacks to be notified. */
 final class PendingChange {
 
-  final List<Runnable> committed = new ArrayList<>();
+  final List<Runnable> onCommitted = new ArrayList<>();
   Supplier<Optional<byte[]>> encoder = Optional::empty;
-  Optional<Consumer<CommitLoss>> lost = Optional.empty();
-  long since;
+  Optional<Consumer<CommitLoss>> onLost = Optional.empty();
+  long waitingSince;
 
-  /** Returns the newer change, which also tells those who wait for this one. */
-  PendingChange followedBy(PendingChange newer) {
-    newer.committed.addAll(0, committed);
+  /** Returns the newer change after adding the callbacks of this one to it. */
+  PendingChange supersededBy(PendingChange newer) {
+    newer.onCommitted.addAll(0, onCommitted);
     return newer;
   }
 
-  void lose(CommitLoss loss) {
-    lost.ifPresent(waiter -> waiter.accept(loss));
+  void notifyLost(CommitLoss loss) {
+    onLost.ifPresent(waiter -> waiter.accept(loss));
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/RepeatedAppend.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/RepeatedAppend.java
@@ -7,56 +7,66 @@
 import java.util.function.Consumer;
 
 /**
- * One append that is sent again while its answer is late, beside the sends before it, and has one
- * outcome. The store answers a repeated epoch and sequence as it answered the first, so the first
- * word that it is stored counts for all sends.
+ * One append that is sent again while its answer is late, concurrently with the earlier sends, and
+ * has a single outcome (a hedged request). The store answers a repeated epoch and sequence number
+ * with the first answer, so the first answer that the records are stored holds for all sends.
  *
  * <p>With 4 of 10 answers lost, all but 7 of 10,000 appends are decided within half a second. With
- * one send, each lost answer is a second in which the owner stores nothing, refuses calls and is
- * taken for one that is cut off.
+ * a single send, each lost answer would be a second in which the owner stores nothing, refuses
+ * calls and is taken for one that is cut off from the store.
  *
- * <p>A send that is late is not given up for that: a store that is slow answers the first send as
- * soon as any other. Giving it up sooner than the store can answer would mean that nothing is ever
- * stored, however often it is sent.
+ * <p>A send is not given up because it is late: a slow store answers the first send as early as any
+ * other. Giving it up sooner than the store can answer would mean that nothing is ever stored,
+ * however often it is sent.
  */
 public final class RepeatedAppend {
 
-  /** Time within which no answer is late; fifteen times the usual 4 ms bear a pause of this VM. */
+  /**
+   * Time within which no answer counts as late; fifteen times the usual 4 ms, which tolerates a
+   * pause of this VM.
+   */
   public static final Duration NEVER_LATE = Duration.ofMillis(60);
 
   /**
-   * Longest time to the outcome, without that for the way of the bytes. Callers wait about 3 s, so
-   * a store that takes longer serves none of them.
+   * Longest time to the outcome, without the transfer time. Callers wait about 3 s, so a store that
+   * takes longer serves none of them.
    */
   public static final Duration LIMIT = Duration.ofSeconds(10);
 
-  /** Sends under way at most: the first one, which a slow store answers first, and the newest. */
-  private static final int MOST_OPEN = 6;
+  /**
+   * Most concurrent sends: the first one, which a slow store answers first, and the newest ones.
+   */
+  private static final int MAX_IN_FLIGHT = 6;
 
-  /** Sends at the first pace: with four of ten answers lost, all are in 7 of 10,000 cases. */
-  private static final int QUICK_SENDS = 8;
+  /**
+   * Number of sends at the initial interval; with four of ten answers lost, all of these are lost
+   * in 7 of 10,000 cases.
+   */
+  private static final int FAST_SENDS = 8;
 
-  /** After these each pause is this many times the one before, as the store is slow or away. */
+  /**
+   * Factor by which the pause grows with each further send, since the store is slow or unreachable.
+   */
   private static final double PAUSE_GROWTH = 1.4;
 
-  /** What the growing pauses end at: a store that was silent is found back within it. */
-  private static final Duration LONGEST_PAUSE = Duration.ofMillis(400);
+  /** Upper limit of the pause, within which a store that is reachable again is noticed. */
+  private static final Duration MAX_PAUSE = Duration.ofMillis(400);
 
-  /** Pace at which the thinnest link that VMs have, 7 Mbit/s, takes an append. */
-  private static final long BYTES_A_MILLI = 875;
+  /** Bytes per millisecond that the slowest network link of a VM, 7 Mbit/s, transfers. */
+  private static final long BYTES_PER_MILLI = 875;
 
   private final Link link;
   private final AnswerTimes times;
-  private final Duration way;
+  private final Duration transferTime;
   private final Consumer<AppendOutcome> sink;
-  private final long begunAt;
-  private final List<Send> open = new ArrayList<>();
+  private final long startedAt;
+  private final List<Send> inFlight = new ArrayList<>();
   private Duration pause;
-  private int sends;
-  private boolean unanswered;
-  private boolean ended;
+  private int sendCount;
+  private boolean anyUnanswered;
+  private boolean completed;
 
-  /** How an append gets to the store; all calls and callbacks are on one thread. */
+  /** Transport of an append to the store; all calls and callbacks are made on one thread. */
   public interface Link {
 
     /** Returns the monotonic time in nanoseconds. */
@@ -66,18 +76,18 @@
      * Sends the append once.
      *
      * @param limit longest time to its answer
-     * @param sink called once with what became of this send
-     * @return absent if no connection is free; nothing is called then
+     * @param sink called once with the outcome of this send
+     * @return absent if no connection is free, in which case the sink is not called
      */
     Optional<Sending> send(Duration limit, Consumer<AppendOutcome> sink);
 
-    /** Does something after a while. */
+    /** Runs an action after a delay. */
     void after(Duration delay, Runnable action);
 
-    /** One send under way. */
+    /** A send that has not been answered. */
     interface Sending {
 
-      /** Waits for it no longer. */
+      /** Stops waiting for the answer. */
       void giveUp();
     }
   }
@@ -85,16 +95,16 @@
   private RepeatedAppend(Link link, AnswerTimes times, int bytes, Consumer<AppendOutcome> sink) {
     this.link = link;
     this.times = times;
-    this.way = Duration.ofMillis(bytes / BYTES_A_MILLI);
+    this.transferTime = Duration.ofMillis(bytes / BYTES_PER_MILLI);
     this.sink = sink;
-    this.begunAt = link.nowNanos();
+    this.startedAt = link.nowNanos();
     this.pause = times.late();
   }
 
   /**
    * Begins an append.
    *
-   * @param times what is known of the answers of its stream
+   * @param times response times of its stream
    * @param bytes size of its records
    * @param sink called once with its outcome
    */
@@ -102,55 +112,56 @@
     new RepeatedAppend(link, times, bytes, sink).send();
   }
 
-  private Duration left() {
-    return LIMIT.plus(way).minusNanos(link.nowNanos() - begunAt);
+  private Duration remainingTime() {
+    return LIMIT.plus(transferTime).minusNanos(link.nowNanos() - startedAt);
   }
 
   private void send() {
     Send send = new Send(link.nowNanos());
-    Optional<Link.Sending> sending = link.send(left(), outcome -> ended(send, outcome));
+    Optional<Link.Sending> sending =
+        link.send(remainingTime(), outcome -> sendEnded(send, outcome));
     if (sending.isPresent()) {
       send.sending = sending;
-      open.add(send);
-      sends++;
+      inFlight.add(send);
+      sendCount++;
     }
-    if (sends == 0) {
-      end(new AppendOutcome.Refused("no connection is free"));
+    if (sendCount == 0) {
+      complete(new AppendOutcome.Refused("no connection is free"));
       return;
     }
-    link.after(pause.plus(way), this::repeat);
+    link.after(pause.plus(transferTime), this::repeat);
   }
 
   private void repeat() {
-    boolean inTime = left().compareTo(times.late()) > 0;
-    if (ended || !inTime) {
+    boolean inTime = remainingTime().compareTo(times.late()) > 0;
+    if (completed || !inTime) {
       return;
     }
-    pause = longer(sends < QUICK_SENDS ? pause : grown(pause), times.late());
-    if (open.size() == MOST_OPEN) {
-      giveUp(open.get(1));
+    pause = longerOf(sendCount < FAST_SENDS ? pause : grown(pause), times.late());
+    if (inFlight.size() == MAX_IN_FLIGHT) {
+      giveUp(inFlight.get(1));
     }
     send();
   }
 
   private static Duration grown(Duration pause) {
     Duration grown = Duration.ofNanos(Math.round(pause.toNanos() * PAUSE_GROWTH));
-    return grown.compareTo(LONGEST_PAUSE) < 0 ? grown : LONGEST_PAUSE;
+    return grown.compareTo(MAX_PAUSE) < 0 ? grown : MAX_PAUSE;
   }
 
-  private static Duration longer(Duration one, Duration other) {
+  private static Duration longerOf(Duration one, Duration other) {
     return one.compareTo(other) < 0 ? other : one;
   }
 
-  /** Waits for one send no longer; it may still be stored. */
+  /** Stops waiting for one send, whose records may still be stored. */
   private void giveUp(Send send) {
-    open.remove(send);
-    unanswered = true;
+    inFlight.remove(send);
+    anyUnanswered = true;
     send.sending.ifPresent(Link.Sending::giveUp);
   }
 
-  private void ended(Send send, AppendOutcome outcome) {
-    if (!open.remove(send)) {
+  private void sendEnded(Send send, AppendOutcome outcome) {
+    if (!inFlight.remove(send)) {
       return;
     }
     if (!(outcome instanceof AppendOutcome.Refused
@@ -158,44 +169,44 @@
       times.answered(link.nowNanos() - send.sentAt);
     }
     switch (outcome) {
-      case AppendOutcome.Stored stored -> end(stored);
+      case AppendOutcome.Stored stored -> complete(stored);
       case AppendOutcome.Fenced _, AppendOutcome.Conflict _, AppendOutcome.OutOfSequence _ ->
-          end(surelyNothingElse() ? outcome : unsure());
-      case AppendOutcome.Refused refused -> failed(refused);
+          complete(noOtherSendMayBeStored() ? outcome : unansweredOutcome());
+      case AppendOutcome.Refused refused -> sendFailed(refused);
       case AppendOutcome.Unanswered lost -> {
-        unanswered = true;
-        failed(lost);
+        anyUnanswered = true;
+        sendFailed(lost);
       }
     }
   }
 
   /**
-   * Tells whether the store has done nothing by any send but the one that has just ended. A
-   * rejection says nothing of the others: one of them may have been stored before another writer
-   * came, and its answer lost.
+   * Tells whether the store has certainly not processed any send other than the one that has just
+   * ended. A rejection says nothing about the others: one of them may have been stored before
+   * another writer took over, and its answer lost.
    */
-  private boolean surelyNothingElse() {
-    return !unanswered && open.isEmpty();
+  private boolean noOtherSendMayBeStored() {
+    return !anyUnanswered && inFlight.isEmpty();
   }
 
-  private AppendOutcome unsure() {
-    long millis = Duration.ofNanos(link.nowNanos() - begunAt).toMillis();
+  private AppendOutcome unansweredOutcome() {
+    long millis = Duration.ofNanos(link.nowNanos() - startedAt).toMillis();
     return new AppendOutcome.Unanswered(
-        "sent " + sends + " times in " + millis + " ms, not all answered");
+        "sent " + sendCount + " times in " + millis + " ms, not all answered");
   }
 
-  /** One send has failed; the append has once none is under way any more. */
-  private void failed(AppendOutcome outcome) {
-    if (open.isEmpty()) {
-      end(unanswered ? unsure() : outcome);
+  /** Handles a failed send; the append has failed once no other send is in flight. */
+  private void sendFailed(AppendOutcome outcome) {
+    if (inFlight.isEmpty()) {
+      complete(anyUnanswered ? unansweredOutcome() : outcome);
     }
   }
 
-  private void end(AppendOutcome outcome) {
-    ended = true;
-    List<Send> left = List.copyOf(open);
-    open.clear();
-    left.forEach(send -> send.sending.ifPresent(Link.Sending::giveUp));
+  private void complete(AppendOutcome outcome) {
+    completed = true;
+    List<Send> remaining = List.copyOf(inFlight);
+    inFlight.clear();
+    remaining.forEach(send -> send.sending.ifPresent(Link.Sending::giveUp));
     sink.accept(outcome);
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/SlidingWindowMaximum.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/SlidingWindowMaximum.java
@@ -6,32 +6,37 @@
 import org.fescuehook.logic.batch.BatchTurn;
 
 /**
- * Times that were measured lately, of which the longest counts. A store that turns slow shows with
- * the first of them, where a mean would follow behind; one that is quick again with time.
+ * The maximum of the durations measured within a sliding window. Unlike a mean, it shows at once
+ * that the store has become slow; that it is fast again shows once the window has passed.
  */
 public final class SlidingWindowMaximum {
 
-  /** A slow store shows several times within it, and a single late answer counts no longer. */
-  private static final long KEPT_NANOS = Duration.ofSeconds(10).toNanos();
+  /**
+   * Length of the window: a slow store yields several samples within it, and a single late answer
+   * counts no longer than this.
+   */
+  private static final long WINDOW_NANOS = Duration.ofSeconds(10).toNanos();
 
-  /** Falling times: one that is no longer than a newer one can never be the longest. */
-  private final Deque<Measured> falling = new ArrayDeque<>();
+  /**
+   * Samples in descending order; one that is no longer than a newer one can never be the maximum.
+   */
+  private final Deque<Sample> descending = new ArrayDeque<>();
 
-  private record Measured(long nanos, long at) {}
+  private record Sample(long nanos, long at) {}
 
-  /** Takes in a time that has just been measured. */
+  /** Adds a duration that has just been measured. */
   public void add(long nanos, BatchTurn turn) {
-    while (!falling.isEmpty() && falling.getLast().nanos() <= nanos) {
-      falling.removeLast();
+    while (!descending.isEmpty() && descending.getLast().nanos() <= nanos) {
+      descending.removeLast();
     }
-    falling.addLast(new Measured(nanos, turn.nowNanos()));
+    descending.addLast(new Sample(nanos, turn.nowNanos()));
   }
 
-  /** Returns the longest in nanoseconds; zero if none was measured lately. */
+  /** Returns the maximum in nanoseconds; zero if there are no samples in the window. */
   public long longest(BatchTurn turn) {
-    while (!falling.isEmpty() && turn.nowNanos() - falling.getFirst().at() > KEPT_NANOS) {
-      falling.removeFirst();
+    while (!descending.isEmpty() && turn.nowNanos() - descending.getFirst().at() > WINDOW_NANOS) {
+      descending.removeFirst();
     }
-    return falling.isEmpty() ? 0 : falling.getFirst().nanos();
+    return descending.isEmpty() ? 0 : descending.getFirst().nanos();
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/SlowStoreWatch.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/SlowStoreWatch.java
@@ -3,39 +3,40 @@
 import java.time.Duration;
 
 /**
- * Tells when the store begins to take long for appends, and when it no longer does. Each stage of a
- * job waits for the append under way and for its own, so a store that takes 0.7 s makes short jobs
- * late by seconds, though nothing fails and nothing is refused.
+ * Detects when appends to the store become slow, and when they are fast again. Each stage of a job
+ * waits for the append under way and for its own, so a store that takes 0.7 s delays short jobs by
+ * seconds, although nothing fails or is refused.
  */
 public final class SlowStoreWatch {
 
   /**
-   * Three of them, which each job goes through, use up the spare time of the shortest urgent jobs.
+   * Appends above this time count as slow. Each job goes through three of them, which use up the
+   * spare time of the shortest urgent jobs.
    */
-  private static final Duration SLOW = Duration.ofMillis(150);
+  private static final Duration SLOW_THRESHOLD = Duration.ofMillis(150);
 
-  /** Some ten times the usual answer of 4 ms. */
-  private static final Duration QUICK = Duration.ofMillis(50);
+  /** Appends below this time show that the store is fast again; about ten times its usual 4 ms. */
+  private static final Duration RECOVERY_THRESHOLD = Duration.ofMillis(50);
 
   private boolean slow;
 
-  /** What an append has shown. */
+  /** The change that an append has shown. */
   public enum Change {
-    /** The store takes long from here on. */
+    /** The store has become slow. */
     SLOWER,
-    /** The store is quick again. */
+    /** The store is fast again. */
     QUICKER,
-    /** As before. */
+    /** No change. */
     NONE
   }
 
-  /** Takes in how long an append took until it was stored. */
+  /** Records how long an append took until it was stored. */
   public Change stored(Duration time) {
-    if (!slow && time.compareTo(SLOW) > 0) {
+    if (!slow && time.compareTo(SLOW_THRESHOLD) > 0) {
       slow = true;
       return Change.SLOWER;
     }
-    if (slow && time.compareTo(QUICK) < 0) {
+    if (slow && time.compareTo(RECOVERY_THRESHOLD) < 0) {
       slow = false;
       return Change.QUICKER;
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/StateWriter.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/StateWriter.java
@@ -16,53 +16,65 @@
 import org.fescuehook.logic.batch.BatchTurn;
 
 /**
- * Group commit: what changes while an append is under way goes out together with the next. A change
- * is encoded when it is sent, so several changes of one key cost one record.
+ * Stores the state of the jobs by group commit: changes made while an append is in flight are sent
+ * together with the next one. A change is encoded when it is sent, so several changes of one key
+ * cost one record.
  *
- * <p>While the store answers in time one append is under way. If it takes long, further ones go out
- * beside, so that a change waits for the store once and not for the append before it as well. The
- * store takes the sequences of an epoch in their order only: that one is stored means that all
- * before it are, and one that came before its turn has done nothing.
+ * <p>While the store answers in time, one append is in flight. If it takes long, further ones are
+ * sent concurrently, so that a change waits for its own append and not for the one before it as
+ * well. The store accepts the sequence numbers of an epoch in order only: once one append is
+ * stored, all before it are, and one that arrived ahead of its turn was not processed.
  */
 public final class StateWriter {
 
-  /** Pause before an append is repeated; some tens of the store's usual 4 ms. */
+  /** Pause before an append is repeated; 25 times the usual 4 ms of the store. */
   private static final long RETRY_PAUSE_NANOS = Duration.ofMillis(100).toNanos();
 
   /**
-   * How long the store may be in trouble before it counts as away, if it was quick before. Callers
-   * wait about 3 s, and half of that leaves them time to ask again.
+   * How long appends may fail before the store counts as unavailable, if it was fast before.
+   * Callers wait about 3 s, and half of that leaves them time to retry.
    */
-  private static final long LEAST_PATIENCE_NANOS = Duration.ofMillis(700).toNanos();
+  private static final long MIN_UNAVAILABLE_NANOS = Duration.ofMillis(700).toNanos();
 
-  /** Appends under way at most: the store works on one and sends the answer to the other. */
-  private static final int MOST_UNDER_WAY = 2;
+  /**
+   * Most appends in flight: the store processes one while the answer to the other is in transit.
+   */
+  private static final int MAX_IN_FLIGHT = 2;
 
-  /** Part of an append's time after which the next goes out beside it. */
-  private static final int BESIDE_PART = 4;
+  /**
+   * Divisor of the last append's duration that gives the delay after which the next append is sent
+   * concurrently.
+   */
+  private static final int OVERLAP_DELAY_DIVISOR = 4;
 
-  /** Age of the newest append from which the next goes out beside it; ten of the usual 4 ms. */
-  private static final long BESIDE_NANOS = Duration.ofMillis(40).toNanos();
+  /**
+   * Least age of the newest append before the next one is sent concurrently; ten times the usual 4
+   * ms.
+   */
+  private static final long MIN_OVERLAP_DELAY_NANOS = Duration.ofMillis(40).toNanos();
 
-  /** Most bytes of one append; half of what the store takes, since values are measured alone. */
+  /**
+   * Size from which on no record is added to an append; half of what the store accepts, since only
+   * keys and values are counted.
+   */
   private static final int MAX_APPEND_BYTES = 1 << 20;
 
   private final long epoch;
-  private final Map<String, PendingChange> waiting = new LinkedHashMap<>();
+  private final Map<String, PendingChange> pendingChanges = new LinkedHashMap<>();
 
-  /** Appends that are not known as stored, in the order of their sequences. */
-  private final Deque<Sent> sent = new ArrayDeque<>();
+  /** Appends that are not confirmed as stored, in the order of their sequence numbers. */
+  private final Deque<InFlightAppend> inFlight = new ArrayDeque<>();
 
   private long nextSequence;
-  private final SlidingWindowMaximum appends = new SlidingWindowMaximum();
-  private long otherStreamNanos;
-  private long lastTookNanos;
+  private final SlidingWindowMaximum appendTimes = new SlidingWindowMaximum();
+  private long otherStreamAppendNanos;
+  private long lastAppendNanos;
   private long pausedUntil;
   private OptionalLong troubleSince = OptionalLong.empty();
   private OptionalLong storedAt = OptionalLong.empty();
-  private OptionalLong committedAt = OptionalLong.empty();
+  private OptionalLong lastCommitAt = OptionalLong.empty();
 
-  /** Creates a writer of an epoch that has not appended anything; time is that of the turn. */
+  /** Creates a writer of an epoch that has not appended anything. */
   public StateWriter(long epoch, BatchTurn turn) {
     this.epoch = epoch;
     this.pausedUntil = turn.nowNanos();
@@ -71,17 +83,17 @@
   /**
    * Stores the newest value of a key with the next append.
    *
-   * @param encoder gives the value when the append is made up; absent deletes the key
+   * @param encoder supplies the value when the append is assembled; absent deletes the key
    * @param committed called once the value, or a newer one of the key, is stored
    */
   public void put(String key, Supplier<Optional<byte[]>> encoder, Runnable committed) {
-    PendingChange change = waiting.computeIfAbsent(key, name -> new PendingChange());
+    PendingChange change = pendingChanges.computeIfAbsent(key, name -> new PendingChange());
     change.encoder = encoder;
-    change.committed.add(committed);
+    change.onCommitted.add(committed);
   }
 
   /**
-   * Stores a new key; the change is given up if the store does not take it in time.
+   * Stores a new key, unless the store is unavailable for so long that the change is given up.
    *
    * @param lost called once if the change is given up
    */
@@ -92,14 +104,15 @@
       Consumer<CommitLoss> lost,
       BatchTurn turn) {
     put(key, encoder, committed);
-    PendingChange change = waiting.get(key);
-    change.lost = Optional.of(lost);
-    change.since = turn.nowNanos();
+    PendingChange change = pendingChanges.get(key);
+    change.onLost = Optional.of(lost);
+    change.waitingSince = turn.nowNanos();
   }
 
   /**
-   * Calls back once the newest value of a key is stored: at once if none waits and none is on its
-   * way. What is known in memory alone is lost with this owner, so nothing may be confirmed by it.
+   * Runs a callback once the newest value of a key is stored; at once if no change of it is pending
+   * or in flight. Nothing that is only in memory may be confirmed to anybody, since it is lost with
+   * this owner.
    */
   public void whenStored(String key, Runnable committed) {
     Optional<PendingChange> pending = newestChange(key);
@@ -107,14 +120,14 @@
       committed.run();
       return;
     }
-    pending.get().committed.add(committed);
+    pending.get().onCommitted.add(committed);
   }
 
   private Optional<PendingChange> newestChange(String key) {
-    if (waiting.containsKey(key)) {
-      return Optional.of(waiting.get(key));
+    if (pendingChanges.containsKey(key)) {
+      return Optional.of(pendingChanges.get(key));
     }
-    Iterator<Sent> newestFirst = sent.descendingIterator();
+    Iterator<InFlightAppend> newestFirst = inFlight.descendingIterator();
     while (newestFirst.hasNext()) {
       PendingChange change = newestFirst.next().changes.get(key);
       if (change != null) {
@@ -124,138 +137,149 @@
     return Optional.empty();
   }
 
-  /** Sends what waits if its turn has come, or repeats the oldest append when it is time. */
+  /**
+   * Sends pending changes if another append may be sent, or repeats the oldest append if that is
+   * due.
+   */
   public void flush(BatchTurn turn) {
     if (turn.nowNanos() - pausedUntil < 0) {
       return;
     }
-    if (!sent.isEmpty() && !sent.getFirst().underWay.present(turn)) {
-      repeat(sent.getFirst(), turn);
+    if (!inFlight.isEmpty() && !inFlight.getFirst().underWay.present(turn)) {
+      repeat(inFlight.getFirst(), turn);
       return;
     }
-    if (!waiting.isEmpty() && (sent.isEmpty() || mayGoBeside(turn))) {
+    if (!pendingChanges.isEmpty() && (inFlight.isEmpty() || mayOverlap(turn))) {
       sendNext(turn);
     }
   }
 
   /**
-   * Tells whether an append may go out beside those under way. Not before one of the epoch is
-   * stored, as an epoch may begin at any sequence, and not after one that has to be repeated.
+   * Tells whether an append may be sent while others are in flight. It may not before one of the
+   * epoch is stored, as an epoch may begin at any sequence number, nor while one has to be
+   * repeated.
    */
-  private boolean mayGoBeside(BatchTurn turn) {
+  private boolean mayOverlap(BatchTurn turn) {
     boolean steady = storedAt.isPresent() && troubleSince.isEmpty();
-    if (!steady || sent.size() == MOST_UNDER_WAY) {
+    if (!steady || inFlight.size() == MAX_IN_FLIGHT) {
       return false;
     }
-    long apart = Math.max(BESIDE_NANOS, lastTookNanos / BESIDE_PART);
-    boolean allUnderWay = sent.stream().allMatch(one -> one.underWay.present(turn));
-    return allUnderWay && turn.nowNanos() - sent.getLast().since >= apart;
+    long overlapDelay = Math.max(MIN_OVERLAP_DELAY_NANOS, lastAppendNanos / OVERLAP_DELAY_DIVISOR);
+    boolean allUnderWay = inFlight.stream().allMatch(append -> append.underWay.present(turn));
+    return allUnderWay && turn.nowNanos() - inFlight.getLast().since >= overlapDelay;
   }
 
   private void sendNext(BatchTurn turn) {
-    Sent next = new Sent(new WriterPosition(epoch, nextSequence), turn.nowNanos());
+    InFlightAppend next =
+        new InFlightAppend(new WriterPosition(epoch, nextSequence), turn.nowNanos());
     nextSequence++;
     fill(next);
-    sent.addLast(next);
+    inFlight.addLast(next);
     send(next, turn);
   }
 
-  private void repeat(Sent oldest, BatchTurn turn) {
-    // It may have been taken if its outcome was lost.
-    oldest.certain = oldest.certain && !oldest.unanswered;
+  private void repeat(InFlightAppend oldest, BatchTurn turn) {
+    // Without an outcome of the last send, the records may have been stored by it.
+    oldest.knownNotStored = oldest.knownNotStored && !oldest.unanswered;
     send(oldest, turn);
   }
 
-  /** Tells whether nothing waits and nothing is on its way. */
+  /** Tells whether no change is pending or in flight. */
   public boolean idle() {
-    return sent.isEmpty() && waiting.isEmpty();
+    return inFlight.isEmpty() && pendingChanges.isEmpty();
   }
 
-  /** Gives up refusable changes that wait while the store is in trouble. */
+  /** Gives up pending changes that may be given up if the store is unavailable. */
   public void expire(BatchTurn turn) {
     if (!storeAway(turn)) {
       return;
     }
-    List<Consumer<CommitLoss>> given = new ArrayList<>();
-    Iterator<PendingChange> changes = waiting.values().iterator();
+    List<Consumer<CommitLoss>> expiredCallbacks = new ArrayList<>();
+    Iterator<PendingChange> changes = pendingChanges.values().iterator();
     while (changes.hasNext()) {
       PendingChange change = changes.next();
-      boolean old = turn.nowNanos() - change.since > patienceNanos(turn);
-      if (old && change.lost.isPresent()) {
-        given.add(change.lost.get());
+      boolean old = turn.nowNanos() - change.waitingSince > unavailableAfterNanos(turn);
+      if (old && change.onLost.isPresent()) {
+        expiredCallbacks.add(change.onLost.get());
         changes.remove();
       }
     }
-    given.forEach(lost -> lost.accept(CommitLoss.NOT_STORED));
+    expiredCallbacks.forEach(lost -> lost.accept(CommitLoss.NOT_STORED));
   }
 
-  /** Tells whether the store has taken nothing for a while although asked. */
+  /** Tells whether the store has not stored anything for a while although there were appends. */
   public boolean storeAway(BatchTurn turn) {
-    long patience = patienceNanos(turn);
-    boolean unanswered = !sent.isEmpty() && waitedNanos(turn) > patience;
-    boolean refusing =
-        troubleSince.isPresent() && turn.nowNanos() - troubleSince.getAsLong() > patience;
-    return unanswered || refusing;
+    long unavailableAfter = unavailableAfterNanos(turn);
+    boolean unanswered = !inFlight.isEmpty() && oldestWaitNanos(turn) > unavailableAfter;
+    boolean failing =
+        troubleSince.isPresent() && turn.nowNanos() - troubleSince.getAsLong() > unavailableAfter;
+    return unanswered || failing;
   }
 
-  /** An append that waits for another takes twice as long as one alone. */
-  private long patienceNanos(BatchTurn turn) {
-    long append = Math.max(appends.longest(turn), otherStreamNanos);
-    return Math.max(LEAST_PATIENCE_NANOS, 2 * append);
+  /**
+   * Returns the time without success after which the store counts as unavailable. It allows twice
+   * the duration of an append, for one that waits for another first.
+   */
+  private long unavailableAfterNanos(BatchTurn turn) {
+    long append = Math.max(appendTimes.longest(turn), otherStreamAppendNanos);
+    return Math.max(MIN_UNAVAILABLE_NANOS, 2 * append);
   }
 
-  /** Takes in how long appends to another stream of the store take at most. */
+  /** Records the longest recent duration of appends to another stream of the store. */
   public void appendsToAnotherTake(long nanos) {
-    otherStreamNanos = nanos;
+    otherStreamAppendNanos = nanos;
   }
 
   /**
-   * Returns how long a change that is put now takes until it is stored, as far as is known.
+   * Estimates how long a change takes from now until it is stored.
    *
-   * @param append how long one append takes, in nanoseconds
+   * @param append duration of one append, in nanoseconds
    */
   public long storedInNanos(long append, BatchTurn turn) {
-    if (sent.isEmpty()) {
+    if (inFlight.isEmpty()) {
       return append;
     }
-    boolean full = sent.size() == MOST_UNDER_WAY;
-    Sent awaited = full ? sent.getFirst() : sent.getLast();
-    long turnAfter = full ? append : append / BESIDE_PART;
-    return append + Math.max(0, turnAfter - (turn.nowNanos() - awaited.since));
+    boolean full = inFlight.size() == MAX_IN_FLIGHT;
+    InFlightAppend awaited = full ? inFlight.getFirst() : inFlight.getLast();
+    long nextSendAfter = full ? append : append / OVERLAP_DELAY_DIVISOR;
+    return append + Math.max(0, nextSendAfter - (turn.nowNanos() - awaited.since));
   }
 
-  /** Returns how long the oldest append has been the one that all others wait for. */
-  private long waitedNanos(BatchTurn turn) {
-    long since = sent.getFirst().since;
-    boolean behindAnother = committedAt.isPresent() && committedAt.getAsLong() - since > 0;
-    return turn.nowNanos() - (behindAnother ? committedAt.getAsLong() : since);
+  /** Returns how long the oldest append has been in flight without waiting for an earlier one. */
+  private long oldestWaitNanos(BatchTurn turn) {
+    long since = inFlight.getFirst().since;
+    boolean waitedForEarlier = lastCommitAt.isPresent() && lastCommitAt.getAsLong() - since > 0;
+    return turn.nowNanos() - (waitedForEarlier ? lastCommitAt.getAsLong() : since);
   }
 
   /**
-   * Returns since when the store has taken nothing although asked, monotonic time; absent if it
-   * takes.
+   * Returns since when all appends have failed, monotonic time; absent if the last one was stored.
    */
   public OptionalLong troubleSince() {
     return troubleSince;
   }
 
   /**
-   * Returns when the last append that the store has answered as stored was sent, monotonic time:
-   * the store could be reached then.
+   * Returns when the last append that was stored had been sent, monotonic time; the store was
+   * reachable then.
    */
   public OptionalLong storedAt() {
     return storedAt;
   }
 
-  /** Takes the outcome of an append; false if ownership is lost by it. */
+  /**
+   * Handles the outcome of an append.
+   *
+   * @return false if it shows that ownership is lost
+   */
   public boolean answered(WriterPosition position, AppendOutcome outcome, BatchTurn turn) {
-    Optional<Sent> found =
-        sent.stream().filter(current -> current.position.equals(position)).findFirst();
+    Optional<InFlightAppend> found =
+        inFlight.stream().filter(current -> current.position.equals(position)).findFirst();
     if (found.isEmpty()) {
       return true;
     }
-    Sent current = found.get();
-    current.outcomeCame();
+    InFlightAppend current = found.get();
+    current.outcomeReceived();
     return switch (outcome) {
       case AppendOutcome.Stored stored -> {
         commitUpTo(current, turn);
@@ -263,43 +287,47 @@
       }
       case AppendOutcome.Refused refused -> {
         pause(turn);
-        takeBack();
+        requeueUnstored();
         yield true;
       }
       case AppendOutcome.Unanswered unanswered -> {
-        current.certain = false;
+        current.knownNotStored = false;
         pause(turn);
         yield true;
       }
-      case AppendOutcome.OutOfSequence(long expected) -> cameBeforeItsTurn(current, expected, turn);
+      case AppendOutcome.OutOfSequence(long expected) ->
+          handleOutOfSequence(current, expected, turn);
       case AppendOutcome.Fenced fenced -> false;
       case AppendOutcome.Conflict conflict -> false;
     };
   }
 
-  /** One that overtook another did nothing and goes out again; else the epoch is another's. */
-  private boolean cameBeforeItsTurn(Sent current, long expected, BatchTurn turn) {
+  /**
+   * Handles an append that arrived out of sequence. If it overtook an earlier one, nothing was
+   * stored and it is sent again; otherwise the epoch belongs to another writer.
+   */
+  private boolean handleOutOfSequence(InFlightAppend current, long expected, BatchTurn turn) {
     boolean overtook = storedAt.isPresent() && expected < current.position.sequence();
-    if (overtook && current == sent.getFirst()) {
+    if (overtook && current == inFlight.getFirst()) {
       pause(turn);
     }
     return overtook;
   }
 
-  /** Gives up everything that is not known as stored; ownership is lost. */
+  /** Gives up all changes that are not confirmed as stored, since ownership is lost. */
   public void close() {
-    waiting.values().forEach(change -> change.lose(CommitLoss.NOT_STORED));
-    waiting.clear();
-    for (Sent current : sent) {
-      CommitLoss loss = current.surelyNotStored() ? CommitLoss.NOT_STORED : CommitLoss.UNKNOWN;
-      current.changes.values().forEach(change -> change.lose(loss));
+    pendingChanges.values().forEach(change -> change.notifyLost(CommitLoss.NOT_STORED));
+    pendingChanges.clear();
+    for (InFlightAppend current : inFlight) {
+      CommitLoss loss = current.certainlyNotStored() ? CommitLoss.NOT_STORED : CommitLoss.UNKNOWN;
+      current.changes.values().forEach(change -> change.notifyLost(loss));
     }
-    sent.clear();
+    inFlight.clear();
   }
 
-  private void fill(Sent next) {
+  private void fill(InFlightAppend next) {
     int bytes = 0;
-    Iterator<Map.Entry<String, PendingChange>> entries = waiting.entrySet().iterator();
+    Iterator<Map.Entry<String, PendingChange>> entries = pendingChanges.entrySet().iterator();
     while (entries.hasNext() && bytes < MAX_APPEND_BYTES) {
       Map.Entry<String, PendingChange> entry = entries.next();
       Optional<byte[]> value = entry.getValue().encoder.get();
@@ -310,10 +338,10 @@
     }
   }
 
-  private void send(Sent current, BatchTurn turn) {
+  private void send(InFlightAppend current, BatchTurn turn) {
     current.underWay.begin(turn);
     if (!current.unanswered) {
-      // Otherwise an outcome that still comes may be that of the send before.
+      // Otherwise an outcome that arrives may belong to the previous send.
       current.sentAt = turn.nowNanos();
     }
     current.unanswered = true;
@@ -322,35 +350,41 @@
             StreamName.STATE, current.position, OptionalLong.empty(), current.records));
   }
 
-  /** What one stores, all before it have stored too. */
-  private void commitUpTo(Sent last, BatchTurn turn) {
+  /**
+   * Confirms all changes up to an append that is stored, since all appends before it are stored
+   * too.
+   */
+  private void commitUpTo(InFlightAppend last, BatchTurn turn) {
     troubleSince = OptionalLong.empty();
     storedAt = OptionalLong.of(last.sentAt);
-    committedAt = OptionalLong.of(turn.nowNanos());
-    lastTookNanos = turn.nowNanos() - last.sentAt;
-    appends.add(lastTookNanos, turn);
+    lastCommitAt = OptionalLong.of(turn.nowNanos());
+    lastAppendNanos = turn.nowNanos() - last.sentAt;
+    appendTimes.add(lastAppendNanos, turn);
     boolean more = true;
     while (more) {
-      Sent stored = sent.removeFirst();
+      InFlightAppend stored = inFlight.removeFirst();
       more = stored != last;
-      stored.changes.values().forEach(change -> change.committed.forEach(Runnable::run));
+      stored.changes.values().forEach(change -> change.onCommitted.forEach(Runnable::run));
     }
   }
 
-  /** What the store surely has nothing of goes back to what waits, all of it or nothing. */
-  private void takeBack() {
-    if (!sent.stream().allMatch(Sent::surelyNotStored)) {
+  /**
+   * Returns the changes of all appends in flight to the pending ones, provided that the store has
+   * certainly stored none of them.
+   */
+  private void requeueUnstored() {
+    if (!inFlight.stream().allMatch(InFlightAppend::certainlyNotStored)) {
       return;
     }
-    Map<String, PendingChange> newer = new LinkedHashMap<>(waiting);
-    waiting.clear();
-    nextSequence = sent.getFirst().position.sequence();
-    for (Sent refused : sent) {
+    Map<String, PendingChange> newer = new LinkedHashMap<>(pendingChanges);
+    pendingChanges.clear();
+    nextSequence = inFlight.getFirst().position.sequence();
+    for (InFlightAppend refused : inFlight) {
       refused.changes.forEach(
-          (key, change) -> waiting.merge(key, change, PendingChange::followedBy));
+          (key, change) -> pendingChanges.merge(key, change, PendingChange::supersededBy));
     }
-    sent.clear();
-    newer.forEach((key, change) -> waiting.merge(key, change, PendingChange::followedBy));
+    inFlight.clear();
+    newer.forEach((key, change) -> pendingChanges.merge(key, change, PendingChange::supersededBy));
   }
 
   private void pause(BatchTurn turn) {
@@ -360,8 +394,8 @@
     }
   }
 
-  /** The append under way. */
-  private static final class Sent {
+  /** An append that is not confirmed as stored. */
+  private static final class InFlightAppend {
     private final WriterPosition position;
     private final long since;
     private final List<KeyedRecord> records = new ArrayList<>();
@@ -370,22 +404,22 @@
 
     private long sentAt;
 
-    /** Whether the last send has had no outcome so far. */
+    /** Whether the last send has had no outcome yet. */
     private boolean unanswered;
 
-    /** Whether all sends with an outcome are known to have done nothing. */
-    private boolean certain = true;
+    /** Whether all sends with an outcome are known not to have been stored. */
+    private boolean knownNotStored = true;
 
-    Sent(WriterPosition position, long since) {
+    InFlightAppend(WriterPosition position, long since) {
       this.position = position;
       this.since = since;
     }
 
-    boolean surelyNotStored() {
-      return certain && !unanswered;
+    boolean certainlyNotStored() {
+      return knownNotStored && !unanswered;
     }
 
-    void outcomeCame() {
+    void outcomeReceived() {
       underWay.end();
       unanswered = false;
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/StreamName.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/StreamName.java
@@ -1,9 +1,9 @@
 package org.fescuehook.logic.batch.store;
 
-/** The project's own streams in the shared store. */
+/** The streams of the scheduler in the shared store. */
 public enum StreamName {
-  /** Claims and heartbeats of the owner. */
+  /** Claims and heartbeats of owners. */
   OWNERSHIP,
-  /** Jobs and their progress; only the owner writes it. */
+  /** Jobs and their progress, written by the owner only. */
   STATE
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/package-info.java
@@ -1,4 +1,4 @@
-/** The shared store as the decisions need it, and the group commit of what is stored. */
+/** Access to the shared store as the decisions need it, and group commit of stored state. */
 @NullMarked
 package org.fescuehook.logic.batch.store;
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/ownership/LateHeartbeatTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ownership/LateHeartbeatTest.java
@@ -14,9 +14,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Pattern: a VM is paused for some seconds with a heartbeat under way, and on waking the outcome of
- * that one waits behind another event. After a long pause the heartbeat is sent again first; the
- * outcome is that of the one before the pause, and another VM may have claimed since.
+ * Guards against a heartbeat outcome that confirms ownership for too late a time. A VM is paused
+ * for some seconds with a heartbeat in flight; when it resumes, the outcome of that heartbeat is
+ * queued behind another event. After a long pause the heartbeat is sent again first. The outcome
+ * still is that of the send before the pause, and another VM may have claimed since.
  */
 class LateHeartbeatTest {
 
@@ -42,29 +43,29 @@
         .toList();
   }
 
-  private void assertConfirmsOnlyWhatWasSentFirst() {
+  private void assertConfirmsOnlyTheFirstSend() {
     long confirmed = duty.contact(at(13_600)).confirmedAt() / 1_000_000;
     assertTrue(confirmed <= 505, () -> "the store confirmed this owner at " + confirmed + " ms");
   }
 
   @Test
-  void theOutcomeOfAnEarlierHeartbeatConfirmsNothingOfTheTimeAfterIt() {
+  void outcomeOfAnEarlierHeartbeatDoesNotConfirmTheRepeatAfterThePause() {
     duty.read(Optional.empty(), 0, at(0));
     duty.answered(step(0), new AppendOutcome.Stored(0), at(5));
     WriterPosition beforeThePause = step(505);
     WriterPosition afterThePause = step(13_600);
     assertEquals(beforeThePause, afterThePause);
     duty.answered(beforeThePause, new AppendOutcome.Stored(1), at(13_600));
-    assertConfirmsOnlyWhatWasSentFirst();
+    assertConfirmsOnlyTheFirstSend();
   }
 
   @Test
-  void theOutcomeOfAHeartbeatThatIsStillWaitedForConfirmsNothingOfThePauseEither() {
+  void outcomeOfAHeartbeatSentBeforeThePauseDoesNotConfirmThePause() {
     duty.read(Optional.empty(), 0, at(0));
     duty.answered(step(0), new AppendOutcome.Stored(0), at(5));
     WriterPosition beforeThePause = step(505);
     assertEquals(List.of(), appends(6600));
     duty.answered(beforeThePause, new AppendOutcome.Stored(1), at(6600));
-    assertConfirmsOnlyWhatWasSentFirst();
+    assertConfirmsOnlyTheFirstSend();
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/ownership/OwnershipDutyTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ownership/OwnershipDutyTest.java
@@ -15,7 +15,7 @@
 
 class OwnershipDutyTest {
 
-  /** Processing power of VMs where it does not matter. */
+  /** Processing power of VMs in tests that do not depend on it. */
   private static final int USUAL_MILLI_CORES = 750;
 
   private final OwnershipDuty duty = ofPower(USUAL_MILLI_CORES);
@@ -29,16 +29,16 @@
         new OwnerIdentity(new VmId("vm-1"), "start-1", "10.0.0.1:7000", milliCores));
   }
 
-  /** Another VM's record is read. */
-  private void heard(long millis, OwnerRecord.Kind kind, long offset) {
-    hears(duty, millis, kind, offset, USUAL_MILLI_CORES);
+  /** Lets the duty read a record of another VM. */
+  private void readRecord(long millis, OwnerRecord.Kind kind, long offset) {
+    readRecord(duty, millis, kind, offset, USUAL_MILLI_CORES);
   }
 
-  private static void hears(OwnershipDuty duty, OwnerRecord.Kind kind, int milliCores) {
-    hears(duty, 1000, kind, 0, milliCores);
+  private static void readRecord(OwnershipDuty duty, OwnerRecord.Kind kind, int milliCores) {
+    readRecord(duty, 1000, kind, 0, milliCores);
   }
 
-  private static void hears(
+  private static void readRecord(
       OwnershipDuty duty, long millis, OwnerRecord.Kind kind, long offset, int milliCores) {
     OwnerRecord record =
         new OwnerRecord(kind, new VmId("vm-2"), "start-1", "10.0.0.2:7000", 1, offset, milliCores);
@@ -56,31 +56,33 @@
   }
 
   @Test
-  void anOwnerIsReplacedAfterTwoSecondsOfSilence() {
-    heard(1000, OwnerRecord.Kind.CLAIM, 0);
+  void silentOwnerIsReplacedAfterTwoSeconds() {
+    readRecord(1000, OwnerRecord.Kind.CLAIM, 0);
     assertFalse(claims(2900));
     assertTrue(claims(3100));
   }
 
   /**
-   * An owner that was cut off from the store refused all submissions until its silence was over.
+   * Guards against a long outage: an owner that was cut off from the store refused all submissions
+   * until its silence had lasted the full time.
    */
   @Test
-  void anOwnerThatIsCutOffFromTheStoreIsReplacedSooner() {
-    heard(1000, OwnerRecord.Kind.CLAIM, 0);
+  void suspectedOwnerIsReplacedSooner() {
+    readRecord(1000, OwnerRecord.Kind.CLAIM, 0);
     duty.doubted(at(1800));
     assertFalse(claims(1900));
     assertTrue(claims(2100));
   }
 
   /**
-   * Heartbeats that come 1.8 s apart made others claim from an owner that lives. Their usual pace
-   * is 1.15 s by then, halfway to it, and the next three may be lost.
+   * Guards against claims while the owner is alive: the store delayed its heartbeats to 1.8 s
+   * apart. The usual gap has adapted to 1.15 s by then, halfway, and three further heartbeats may
+   * be lost.
    */
   @Test
-  void anOwnerWhoseHeartbeatsTheStoreDelaysIsGivenTheTimeOfFour() {
-    heard(1000, OwnerRecord.Kind.CLAIM, 0);
-    heard(2800, OwnerRecord.Kind.HEARTBEAT, 1);
+  void ownerWithDelayedHeartbeatsIsReplacedAfterFourUsualGaps() {
+    readRecord(1000, OwnerRecord.Kind.CLAIM, 0);
+    readRecord(2800, OwnerRecord.Kind.HEARTBEAT, 1);
     duty.read(Optional.empty(), 2, at(4600));
     duty.read(Optional.empty(), 2, at(6000));
     assertFalse(claims(7300));
@@ -88,13 +90,14 @@
   }
 
   /**
-   * An owner in a slow store that also loses answers was doubted, as it refused what it could not
-   * store in time, and replaced by VMs that met the same store.
+   * Guards against replacing an owner for the fault of a store that is slow and loses answers. The
+   * owner was suspected since it refused what it could not store in time, and was replaced by VMs
+   * that had the same trouble with the store.
    */
   @Test
-  void aDoubtShortensNothingForAVmWhoseOwnReadsAreSlow() {
-    heard(1000, OwnerRecord.Kind.CLAIM, 0);
-    heard(2800, OwnerRecord.Kind.HEARTBEAT, 1);
+  void suspicionDoesNotShortenTheTimeoutWhileOwnReadsAreSlow() {
+    readRecord(1000, OwnerRecord.Kind.CLAIM, 0);
+    readRecord(2800, OwnerRecord.Kind.HEARTBEAT, 1);
     duty.doubted(at(4000));
     duty.read(Optional.empty(), 2, at(4600));
     duty.read(Optional.empty(), 2, at(6000));
@@ -103,10 +106,13 @@
     assertTrue(claims(7500));
   }
 
-  /** The owner may have written all the while; what was not read says nothing. */
+  /**
+   * The owner may have written during a read that was late, so that its silence before says
+   * nothing.
+   */
   @Test
-  void aSilenceCountsAnewFromAReadThatWasLate() {
-    heard(1000, OwnerRecord.Kind.CLAIM, 0);
+  void silenceIsMeasuredAnewAfterALateRead() {
+    readRecord(1000, OwnerRecord.Kind.CLAIM, 0);
     assertFalse(claims(3200));
     duty.read(Optional.empty(), 1, at(3500));
     duty.read(Optional.empty(), 1, at(6000));
@@ -116,20 +122,20 @@
   }
 
   @Test
-  void aHeartbeatDispelsTheDoubt() {
-    heard(1000, OwnerRecord.Kind.CLAIM, 0);
+  void heartbeatEndsSuspicion() {
+    readRecord(1000, OwnerRecord.Kind.CLAIM, 0);
     duty.doubted(at(1800));
-    heard(1900, OwnerRecord.Kind.HEARTBEAT, 1);
+    readRecord(1900, OwnerRecord.Kind.HEARTBEAT, 1);
     assertFalse(claims(3000));
   }
 
   @Test
-  void anOldDoubtDoesNotCount() {
-    heard(1000, OwnerRecord.Kind.CLAIM, 0);
+  void suspicionExpires() {
+    readRecord(1000, OwnerRecord.Kind.CLAIM, 0);
     duty.doubted(at(1100));
-    heard(1200, OwnerRecord.Kind.HEARTBEAT, 1);
+    readRecord(1200, OwnerRecord.Kind.HEARTBEAT, 1);
     duty.doubted(at(1300));
-    heard(2500, OwnerRecord.Kind.HEARTBEAT, 2);
+    readRecord(2500, OwnerRecord.Kind.HEARTBEAT, 2);
     assertFalse(claims(4000));
   }
 
@@ -137,26 +143,29 @@
     return new OwnerHint(new VmId(vm), epoch, "10.0.0.3:7000");
   }
 
-  /** A VM that was cut off from the store refused all calls until it could read again. */
+  /**
+   * Guards against a VM that is cut off from the store and refuses all calls until it can read
+   * again.
+   */
   @Test
-  void aPeersWordForANewerOwnerCountsUntilTheStreamIsRead() {
-    heard(1000, OwnerRecord.Kind.CLAIM, 0);
+  void newerOwnerReportedByAPeerCountsUntilTheStreamIsRead() {
+    readRecord(1000, OwnerRecord.Kind.CLAIM, 0);
     duty.hinted(hint("vm-3", 9), at(4000));
     assertEquals(Optional.of(hint("vm-3", 9)), duty.hint());
 
-    heard(5000, OwnerRecord.Kind.HEARTBEAT, 4);
+    readRecord(5000, OwnerRecord.Kind.HEARTBEAT, 4);
     assertEquals(new VmId("vm-2"), duty.hint().orElseThrow().vm());
   }
 
   @Test
-  void aPeersWordForAnOlderOwnerCountsNothing() {
-    heard(1000, OwnerRecord.Kind.CLAIM, 0);
+  void olderOwnerReportedByAPeerIsIgnored() {
+    readRecord(1000, OwnerRecord.Kind.CLAIM, 0);
     duty.hinted(hint("vm-3", 1), at(1100));
     assertEquals(new VmId("vm-2"), duty.hint().orElseThrow().vm());
   }
 
   @Test
-  void anOwnerThatIsToldOfAHigherEpochOwnsNoLonger() {
+  void ownerLosesOwnershipWhenAPeerReportsAHigherEpoch() {
     duty.read(Optional.empty(), 5, at(0));
     duty.step(at(3000));
     duty.answered(claimOf(3000), new AppendOutcome.Stored(5), at(3010));
@@ -168,12 +177,12 @@
     assertEquals(Optional.of(hint("vm-3", 9)), duty.hint());
   }
 
-  /** Returns the position of the claim that a duty like this one sends. */
+  /** Returns the position of the claim that a duty in the same state sends. */
   private static WriterPosition claimOf(long millis) {
-    OwnershipDuty like = ofPower(USUAL_MILLI_CORES);
-    like.read(Optional.empty(), 5, at(0));
+    OwnershipDuty sameDuty = ofPower(USUAL_MILLI_CORES);
+    sameDuty.read(Optional.empty(), 5, at(0));
     BatchTurn turn = at(millis);
-    like.step(turn);
+    sameDuty.step(turn);
     return turn.commands().stream()
         .filter(BatchCommand.Append.class::isInstance)
         .map(BatchCommand.Append.class::cast)
@@ -182,85 +191,85 @@
         .position();
   }
 
-  /** Pattern: a large fleet whose owner happened to be one of the weakest VMs. */
+  /** Guards against a large fleet that remains with one of the weakest VMs as its owner. */
   @Test
-  void aMuchStrongerVmTakesOverFromAnOwnerThatLives() {
+  void muchStrongerVmTakesOverFromALiveOwner() {
     OwnershipDuty duty = ofPower(1500);
-    hears(duty, OwnerRecord.Kind.HEARTBEAT, 360);
+    readRecord(duty, OwnerRecord.Kind.HEARTBEAT, 360);
     assertTrue(claims(duty, 1010));
   }
 
   @Test
-  void aVmThatIsHardlyStrongerDoesNotTakeOver() {
+  void slightlyStrongerVmDoesNotTakeOver() {
     OwnershipDuty duty = ofPower(1000);
-    hears(duty, OwnerRecord.Kind.HEARTBEAT, 750);
+    readRecord(duty, OwnerRecord.Kind.HEARTBEAT, 750);
     assertFalse(claims(duty, 2900));
   }
 
   @Test
-  void anOwnerOfUnknownPowerIsNotReplacedForIt() {
+  void ownerOfUnknownPowerIsNotReplacedByAStrongerVm() {
     OwnershipDuty duty = ofPower(1500);
-    hears(duty, OwnerRecord.Kind.HEARTBEAT, 0);
+    readRecord(duty, OwnerRecord.Kind.HEARTBEAT, 0);
     assertFalse(claims(duty, 2900));
   }
 
   @Test
-  void aMuchWeakerVmLeavesTheClaimToOthersForAMoment() {
+  void muchWeakerVmDelaysItsClaim() {
     OwnershipDuty duty = ofPower(360);
-    hears(duty, OwnerRecord.Kind.RELEASE, 1500);
+    readRecord(duty, OwnerRecord.Kind.RELEASE, 1500);
     assertFalse(claims(duty, 1400));
     assertTrue(claims(duty, 1600));
   }
 
   @Test
-  void aVmOfTheSamePowerClaimsAReleasedOwnershipAtOnce() {
+  void vmOfTheSamePowerClaimsReleasedOwnershipAtOnce() {
     OwnershipDuty duty = ofPower(1500);
-    hears(duty, OwnerRecord.Kind.RELEASE, 1500);
+    readRecord(duty, OwnerRecord.Kind.RELEASE, 1500);
     assertTrue(claims(duty, 1010));
   }
 
   @Test
-  void aStrongVmThatCannotReadTheStreamDoesNotTakeOver() {
+  void strongerVmThatCannotReadTheStreamDoesNotTakeOver() {
     OwnershipDuty duty = ofPower(1500);
-    hears(duty, OwnerRecord.Kind.HEARTBEAT, 360);
+    readRecord(duty, OwnerRecord.Kind.HEARTBEAT, 360);
     duty.unreadable(at(1005));
     assertFalse(claims(duty, 1010));
   }
 
-  private long calmMillis(long millis) {
+  private long millisUntilClaim(long millis) {
     return duty.calmFor(millis * 1_000_000).toMillis();
   }
 
-  /** A VM that stands by need not look at the clock before it could claim. */
+  /** A VM on standby may sleep until it could claim. */
   @Test
-  void nothingIsDueOnAVmThatStandsByUntilTheOwnerCouldBeReplaced() {
-    heard(1000, OwnerRecord.Kind.HEARTBEAT, 0);
-    assertEquals(1000, calmMillis(1000));
-    assertEquals(100, calmMillis(1900));
-    assertEquals(0, calmMillis(2500));
-    heard(2600, OwnerRecord.Kind.HEARTBEAT, 1);
-    assertEquals(1000, calmMillis(2600));
+  void noClaimIsDueOnAStandbyVmUntilTheOwnerCouldBeReplaced() {
+    readRecord(1000, OwnerRecord.Kind.HEARTBEAT, 0);
+    assertEquals(1000, millisUntilClaim(1000));
+    assertEquals(100, millisUntilClaim(1900));
+    assertEquals(0, millisUntilClaim(2500));
+    readRecord(2600, OwnerRecord.Kind.HEARTBEAT, 1);
+    assertEquals(1000, millisUntilClaim(2600));
   }
 
   @Test
-  void aClaimMayBeDueAtOnceWhereNobodyOwnsOrTheOwnerHasGivenUp() {
-    assertEquals(0, calmMillis(0));
-    heard(1000, OwnerRecord.Kind.RELEASE, 0);
-    assertEquals(0, calmMillis(1000));
+  void claimMayBeDueAtOnceWithoutAnOwnerOrAfterARelease() {
+    assertEquals(0, millisUntilClaim(0));
+    readRecord(1000, OwnerRecord.Kind.RELEASE, 0);
+    assertEquals(0, millisUntilClaim(1000));
   }
 
   @Test
-  void aMuchStrongerVmMayClaimAtOnce() {
+  void claimMayBeDueAtOnceOnAMuchStrongerVm() {
     OwnershipDuty strong = ofPower(1500);
-    hears(strong, OwnerRecord.Kind.HEARTBEAT, 360);
+    readRecord(strong, OwnerRecord.Kind.HEARTBEAT, 360);
     assertTrue(strong.calmFor(1_000_000_000L).isZero());
   }
 
   @Test
-  void anOwnerIsNeverCalm() {
+  void ownerMayAlwaysHaveSomethingDue() {
     duty.read(Optional.empty(), 5, at(0));
     duty.step(at(3000));
     duty.answered(claimOf(3000), new AppendOutcome.Stored(5), at(3010));
-    assertEquals(0, calmMillis(3020));
+    assertEquals(0, millisUntilClaim(3020));
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/store/AnswerTimesTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/store/AnswerTimesTest.java
@@ -8,7 +8,7 @@
 
 class AnswerTimesTest {
 
-  private static final Duration USUAL = Duration.ofMillis(4);
+  private static final Duration FAST = Duration.ofMillis(4);
   private static final Duration SLOW = Duration.ofMillis(240);
 
   private final AnswerTimes times = new AnswerTimes(RepeatedAppend.NEVER_LATE);
@@ -20,16 +20,16 @@
   }
 
   @Test
-  void aQuickStoreIsAskedAgainSoonAndNotForAPauseOfThisVm() {
+  void thresholdOfAFastStoreIsShortButToleratesAPauseOfThisVm() {
     assertEquals(Duration.ofMillis(60), times.late());
-    answered(USUAL, 50);
+    answered(FAST, 50);
     assertEquals(Duration.ofMillis(60), times.late());
   }
 
-  /** Pattern: the store turns 60 times slower; it must not be asked again for each answer. */
+  /** Guards against repeating every call when the store becomes 60 times slower. */
   @Test
-  void theFirstAnswersOfASlowStoreShowThatItIsNotLate() {
-    answered(USUAL, 50);
+  void thresholdExceedsResponseTimeFromTheFirstSlowAnswerOn() {
+    answered(FAST, 50);
     answered(SLOW, 1);
     assertTrue(times.late().compareTo(SLOW) > 0, () -> "late after " + times.late());
     answered(SLOW, 100);
@@ -37,29 +37,32 @@
   }
 
   @Test
-  void aStoreThatIsQuickAgainIsAskedAgainSoon() {
+  void thresholdFallsOnceTheStoreIsFastAgain() {
     answered(SLOW, 20);
-    answered(USUAL, 60);
+    answered(FAST, 60);
     assertEquals(Duration.ofMillis(60), times.late());
   }
 
-  /** Pattern: a VM has come back to a slow store, and its first append was sent 12 times. */
+  /**
+   * Guards against repeating the first append many times while the store is slow: it was sent 12
+   * times by a VM that had just reached the store again.
+   */
   @Test
-  void whatReadsHaveShownOfASlowStoreCountsForTheFirstAppend() {
+  void slowReadsRaiseTheThresholdOfTheFirstAppend() {
     Duration append = SLOW.multipliedBy(2);
     AnswerTimes appends = new AnswerTimes(RepeatedAppend.NEVER_LATE, times);
     assertEquals(RepeatedAppend.NEVER_LATE, appends.late());
     answered(SLOW, 3);
     assertTrue(appends.late().compareTo(append) > 0, () -> "late after " + appends.late());
-    appends.answered(USUAL.toNanos());
+    appends.answered(FAST.toNanos());
     assertEquals(RepeatedAppend.NEVER_LATE, appends.late());
   }
 
   @Test
-  void anAnswerSoonerThanUsualDoesNotMakeLaterOnesSeemLessLate() {
+  void fastAnswerDoesNotRaiseTheThreshold() {
     answered(SLOW, 20);
     Duration before = times.late();
-    answered(USUAL, 1);
+    answered(FAST, 1);
     assertTrue(times.late().compareTo(before) <= 0, () -> before + " became " + times.late());
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/store/RepeatedAppendTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/store/RepeatedAppendTest.java
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void anAnswerInTimeIsTheOnlySend() {
+  void appendAnsweredInTimeIsSentOnce() {
     begin();
     link.answer(0, 4, STORED);
     link.runUntil(2000);
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void aLostAnswerIsAskedForAgainAndTheFirstWordCounts() {
+  void appendIsSentAgainAfterALostAnswerAndTheFirstAnswerCounts() {
     begin();
     link.runUntil(59);
     assertEquals(1, link.sends.size());
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void aSlowStoreIsAnsweredOnceAndNotAskedAgainTheNextTime() {
+  void slowStoreIsNotSentRepeatsOfTheNextAppend() {
     begin();
     link.answer(0, 240, STORED);
     link.runUntil(240);
@@ -64,8 +64,8 @@
   }
 
   @Test
-  void aSilentStoreIsAskedTwelveTimesInTheFirstSecondAtMostAndThenMoreSeldom() {
-    link.free = 100;
+  void silentStoreIsSentAtMostTwelveRepeatsInTheFirstSecondAndThenFewer() {
+    link.freeConnections = 100;
     begin();
     link.runUntil(1000);
     int first = link.sends.size();
@@ -80,11 +80,11 @@
   }
 
   /**
-   * Seen: no append was ever stored as far as its writer knew, since the store took 1.8 s for each
-   * and a send was given up after 1 s.
+   * Guards against giving up sends before a slow store can answer: when it took 1.8 s and sends
+   * were given up after 1 s, the writer never learned that an append was stored.
    */
   @Test
-  void aSendThatIsLateIsNotGivenUpForThat() {
+  void lateSendIsNotGivenUp() {
     begin();
     link.answer(0, 4000, STORED);
     link.runUntil(5000);
@@ -92,8 +92,8 @@
   }
 
   @Test
-  void aStoreThatWasSilentIsFoundBackWithinHalfASecond() {
-    link.free = 100;
+  void appendIsRepeatedWithinHalfASecondOnceTheStoreAnswersAgain() {
+    link.freeConnections = 100;
     begin();
     link.runUntil(5000);
     int before = link.sends.size();
@@ -105,12 +105,12 @@
   }
 
   /**
-   * Pattern: a silent store answers the first send of an append once it is back. That it was silent
-   * says nothing of how long it takes; a lost answer is to be noticed as soon as before.
+   * Guards against an outage being taken for a slow response: a store that was silent answers the
+   * first send once it is back, and a lost answer must be noticed as early as before.
    */
   @Test
-  void aLostAnswerAfterASilenceOfTheStoreIsNotTakenForASlowOne() {
-    link.free = 100;
+  void lostAnswerAfterAnOutageIsNotTakenForASlowOne() {
+    link.freeConnections = 100;
     begin();
     link.answer(0, 4, STORED);
     link.runUntil(100);
@@ -125,8 +125,8 @@
   }
 
   @Test
-  void ofManySendsWithoutAnAnswerTheFirstAndTheNewestStayUnderWay() {
-    link.free = 100;
+  void firstAndNewestOfManyUnansweredSendsStayInFlight() {
+    link.freeConnections = 100;
     begin();
     link.runUntil(9000);
     long open = link.sends.stream().filter(send -> !send.givenUp).count();
@@ -134,9 +134,9 @@
     assertTrue(!link.sends.getFirst().givenUp && !link.sends.getLast().givenUp);
   }
 
-  /** What some send may have brought about must not be called refused. */
+  /** Guards against reporting an append as refused that an unanswered send may have stored. */
   @Test
-  void aRefusalOfALaterSendSaysNothingOfAnEarlierOneWithoutAnAnswer() {
+  void refusalOfALaterSendLeavesAnEarlierUnansweredOneUndecided() {
     begin();
     link.runUntil(61);
     link.answer(1, 65, REFUSED);
@@ -146,7 +146,7 @@
   }
 
   @Test
-  void anAnswerLostBeforeARefusalIsUnansweredToo() {
+  void refusalAfterALostAnswerLeavesTheAppendUndecided() {
     begin();
     link.runUntil(61);
     link.answer(0, 65, LOST);
@@ -156,11 +156,12 @@
   }
 
   /**
-   * Seen in a random history: a submission was stored and its answer lost, another VM took over,
-   * the repeat was rejected, and the caller heard "not run". The next owner ran it.
+   * Guards against reporting a stored append as rejected: its answer was lost, another VM took over
+   * and the repeat was rejected. The caller was told that its job was not accepted, and the next
+   * owner ran it.
    */
   @Test
-  void aRejectionOfALaterSendSaysNothingOfAnEarlierOneWithoutAnAnswer() {
+  void rejectionOfALaterSendLeavesAnEarlierUnansweredOneUndecided() {
     begin();
     link.runUntil(61);
     link.answer(1, 65, new AppendOutcome.Fenced());
@@ -169,7 +170,7 @@
   }
 
   @Test
-  void aRejectionOfTheOnlySendIsARejection() {
+  void rejectionOfTheOnlySendIsTheOutcome() {
     begin();
     link.answer(0, 4, new AppendOutcome.Fenced());
     link.runUntil(100);
@@ -177,7 +178,7 @@
   }
 
   @Test
-  void aRejectionAfterRefusalsIsARejection() {
+  void rejectionAfterARefusalIsTheOutcome() {
     begin();
     link.runUntil(61);
     link.answer(0, 63, REFUSED);
@@ -187,7 +188,7 @@
   }
 
   @Test
-  void aRefusalOfAllSendsIsARefusalAtOnce() {
+  void refusalOfAllSendsIsTheOutcomeAtOnce() {
     begin();
     link.answer(0, 3, REFUSED);
     link.runUntil(2000);
@@ -196,16 +197,16 @@
   }
 
   @Test
-  void withoutAFreeConnectionNothingIsSent() {
-    link.free = 0;
+  void appendIsRefusedWithoutAFreeConnection() {
+    link.freeConnections = 0;
     begin();
     link.runUntil(2000);
     assertInstanceOf(AppendOutcome.Refused.class, outcomes.getFirst());
   }
 
-  /** A large append over a thin link is on its way longer than an answer usually takes. */
+  /** Transferring a large append over a slow link takes longer than an answer usually does. */
   @Test
-  void aLargeAppendIsGivenTheTimeOfItsWay() {
+  void largeAppendIsAllowedItsTransferTime() {
     RepeatedAppend.begin(link, times, 875_000, outcomes::add);
     link.runUntil(1000);
     assertEquals(1, link.sends.size());
@@ -214,11 +215,11 @@
     assertEquals(List.of(STORED), outcomes);
   }
 
-  /** A link on a virtual clock, without a store behind it. */
+  /** A link with a virtual clock, whose answers the test provides. */
   private static final class FakeLink implements RepeatedAppend.Link {
     private final List<Send> sends = new ArrayList<>();
     private final PriorityQueue<Timed> queue = new PriorityQueue<>();
-    private int free = 20;
+    private int freeConnections = 20;
     private long millis;
     private long order;
 
@@ -252,7 +253,7 @@
 
     @Override
     public Optional<Sending> send(Duration limit, Consumer<AppendOutcome> sink) {
-      if (sends.size() >= free) {
+      if (sends.size() >= freeConnections) {
         return Optional.empty();
       }
       Send send = new Send(sink);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/store/SlidingWindowMaximumTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/store/SlidingWindowMaximumTest.java
@@ -15,12 +15,12 @@
   }
 
   @Test
-  void nothingIsKnownBeforeTheFirst() {
+  void maximumIsZeroWithoutSamples() {
     assertEquals(0, times.longest(at(0)));
   }
 
   @Test
-  void theLongestCountsUntilItIsTenSecondsOld() {
+  void sampleLeavesTheWindowAfterTenSeconds() {
     times.add(900, at(1000));
     times.add(40, at(2000));
     times.add(30, at(3000));
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void aLongerOneCountsAtOnce() {
+  void longerSampleBecomesTheMaximumAtOnce() {
     times.add(4, at(0));
     times.add(1800, at(500));
     assertEquals(1800, times.longest(at(500)));
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/store/SlowStoreWatchTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/store/SlowStoreWatchTest.java
@@ -8,24 +8,27 @@
 import org.fescuehook.logic.batch.store.SlowStoreWatch.Change;
 import org.junit.jupiter.api.Test;
 
-/** Pattern: the store takes 0.7 s for each append for six seconds, and nothing fails. */
+/**
+ * Guards against a store that is slow without being noticed: it takes 0.7 s for each append for six
+ * seconds, and nothing fails.
+ */
 class SlowStoreWatchTest {
 
-  private final SlowStoreWatch watch = new SlowStoreWatch();
+  private final SlowStoreWatch detector = new SlowStoreWatch();
 
   private List<Change> changes(Integer... millis) {
-    return Stream.of(millis).map(one -> watch.stored(Duration.ofMillis(one))).toList();
+    return Stream.of(millis).map(time -> detector.stored(Duration.ofMillis(time))).toList();
   }
 
   @Test
-  void theBeginningAndTheEndOfATimeOfSlownessAreToldOnce() {
+  void startAndEndOfSlownessAreReportedOnce() {
     assertEquals(
         List.of(Change.NONE, Change.SLOWER, Change.NONE, Change.NONE, Change.QUICKER, Change.NONE),
         changes(4, 700, 690, 710, 5, 4));
   }
 
   @Test
-  void aTimeBetweenTheBoundsChangesNothing() {
+  void timeBetweenTheThresholdsChangesNothing() {
     assertEquals(
         List.of(Change.NONE, Change.SLOWER, Change.NONE, Change.QUICKER),
         changes(100, 200, 100, 4));
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/store/StateWriterTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/store/StateWriterTest.java
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void whatWaitsGoesOutTogetherAndIsStoredTogether() {
+  void pendingChangesAreSentAndConfirmedTogether() {
     put("a");
     put("b");
     writer.flush(at(0));
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void anAppendWithoutAnAnswerIsRepeatedAndNotCalledLost() {
+  void unansweredAppendIsRepeatedAndNotGivenUp() {
     putRefusable("a", 0);
     writer.flush(at(0));
     writer.answered(position(0), new AppendOutcome.Unanswered("timeout"), at(1000));
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void whatTheStoreRefusedEachTimeIsGivenUpAsNotStored() {
+  void changeRefusedByTheStoreIsGivenUpAsNotStored() {
     putRefusable("a", 0);
     writer.flush(at(0));
     writer.answered(position(0), new AppendOutcome.Refused("503"), at(10));
@@ -72,9 +72,12 @@
     assertTrue(writer.idle());
   }
 
-  /** Submissions waited until the append before them had timed out, 1.7 s in place of 0.7 s. */
+  /**
+   * Guards against submissions that wait until the append before them has timed out, 1.7 s instead
+   * of 0.7 s.
+   */
   @Test
-  void whatWaitsBehindASilentAppendIsGivenUpBeforeThatTimesOut() {
+  void changeBehindAnUnansweredAppendIsGivenUpBeforeThatTimesOut() {
     put("silent");
     writer.flush(at(0));
     putRefusable("behind", 10);
@@ -86,7 +89,7 @@
   }
 
   @Test
-  void whatAFencedAppendHeldWasNotStored() {
+  void changesOfAFencedAppendAreNotStored() {
     putRefusable("sent", 0);
     writer.flush(at(0));
     putRefusable("waiting", 1);
@@ -96,7 +99,7 @@
   }
 
   @Test
-  void whatWasSentWithoutAnAnswerBeforeStaysUnknown() {
+  void changeOfAnAppendUnansweredBeforeFencingStaysUnknown() {
     putRefusable("sent", 0);
     writer.flush(at(0));
     writer.answered(position(0), new AppendOutcome.Unanswered("timeout"), at(1000));
@@ -106,7 +109,7 @@
     assertEquals(List.of("sent UNKNOWN"), events);
   }
 
-  /** Stores one append, after which others may go out beside each other. */
+  /** Stores one append, after which several may be in flight. */
   private void storeFirst() {
     put("first");
     writer.flush(at(0));
@@ -119,9 +122,11 @@
     return turn.commands().size();
   }
 
-  /** Pattern: the store takes 0.7 s for each append; a change waited for two of them, 1.05 s. */
+  /**
+   * Guards against a change that waits for two slow appends: 1.05 s with a store that takes 0.7 s.
+   */
   @Test
-  void aChangeDoesNotWaitForASlowAppendBeforeIt() {
+  void changeIsSentWhileASlowAppendIsInFlight() {
     storeFirst();
     put("a");
     assertEquals(1, appendsOf(at(1000)));
@@ -135,9 +140,12 @@
     assertTrue(writer.idle());
   }
 
-  /** An epoch may begin at any sequence: what came first would shut the one before it out. */
+  /**
+   * An epoch may begin at any sequence number, so the store would reject the first append if a
+   * later one arrived before it.
+   */
   @Test
-  void nothingGoesBesideTheFirstAppendOfAnEpoch() {
+  void nothingIsSentWhileTheFirstAppendOfAnEpochIsInFlight() {
     put("a");
     writer.flush(at(0));
     put("b");
@@ -145,7 +153,7 @@
   }
 
   @Test
-  void whatIsStoredShowsThatAllBeforeItIs() {
+  void storedAppendConfirmsAllBeforeIt() {
     storeFirst();
     put("a");
     writer.flush(at(1000));
@@ -158,7 +166,7 @@
   }
 
   @Test
-  void anAppendThatOvertookTheOneBeforeGoesOutAgainAfterIt() {
+  void appendThatOvertookAnEarlierOneIsSentAgainAfterIt() {
     storeFirst();
     put("a");
     writer.flush(at(1000));
@@ -173,7 +181,7 @@
   }
 
   @Test
-  void aSequenceThatTheStoreIsPastMeansThatTheEpochIsAnothers() {
+  void sequenceNumberThatTheStoreHasPassedMeansThatOwnershipIsLost() {
     storeFirst();
     put("a");
     writer.flush(at(1000));
@@ -181,7 +189,7 @@
   }
 
   @Test
-  void whatTheStoreRefusedOfSeveralIsGivenUpOnlyIfNothingOfThemMayBeStored() {
+  void refusedAppendIsNotGivenUpWhileAnotherOneMayBeStored() {
     storeFirst();
     putRefusable("a", 1000);
     writer.flush(at(1000));
@@ -196,7 +204,7 @@
   }
 
   @Test
-  void whatTheStoreRefusedOfSeveralGoesOutTogetherAgain() {
+  void refusedAppendsAreSentAgainTogether() {
     storeFirst();
     putRefusable("a", 1000);
     writer.flush(at(1000));
