--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorState.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorState.java
@@ -39,7 +39,7 @@
   private OptionalLong answeredAt = OptionalLong.empty();
   private OptionalLong silentSince = OptionalLong.empty();
   private OptionalLong restartedAt = OptionalLong.empty();
-  private Optional<PollUnderWay> poll = Optional.empty();
+  private Optional<PollInFlight> poll = Optional.empty();
   private long nextPollAt;
   private LeaseTracker lease = new LeaseTracker();
   private final RunEndTracker runEnds = new RunEndTracker();
@@ -55,7 +55,7 @@
    * @param number number of the order
    * @param sentAt monotonic time
    */
-  public record PollUnderWay(long number, long sentAt) {}
+  public record PollInFlight(long number, long sentAt) {}
 
   /**
    * Creates the state of an executor that has not been polled.
@@ -222,7 +222,7 @@
   }
 
   /** Returns the poll in flight. */
-  public Optional<PollUnderWay> poll() {
+  public Optional<PollInFlight> poll() {
     return poll;
   }
 
@@ -242,7 +242,7 @@
    * @param acknowledged the number up to which it acknowledges ends
    */
   public void pollSent(long number, long acknowledged, long nowNanos) {
-    poll = Optional.of(new PollUnderWay(number, nowNanos));
+    poll = Optional.of(new PollInFlight(number, nowNanos));
     runEnds.acknowledgementSent(acknowledged);
   }
 
