--- a/bench/src/main/java/org/fescuehook/bench/batch/LoadedOwner.java
+++ b/bench/src/main/java/org/fescuehook/bench/batch/LoadedOwner.java
@@ -23,11 +23,11 @@
 import org.fescuehook.logic.batch.store.AppendOutcome;
 import org.fescuehook.logic.batch.store.KeyedRecord;
 import org.fescuehook.model.batch.BatchConfiguration;
+import org.fescuehook.model.batch.BatchOrganisation;
 import org.fescuehook.model.batch.BatchStep;
-import org.fescuehook.model.batch.Demand;
 import org.fescuehook.model.batch.ExecutorProfile;
 import org.fescuehook.model.batch.JobQueue;
-import org.fescuehook.model.batch.KeyHolder;
+import org.fescuehook.model.batch.ResourceVector;
 import org.fescuehook.model.batch.Submission;
 import org.fescuehook.model.fleet.ExecutorId;
 import org.fescuehook.model.fleet.FailureDomain;
@@ -53,8 +53,8 @@
   /** Tasks of each job. */
   static final int TASKS_PER_JOB = 16;
 
-  private static final Demand CAPACITY = new Demand(64_000, 262_144, 8);
-  private static final Demand TASK = new Demand(5_600, 16_000, 1);
+  private static final ResourceVector CAPACITY = new ResourceVector(64_000, 262_144, 8);
+  private static final ResourceVector TASK = new ResourceVector(5_600, 16_000, 1);
 
   private final BatchCore core;
   private final Map<String, byte[]> stored;
@@ -107,7 +107,7 @@
   /** Claims ownership and loads the jobs, up to the first decision. */
   void takeOver() {
     JobQueue queue = new JobQueue(QUEUE, "pool", 2, 2, 3, 3000, false, false);
-    KeyHolder holder = new KeyHolder("north", Set.of(KEY), 0);
+    BatchOrganisation holder = new BatchOrganisation("north", Set.of(KEY), 0);
     events.add(
         new BatchEvent.ConfigurationRead(
             new BatchConfiguration(1, Map.of(QUEUE, queue), List.of(holder))));
--- a/bench/src/main/java/org/fescuehook/bench/capacity/PlanCost.java
+++ b/bench/src/main/java/org/fescuehook/bench/capacity/PlanCost.java
@@ -6,10 +6,10 @@
 import org.fescuehook.logic.scheduling.GuaranteeScheduler;
 import org.fescuehook.logic.scheduling.History;
 import org.fescuehook.logic.scheduling.Scheduler.Plan;
-import org.fescuehook.logic.scheduling.Scheduler.Running;
+import org.fescuehook.logic.scheduling.Scheduler.RunningAttempt;
 import org.fescuehook.logic.scheduling.Scheduler.Start;
 import org.fescuehook.logic.scheduling.Scheduler.View;
-import org.fescuehook.logic.scheduling.Scheduler.Waiting;
+import org.fescuehook.logic.scheduling.Scheduler.WaitingJob;
 import org.fescuehook.model.configuration.Declarations;
 import org.fescuehook.model.job.AttemptId;
 import org.fescuehook.model.job.Job;
@@ -29,26 +29,27 @@
   double micros(FleetOfSize fleet) throws Exception {
     Declarations declarations = fleet.declarations();
     GuaranteeScheduler scheduler = new GuaranteeScheduler();
-    List<Running> running = place(scheduler, declarations, fleet.jobs());
-    List<Waiting> waiting = waiting(fleet.waitingJobs());
+    List<RunningAttempt> running = place(scheduler, declarations, fleet.jobs());
+    List<WaitingJob> waiting = waiting(fleet.waitingJobs());
     View view = new View(NOW, declarations, waiting, running, Set.of(), History.EMPTY);
     return clock.medianMicros(RUNS, () -> scheduler.plan(view));
   }
 
-  private static List<Running> place(
+  private static List<RunningAttempt> place(
       GuaranteeScheduler scheduler, Declarations declarations, List<Job> jobs) {
     View view = new View(NOW, declarations, waiting(jobs), List.of(), Set.of(), History.EMPTY);
     Plan plan = scheduler.plan(view);
-    List<Running> running = new ArrayList<>();
+    List<RunningAttempt> running = new ArrayList<>();
     for (Start start : plan.starts()) {
       Job job = jobs.stream().filter(j -> j.id().equals(start.job())).findFirst().orElseThrow();
       AttemptId attempt = new AttemptId(job.id(), 1);
-      running.add(new Running(job, attempt, start.placement(), start.borrowed(), NOW, 0, false));
+      running.add(
+          new RunningAttempt(job, attempt, start.placement(), start.borrowed(), NOW, 0, false));
     }
     return running;
   }
 
-  private static List<Waiting> waiting(List<Job> jobs) {
-    return jobs.stream().map(job -> new Waiting(job, 0, 0, Set.of())).toList();
+  private static List<WaitingJob> waiting(List<Job> jobs) {
+    return jobs.stream().map(job -> new WaitingJob(job, 0, 0, Set.of())).toList();
   }
 }
--- a/bench/src/main/java/org/fescuehook/bench/policy/Contender.java
+++ b/bench/src/main/java/org/fescuehook/bench/policy/Contender.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.function.Supplier;
 import org.fescuehook.logic.scheduling.GuaranteeScheduler;
-import org.fescuehook.logic.scheduling.PolicyParts;
+import org.fescuehook.logic.scheduling.PolicyFeatures;
 import org.fescuehook.logic.scheduling.RunTimeCorrection;
 import org.fescuehook.logic.scheduling.Scheduler;
 
@@ -16,7 +16,7 @@
  */
 record Contender(String name, boolean judges, Supplier<Scheduler> policy) {
 
-  static final Contender OURS = ours("ours", PolicyParts.ALL);
+  static final Contender OURS = ours("ours", PolicyFeatures.ALL);
 
   /** Returns the simple policies and ours. */
   static List<Contender> main() {
@@ -28,7 +28,7 @@
 
   /** Returns ours with each part switched off in turn, and with other corrections. */
   static List<Contender> withoutParts() {
-    PolicyParts all = PolicyParts.ALL;
+    PolicyFeatures all = PolicyFeatures.ALL;
     return List.of(
         ours("- reclaim", all.withReclaim(false)),
         ours("- homes", all.withHomes(false)),
@@ -43,7 +43,7 @@
         new Contender("- quarantine", false, () -> new GuaranteeScheduler(all)));
   }
 
-  private static Contender ours(String name, PolicyParts parts) {
+  private static Contender ours(String name, PolicyFeatures parts) {
     return new Contender(name, true, () -> new GuaranteeScheduler(parts));
   }
 }
--- a/bench/src/main/java/org/fescuehook/bench/policy/DecisionCost.java
+++ b/bench/src/main/java/org/fescuehook/bench/policy/DecisionCost.java
@@ -6,12 +6,12 @@
 import java.util.Optional;
 import java.util.Set;
 import org.HdrHistogram.Histogram;
+import org.fescuehook.logic.scheduling.FaultyWorkerDetector;
 import org.fescuehook.logic.scheduling.GuaranteeScheduler;
-import org.fescuehook.logic.scheduling.Scheduler.Running;
+import org.fescuehook.logic.scheduling.Scheduler.RunningAttempt;
 import org.fescuehook.logic.scheduling.Scheduler.View;
-import org.fescuehook.logic.scheduling.Scheduler.Waiting;
-import org.fescuehook.logic.scheduling.WorkerJudge;
-import org.fescuehook.logic.trace.JobCourse;
+import org.fescuehook.logic.scheduling.Scheduler.WaitingJob;
+import org.fescuehook.logic.trace.JobBehaviour;
 import org.fescuehook.logic.trace.Replayer;
 import org.fescuehook.logic.trace.Trace;
 import org.fescuehook.logic.trace.TraceEvent;
@@ -70,7 +70,7 @@
         new Replayer(
             trace,
             new GuaranteeScheduler(),
-            Optional.of(new WorkerJudge()),
+            Optional.of(new FaultyWorkerDetector()),
             (view, plan) -> {
               if (fullest.isEmpty() || tasks(view) > tasks(fullest.getFirst())) {
                 fullest.clear();
@@ -83,13 +83,13 @@
 
   /** Adds other jobs of the trace as waiting ones, the same number for each size. */
   private static View withWaiting(View view, Trace trace) {
-    List<Waiting> waiting = new ArrayList<>(view.waiting());
+    List<WaitingJob> waiting = new ArrayList<>(view.waiting());
     Set<JobId> known = new HashSet<>();
     view.running().forEach(r -> known.add(r.job().id()));
     view.waiting().forEach(w -> known.add(w.job().id()));
     for (TraceEvent e : trace.events()) {
-      if (e instanceof TraceEvent.Submitted(Job job, JobCourse course) && known.add(job.id())) {
-        waiting.add(new Waiting(job, 0, 0, Set.of()));
+      if (e instanceof TraceEvent.Submitted(Job job, JobBehaviour course) && known.add(job.id())) {
+        waiting.add(new WaitingJob(job, 0, 0, Set.of()));
       }
       if (waiting.size() >= WAITING) {
         break;
@@ -106,7 +106,7 @@
 
   private static int tasks(View view) {
     int sum = 0;
-    for (Running r : view.running()) {
+    for (RunningAttempt r : view.running()) {
       sum += r.placement().members().size();
     }
     return sum;
--- a/bench/src/main/java/org/fescuehook/bench/policy/FragmentationMeter.java
+++ b/bench/src/main/java/org/fescuehook/bench/policy/FragmentationMeter.java
@@ -7,7 +7,7 @@
 import org.fescuehook.logic.scheduling.Scheduler.Plan;
 import org.fescuehook.logic.scheduling.Scheduler.Start;
 import org.fescuehook.logic.scheduling.Scheduler.View;
-import org.fescuehook.logic.scheduling.Scheduler.Waiting;
+import org.fescuehook.logic.scheduling.Scheduler.WaitingJob;
 import org.fescuehook.logic.trace.ReplayListener;
 import org.fescuehook.model.job.Job;
 import org.fescuehook.model.job.JobId;
@@ -67,7 +67,7 @@
     sinceMillis = nowMillis;
   }
 
-  private void measure(FreeCapacity free, Optional<Waiting> largest) {
+  private void measure(FreeCapacity free, Optional<WaitingJob> largest) {
     int accelerators = free.accelerators();
     counts = largest.isPresent() && accelerators > 0;
     if (!counts) {
@@ -82,13 +82,13 @@
 
   private static Job job(View view, JobId id) {
     return view.waiting().stream()
-        .map(Waiting::job)
+        .map(WaitingJob::job)
         .filter(j -> j.id().equals(id))
         .findFirst()
         .orElseThrow();
   }
 
-  private static Optional<Waiting> largest(View view, Set<JobId> started, QuotaBook quotas) {
+  private static Optional<WaitingJob> largest(View view, Set<JobId> started, QuotaBook quotas) {
     return view.waiting().stream()
         .filter(w -> !started.contains(w.job().id()))
         .filter(w -> w.job().shape().accelerators() > 0)
--- a/bench/src/main/java/org/fescuehook/bench/policy/FreeCapacity.java
+++ b/bench/src/main/java/org/fescuehook/bench/policy/FreeCapacity.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.fescuehook.logic.scheduling.Scheduler.Running;
+import org.fescuehook.logic.scheduling.Scheduler.RunningAttempt;
 import org.fescuehook.logic.scheduling.Scheduler.View;
 import org.fescuehook.model.fleet.Capacity;
 import org.fescuehook.model.fleet.RackId;
@@ -35,7 +35,7 @@
       numbers.put(worker.id(), w);
       free[w] = view.unusable().contains(worker.id()) ? Capacity.NONE : worker.capacity();
     }
-    for (Running r : view.running()) {
+    for (RunningAttempt r : view.running()) {
       take(r.placement(), r.job().shape());
     }
   }
--- a/bench/src/main/java/org/fescuehook/bench/policy/GuaranteeWatch.java
+++ b/bench/src/main/java/org/fescuehook/bench/policy/GuaranteeWatch.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.fescuehook.logic.scheduling.Scheduler.Plan;
-import org.fescuehook.logic.scheduling.Scheduler.Running;
+import org.fescuehook.logic.scheduling.Scheduler.RunningAttempt;
 import org.fescuehook.logic.scheduling.Scheduler.View;
-import org.fescuehook.logic.scheduling.Scheduler.Waiting;
+import org.fescuehook.logic.scheduling.Scheduler.WaitingJob;
 import org.fescuehook.logic.trace.ReplayListener;
 import org.fescuehook.model.fleet.Capacity;
 import org.fescuehook.model.fleet.WorkerId;
@@ -76,7 +76,7 @@
     QuotaBook quotas = new QuotaBook(view);
     usedByWorker(view).forEach((id, used) -> use(slots.getOrDefault(id, List.of()), used));
     Set<JobId> covered = new HashSet<>();
-    for (Waiting w : view.waiting()) {
+    for (WaitingJob w : view.waiting()) {
       Job job = w.job();
       List<Slot> own = slots.getOrDefault(job.organisation(), List.of());
       if (job.shape().accelerators() > 0 && quotas.allows(job) && cover(own, job.shape())) {
@@ -90,7 +90,7 @@
   /** Returns for each organisation what it uses on each worker, the most first. */
   private static Map<OrganisationId, List<Capacity>> usedByWorker(View view) {
     Map<OrganisationId, Map<WorkerId, Capacity>> sums = new HashMap<>();
-    for (Running r : view.running()) {
+    for (RunningAttempt r : view.running()) {
       if (r.job().shape().accelerators() == 0) {
         continue;
       }
--- a/bench/src/main/java/org/fescuehook/bench/policy/PolicyRun.java
+++ b/bench/src/main/java/org/fescuehook/bench/policy/PolicyRun.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.HdrHistogram.Histogram;
-import org.fescuehook.logic.scheduling.WorkerJudge;
+import org.fescuehook.logic.scheduling.FaultyWorkerDetector;
 import org.fescuehook.logic.trace.JobOutcome;
 import org.fescuehook.logic.trace.Replayer;
 import org.fescuehook.logic.trace.Trace;
@@ -28,8 +28,8 @@
 
   /** Replays the trace. */
   PolicyRun run() {
-    Optional<WorkerJudge> judge =
-        contender.judges() ? Optional.of(new WorkerJudge()) : Optional.empty();
+    Optional<FaultyWorkerDetector> judge =
+        contender.judges() ? Optional.of(new FaultyWorkerDetector()) : Optional.empty();
     Replayer replayer =
         new Replayer(
             trace,
--- a/bench/src/main/java/org/fescuehook/bench/policy/QueueScheduler.java
+++ b/bench/src/main/java/org/fescuehook/bench/policy/QueueScheduler.java
@@ -27,7 +27,7 @@
     FreeCapacity free = new FreeCapacity(view);
     QuotaBook quotas = new QuotaBook(view);
     List<Start> starts = new ArrayList<>();
-    for (Waiting w : view.waiting()) {
+    for (WaitingJob w : view.waiting()) {
       Job job = w.job();
       if (!quotas.allows(job)) {
         continue;
--- a/bench/src/main/java/org/fescuehook/bench/policy/TraceBuilder.java
+++ b/bench/src/main/java/org/fescuehook/bench/policy/TraceBuilder.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.SplittableRandom;
-import org.fescuehook.logic.trace.JobCourse;
+import org.fescuehook.logic.trace.JobBehaviour;
 import org.fescuehook.logic.trace.Trace;
 import org.fescuehook.logic.trace.TraceEvent;
 import org.fescuehook.logic.trace.WorkerTiming;
@@ -121,7 +121,7 @@
     events.add(
         new TraceEvent.Submitted(
             job,
-            new JobCourse(
+            new JobBehaviour(
                 runs,
                 OptionalLong.empty(),
                 obeys ? OptionalLong.of(checkpoint) : OptionalLong.empty())));
@@ -142,7 +142,7 @@
             "trace");
     events.add(
         new TraceEvent.Submitted(
-            job, new JobCourse(3600, OptionalLong.of(failsAfterSeconds), OptionalLong.empty())));
+            job, new JobBehaviour(3600, OptionalLong.of(failsAfterSeconds), OptionalLong.empty())));
   }
 
   void event(TraceEvent event) {
@@ -160,7 +160,7 @@
   void failing(long atMillis, long lengthMillis, long afterSeconds) {
     WorkerId worker = anyWorker();
     events.add(new TraceEvent.Failing(atMillis, worker, afterSeconds));
-    events.add(new TraceEvent.Mended(atMillis + lengthMillis, worker));
+    events.add(new TraceEvent.Recovered(atMillis + lengthMillis, worker));
   }
 
   /** Cancels so many of the jobs submitted in the last hour before a time. */
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/ExplainLogCommand.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/ExplainLogCommand.java
@@ -11,8 +11,8 @@
 import java.util.Locale;
 import org.fescuehook.entry.scheduler.SchedulerEvent;
 import org.fescuehook.logic.batch.BatchLogEvent;
-import org.fescuehook.logic.story.DayStory;
-import org.fescuehook.logic.story.JobStory;
+import org.fescuehook.logic.story.JobTimeline;
+import org.fescuehook.logic.story.LateJobReport;
 import org.fescuehook.logic.story.LogGap;
 import org.fescuehook.logic.story.LogGapFinder;
 import org.fescuehook.logic.story.LogLine;
@@ -56,22 +56,22 @@
       gaps.addAll(finder.find(file, lines));
     }
     if (all) {
-      return tellAll(DayStory.of(log), console);
+      return tellAll(LateJobReport.of(log), console);
     }
-    return tell(JobStory.of(id, log), gaps, console);
+    return tell(JobTimeline.of(id, log), gaps, console);
   }
 
-  private ExitCode tellAll(DayStory day, Console console) throws CommandException {
+  private ExitCode tellAll(LateJobReport day, Console console) throws CommandException {
     if (day.jobs() == 0) {
       throw new CommandException(
           ExitCode.REFUSED, "no line tells of an accepted job; give the logs of all VMs");
     }
     print(console, "%d jobs accepted, %d late%n", day.jobs(), day.late().size());
-    for (DayStory.Loss loss : day.losses()) {
+    for (LateJobReport.LostTime loss : day.losses()) {
       double seconds = loss.lateMillis() / MILLIS_PER_SECOND;
       print(console, "%9.3f s  %4d  %s  %s%n", seconds, loss.jobs(), loss.queue(), loss.cause());
     }
-    for (DayStory.LateJob job : day.late().stream().limit(DEAREST).toList()) {
+    for (LateJobReport.LateJob job : day.late().stream().limit(DEAREST).toList()) {
       print(
           console,
           "%s  %s  %d core-s  %.3f s late%s  %s%n",
@@ -89,10 +89,10 @@
     console.out().printf(Locale.ROOT, format, arguments);
   }
 
-  private ExitCode tell(JobStory story, List<LogGap> gaps, Console console)
+  private ExitCode tell(JobTimeline story, List<LogGap> gaps, Console console)
       throws CommandException {
     if (story.events().isEmpty()) {
-      long known = gaps.stream().filter(gap -> !(gap instanceof LogGap.Quiet)).count();
+      long known = gaps.stream().filter(gap -> !(gap instanceof LogGap.OpenEnd)).count();
       String missing =
           known == 0 ? "" : "; in those given, lines are missing at " + known + " places";
       throw new CommandException(
@@ -117,7 +117,7 @@
   }
 
   /** Names the gaps in the time of the job, which has no known end without the event of it. */
-  private static void tellGaps(JobStory story, List<LogGap> gaps, Console console) {
+  private static void tellGaps(JobTimeline story, List<LogGap> gaps, Console console) {
     long first = story.events().getFirst().millis();
     boolean ended =
         story.events().stream()
@@ -146,7 +146,7 @@
                 cutOff.vm(),
                 from,
                 to);
-        case LogGap.Quiet end ->
+        case LogGap.OpenEnd end ->
             quiet.add(String.format(Locale.ROOT, "%s after %.3f s", end.vm(), from));
       }
     }
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/ReplayCommand.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/ReplayCommand.java
@@ -12,8 +12,8 @@
 import org.fescuehook.logic.control.trace.ControlReplayer;
 import org.fescuehook.logic.control.trace.ControlReplayer.Replay;
 import org.fescuehook.logic.control.trace.InvalidTraceException;
+import org.fescuehook.logic.scheduling.FaultyWorkerDetector;
 import org.fescuehook.logic.scheduling.GuaranteeScheduler;
-import org.fescuehook.logic.scheduling.WorkerJudge;
 import org.fescuehook.logic.trace.JobOutcome;
 import org.fescuehook.logic.trace.Replayer;
 import org.fescuehook.logic.trace.Trace;
@@ -52,7 +52,10 @@
     }
     List<JobOutcome> outcomes =
         new Replayer(
-                trace, new GuaranteeScheduler(), Optional.of(new WorkerJudge()), (view, plan) -> {})
+                trace,
+                new GuaranteeScheduler(),
+                Optional.of(new FaultyWorkerDetector()),
+                (view, plan) -> {})
             .replay();
     write(console, JobReplayReport.of(outcomes));
     return ExitCode.DONE;
--- a/fescuehook/src/main/java/org/fescuehook/entry/VmState.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/VmState.java
@@ -161,8 +161,8 @@
     if (halted) {
       return Optional.of(NotReady.DECISIONS_HALTED.slug());
     }
-    Readiness.Facts facts =
-        new Readiness.Facts(
+    Readiness.Inputs facts =
+        new Readiness.Inputs(
             configuration.current().isPresent(),
             hasSlots || !executorsDeclared(),
             caughtUp,
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchTurn.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchContext.java
@@ -5,7 +5,7 @@
 import org.fescuehook.model.event.NumberedEvent;
 
 /** One event being applied: its time, and the commands that it gives. */
-public final class BatchTurn {
+public final class BatchContext {
 
   private final long nowNanos;
   private final long wallMillis;
@@ -18,7 +18,7 @@
    * @param nowNanos monotonic time
    * @param wallMillis milliseconds since 1970
    */
-  public BatchTurn(long nowNanos, long wallMillis) {
+  public BatchContext(long nowNanos, long wallMillis) {
     this(nowNanos, wallMillis, false);
   }
 
@@ -29,7 +29,7 @@
    * @param wallMillis milliseconds since 1970
    * @param more whether further events wait already
    */
-  public BatchTurn(long nowNanos, long wallMillis, boolean more) {
+  public BatchContext(long nowNanos, long wallMillis, boolean more) {
     this.nowNanos = nowNanos;
     this.wallMillis = wallMillis;
     this.more = more;
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchCore.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchCore.java
@@ -11,9 +11,9 @@
 import org.fescuehook.logic.batch.ownership.OwnerHint;
 import org.fescuehook.logic.batch.ownership.OwnerIdentity;
 import org.fescuehook.logic.batch.ownership.OwnershipDuty;
-import org.fescuehook.logic.batch.ownership.StoreContact;
-import org.fescuehook.logic.batch.state.JobBook;
-import org.fescuehook.logic.batch.state.OpenJob;
+import org.fescuehook.logic.batch.ownership.StoreReachability;
+import org.fescuehook.logic.batch.state.ActiveJob;
+import org.fescuehook.logic.batch.state.JobRegistry;
 import org.fescuehook.logic.batch.store.AppendOutcome;
 import org.fescuehook.logic.batch.store.StreamName;
 import org.fescuehook.logic.batch.store.WriterPosition;
@@ -74,10 +74,10 @@
    * @return what is to be done, in order
    */
   public List<BatchCommand> apply(BatchEvent event, long nowNanos, long wallMillis, boolean more) {
-    BatchTurn turn = new BatchTurn(nowNanos, wallMillis, more);
-    take(event, turn);
-    step(turn);
-    return turn.commands();
+    BatchContext context = new BatchContext(nowNanos, wallMillis, more);
+    take(event, context);
+    step(context);
+    return context.commands();
   }
 
   /** Returns the owner to tell peers: this VM if it owns, else the one that it knows. */
@@ -106,53 +106,53 @@
     return retired && ownership.epoch().isEmpty();
   }
 
-  private void take(BatchEvent event, BatchTurn turn) {
-    ownership.runs(turn);
+  private void take(BatchEvent event, BatchContext context) {
+    ownership.runs(context);
     switch (event) {
-      case BatchEvent.Called called -> called(called, turn);
-      case BatchEvent.ConfigurationRead(var newer) -> configure(newer, turn);
+      case BatchEvent.Called called -> called(called, context);
+      case BatchEvent.ConfigurationRead(var newer) -> configure(newer, context);
       case BatchEvent.Appended(var stream, var position, var outcome) ->
-          appended(stream, position, outcome, turn);
-      case BatchEvent.OwnershipRead(var newest, long end) -> ownership.read(newest, end, turn);
-      case BatchEvent.OwnershipUnreadable unreadable -> ownership.unreadable(turn);
-      case BatchEvent.OwnerDoubted doubted -> ownership.doubted(turn);
-      case BatchEvent.OwnerHinted(var hint) -> ownership.hinted(hint, turn);
+          appended(stream, position, outcome, context);
+      case BatchEvent.OwnershipRead(var newest, long end) -> ownership.read(newest, end, context);
+      case BatchEvent.OwnershipUnreadable unreadable -> ownership.unreadable(context);
+      case BatchEvent.OwnerDoubted doubted -> ownership.doubted(context);
+      case BatchEvent.OwnerHinted(var hint) -> ownership.hinted(hint, context);
       case BatchEvent.StateRead(long epoch, var records, var more) ->
-          takeover.ifPresent(loading -> loading.read(epoch, records, more, turn));
+          takeover.ifPresent(loading -> loading.read(epoch, records, more, context));
       case BatchEvent.StateUnreadable(long epoch) ->
-          takeover.ifPresent(loading -> loading.unreadable(epoch, turn));
-      case BatchEvent.ExecutorSeen(var profile) -> seen(profile, turn);
+          takeover.ifPresent(loading -> loading.unreadable(epoch, context));
+      case BatchEvent.ExecutorSeen(var profile) -> seen(profile, context);
       case BatchEvent.ExecutorUnlisted(var id) -> unlisted(id);
-      case BatchEvent.ExecutorsListed(var profiles) -> listed(profiles, turn);
+      case BatchEvent.ExecutorsListed(var profiles) -> listed(profiles, context);
       case BatchEvent.OrderEnded(var id, long number, var outcome) ->
-          owner.ifPresent(owning -> owning.orderEnded(id, number, outcome, turn));
+          owner.ifPresent(owning -> owning.orderEnded(id, number, outcome, context));
       case BatchEvent.AdviceEnded(long number, var outcome) ->
-          owner.ifPresent(owning -> owning.advised(number, outcome, turn));
+          owner.ifPresent(owning -> owning.advised(number, outcome, context));
       case BatchEvent.StopBegun begun -> {
-        stoppingSince = OptionalLong.of(turn.nowNanos());
+        stoppingSince = OptionalLong.of(context.nowNanos());
         owner.ifPresent(BatchOwner::beginStop);
       }
-      case BatchEvent.Tick tick -> owner.ifPresent(owning -> owning.timePassed(turn));
+      case BatchEvent.Tick tick -> owner.ifPresent(owning -> owning.timePassed(context));
     }
   }
 
-  private void called(BatchEvent.Called asked, BatchTurn turn) {
+  private void called(BatchEvent.Called asked, BatchContext context) {
     if (owner.isEmpty()) {
-      turn.count("fescuehook.batch.refused", "cause", RefusalCause.NOT_OWNER.tag());
+      context.count("fescuehook.batch.refused", "cause", RefusalCause.NOT_OWNER.tag());
       CallAnswer refused = new CallAnswer.Refused(RefusalCause.NOT_OWNER, COME_BACK_MILLIS);
-      turn.add(new BatchCommand.Answer(asked.ticket(), refused));
+      context.add(new BatchCommand.Answer(asked.ticket(), refused));
       return;
     }
-    owner.get().called(asked, ownership.contact(turn), turn);
+    owner.get().called(asked, ownership.contact(context), context);
   }
 
-  private void configure(BatchConfiguration newer, BatchTurn turn) {
+  private void configure(BatchConfiguration newer, BatchContext context) {
     boolean known = configuration.filter(old -> old.version() >= newer.version()).isPresent();
     if (known) {
       return;
     }
     configuration = Optional.of(newer);
-    turn.note(
+    context.note(
         BatchLogEvent.CONFIGURATION_IN_FORCE,
         newer.version(),
         newer.queues().size(),
@@ -161,26 +161,26 @@
   }
 
   private void appended(
-      StreamName stream, WriterPosition position, AppendOutcome outcome, BatchTurn turn) {
+      StreamName stream, WriterPosition position, AppendOutcome outcome, BatchContext context) {
     if (stream == StreamName.OWNERSHIP) {
-      ownership.answered(position, outcome, turn);
+      ownership.answered(position, outcome, context);
       return;
     }
-    owner.ifPresent(owning -> owning.appended(position, outcome, turn));
+    owner.ifPresent(owning -> owning.appended(position, outcome, context));
     boolean lost =
-        takeover.filter(loading -> !loading.answered(position, outcome, turn)).isPresent();
+        takeover.filter(loading -> !loading.answered(position, outcome, context)).isPresent();
     if (lost) {
-      ownership.abandon("the jobs' stream has a higher epoch", turn);
+      ownership.abandon("the jobs' stream has a higher epoch", context);
     }
   }
 
-  private void seen(ExecutorProfile profile, BatchTurn turn) {
+  private void seen(ExecutorProfile profile, BatchContext context) {
     ExecutorProfile known = listed.get(profile.id());
     if (known != null && profile.incarnation().before(known.incarnation())) {
       return;
     }
     listed.put(profile.id(), profile);
-    owner.ifPresent(owning -> owning.seen(profile, turn));
+    owner.ifPresent(owning -> owning.seen(profile, context));
   }
 
   private void unlisted(ExecutorId id) {
@@ -188,89 +188,89 @@
     owner.ifPresent(owning -> owning.unlisted(id));
   }
 
-  private void listed(List<ExecutorProfile> profiles, BatchTurn turn) {
+  private void listed(List<ExecutorProfile> profiles, BatchContext context) {
     List<ExecutorId> before = List.copyOf(listed.keySet());
     listed.clear();
     executorsRead = true;
-    profiles.forEach(profile -> seen(profile, turn));
+    profiles.forEach(profile -> seen(profile, context));
     before.stream().filter(id -> !listed.containsKey(id)).forEach(this::unlisted);
   }
 
-  private void step(BatchTurn turn) {
+  private void step(BatchContext context) {
     if (owner.filter(BatchOwner::fenced).isPresent()) {
-      ownership.abandon("fenced", turn);
+      ownership.abandon("fenced", context);
     }
-    retireIfStopping(turn);
+    retireIfStopping(context);
     // Without a configuration nothing can be decided, so there is no claim either.
     if (configuration.isPresent() || ownership.epoch().isPresent()) {
-      ownership.step(turn);
+      ownership.step(context);
     }
-    followOwnership(turn);
-    takeover.ifPresent(loading -> loading.step(turn));
-    beginIfLoaded(turn);
-    yieldIfStalled(turn);
+    followOwnership(context);
+    takeover.ifPresent(loading -> loading.step(context));
+    beginIfLoaded(context);
+    yieldIfStalled(context);
     if (owner.isPresent()) {
-      owner.get().step(ownership.contact(turn), turn);
+      owner.get().step(ownership.contact(context), context);
     }
   }
 
-  private void retireIfStopping(BatchTurn turn) {
+  private void retireIfStopping(BatchContext context) {
     if (stoppingSince.isEmpty() || retired) {
       return;
     }
     boolean settled = owner.map(BatchOwner::settled).orElse(true);
-    if (settled || turn.nowNanos() - stoppingSince.getAsLong() > STOP_WAIT_NANOS) {
+    if (settled || context.nowNanos() - stoppingSince.getAsLong() > STOP_WAIT_NANOS) {
       retired = true;
-      ownership.retire(turn);
+      ownership.retire(context);
     }
   }
 
-  private void followOwnership(BatchTurn turn) {
+  private void followOwnership(BatchContext context) {
     OptionalLong epoch = ownership.decidingEpoch();
     boolean working = takeover.isPresent() || owner.isPresent();
     if (epoch.isEmpty() && working) {
       takeover = Optional.empty();
-      owner.ifPresent(owning -> owning.close(turn));
+      owner.ifPresent(owning -> owning.close(context));
       owner = Optional.empty();
       executorsRead = false;
       listed.clear();
-      turn.add(new BatchCommand.FollowExecutors(false));
+      context.add(new BatchCommand.FollowExecutors(false));
       return;
     }
     if (epoch.isPresent() && !working) {
-      takeover = Optional.of(new Takeover(epoch.getAsLong(), turn));
-      turn.add(new BatchCommand.FollowExecutors(true));
+      takeover = Optional.of(new Takeover(epoch.getAsLong(), context));
+      context.add(new BatchCommand.FollowExecutors(true));
     }
   }
 
   /** Gives up a take-over that stands still all the while the store confirms this owner. */
-  private void yieldIfStalled(BatchTurn turn) {
-    StoreContact contact = ownership.contact(turn);
-    if (turn.nowNanos() - contact.confirmedAt() >= contact.nearNanos(STORE_NEAR)) {
-      takeover.ifPresent(loading -> loading.excuse(turn));
+  private void yieldIfStalled(BatchContext context) {
+    StoreReachability contact = ownership.contact(context);
+    if (context.nowNanos() - contact.confirmedAt() >= contact.nearNanos(STORE_NEAR)) {
+      takeover.ifPresent(loading -> loading.excuse(context));
     }
-    if (takeover.filter(loading -> loading.stalled(contact, turn)).isPresent()) {
-      ownership.yield(turn);
+    if (takeover.filter(loading -> loading.stalled(contact, context)).isPresent()) {
+      ownership.yield(context);
     }
   }
 
-  private void beginIfLoaded(BatchTurn turn) {
+  private void beginIfLoaded(BatchContext context) {
     if (takeover.isEmpty()) {
       return;
     }
     if (!takeover.get().loaded() || !executorsRead || configuration.isEmpty()) {
-      takeover.get().tellWhatIsMissing(executorsRead ? "a configuration" : "executors", turn);
+      takeover.get().tellWhatIsMissing(executorsRead ? "a configuration" : "executors", context);
       return;
     }
     Takeover done = takeover.get();
     takeover = Optional.empty();
-    JobBook book = done.book(turn);
-    turn.note(
+    JobRegistry book = done.book(context);
+    context.note(
         BatchLogEvent.OWNING,
         done.epoch(),
-        book.openJobs().stream().filter(OpenJob::open).count(),
+        book.openJobs().stream().filter(ActiveJob::open).count(),
         Takeover.inheritedRuns(book).size(),
-        (turn.nowNanos() - done.startedAt()) / 1_000_000);
+        (context.nowNanos() - done.startedAt()) / 1_000_000);
     owner =
         Optional.of(
             new BatchOwner(
@@ -279,6 +279,6 @@
                 book,
                 configuration.get(),
                 List.copyOf(listed.values()),
-                turn));
+                context));
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchOwner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchOwner.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import org.fescuehook.logic.batch.advice.AdviceDuty;
+import org.fescuehook.logic.batch.advice.AdviceCache;
 import org.fescuehook.logic.batch.advice.AdviceOutcome;
 import org.fescuehook.logic.batch.call.BatchCall;
 import org.fescuehook.logic.batch.call.CallAnswer;
@@ -17,20 +17,20 @@
 import org.fescuehook.logic.batch.executor.OrderOutcome.EndedRun;
 import org.fescuehook.logic.batch.executor.OrderOutcome.Rejection;
 import org.fescuehook.logic.batch.executor.RunListener;
-import org.fescuehook.logic.batch.ownership.StoreContact;
+import org.fescuehook.logic.batch.ownership.StoreReachability;
 import org.fescuehook.logic.batch.plan.PlanDuty;
-import org.fescuehook.logic.batch.state.JobBook;
 import org.fescuehook.logic.batch.state.JobCodec;
-import org.fescuehook.logic.batch.state.JobDuty;
+import org.fescuehook.logic.batch.state.JobLifecycle;
+import org.fescuehook.logic.batch.state.JobRegistry;
 import org.fescuehook.logic.batch.state.LiveRun;
 import org.fescuehook.logic.batch.store.AppendOutcome;
 import org.fescuehook.logic.batch.store.StateWriter;
 import org.fescuehook.logic.batch.store.WriterPosition;
 import org.fescuehook.model.batch.BatchConfiguration;
+import org.fescuehook.model.batch.BatchOrganisation;
 import org.fescuehook.model.batch.ExecutorProfile;
 import org.fescuehook.model.batch.JobPhase;
 import org.fescuehook.model.batch.JobQueue;
-import org.fescuehook.model.batch.KeyHolder;
 import org.fescuehook.model.fleet.ExecutorId;
 import org.fescuehook.model.preferences.BatchPreferences;
 
@@ -77,8 +77,8 @@
   private final BatchPreferences preferences;
   private final StateWriter writer;
   private final ExecutorDuty executors;
-  private final JobDuty jobs;
-  private final AdviceDuty advice;
+  private final JobLifecycle jobs;
+  private final AdviceCache advice;
   private final PlanDuty plans;
   private final SubmissionDesk submissions;
   private final UnknownJobDesk unknownJobs = new UnknownJobDesk();
@@ -93,12 +93,12 @@
   BatchOwner(
       long epoch,
       BatchPreferences preferences,
-      JobBook book,
+      JobRegistry book,
       BatchConfiguration configuration,
       List<ExecutorProfile> listed,
-      BatchTurn turn) {
+      BatchContext context) {
     this.preferences = preferences;
-    this.writer = new StateWriter(epoch, turn);
+    this.writer = new StateWriter(epoch, context);
     Duration lease = preferences.executorLease();
     this.executors =
         new ExecutorDuty(
@@ -107,16 +107,16 @@
             lease,
             ISOLATION_LIMIT.plus(lease).plus(lease.dividedBy(10)),
             this,
-            turn);
-    this.jobs = new JobDuty(book, writer, executors, configuration);
+            context);
+    this.jobs = new JobLifecycle(book, writer, executors, configuration);
     this.submissions = new SubmissionDesk(jobs, writer, ready);
     this.cancels = new CancelDesk(jobs, submissions, ready);
-    this.advice = new AdviceDuty(EpochNumbers.before(epoch), turn);
+    this.advice = new AdviceCache(EpochNumbers.before(epoch), context);
     this.plans = new PlanDuty(jobs, executors, advice, preferences.work());
     executors.serve(jobs.pools());
-    listed.forEach(profile -> executors.seen(profile, turn));
-    executors.inherit(Takeover.inheritedRuns(book), turn);
-    jobs.retireGone(turn);
+    listed.forEach(profile -> executors.seen(profile, context));
+    executors.inherit(Takeover.inheritedRuns(book), context);
+    jobs.retireGone(context);
   }
 
   /** Tells whether an executor or the store has shown that another VM owns now. */
@@ -134,8 +134,8 @@
    * Takes in an entry of the list of executors. They write theirs each second or two, mostly the
    * same; a plan for each of them takes more time than a weak VM has for a large fleet.
    */
-  void seen(ExecutorProfile profile, BatchTurn turn) {
-    if (executors.seen(profile, turn)) {
+  void seen(ExecutorProfile profile, BatchContext context) {
+    if (executors.seen(profile, context)) {
       jobs.changed();
     }
   }
@@ -146,21 +146,21 @@
   }
 
   /** Takes what became of an order. */
-  void orderEnded(ExecutorId id, long number, OrderOutcome outcome, BatchTurn turn) {
-    if (executors.ended(id, number, outcome, turn)) {
+  void orderEnded(ExecutorId id, long number, OrderOutcome outcome, BatchContext context) {
+    if (executors.ended(id, number, outcome, context)) {
       jobs.changed();
     }
   }
 
   /** Takes what the advice service told. */
-  void advised(long number, AdviceOutcome outcome, BatchTurn turn) {
-    advice.answered(number, outcome, turn);
+  void advised(long number, AdviceOutcome outcome, BatchContext context) {
+    advice.answered(number, outcome, context);
     jobs.changed();
   }
 
   /** Takes what became of an append. */
-  void appended(WriterPosition position, AppendOutcome outcome, BatchTurn turn) {
-    if (!writer.answered(position, outcome, turn)) {
+  void appended(WriterPosition position, AppendOutcome outcome, BatchContext context) {
+    if (!writer.answered(position, outcome, context)) {
       fenced = true;
     }
   }
@@ -180,27 +180,27 @@
    *
    * @param contact what the heartbeats have shown of the store
    */
-  void step(StoreContact contact, BatchTurn turn) {
+  void step(StoreReachability contact, BatchContext context) {
     long storeSeenAt = storeSeenAt(contact.confirmedAt());
     // The stream of the jobs may be away while that of ownership is not.
     long awaySince = Math.min(storeSeenAt, writer.troubleSince().orElse(storeSeenAt));
-    storeAgeMillis = Duration.ofNanos(turn.nowNanos() - awaySince).toMillis();
+    storeAgeMillis = Duration.ofNanos(context.nowNanos() - awaySince).toMillis();
     writer.appendsToAnotherTake(contact.longestAppendNanos());
-    writer.expire(turn);
-    cancels.step(turn);
-    unknownJobs.step(contact.confirmedAt(), jobs.book()::shown, turn);
-    if (turn.nowNanos() - storeSeenAt < ISOLATION_LIMIT.toNanos()) {
-      executors.step(turn);
+    writer.expire(context);
+    cancels.step(context);
+    unknownJobs.step(contact.confirmedAt(), jobs.book()::shown, context);
+    if (context.nowNanos() - storeSeenAt < ISOLATION_LIMIT.toNanos()) {
+      executors.step(context);
     }
-    plans.startStored(turn);
-    boolean planNow = !turn.more() || turn.nowNanos() - plannedAt > PLAN_BEHIND_NANOS;
+    plans.startStored(context);
+    boolean planNow = !context.more() || context.nowNanos() - plannedAt > PLAN_BEHIND_NANOS;
     if (!stopping && planNow && jobs.takeChanged()) {
-      plannedAt = turn.nowNanos();
-      plans.step(turn);
+      plannedAt = context.nowNanos();
+      plans.step(context);
     }
-    forgetEnded(turn);
-    writer.flush(turn);
-    ready.forEach(turn::add);
+    forgetEnded(context);
+    writer.flush(context);
+    ready.forEach(context::add);
     ready.clear();
   }
 
@@ -214,28 +214,30 @@
   }
 
   /** Has the next step plan also if nothing changed, for steps that became due. */
-  void timePassed(BatchTurn turn) {
-    if (turn.nowNanos() - plannedAt > PLAN_ANYWAY_NANOS) {
+  void timePassed(BatchContext context) {
+    if (context.nowNanos() - plannedAt > PLAN_ANYWAY_NANOS) {
       jobs.changed();
     }
   }
 
-  private void forgetEnded(BatchTurn turn) {
+  private void forgetEnded(BatchContext context) {
     Optional<String> forgotten =
         jobs.book()
-            .forgetOneShownFor(preferences.statusRetention(), turn.nowNanos(), turn.wallMillis());
+            .forgetOneShownFor(
+                preferences.statusRetention(), context.nowNanos(), context.wallMillis());
     forgotten.ifPresent(id -> writer.put(JobCodec.progressKey(id), Optional::empty, () -> {}));
     jobs.book()
-        .forgetOneEarlyCancel(preferences.statusRetention(), turn.nowNanos(), turn.wallMillis())
+        .forgetOneEarlyCancel(
+            preferences.statusRetention(), context.nowNanos(), context.wallMillis())
         .ifPresent(id -> writer.put(JobCodec.earlyCancelKey(id), Optional::empty, () -> {}));
   }
 
   /** Ends the epoch: who still waits is told what is known. */
-  void close(BatchTurn turn) {
+  void close(BatchContext context) {
     writer.close();
     cancels.close();
-    unknownJobs.close(turn);
-    ready.forEach(turn::add);
+    unknownJobs.close(context);
+    ready.forEach(context::add);
     ready.clear();
   }
 
@@ -244,10 +246,10 @@
    *
    * @param contact what the heartbeats have shown of the store
    */
-  void called(BatchEvent.Called asked, StoreContact contact, BatchTurn turn) {
+  void called(BatchEvent.Called asked, StoreReachability contact, BatchContext context) {
     long ticket = asked.ticket();
     BatchCall call = asked.call();
-    long until = turn.nowNanos() + asked.patience().toNanos();
+    long until = context.nowNanos() + asked.patience().toNanos();
     // Before the key is looked at: a VM may repeat a submission whose key was taken away since.
     if (call instanceof BatchCall.Submit submit && submissions.joined(ticket, submit.job())) {
       return;
@@ -258,35 +260,36 @@
       answer(ticket, new CallAnswer.NoSuchQueue());
       return;
     }
-    Optional<KeyHolder> holder = configuration.holder(call.apiKey());
+    Optional<BatchOrganisation> holder = configuration.holder(call.apiKey());
     if (!queue.get().open() && holder.isEmpty()) {
       answer(ticket, new CallAnswer.UnknownKey());
       return;
     }
     switch (call) {
       case BatchCall.Submit submit -> {
-        Optional<RefusalCause> refusal = refusal(queue.get(), hopeless(asked, contact, turn));
+        Optional<RefusalCause> refusal = refusal(queue.get(), hopeless(asked, contact, context));
         if (refusal.isPresent()) {
-          refuse(ticket, submit.job(), refusal.get(), turn);
+          refuse(ticket, submit.job(), refusal.get(), context);
           return;
         }
-        String organisation = holder.map(KeyHolder::name).orElse("");
-        submissions.submit(ticket, submit, queue.get(), organisation, comeBackMillis(), turn);
+        String organisation = holder.map(BatchOrganisation::name).orElse("");
+        submissions.submit(ticket, submit, queue.get(), organisation, comeBackMillis(), context);
       }
-      case BatchCall.Status status -> status(new JobQuestion(ticket, status.job(), until), turn);
+      case BatchCall.Status status -> status(new JobQuestion(ticket, status.job(), until), context);
       case BatchCall.Cancel cancel ->
-          cancels.cancel(new JobQuestion(ticket, cancel.job(), until), turn);
+          cancels.cancel(new JobQuestion(ticket, cancel.job(), until), context);
       case BatchCall.CountPending count ->
           answer(ticket, new CallAnswer.Pending(jobs.book().pending(count.queue())));
     }
   }
 
   /** Tells whether a submission could not be stored while its caller waits. */
-  private boolean hopeless(BatchEvent.Called asked, StoreContact contact, BatchTurn turn) {
-    long ageNanos = turn.nowNanos() - storeSeenAt(contact.confirmedAt());
-    boolean away = ageNanos > contact.nearNanos(REACHABLE) || writer.storeAway(turn);
+  private boolean hopeless(
+      BatchEvent.Called asked, StoreReachability contact, BatchContext context) {
+    long ageNanos = context.nowNanos() - storeSeenAt(contact.confirmedAt());
+    boolean away = ageNanos > contact.nearNanos(REACHABLE) || writer.storeAway(context);
     long waitsNanos = Math.min(asked.patience().toNanos(), CALLER_NANOS);
-    return away || writer.storedInNanos(contact.lastAppendNanos(), turn) > waitsNanos;
+    return away || writer.storedInNanos(contact.lastAppendNanos(), context) > waitsNanos;
   }
 
   private void answer(long ticket, CallAnswer answer) {
@@ -303,9 +306,9 @@
     return hopeless ? Optional.of(RefusalCause.STORE_AWAY) : Optional.empty();
   }
 
-  private void refuse(long ticket, String id, RefusalCause cause, BatchTurn turn) {
-    turn.note(BatchLogEvent.JOB_REFUSED, id, cause, comeBackMillis());
-    turn.count("fescuehook.batch.refused", "cause", cause.tag());
+  private void refuse(long ticket, String id, RefusalCause cause, BatchContext context) {
+    context.note(BatchLogEvent.JOB_REFUSED, id, cause, comeBackMillis());
+    context.count("fescuehook.batch.refused", "cause", cause.tag());
     answer(ticket, new CallAnswer.Refused(cause, comeBackMillis()));
   }
 
@@ -314,56 +317,56 @@
     return Math.clamp(storeAgeMillis, COME_BACK_MILLIS, LATEST_COME_BACK_MILLIS);
   }
 
-  private void status(JobQuestion question, BatchTurn turn) {
+  private void status(JobQuestion question, BatchContext context) {
     Optional<JobPhase> phase = jobs.book().shown(question.job());
     if (phase.isPresent()) {
       answer(question.ticket(), new CallAnswer.Phase(phase.get()));
     } else {
-      unknownJobs.ask(question, turn);
+      unknownJobs.ask(question, context);
     }
   }
 
   @Override
-  public void ended(LiveRun run, EndedRun end, Countdown stored, BatchTurn turn) {
-    jobs.ended(run, end, stored, turn);
+  public void ended(LiveRun run, EndedRun end, Countdown stored, BatchContext context) {
+    jobs.ended(run, end, stored, context);
   }
 
   @Override
-  public void strayEnded(EndedRun end, Countdown stored, BatchTurn turn) {
-    jobs.strayEnded(end, stored, turn);
+  public void strayEnded(EndedRun end, Countdown stored, BatchContext context) {
+    jobs.strayEnded(end, stored, context);
   }
 
   @Override
-  public void lost(LiveRun run, String cause, BatchTurn turn) {
-    jobs.lost(run, turn);
+  public void lost(LiveRun run, String cause, BatchContext context) {
+    jobs.lost(run, context);
   }
 
   @Override
-  public void lostWithExecutor(LiveRun run, CrashEvidence evidence, BatchTurn turn) {
-    jobs.lostWithExecutor(run, evidence, turn);
+  public void lostWithExecutor(LiveRun run, CrashEvidence evidence, BatchContext context) {
+    jobs.lostWithExecutor(run, evidence, context);
   }
 
   @Override
-  public void rejected(LiveRun run, Rejection rejection, BatchTurn turn) {
+  public void rejected(LiveRun run, Rejection rejection, BatchContext context) {
     if (rejection == Rejection.NO_TICKET) {
       advice.rejected(run.step(), run.incarnation());
     }
-    jobs.rejected(run, rejection, turn);
+    jobs.rejected(run, rejection, context);
   }
 
   @Override
-  public void unsent(LiveRun run, BatchTurn turn) {
-    jobs.unsent(run, turn);
+  public void unsent(LiveRun run, BatchContext context) {
+    jobs.unsent(run, context);
   }
 
   @Override
-  public void startGivenUp(LiveRun run, BatchTurn turn) {
-    jobs.startGivenUp(run, turn);
+  public void startGivenUp(LiveRun run, BatchContext context) {
+    jobs.startGivenUp(run, context);
   }
 
   @Override
-  public void foundRunning(LiveRun run, BatchTurn turn) {
-    jobs.foundRunning(run, turn);
+  public void foundRunning(LiveRun run, BatchContext context) {
+    jobs.foundRunning(run, context);
   }
 
   @Override
@@ -372,17 +375,17 @@
   }
 
   @Override
-  public void stoodStill(LiveRun run, BatchTurn turn) {
-    jobs.stoodStill(run, turn);
+  public void stoodStill(LiveRun run, BatchContext context) {
+    jobs.stoodStill(run, context);
   }
 
   @Override
-  public void leaving(ExecutorState executor, BatchTurn turn) {
-    jobs.leaving(executor, turn);
+  public void leaving(ExecutorState executor, BatchContext context) {
+    jobs.leaving(executor, context);
   }
 
   @Override
-  public void fenced(BatchTurn turn) {
+  public void fenced(BatchContext context) {
     fenced = true;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/CancelDesk.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/CancelDesk.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 import org.fescuehook.logic.batch.call.CallAnswer;
 import org.fescuehook.logic.batch.call.UndecidedCause;
-import org.fescuehook.logic.batch.state.JobDuty;
+import org.fescuehook.logic.batch.state.ActiveJob;
+import org.fescuehook.logic.batch.state.JobLifecycle;
 import org.fescuehook.logic.batch.state.LiveRun;
-import org.fescuehook.logic.batch.state.OpenJob;
 
 /**
  * Cancels of jobs: confirmed once the store has them and the executors have taken the stops, so
@@ -19,7 +19,7 @@
  */
 final class CancelDesk {
 
-  private final JobDuty jobs;
+  private final JobLifecycle jobs;
   private final SubmissionDesk submissions;
   private final List<BatchCommand> ready;
 
@@ -41,7 +41,7 @@
    *
    * @param ready takes answers for the next turn
    */
-  CancelDesk(JobDuty jobs, SubmissionDesk submissions, List<BatchCommand> ready) {
+  CancelDesk(JobLifecycle jobs, SubmissionDesk submissions, List<BatchCommand> ready) {
     this.jobs = jobs;
     this.submissions = submissions;
     this.ready = ready;
@@ -51,16 +51,16 @@
    * Cancels jobs whose submissions have been decided since their cancels came, and confirms the
    * cancels whose jobs have been stopped.
    */
-  void step(BatchTurn turn) {
-    submissions.takeDueCancels().forEach(due -> cancel(due, turn));
+  void step(BatchContext context) {
+    submissions.takeDueCancels().forEach(due -> cancel(due, context));
     Iterator<Stopping> waiting = awaitingStops.iterator();
     while (waiting.hasNext()) {
       Stopping next = waiting.next();
-      next.runs().removeIf(run -> !jobs.goesOn(run, turn));
+      next.runs().removeIf(run -> !jobs.goesOn(run, context));
       if (next.runs().isEmpty()) {
         answer(next.cancel().ticket(), new CallAnswer.Cancelled());
         waiting.remove();
-      } else if (turn.nowNanos() - next.cancel().until() >= 0) {
+      } else if (context.nowNanos() - next.cancel().until() >= 0) {
         // Its caller has been told that it is undecided.
         waiting.remove();
       }
@@ -68,13 +68,13 @@
   }
 
   /** Takes a cancel. */
-  void cancel(JobQuestion cancel, BatchTurn turn) {
+  void cancel(JobQuestion cancel, BatchContext context) {
     if (submissions.cancelledMeanwhile(cancel)) {
       return;
     }
-    Optional<OpenJob> job = jobs.book().open(cancel.job());
+    Optional<ActiveJob> job = jobs.book().open(cancel.job());
     if (job.isEmpty()) {
-      cancelEarly(cancel, turn);
+      cancelEarly(cancel, context);
       return;
     }
     awaitingStore.add(cancel.ticket());
@@ -84,7 +84,7 @@
       jobs.persist(job.get(), stored);
       return;
     }
-    jobs.cancel(job.get(), stored, turn);
+    jobs.cancel(job.get(), stored, context);
   }
 
   /**
@@ -92,14 +92,14 @@
    * callers and VMs repeat what had no answer; so the store remembers the cancel before the caller
    * is told that there is no such job.
    */
-  private void cancelEarly(JobQuestion cancel, BatchTurn turn) {
+  private void cancelEarly(JobQuestion cancel, BatchContext context) {
     if (jobs.book().shown(cancel.job()).isPresent()) {
       answer(cancel.ticket(), new CallAnswer.Cancelled());
       return;
     }
-    turn.note(BatchLogEvent.UNKNOWN_JOB_CANCELLED, cancel.job());
+    context.note(BatchLogEvent.UNKNOWN_JOB_CANCELLED, cancel.job());
     awaitingStore.add(cancel.ticket());
-    jobs.cancelEarly(cancel.job(), () -> storedEarly(cancel), turn);
+    jobs.cancelEarly(cancel.job(), () -> storedEarly(cancel), context);
   }
 
   private void storedEarly(JobQuestion cancel) {
@@ -111,7 +111,8 @@
 
   private void stored(JobQuestion cancel) {
     if (awaitingStore.remove(cancel.ticket())) {
-      List<LiveRun> runs = jobs.book().open(cancel.job()).map(OpenJob::liveRuns).orElse(List.of());
+      List<LiveRun> runs =
+          jobs.book().open(cancel.job()).map(ActiveJob::liveRuns).orElse(List.of());
       awaitingStops.add(new Stopping(cancel, new ArrayList<>(runs)));
     }
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/SubmissionDesk.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/SubmissionDesk.java
@@ -9,11 +9,11 @@
 import org.fescuehook.logic.batch.call.CallAnswer;
 import org.fescuehook.logic.batch.call.RefusalCause;
 import org.fescuehook.logic.batch.call.UndecidedCause;
-import org.fescuehook.logic.batch.state.JobBook;
+import org.fescuehook.logic.batch.state.ActiveJob;
 import org.fescuehook.logic.batch.state.JobCodec;
-import org.fescuehook.logic.batch.state.JobDuty;
-import org.fescuehook.logic.batch.state.OpenJob;
-import org.fescuehook.logic.batch.store.CommitLoss;
+import org.fescuehook.logic.batch.state.JobLifecycle;
+import org.fescuehook.logic.batch.state.JobRegistry;
+import org.fescuehook.logic.batch.store.CommitFailure;
 import org.fescuehook.logic.batch.store.StateWriter;
 import org.fescuehook.model.batch.BatchJob;
 import org.fescuehook.model.batch.JobQueue;
@@ -24,7 +24,7 @@
  */
 final class SubmissionDesk {
 
-  private final JobDuty jobs;
+  private final JobLifecycle jobs;
   private final StateWriter writer;
   private final List<BatchCommand> ready;
   private final Map<String, Submitting> underWay = new LinkedHashMap<>();
@@ -35,7 +35,7 @@
    *
    * @param ready takes answers and events for the next turn
    */
-  SubmissionDesk(JobDuty jobs, StateWriter writer, List<BatchCommand> ready) {
+  SubmissionDesk(JobLifecycle jobs, StateWriter writer, List<BatchCommand> ready) {
     this.jobs = jobs;
     this.writer = writer;
     this.ready = ready;
@@ -66,37 +66,41 @@
       JobQueue queue,
       String organisation,
       long comeBackMillis,
-      BatchTurn turn) {
+      BatchContext context) {
     String id = submit.job();
-    Optional<JobBook.EndedJob> cancelled = jobs.book().earlyCancel(id);
+    Optional<JobRegistry.EndedJob> cancelled = jobs.book().earlyCancel(id);
     if (cancelled.isPresent()) {
-      submitCancelled(ticket, id, cancelled.get(), comeBackMillis, turn);
+      submitCancelled(ticket, id, cancelled.get(), comeBackMillis, context);
       return;
     }
-    BatchJob job = new BatchJob(id, queue, organisation, turn.wallMillis(), submit.submission());
+    BatchJob job = new BatchJob(id, queue, organisation, context.wallMillis(), submit.submission());
     underWay.put(id, Submitting.of(ticket));
     writer.putRefusable(
         JobCodec.jobKey(id),
         () -> Optional.of(JobCodec.encode(job)),
         () -> accepted(job),
         loss -> notAccepted(id, loss, comeBackMillis),
-        turn);
+        context);
   }
 
   /** Accepts a job whose cancel came before it: it has ended from the beginning. */
   private void submitCancelled(
-      long ticket, String id, JobBook.EndedJob cancelled, long comeBackMillis, BatchTurn turn) {
+      long ticket,
+      String id,
+      JobRegistry.EndedJob cancelled,
+      long comeBackMillis,
+      BatchContext context) {
     underWay.put(id, Submitting.of(ticket));
     writer.putRefusable(
         JobCodec.progressKey(id),
         () -> Optional.of(JobCodec.encodeEnd(cancelled)),
         () -> {
-          jobs.book().addEnded(id, cancelled, turn.nowNanos());
+          jobs.book().addEnded(id, cancelled, context.nowNanos());
           note(BatchLogEvent.CANCELLED_JOB_ACCEPTED, id);
           decided(id, new CallAnswer.Accepted());
         },
         loss -> notAccepted(id, loss, comeBackMillis),
-        turn);
+        context);
   }
 
   /** Keeps a cancel of a submission under way until that is decided; false if there is none. */
@@ -117,7 +121,7 @@
   }
 
   private void accepted(BatchJob job) {
-    jobs.book().add(new OpenJob(job));
+    jobs.book().add(new ActiveJob(job));
     jobs.changed();
     long chain = job.submission().estimatedChainMillis();
     note(
@@ -132,7 +136,7 @@
     decided(job.id(), new CallAnswer.Accepted());
   }
 
-  private void notAccepted(String id, CommitLoss loss, long comeBackMillis) {
+  private void notAccepted(String id, CommitFailure loss, long comeBackMillis) {
     switch (loss) {
       case NOT_STORED -> {
         note(BatchLogEvent.JOB_REFUSED, id, loss, comeBackMillis);
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/Takeover.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/Takeover.java
@@ -7,14 +7,14 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.OptionalLong;
-import org.fescuehook.logic.batch.ownership.StoreContact;
-import org.fescuehook.logic.batch.state.JobBook;
+import org.fescuehook.logic.batch.ownership.StoreReachability;
+import org.fescuehook.logic.batch.state.ActiveJob;
 import org.fescuehook.logic.batch.state.JobCodec;
+import org.fescuehook.logic.batch.state.JobRegistry;
 import org.fescuehook.logic.batch.state.LiveRun;
-import org.fescuehook.logic.batch.state.OpenJob;
 import org.fescuehook.logic.batch.store.AppendOutcome;
 import org.fescuehook.logic.batch.store.KeyedRecord;
-import org.fescuehook.logic.batch.store.Outstanding;
+import org.fescuehook.logic.batch.store.PendingCall;
 import org.fescuehook.logic.batch.store.StreamName;
 import org.fescuehook.logic.batch.store.UnreadableRecordException;
 import org.fescuehook.logic.batch.store.WriterPosition;
@@ -44,19 +44,19 @@
   private final long startedAt;
   private final Map<String, byte[]> records = new LinkedHashMap<>();
   private boolean fenced;
-  private final Outstanding underWay = new Outstanding(Outstanding.PAGE);
+  private final PendingCall underWay = new PendingCall(PendingCall.PAGE);
   private boolean loaded;
   private Optional<String> afterKey = Optional.empty();
   private long retryAt;
   private long toldAt;
   private long progressAt;
 
-  Takeover(long epoch, BatchTurn turn) {
+  Takeover(long epoch, BatchContext context) {
     this.epoch = epoch;
-    this.startedAt = turn.nowNanos();
-    this.retryAt = turn.nowNanos();
-    this.toldAt = turn.nowNanos();
-    this.progressAt = turn.nowNanos();
+    this.startedAt = context.nowNanos();
+    this.retryAt = context.nowNanos();
+    this.toldAt = context.nowNanos();
+    this.progressAt = context.nowNanos();
   }
 
   long epoch() {
@@ -72,28 +72,28 @@
   }
 
   /** Tells whether nothing that it waits for has come for a while. */
-  boolean stalled(StoreContact contact, BatchTurn turn) {
+  boolean stalled(StoreReachability contact, BatchContext context) {
     long longest = Math.max(STALL_NANOS, STALL_APPENDS * contact.longestAppendNanos());
-    return turn.nowNanos() - progressAt > longest;
+    return context.nowNanos() - progressAt > longest;
   }
 
   /** Has the time without a step forward count from now, as nobody could have made one. */
-  void excuse(BatchTurn turn) {
-    progressAt = turn.nowNanos();
+  void excuse(BatchContext context) {
+    progressAt = context.nowNanos();
   }
 
-  void step(BatchTurn turn) {
-    if (underWay.present(turn) || loaded || turn.nowNanos() - retryAt < 0) {
+  void step(BatchContext context) {
+    if (underWay.present(context) || loaded || context.nowNanos() - retryAt < 0) {
       return;
     }
-    underWay.begin(turn);
+    underWay.begin(context);
     if (!fenced) {
-      turn.add(
+      context.add(
           new BatchCommand.Append(
               StreamName.STATE, new WriterPosition(epoch, 0), OptionalLong.empty(), List.of()));
       return;
     }
-    turn.add(new BatchCommand.LoadState(epoch, afterKey));
+    context.add(new BatchCommand.LoadState(epoch, afterKey));
   }
 
   /**
@@ -101,13 +101,14 @@
    *
    * @param missing what it lacks besides the jobs; empty if nothing
    */
-  void tellWhatIsMissing(String missing, BatchTurn turn) {
-    if (turn.nowNanos() - toldAt < TELL_NANOS) {
+  void tellWhatIsMissing(String missing, BatchContext context) {
+    if (context.nowNanos() - toldAt < TELL_NANOS) {
       return;
     }
-    toldAt = turn.nowNanos();
-    long millis = Duration.ofNanos(turn.nowNanos() - startedAt).toMillis();
-    turn.note(BatchLogEvent.TAKEOVER_UNDER_WAY, epoch, millis, loaded ? missing : missingOfJobs());
+    toldAt = context.nowNanos();
+    long millis = Duration.ofNanos(context.nowNanos() - startedAt).toMillis();
+    context.note(
+        BatchLogEvent.TAKEOVER_UNDER_WAY, epoch, millis, loaded ? missing : missingOfJobs());
   }
 
   private String missingOfJobs() {
@@ -115,7 +116,7 @@
   }
 
   /** Takes the outcome of raising the epoch; false if another owner has come. */
-  boolean answered(WriterPosition position, AppendOutcome outcome, BatchTurn turn) {
+  boolean answered(WriterPosition position, AppendOutcome outcome, BatchContext context) {
     if (position.epoch() != epoch || fenced) {
       return true;
     }
@@ -123,30 +124,30 @@
     return switch (outcome) {
       case AppendOutcome.Stored stored -> {
         fenced = true;
-        progressAt = turn.nowNanos();
+        progressAt = context.nowNanos();
         yield true;
       }
-      case AppendOutcome.Refused refused -> retry(turn);
-      case AppendOutcome.Unanswered unanswered -> retry(turn);
+      case AppendOutcome.Refused refused -> retry(context);
+      case AppendOutcome.Unanswered unanswered -> retry(context);
       case AppendOutcome.Fenced higher -> false;
       case AppendOutcome.Conflict conflict -> false;
       case AppendOutcome.OutOfSequence expected -> false;
     };
   }
 
-  private boolean retry(BatchTurn turn) {
+  private boolean retry(BatchContext context) {
     underWay.end();
-    retryAt = turn.nowNanos() + RETRY_NANOS;
+    retryAt = context.nowNanos() + RETRY_NANOS;
     return true;
   }
 
   /** Takes a page; one that a former take-over asked for may lack what was accepted since. */
-  void read(long askedIn, List<KeyedRecord> page, Optional<String> more, BatchTurn turn) {
+  void read(long askedIn, List<KeyedRecord> page, Optional<String> more, BatchContext context) {
     if (askedIn != epoch || loaded) {
       return;
     }
     underWay.end();
-    progressAt = turn.nowNanos();
+    progressAt = context.nowNanos();
     for (KeyedRecord record : page) {
       record.value().ifPresent(value -> records.put(record.key(), value));
     }
@@ -154,74 +155,75 @@
     loaded = more.isEmpty();
   }
 
-  void unreadable(long askedIn, BatchTurn turn) {
+  void unreadable(long askedIn, BatchContext context) {
     if (askedIn == epoch) {
-      retry(turn);
+      retry(context);
     }
   }
 
   /** Builds the jobs from what was read; a record that cannot be read is left out and logged. */
-  JobBook book(BatchTurn turn) {
-    JobBook book = new JobBook();
+  JobRegistry book(BatchContext context) {
+    JobRegistry book = new JobRegistry();
     for (Map.Entry<String, byte[]> entry : records.entrySet()) {
       try {
-        take(entry.getKey(), entry.getValue(), book, turn);
+        take(entry.getKey(), entry.getValue(), book, context);
       } catch (UnreadableRecordException e) {
-        turn.note(BatchLogEvent.RECORD_UNREADABLE, entry.getKey(), e.getMessage());
+        context.note(BatchLogEvent.RECORD_UNREADABLE, entry.getKey(), e.getMessage());
       }
     }
     return sorted(book);
   }
 
-  private void take(String key, byte[] value, JobBook book, BatchTurn turn)
+  private void take(String key, byte[] value, JobRegistry book, BatchContext context)
       throws UnreadableRecordException {
     Optional<String> accepted = JobCodec.jobOf(key);
     if (accepted.isPresent()) {
-      book.add(job(accepted.get(), value, turn));
+      book.add(job(accepted.get(), value, context));
       return;
     }
     Optional<String> over = JobCodec.endedJobOf(key);
     if (over.isPresent()) {
       // Without a progress nothing is known to run, and the job is not to be run again.
       if (records.containsKey(JobCodec.progressKey(over.get()))) {
-        book.add(job(over.get(), value, turn));
+        book.add(job(over.get(), value, context));
       }
       return;
     }
     Optional<String> cancelled = JobCodec.earlyCancelOf(key);
     if (cancelled.isPresent()) {
       JobCodec.decodeEnd(cancelled.get(), value)
-          .ifPresent(end -> book.addEarlyCancel(cancelled.get(), end, turn.nowNanos()));
+          .ifPresent(end -> book.addEarlyCancel(cancelled.get(), end, context.nowNanos()));
       return;
     }
     Optional<String> progressOf = JobCodec.progressOf(key);
     if (progressOf.isPresent()) {
       JobCodec.decodeEnd(progressOf.get(), value)
-          .ifPresent(end -> book.addEnded(progressOf.get(), end, turn.nowNanos()));
+          .ifPresent(end -> book.addEnded(progressOf.get(), end, context.nowNanos()));
     }
   }
 
-  private OpenJob job(String id, byte[] value, BatchTurn turn) throws UnreadableRecordException {
-    OpenJob job = new OpenJob(JobCodec.decodeJob(id, value));
+  private ActiveJob job(String id, byte[] value, BatchContext context)
+      throws UnreadableRecordException {
+    ActiveJob job = new ActiveJob(JobCodec.decodeJob(id, value));
     byte[] progress = records.get(JobCodec.progressKey(id));
     if (progress != null) {
-      JobCodec.restore(job, progress, turn.nowNanos());
+      JobCodec.restore(job, progress, context.nowNanos());
     }
     return job;
   }
 
   /** The store returns keys in its own order; jobs are kept in the order of their acceptance. */
-  private static JobBook sorted(JobBook book) {
-    List<OpenJob> jobs = new ArrayList<>(book.openJobs());
+  private static JobRegistry sorted(JobRegistry book) {
+    List<ActiveJob> jobs = new ArrayList<>(book.openJobs());
     jobs.sort(
         (one, other) -> Long.compare(one.job().acceptedMillis(), other.job().acceptedMillis()));
-    JobBook sorted = book.withoutOpenJobs();
+    JobRegistry sorted = book.withoutOpenJobs();
     jobs.forEach(sorted::add);
     return sorted;
   }
 
   /** Returns the live runs of all jobs, also of those that have ended. */
-  static List<LiveRun> inheritedRuns(JobBook book) {
+  static List<LiveRun> inheritedRuns(JobRegistry book) {
     return book.openJobs().stream().flatMap(job -> job.liveRuns().stream()).toList();
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/UnknownJobDesk.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/UnknownJobDesk.java
@@ -28,8 +28,8 @@
   private record Open(JobQuestion question, long askedAt) {}
 
   /** Takes a question. */
-  void ask(JobQuestion question, BatchTurn turn) {
-    open.add(new Open(question, turn.nowNanos()));
+  void ask(JobQuestion question, BatchContext context) {
+    open.add(new Open(question, context.nowNanos()));
   }
 
   /**
@@ -38,25 +38,25 @@
    * @param confirmedAt when the last heartbeat that the store confirmed was sent, monotonic time
    * @param shown looks a job up, which may have been accepted since the question
    */
-  void step(long confirmedAt, Function<String, Optional<JobPhase>> shown, BatchTurn turn) {
+  void step(long confirmedAt, Function<String, Optional<JobPhase>> shown, BatchContext context) {
     Iterator<Open> questions = open.iterator();
     while (questions.hasNext()) {
       Open next = questions.next();
       JobQuestion question = next.question();
       if (confirmedAt - next.askedAt() > 0) {
         Optional<CallAnswer> phase = shown.apply(question.job()).map(CallAnswer.Phase::new);
-        answer(question, phase.orElseGet(CallAnswer.NoSuchJob::new), turn);
+        answer(question, phase.orElseGet(CallAnswer.NoSuchJob::new), context);
         questions.remove();
-      } else if (turn.nowNanos() - question.until() >= -WAY_NANOS) {
-        answer(question, refusal(RefusalCause.STORE_AWAY), turn);
+      } else if (context.nowNanos() - question.until() >= -WAY_NANOS) {
+        answer(question, refusal(RefusalCause.STORE_AWAY), context);
         questions.remove();
       }
     }
   }
 
   /** Ends with the epoch: the next owner knows. */
-  void close(BatchTurn turn) {
-    open.forEach(left -> answer(left.question(), refusal(RefusalCause.NOT_OWNER), turn));
+  void close(BatchContext context) {
+    open.forEach(left -> answer(left.question(), refusal(RefusalCause.NOT_OWNER), context));
     open.clear();
   }
 
@@ -64,7 +64,7 @@
     return new CallAnswer.Refused(cause, COME_BACK_MILLIS);
   }
 
-  private static void answer(JobQuestion question, CallAnswer answer, BatchTurn turn) {
-    turn.add(new BatchCommand.Answer(question.ticket(), answer));
+  private static void answer(JobQuestion question, CallAnswer answer, BatchContext context) {
+    context.add(new BatchCommand.Answer(question.ticket(), answer));
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/advice/AdviceDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/advice/AdviceCache.java
@@ -8,10 +8,10 @@
 import java.util.Optional;
 import java.util.Set;
 import org.fescuehook.logic.batch.BatchCommand;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.BatchLogEvent;
-import org.fescuehook.logic.batch.BatchTurn;
 import org.fescuehook.logic.batch.state.StepProgress;
-import org.fescuehook.logic.batch.store.Outstanding;
+import org.fescuehook.logic.batch.store.PendingCall;
 import org.fescuehook.model.fleet.Incarnation;
 
 /**
@@ -19,7 +19,7 @@
  * the tickets that it gives. The service handles one call of a VM at a time, so one is under way at
  * most. Which lives of executors may run a step never changes; only tickets expire.
  */
-public final class AdviceDuty {
+public final class AdviceCache {
 
   /** Most executors that the service takes in one call. */
   private static final int MOST_EXECUTORS = 100;
@@ -35,7 +35,7 @@
   private final Map<StepProgress, Known> steps = new HashMap<>();
   private final long firstNumber;
   private Optional<Asked> underWay = Optional.empty();
-  private final Outstanding waiting = new Outstanding(Outstanding.ADVICE);
+  private final PendingCall waiting = new PendingCall(PendingCall.ADVICE);
   private long lastNumber;
   private long askAgainAt;
 
@@ -56,10 +56,10 @@
    *
    * @param firstNumber number that no question of an earlier epoch had
    */
-  public AdviceDuty(long firstNumber, BatchTurn turn) {
+  public AdviceCache(long firstNumber, BatchContext context) {
     this.firstNumber = firstNumber;
     this.lastNumber = firstNumber;
-    this.askAgainAt = turn.nowNanos();
+    this.askAgainAt = context.nowNanos();
   }
 
   /** Returns the executors on which a step may start now. */
@@ -93,30 +93,30 @@
    * Asks about a step that waits if no question is under way: about executors that were not asked
    * about yet, or about permitted ones whose tickets have expired.
    */
-  public void ask(StepProgress step, List<Incarnation> usable, BatchTurn turn) {
-    if (waiting.present(turn) || turn.nowNanos() - askAgainAt < 0) {
+  public void ask(StepProgress step, List<Incarnation> usable, BatchContext context) {
+    if (waiting.present(context) || context.nowNanos() - askAgainAt < 0) {
       return;
     }
     Known known = steps.computeIfAbsent(step, name -> new Known());
     List<Incarnation> wanted =
         usable.stream()
             .filter(executor -> !known.forbidden.contains(executor))
-            .filter(executor -> ticket(step, executor, turn.nowNanos()).isEmpty())
+            .filter(executor -> ticket(step, executor, context.nowNanos()).isEmpty())
             .limit(MOST_EXECUTORS)
             .toList();
     if (wanted.isEmpty()) {
       return;
     }
     lastNumber++;
-    waiting.begin(turn);
+    waiting.begin(context);
     underWay = Optional.of(new Asked(lastNumber, step, wanted));
-    turn.add(
+    context.add(
         new BatchCommand.AskAdvice(
             lastNumber, step.name(), wanted.stream().map(Incarnation::id).toList()));
   }
 
   /** Takes an answer; one to a question of an earlier epoch is dropped. */
-  public void answered(long number, AdviceOutcome outcome, BatchTurn turn) {
+  public void answered(long number, AdviceOutcome outcome, BatchContext context) {
     if (number <= firstNumber || underWay.filter(asked -> asked.number() == number).isEmpty()) {
       return;
     }
@@ -124,16 +124,16 @@
     underWay = Optional.empty();
     waiting.end();
     switch (outcome) {
-      case AdviceOutcome.Given given -> given(asked, given, turn);
+      case AdviceOutcome.Given given -> given(asked, given, context);
       case AdviceOutcome.Unavailable(String reason) -> {
-        askAgainAt = turn.nowNanos() + RETRY_NANOS;
-        turn.note(BatchLogEvent.ADVICE_MISSING, asked.step().name(), reason);
-        turn.count("fescuehook.batch.advice", "outcome", "unavailable");
+        askAgainAt = context.nowNanos() + RETRY_NANOS;
+        context.note(BatchLogEvent.ADVICE_MISSING, asked.step().name(), reason);
+        context.count("fescuehook.batch.advice", "outcome", "unavailable");
       }
     }
   }
 
-  private void given(Asked asked, AdviceOutcome.Given given, BatchTurn turn) {
+  private void given(Asked asked, AdviceOutcome.Given given, BatchContext context) {
     Known known = steps.computeIfAbsent(asked.step(), name -> new Known());
     long valid = Duration.ofMillis(given.validMillis()).toNanos() - TICKET_MARGIN_NANOS;
     for (Incarnation executor : asked.executors()) {
@@ -141,16 +141,16 @@
       if (ticket == null) {
         known.forbidden.add(executor);
       } else {
-        known.tickets.put(executor, new Ticket(ticket, turn.nowNanos() + valid));
+        known.tickets.put(executor, new Ticket(ticket, context.nowNanos() + valid));
       }
     }
-    turn.note(
+    context.note(
         BatchLogEvent.ADVICE_GIVEN,
         asked.step().name(),
         given.tickets().size(),
         asked.executors().size(),
         given.validMillis());
-    turn.count("fescuehook.batch.advice", "outcome", "given");
+    context.count("fescuehook.batch.advice", "outcome", "given");
   }
 
   /** An executor did not take a ticket: it is asked about again. */
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/CrashEvaluator.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/CrashEvaluator.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.OptionalLong;
 import java.util.concurrent.TimeUnit;
-import org.fescuehook.logic.batch.BatchTurn;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.state.LiveRun;
 import org.fescuehook.logic.batch.state.LiveRun.Stage;
 import org.fescuehook.model.batch.BatchStep;
@@ -46,16 +46,16 @@
   record LossDetails(Loss loss, long lostAt, boolean leaving, boolean recentlyCrashed) {
 
     /** Describes the loss of the current incarnation of an executor. */
-    static LossDetails of(ExecutorState executor, Loss loss, BatchTurn turn) {
+    static LossDetails of(ExecutorState executor, Loss loss, BatchContext context) {
       return new LossDetails(
           loss,
-          executor.silentSince().orElse(turn.nowNanos()),
+          executor.silentSince().orElse(context.nowNanos()),
           executor.profile().leaving(),
-          executor.recentlyRestarted(turn.nowNanos()));
+          executor.recentlyRestarted(context.nowNanos()));
     }
 
     /** Describes the loss of the previous incarnation, which this owner may never have polled. */
-    static LossDetails ofPreviousIncarnation(ExecutorState executor, BatchTurn turn) {
+    static LossDetails ofPreviousIncarnation(ExecutorState executor, BatchContext context) {
       return executor
           .previousIncarnation()
           .map(
@@ -65,7 +65,7 @@
                       previous.endedAt(),
                       previous.leaving(),
                       previous.recentlyCrashed()))
-          .orElseGet(() -> new LossDetails(Loss.RESTARTED, turn.nowNanos(), false, false));
+          .orElseGet(() -> new LossDetails(Loss.RESTARTED, context.nowNanos(), false, false));
     }
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorDuty.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 import java.util.Set;
 import org.fescuehook.logic.batch.BatchCommand;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.BatchLogEvent;
-import org.fescuehook.logic.batch.BatchTurn;
 import org.fescuehook.logic.batch.executor.CrashEvaluator.Loss;
 import org.fescuehook.logic.batch.executor.OrderOutcome.Rejection;
 import org.fescuehook.logic.batch.state.LiveRun;
@@ -65,14 +65,14 @@
       Duration longestLease,
       Duration inheritedLease,
       RunListener listener,
-      BatchTurn turn) {
-    this.nextFullPassAt = turn.nowNanos();
+      BatchContext context) {
+    this.nextFullPassAt = context.nowNanos();
     this.orders = new OrderSender(epoch, lease);
     this.poller = new ExecutorPoller(book, orders);
     this.throttler = new Throttler(orders);
     this.startOutcomes = new StartOutcomeHandler(orders, throttler, listener);
     this.inheritedLeaseNanos = inheritedLease.toNanos();
-    this.orphans = new OrphanedRuns(turn.nowNanos() + inheritedLeaseNanos);
+    this.orphans = new OrphanedRuns(context.nowNanos() + inheritedLeaseNanos);
     this.listener = listener;
     this.reportHandler = new ReportHandler(orders, throttler, listener, longestLease);
     this.lostExecutors = new LostExecutorHandler(book, reportHandler);
@@ -94,24 +94,24 @@
   }
 
   /** Takes over the runs of a former owner; called once, before the first step. */
-  public void inherit(List<LiveRun> runs, BatchTurn turn) {
+  public void inherit(List<LiveRun> runs, BatchContext context) {
     for (LiveRun run : runs) {
       Optional<ExecutorState> executor = book.find(run.executor());
       if (executor.isPresent()) {
-        adopt(executor.get(), run, turn);
+        adopt(executor.get(), run, context);
       } else {
         orphans.add(run);
       }
     }
-    throttler.releaseInherited(runs, run -> book.find(run.executor()), turn);
+    throttler.releaseInherited(runs, run -> book.find(run.executor()), context);
   }
 
-  private void adopt(ExecutorState executor, LiveRun run, BatchTurn turn) {
+  private void adopt(ExecutorState executor, LiveRun run, BatchContext context) {
     executor.add(run);
-    executor.lease().mayLastUntil(turn.nowNanos() + inheritedLeaseNanos);
+    executor.lease().mayLastUntil(context.nowNanos() + inheritedLeaseNanos);
     if (run.stage() == Stage.STOPPING) {
       // The executor was not listed when the stop was decided.
-      orders.stop(executor, run, turn);
+      orders.stop(executor, run, context);
     }
   }
 
@@ -120,25 +120,25 @@
    *
    * @return whether the entry contains anything new
    */
-  public boolean seen(ExecutorProfile profile, BatchTurn turn) {
+  public boolean seen(ExecutorProfile profile, BatchContext context) {
     Optional<ExecutorState> found = book.find(profile.id());
     if (found.isEmpty()) {
       ExecutorState executor = new ExecutorState(profile, orders.baseline());
       lostExecutors.listed(executor);
       book.add(executor);
-      orphans.take(profile.id()).forEach(run -> adopt(executor, run, turn));
+      orphans.take(profile.id()).forEach(run -> adopt(executor, run, context));
       return true;
     }
     if (profile.incarnation().before(found.get().incarnation())) {
       return false;
     }
-    ExecutorState executor = restarts.entryListed(found.get(), profile.incarnation(), turn);
+    ExecutorState executor = restarts.entryListed(found.get(), profile.incarnation(), context);
     boolean same = executor.listed() && executor.profile().equals(profile);
     boolean wasLeaving = executor.profile().leaving();
     executor.updateProfile(profile);
     if (profile.leaving() && !wasLeaving) {
-      turn.note(BatchLogEvent.EXECUTOR_LEAVING, executor.incarnation(), executor.runs().size());
-      listener.leaving(executor, turn);
+      context.note(BatchLogEvent.EXECUTOR_LEAVING, executor.incarnation(), executor.runs().size());
+      listener.leaving(executor, context);
     }
     return !same;
   }
@@ -153,38 +153,38 @@
    * checked at once and all others at intervals, since checking each executor of a large fleet
    * costs more than handling most events.
    */
-  public void step(BatchTurn turn) {
-    if (turn.nowNanos() - nextFullPassAt < 0) {
-      List.copyOf(withNewOutcomes).forEach(executor -> check(executor, turn));
+  public void step(BatchContext context) {
+    if (context.nowNanos() - nextFullPassAt < 0) {
+      List.copyOf(withNewOutcomes).forEach(executor -> check(executor, context));
       withNewOutcomes.clear();
       return;
     }
-    nextFullPassAt = turn.nowNanos() + FULL_PASS_INTERVAL_NANOS;
+    nextFullPassAt = context.nowNanos() + FULL_PASS_INTERVAL_NANOS;
     withNewOutcomes.clear();
-    book.snapshot().forEach(executor -> check(executor, turn));
-    poller.pollUnresponsive(turn);
+    book.snapshot().forEach(executor -> check(executor, context));
+    poller.pollUnresponsive(context);
     orphans
-        .takeLost(turn.nowNanos())
+        .takeLost(context.nowNanos())
         .forEach(
             run ->
                 reportHandler.reportLostWithExecutor(
                     run,
                     CrashEvidence.DOUBTFUL,
                     "its executor is not listed and its lease has expired",
-                    turn));
+                    context));
   }
 
-  private void check(ExecutorState executor, BatchTurn turn) {
-    poller.timeOutOverdue(executor, OUTCOME_TIMEOUT_NANOS, turn);
-    resolveSilence(executor, turn);
-    repeatOrders(executor, turn);
-    poller.poll(executor, turn);
+  private void check(ExecutorState executor, BatchContext context) {
+    poller.timeOutOverdue(executor, OUTCOME_TIMEOUT_NANOS, context);
+    resolveSilence(executor, context);
+    repeatOrders(executor, context);
+    poller.poll(executor, context);
   }
 
-  private void resolveSilence(ExecutorState executor, BatchTurn turn) {
+  private void resolveSilence(ExecutorState executor, BatchContext context) {
     boolean silent = executor.missedPolls() > 0;
-    if (silent && turn.nowNanos() - executor.lease().expiryNanos() > 0) {
-      lostExecutors.loseAll(executor, Loss.SILENT, "silent until its lease had expired", turn);
+    if (silent && context.nowNanos() - executor.lease().expiryNanos() > 0) {
+      lostExecutors.loseAll(executor, Loss.SILENT, "silent until its lease had expired", context);
     }
     boolean mayRun = !executor.runs().isEmpty() || (executor.hasUnknownRuns() && !silent);
     boolean idle = !mayRun && executor.poll().isEmpty();
@@ -192,28 +192,29 @@
     // It may be listed again in a moment, and would then report run ends again that are still
     // being stored.
     if (!executor.listed() && idle && !acknowledges && !executor.runEnds().hasUnstored()) {
-      turn.note(BatchLogEvent.EXECUTOR_FORGOTTEN, executor.incarnation());
-      forget(executor, turn);
+      context.note(BatchLogEvent.EXECUTOR_FORGOTTEN, executor.incarnation());
+      forget(executor, context);
     }
   }
 
-  private void forget(ExecutorState executor, BatchTurn turn) {
+  private void forget(ExecutorState executor, BatchContext context) {
     book.remove(executor);
     withNewOutcomes.remove(executor);
     throttler.forget(executor);
-    turn.add(new BatchCommand.ForgetExecutor(executor.profile().id()));
+    context.add(new BatchCommand.ForgetExecutor(executor.profile().id()));
   }
 
-  private void repeatOrders(ExecutorState executor, BatchTurn turn) {
+  private void repeatOrders(ExecutorState executor, BatchContext context) {
     for (LiveRun run : List.copyOf(executor.runs())) {
-      boolean overdue = turn.nowNanos() - run.orderedAt() > OUTCOME_TIMEOUT_NANOS;
+      boolean overdue = context.nowNanos() - run.orderedAt() > OUTCOME_TIMEOUT_NANOS;
       if (run.stage() == Stage.STARTING && executor.reached() && overdue) {
-        startOutcomes.handle(executor, run, new OrderOutcome.Unanswered("no outcome came"), turn);
+        startOutcomes.handle(
+            executor, run, new OrderOutcome.Unanswered("no outcome came"), context);
         continue;
       }
       boolean stopPending = run.stage() == Stage.STOPPING && !run.stopTaken();
-      if (stopPending && turn.nowNanos() - run.orderedAt() > STOP_RETRY_NANOS) {
-        orders.stop(executor, run, turn);
+      if (stopPending && context.nowNanos() - run.orderedAt() > STOP_RETRY_NANOS) {
+        orders.stop(executor, run, context);
       }
     }
   }
@@ -223,7 +224,7 @@
    * slow. If the executor has too little capacity by then, or is about to leave, the run is given
    * up and its task is placed elsewhere.
    */
-  public void start(LiveRun run, BatchTurn turn) {
+  public void start(LiveRun run, BatchContext context) {
     Optional<ExecutorState> executor = book.find(run.executor());
     if (executor.isEmpty() || !executor.get().reached()) {
       return;
@@ -232,15 +233,17 @@
     if (leaving || executor.get().overbooked()) {
       executor.get().remove(run);
       reportHandler.reportLost(
-          run, leaving ? "its executor is leaving" : "its executor has less free capacity now", turn);
+          run,
+          leaving ? "its executor is leaving" : "its executor has less free capacity now",
+          context);
       return;
     }
-    run.enter(Stage.STARTING, turn.nowNanos());
-    orders.start(executor.get(), run, turn);
+    run.enter(Stage.STARTING, context.nowNanos());
+    orders.start(executor.get(), run, context);
   }
 
   /** Orders the stop of a run; one that was not started yet is given up at once. */
-  public void stop(LiveRun run, String cause, BatchTurn turn) {
+  public void stop(LiveRun run, String cause, BatchContext context) {
     if (run.stage() == Stage.STOPPING) {
       return;
     }
@@ -250,12 +253,12 @@
     }
     if (run.stage() == Stage.PLACED) {
       executor.ifPresent(state -> state.remove(run));
-      listener.lost(run, cause, turn);
+      listener.lost(run, cause, context);
       return;
     }
-    turn.note(BatchLogEvent.RUN_STOPPING, run.run(), run.incarnation(), cause);
-    run.enter(Stage.STOPPING, turn.nowNanos());
-    executor.ifPresent(state -> orders.stop(state, run, turn));
+    context.note(BatchLogEvent.RUN_STOPPING, run.run(), run.incarnation(), cause);
+    run.enter(Stage.STOPPING, context.nowNanos());
+    executor.ifPresent(state -> orders.stop(state, run, context));
   }
 
   /**
@@ -263,7 +266,7 @@
    *
    * @return whether the executor has become usable by it
    */
-  public boolean ended(ExecutorId id, long number, OrderOutcome outcome, BatchTurn turn) {
+  public boolean ended(ExecutorId id, long number, OrderOutcome outcome, BatchContext context) {
     if (!orders.ofThisEpoch(number)) {
       return false;
     }
@@ -271,7 +274,7 @@
       orders.notSent(number);
     }
     Optional<LiveRun> run = orders.takeRun(number);
-    poller.orderCompleted(number, outcome, turn);
+    poller.orderCompleted(number, outcome, context);
     Optional<ExecutorState> found = book.find(id);
     if (found.isEmpty()) {
       return false;
@@ -284,49 +287,49 @@
     }
     withNewOutcomes.add(executor);
     if (outcome instanceof OrderOutcome.OtherIncarnation) {
-      turn.note(
+      context.note(
           BatchLogEvent.EXECUTOR_GONE,
           executor.incarnation(),
           "another incarnation answered",
           executor.runs().size());
       run.filter(live -> live.stage() == Stage.STARTING && !live.startUncertain())
           .ifPresent(LiveRun::startNeverArrived);
-      lostExecutors.loseAll(executor, Loss.RESTARTED, "its executor was restarted", turn);
-      forget(executor, turn);
-      lostExecutors.crashed(executor.profile(), turn);
+      lostExecutors.loseAll(executor, Loss.RESTARTED, "its executor was restarted", context);
+      forget(executor, context);
+      lostExecutors.crashed(executor.profile(), context);
       return false;
     }
     if (outcome instanceof OrderOutcome.Rejected(Rejection rejection)
         && rejection == Rejection.FENCED) {
-      listener.fenced(turn);
+      listener.fenced(context);
       return false;
     }
     if (executor.poll().filter(poll -> poll.number() == number).isPresent()) {
-      boolean usable = executor.usable(turn.nowNanos());
-      pollEnded(executor, outcome, turn);
-      return !usable && executor.usable(turn.nowNanos());
+      boolean usable = executor.usable(context.nowNanos());
+      pollEnded(executor, outcome, context);
+      return !usable && executor.usable(context.nowNanos());
     }
     // A run that has ended or been given up meanwhile holds no capacity any more.
     run.filter(live -> executor.run(live.run()).isPresent())
-        .ifPresent(live -> orderEnded(executor, live, outcome, turn));
+        .ifPresent(live -> orderEnded(executor, live, outcome, context));
     return false;
   }
 
   private void orderEnded(
-      ExecutorState executor, LiveRun run, OrderOutcome outcome, BatchTurn turn) {
+      ExecutorState executor, LiveRun run, OrderOutcome outcome, BatchContext context) {
     if (outcome instanceof OrderOutcome.Done(long clock)) {
-      executor.lease().clockRead(clock, turn.nowNanos());
+      executor.lease().clockRead(clock, context.nowNanos());
     }
     switch (run.stage()) {
-      case STARTING -> startOutcomes.handle(executor, run, outcome, turn);
-      case STOPPING -> stopEnded(run, outcome, turn);
+      case STARTING -> startOutcomes.handle(executor, run, outcome, context);
+      case STOPPING -> stopEnded(run, outcome, context);
       case PLACED, RUNNING, INHERITED -> {}
     }
   }
 
-  private static void stopEnded(LiveRun run, OrderOutcome outcome, BatchTurn turn) {
-    long millis = Duration.ofNanos(turn.nowNanos() - run.stageSince()).toMillis();
-    turn.note(
+  private static void stopEnded(LiveRun run, OrderOutcome outcome, BatchContext context) {
+    long millis = Duration.ofNanos(context.nowNanos() - run.stageSince()).toMillis();
+    context.note(
         BatchLogEvent.STOP_ORDER_ENDED,
         run.run(),
         run.incarnation(),
@@ -334,19 +337,20 @@
         outcome,
         millis);
     if (outcome instanceof OrderOutcome.Done) {
-      run.stopTaken(turn.nowNanos());
+      run.stopTaken(context.nowNanos());
     }
   }
 
-  private void pollEnded(ExecutorState executor, OrderOutcome outcome, BatchTurn turn) {
+  private void pollEnded(ExecutorState executor, OrderOutcome outcome, BatchContext context) {
     if (outcome instanceof OrderOutcome.Polled polled) {
-      if (restarts.pollAnswered(executor, polled.bornMillis(), turn)) {
+      if (restarts.pollAnswered(executor, polled.bornMillis(), context)) {
         withNewOutcomes.remove(executor);
         return;
       }
-      lostExecutors.loseUnlisted(executor, reportHandler.handle(executor, polled, turn), turn);
+      lostExecutors.loseUnlisted(
+          executor, reportHandler.handle(executor, polled, context), context);
       return;
     }
-    poller.unanswered(executor, outcome, turn);
+    poller.unanswered(executor, outcome, context);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorEvaluator.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorEvaluator.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import java.util.OptionalDouble;
-import org.fescuehook.logic.batch.BatchTurn;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.state.LiveRun;
 import org.fescuehook.logic.batch.state.LiveRun.Stage;
 import org.fescuehook.model.batch.RunEnd;
@@ -58,7 +58,7 @@
    * until a run is done there. A run that has failed elsewhere before is no evidence: a job that
    * always fails would otherwise make one executor after the other unavailable.
    */
-  static void ended(ExecutorState executor, LiveRun run, RunEnd end, BatchTurn turn) {
+  static void ended(ExecutorState executor, LiveRun run, RunEnd end, BatchContext context) {
     if (end == RunEnd.DONE) {
       executor.succeeded();
     }
@@ -66,7 +66,7 @@
       return;
     }
     int doublings = Math.min(executor.failed() - 1, MAX_BACKOFF_DOUBLINGS);
-    executor.backOff(FAILURE_BACKOFF.multipliedBy(1L << doublings), "a run failed there", turn);
+    executor.backOff(FAILURE_BACKOFF.multipliedBy(1L << doublings), "a run failed there", context);
   }
 
   /**
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorPoller.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorPoller.java
@@ -6,8 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.BatchLogEvent;
-import org.fescuehook.logic.batch.BatchTurn;
 
 /** Decides when executors are polled, and counts the polls that are not answered. */
 final class ExecutorPoller {
@@ -42,31 +42,31 @@
    * since their leases need renewal, and among them those whose polls have been due longest, so
    * that executors which stay silent do not displace the others each time.
    */
-  void pollUnresponsive(BatchTurn turn) {
+  void pollUnresponsive(BatchContext context) {
     List<ExecutorState> due = new ArrayList<>();
     for (ExecutorState executor : registry.all()) {
-      if (!executor.responsive() && needsPoll(executor) && executor.pollDue(turn.nowNanos())) {
+      if (!executor.responsive() && needsPoll(executor) && executor.pollDue(context.nowNanos())) {
         due.add(executor);
       }
     }
     due.sort(
         comparing((ExecutorState executor) -> executor.runs().isEmpty())
             .thenComparingLong(ExecutorState::nextPollAt));
-    due.forEach(executor -> pollUnresponsive(executor, turn));
+    due.forEach(executor -> pollUnresponsive(executor, context));
   }
 
   /** Polls one unresponsive executor now, if the limit allows it. */
-  void pollUnresponsive(ExecutorState executor, BatchTurn turn) {
+  void pollUnresponsive(ExecutorState executor, BatchContext context) {
     boolean retry = executor.missedPolls() > 0;
     if (pollLimit.allows(retry)) {
-      pollLimit.sent(orders.poll(executor, turn), retry, turn.nowNanos());
+      pollLimit.sent(orders.poll(executor, context), retry, context.nowNanos());
     }
   }
 
   /** Polls a responsive executor, if a poll is due. */
-  void poll(ExecutorState executor, BatchTurn turn) {
-    if (executor.responsive() && needsPoll(executor) && executor.pollDue(turn.nowNanos())) {
-      orders.poll(executor, turn);
+  void poll(ExecutorState executor, BatchContext context) {
+    if (executor.responsive() && needsPoll(executor) && executor.pollDue(context.nowNanos())) {
+      orders.poll(executor, context);
     }
   }
 
@@ -80,9 +80,9 @@
   }
 
   /** Records the outcome of an order, as far as it shows how fast executors answer. */
-  void orderCompleted(long number, OrderOutcome outcome, BatchTurn turn) {
+  void orderCompleted(long number, OrderOutcome outcome, BatchContext context) {
     if (outcome.answered()) {
-      pollLimit.answered(number, turn.nowNanos());
+      pollLimit.answered(number, context.nowNanos());
     } else {
       pollLimit.unanswered(number);
     }
@@ -94,23 +94,23 @@
   }
 
   /** Treats a poll as unanswered whose outcome has been missing for too long. */
-  void timeOutOverdue(ExecutorState executor, long overdueNanos, BatchTurn turn) {
+  void timeOutOverdue(ExecutorState executor, long overdueNanos, BatchContext context) {
     executor
         .poll()
-        .filter(poll -> turn.nowNanos() - poll.sentAt() > overdueNanos)
+        .filter(poll -> context.nowNanos() - poll.sentAt() > overdueNanos)
         .ifPresent(
             poll -> {
               pollLimit.unanswered(poll.number());
-              unanswered(executor, new OrderOutcome.Unanswered("no outcome came"), turn);
+              unanswered(executor, new OrderOutcome.Unanswered("no outcome came"), context);
             });
   }
 
   /** Records that a poll was not answered. */
-  void unanswered(ExecutorState executor, OrderOutcome outcome, BatchTurn turn) {
+  void unanswered(ExecutorState executor, OrderOutcome outcome, BatchContext context) {
     if (executor.missedPolls() == 0) {
       long leaseMillis =
-          Duration.ofNanos(executor.lease().expiryNanos() - turn.nowNanos()).toMillis();
-      turn.note(
+          Duration.ofNanos(executor.lease().expiryNanos() - context.nowNanos()).toMillis();
+      context.note(
           BatchLogEvent.EXECUTOR_SILENT,
           executor.incarnation(),
           outcome,
@@ -120,6 +120,6 @@
     boolean idle = executor.runs().isEmpty();
     long retryPause = idle ? IDLE_RETRY_PAUSE_NANOS : RETRY_PAUSE_NANOS;
     long pause = executor.missedPolls() == 0 ? 0 : retryPause;
-    executor.pollMissed(turn.nowNanos(), pause);
+    executor.pollMissed(context.nowNanos(), pause);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorState.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorState.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.OptionalLong;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.BatchLogEvent;
-import org.fescuehook.logic.batch.BatchTurn;
 import org.fescuehook.logic.batch.state.LiveRun;
-import org.fescuehook.model.batch.Demand;
 import org.fescuehook.model.batch.ExecutorProfile;
+import org.fescuehook.model.batch.ResourceVector;
 import org.fescuehook.model.batch.TaskRun;
 import org.fescuehook.model.fleet.Incarnation;
 
@@ -31,7 +31,7 @@
   private final OrderBaseline baseline;
   private final Optional<PreviousIncarnation> previousIncarnation;
   private final Map<TaskRun, LiveRun> runs = new LinkedHashMap<>();
-  private Demand reserved = Demand.NONE;
+  private ResourceVector reserved = ResourceVector.NONE;
   private boolean listed = true;
   private boolean reached;
   private int missedPolls;
@@ -165,7 +165,7 @@
   }
 
   /** Returns the capacity that is not reserved. */
-  public Demand free() {
+  public ResourceVector free() {
     return profile.capacity().minus(reserved);
   }
 
@@ -340,10 +340,10 @@
    *
    * @param cause reason, for the log
    */
-  public void backOff(Duration length, String cause, BatchTurn turn) {
+  public void backOff(Duration length, String cause, BatchContext context) {
     backingOff = true;
-    backoffUntil = turn.nowNanos() + length.toNanos();
-    turn.note(BatchLogEvent.EXECUTOR_RESTED, incarnation, length.toMillis(), cause);
+    backoffUntil = context.nowNanos() + length.toNanos();
+    context.note(BatchLogEvent.EXECUTOR_RESTED, incarnation, length.toMillis(), cause);
   }
 
   private boolean inBackoff(long nowNanos) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/LostExecutorHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/LostExecutorHandler.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.BatchLogEvent;
-import org.fescuehook.logic.batch.BatchTurn;
 import org.fescuehook.logic.batch.executor.CrashEvaluator.Loss;
 import org.fescuehook.logic.batch.state.LiveRun;
 import org.fescuehook.model.batch.ExecutorProfile;
@@ -35,25 +35,25 @@
   }
 
   /** Reports all runs of a lost executor as lost. */
-  void loseAll(ExecutorState executor, Loss loss, String cause, BatchTurn turn) {
+  void loseAll(ExecutorState executor, Loss loss, String cause, BatchContext context) {
     Map<Boolean, List<LiveRun>> byIncarnation =
         byIncarnation(executor, List.copyOf(executor.runs()));
-    loseWithPreviousIncarnation(executor, byIncarnation.get(false), turn);
+    loseWithPreviousIncarnation(executor, byIncarnation.get(false), context);
     lose(
         executor,
-        CrashEvaluator.LossDetails.of(executor, loss, turn),
+        CrashEvaluator.LossDetails.of(executor, loss, context),
         byIncarnation.get(true),
         cause,
-        turn);
+        context);
   }
 
   /** Reports runs as lost that an executor should list and does not. */
-  void loseUnlisted(ExecutorState executor, List<LiveRun> runs, BatchTurn turn) {
+  void loseUnlisted(ExecutorState executor, List<LiveRun> runs, BatchContext context) {
     Map<Boolean, List<LiveRun>> byIncarnation = byIncarnation(executor, runs);
-    loseWithPreviousIncarnation(executor, byIncarnation.get(false), turn);
+    loseWithPreviousIncarnation(executor, byIncarnation.get(false), context);
     for (LiveRun run : byIncarnation.get(true)) {
       executor.remove(run);
-      reportHandler.reportLost(run, "its executor does not list it", turn);
+      reportHandler.reportLost(run, "its executor does not list it", context);
     }
   }
 
@@ -68,10 +68,10 @@
   }
 
   private void loseWithPreviousIncarnation(
-      ExecutorState executor, List<LiveRun> runs, BatchTurn turn) {
+      ExecutorState executor, List<LiveRun> runs, BatchContext context) {
     CrashEvaluator.LossDetails restart =
-        CrashEvaluator.LossDetails.ofPreviousIncarnation(executor, turn);
-    lose(executor, restart, runs, "its executor was restarted", turn);
+        CrashEvaluator.LossDetails.ofPreviousIncarnation(executor, context);
+    lose(executor, restart, runs, "its executor was restarted", context);
   }
 
   private void lose(
@@ -79,17 +79,17 @@
       CrashEvaluator.LossDetails loss,
       List<LiveRun> runs,
       String cause,
-      BatchTurn turn) {
+      BatchContext context) {
     Map<LiveRun, CrashEvidence> evidence = CrashEvaluator.evaluate(loss, runs);
     for (LiveRun run : evidence.keySet()) {
-      note(loss, run, evidence.size() - 1, turn);
+      note(loss, run, evidence.size() - 1, context);
     }
     evidence.forEach(
         (run, ofRun) -> {
           executor.remove(run);
           boolean unclear = ofRun != CrashEvidence.NONE && mayHaveEndedBefore(run);
           CrashEvidence adjusted = unclear ? CrashEvidence.DOUBTFUL : ofRun;
-          reportHandler.reportLostWithExecutor(run, adjusted, cause, turn);
+          reportHandler.reportLostWithExecutor(run, adjusted, cause, context);
         });
   }
 
@@ -106,27 +106,27 @@
   }
 
   private static void note(
-      CrashEvaluator.LossDetails loss, LiveRun run, int others, BatchTurn turn) {
+      CrashEvaluator.LossDetails loss, LiveRun run, int others, BatchContext context) {
     String age =
         run.startOrderedAt().isPresent()
             ? Duration.ofNanos(loss.lostAt() - run.startOrderedAt().getAsLong()).toMillis() + " ms"
             : "unknown";
     String seen = run.seenRunning() ? "seen running" : "never seen running";
-    turn.note(
+    context.note(
         BatchLogEvent.RUN_LOST_WITH_EXECUTOR, run.run(), run.incarnation(), seen, age, others);
   }
 
   /** Records that an executor has crashed, for the next incarnation listed at its address. */
-  void crashed(ExecutorProfile profile, BatchTurn turn) {
+  void crashed(ExecutorProfile profile, BatchContext context) {
     InetSocketAddress address = profile.address();
-    unlistedCrashes.values().removeIf(at -> ExecutorState.crashIsStale(at, turn.nowNanos()));
+    unlistedCrashes.values().removeIf(at -> ExecutorState.crashIsStale(at, context.nowNanos()));
     Optional<ExecutorState> next =
         registry.all().stream()
             .filter(executor -> executor.profile().address().equals(address))
             .findFirst();
     next.ifPresentOrElse(
-        executor -> executor.restarted(turn.nowNanos()),
-        () -> unlistedCrashes.put(address, turn.nowNanos()));
+        executor -> executor.restarted(context.nowNanos()),
+        () -> unlistedCrashes.put(address, context.nowNanos()));
   }
 
   /**
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/OrderSender.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/OrderSender.java
@@ -7,7 +7,7 @@
 import java.util.OptionalLong;
 import org.fescuehook.logic.batch.BatchCommand;
 import org.fescuehook.logic.batch.BatchCommand.ExecutorOrder;
-import org.fescuehook.logic.batch.BatchTurn;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.EpochNumbers;
 import org.fescuehook.logic.batch.state.LiveRun;
 import org.fescuehook.logic.batch.state.LiveRun.Stage;
@@ -56,11 +56,11 @@
    *
    * @return the number of the order
    */
-  long poll(ExecutorState executor, BatchTurn turn) {
+  long poll(ExecutorState executor, BatchContext context) {
     boolean responsive = executor.responsive();
     OptionalLong leaseUntil = OptionalLong.empty();
     if (responsive && executor.runs().stream().anyMatch(run -> run.stage() != Stage.STOPPING)) {
-      leaseUntil = OptionalLong.of(executor.lease().extend(lease, turn.nowNanos()));
+      leaseUntil = OptionalLong.of(executor.lease().extend(lease, context.nowNanos()));
     } else if (executor.lease().grantedUntilMillis() > 0) {
       leaseUntil = OptionalLong.of(executor.lease().grantedUntilMillis());
     }
@@ -70,37 +70,37 @@
     // nobody has read.
     long acknowledged = responsive ? executor.runEnds().numberToAcknowledge() : 0;
     ExecutorOrder poll = new ExecutorOrder.Poll(acknowledged, leaseUntil, maxWait);
-    long number = send(executor, poll, turn);
-    executor.pollSent(number, acknowledged, turn.nowNanos());
+    long number = send(executor, poll, context);
+    executor.pollSent(number, acknowledged, context.nowNanos());
     return number;
   }
 
   /** Orders an executor to start a run. */
-  void start(ExecutorState executor, LiveRun run, BatchTurn turn) {
-    run.ordered(turn.nowNanos());
-    long leaseUntil = executor.lease().extend(lease, turn.nowNanos());
+  void start(ExecutorState executor, LiveRun run, BatchContext context) {
+    run.ordered(context.nowNanos());
+    long leaseUntil = executor.lease().extend(lease, context.nowNanos());
     String spec = run.step().job().job().submission().spec();
     ExecutorOrder order =
         new ExecutorOrder.Start(run.run(), spec, run.checkpoint(), run.ticket(), leaseUntil);
-    runOrders.put(send(executor, order, turn), new RunOrder(run, run.stage()));
+    runOrders.put(send(executor, order, context), new RunOrder(run, run.stage()));
   }
 
   /** Orders an executor to stop a run. */
-  void stop(ExecutorState executor, LiveRun run, BatchTurn turn) {
-    run.ordered(turn.nowNanos());
+  void stop(ExecutorState executor, LiveRun run, BatchContext context) {
+    run.ordered(context.nowNanos());
     ExecutorOrder order = new ExecutorOrder.Stop(run.run());
-    runOrders.put(send(executor, order, turn), new RunOrder(run, run.stage()));
+    runOrders.put(send(executor, order, context), new RunOrder(run, run.stage()));
   }
 
   /** Orders an executor to throttle a run to a percentage of its speed. */
-  void throttle(ExecutorState executor, LiveRun run, int percent, BatchTurn turn) {
+  void throttle(ExecutorState executor, LiveRun run, int percent, BatchContext context) {
     run.slowedDown();
-    send(executor, new ExecutorOrder.Pace(run.run(), percent), turn);
+    send(executor, new ExecutorOrder.Pace(run.run(), percent), context);
   }
 
   /** Orders an executor to stop a run that this owner does not know. */
-  void stopUnknown(ExecutorState executor, TaskRun run, BatchTurn turn) {
-    send(executor, new ExecutorOrder.Stop(run), turn);
+  void stopUnknown(ExecutorState executor, TaskRun run, BatchContext context) {
+    send(executor, new ExecutorOrder.Stop(run), context);
   }
 
   /**
@@ -147,9 +147,9 @@
     return baseline();
   }
 
-  private long send(ExecutorState executor, ExecutorOrder order, BatchTurn turn) {
+  private long send(ExecutorState executor, ExecutorOrder order, BatchContext context) {
     lastNumber++;
-    turn.add(
+    context.add(
         new BatchCommand.Order(
             executor.profile(), lastNumber, executor.baseline().fencingToken(), order));
     return lastNumber;
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ReportHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ReportHandler.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.BatchLogEvent;
-import org.fescuehook.logic.batch.BatchTurn;
 import org.fescuehook.logic.batch.executor.OrderOutcome.ActiveRun;
 import org.fescuehook.logic.batch.executor.OrderOutcome.EndedRun;
 import org.fescuehook.logic.batch.state.LiveRun;
@@ -36,15 +36,16 @@
   }
 
   /** Reports a run as lost that no longer holds capacity of its executor. */
-  void reportLost(LiveRun run, String cause, BatchTurn turn) {
-    turn.note(BatchLogEvent.RUN_LOST, run.run(), run.incarnation(), cause);
-    listener.lost(run, cause, turn);
+  void reportLost(LiveRun run, String cause, BatchContext context) {
+    context.note(BatchLogEvent.RUN_LOST, run.run(), run.incarnation(), cause);
+    listener.lost(run, cause, context);
   }
 
   /** Reports a run as lost together with its executor. */
-  void reportLostWithExecutor(LiveRun run, CrashEvidence evidence, String cause, BatchTurn turn) {
-    turn.note(BatchLogEvent.RUN_LOST, run.run(), run.incarnation(), cause);
-    listener.lostWithExecutor(run, evidence, turn);
+  void reportLostWithExecutor(
+      LiveRun run, CrashEvidence evidence, String cause, BatchContext context) {
+    context.note(BatchLogEvent.RUN_LOST, run.run(), run.incarnation(), cause);
+    listener.lostWithExecutor(run, evidence, context);
   }
 
   /**
@@ -53,25 +54,25 @@
    * @return runs that the owner believes to be on this executor and that it would have listed if
    *     they were alive
    */
-  List<LiveRun> handle(ExecutorState executor, OrderOutcome.Polled answer, BatchTurn turn) {
+  List<LiveRun> handle(ExecutorState executor, OrderOutcome.Polled answer, BatchContext context) {
     long sentAt = executor.poll().orElseThrow().sentAt();
     boolean first = !executor.reached();
     if (first || executor.missedPolls() > 0) {
-      turn.note(BatchLogEvent.EXECUTOR_REACHED, executor.incarnation(), answer.active().size());
+      context.note(BatchLogEvent.EXECUTOR_REACHED, executor.incarnation(), answer.active().size());
     }
     if (first) {
-      executor.lease().excludeFormerOwners(longestLease, turn.nowNanos());
+      executor.lease().excludeFormerOwners(longestLease, context.nowNanos());
     }
-    executor.pollAnswered(turn.nowNanos());
-    executor.lease().clockRead(answer.clockMillis(), turn.nowNanos());
-    handleEnds(executor, answer.ended(), turn);
+    executor.pollAnswered(context.nowNanos());
+    executor.lease().clockRead(answer.clockMillis(), context.nowNanos());
+    handleEnds(executor, answer.ended(), context);
     Set<TaskRun> active = new HashSet<>();
     executor.setHasUnknownRuns(false);
     for (ActiveRun run : answer.active()) {
       active.add(run.run());
-      handleActive(executor, run, sentAt, turn);
+      handleActive(executor, run, sentAt, context);
     }
-    throttler.evaluate(executor, answer, turn);
+    throttler.evaluate(executor, answer, context);
     return executor.runs().stream()
         .filter(run -> !active.contains(run.run()))
         // Orders sent before the first answer have arrived by then, or are rejected for good by
@@ -80,7 +81,7 @@
         .toList();
   }
 
-  private void handleEnds(ExecutorState executor, List<EndedRun> ends, BatchTurn turn) {
+  private void handleEnds(ExecutorState executor, List<EndedRun> ends, BatchContext context) {
     List<EndedRun> newEnds =
         ends.stream().filter(end -> end.number() > executor.runEnds().lastRead()).toList();
     if (newEnds.isEmpty()) {
@@ -92,39 +93,40 @@
     for (EndedRun end : newEnds) {
       Optional<LiveRun> run = executor.run(end.run());
       if (run.isEmpty()) {
-        listener.strayEnded(end, stored, turn);
+        listener.strayEnded(end, stored, context);
         continue;
       }
       run.get().foundOn(executor.incarnation());
       executor.remove(run.get());
-      ExecutorEvaluator.ended(executor, run.get(), end.end(), turn);
-      listener.ended(run.get(), end, stored, turn);
+      ExecutorEvaluator.ended(executor, run.get(), end.end(), context);
+      listener.ended(run.get(), end, stored, context);
     }
     stored.release();
   }
 
-  private void handleActive(ExecutorState executor, ActiveRun active, long sentAt, BatchTurn turn) {
+  private void handleActive(
+      ExecutorState executor, ActiveRun active, long sentAt, BatchContext context) {
     Optional<LiveRun> found = executor.run(active.run());
     if (found.isEmpty()) {
       executor.setHasUnknownRuns(true);
-      turn.note(BatchLogEvent.RUN_UNKNOWN, active.run(), executor.incarnation());
-      orders.stopUnknown(executor, active.run(), turn);
+      context.note(BatchLogEvent.RUN_UNKNOWN, active.run(), executor.incarnation());
+      orders.stopUnknown(executor, active.run(), context);
       return;
     }
     LiveRun run = found.get();
     run.foundOn(executor.incarnation());
-    run.progressed(active.percent(), turn.nowNanos());
+    run.progressed(active.percent(), context.nowNanos());
     run.stillListed(sentAt, MAX_STOP_NANOS);
     listener.saved(run, active.checkpoint());
     boolean inherited = run.stage() == Stage.INHERITED;
     if (inherited || run.stage() == Stage.STARTING) {
-      run.enter(Stage.RUNNING, turn.nowNanos());
+      run.enter(Stage.RUNNING, context.nowNanos());
     }
     if (inherited) {
-      listener.foundRunning(run, turn);
+      listener.foundRunning(run, context);
     }
-    if (ExecutorEvaluator.shouldMove(executor, run, turn.nowNanos())) {
-      listener.stoodStill(run, turn);
+    if (ExecutorEvaluator.shouldMove(executor, run, context.nowNanos())) {
+      listener.stoodStill(run, context);
     }
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/RestartHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/RestartHandler.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import org.fescuehook.logic.batch.BatchCommand;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.BatchLogEvent;
-import org.fescuehook.logic.batch.BatchTurn;
 import org.fescuehook.logic.batch.state.LiveRun;
 import org.fescuehook.logic.batch.state.LiveRun.Stage;
 import org.fescuehook.model.fleet.Incarnation;
@@ -52,9 +52,9 @@
    *
    * @return the state of the newest known incarnation, which is that of the entry or a newer one
    */
-  ExecutorState entryListed(ExecutorState executor, Incarnation listed, BatchTurn turn) {
+  ExecutorState entryListed(ExecutorState executor, Incarnation listed, BatchContext context) {
     if (executor.incarnation().before(listed)) {
-      return replace(executor, listed, "entry", turn);
+      return replace(executor, listed, "entry", context);
     }
     executor.datedBy(listed.bornMillis());
     return executor;
@@ -65,14 +65,14 @@
    *
    * @return whether it is another one than the poll was meant for
    */
-  boolean pollAnswered(ExecutorState executor, OptionalLong bornMillis, BatchTurn turn) {
+  boolean pollAnswered(ExecutorState executor, OptionalLong bornMillis, BatchContext context) {
     Incarnation answering = new Incarnation(executor.incarnation().id(), bornMillis);
     boolean undated = executor.reached() && executor.incarnation().bornMillis().isEmpty();
     boolean other = answering.differsFrom(executor.incarnation());
     // The clocks of two incarnations may differ, so the one that answers counts, whichever started
     // later by its clock.
     if (other || (undated && bornMillis.isPresent())) {
-      replace(executor, answering, "answer", turn);
+      replace(executor, answering, "answer", context);
       return true;
     }
     executor.datedBy(bornMillis);
@@ -80,33 +80,34 @@
   }
 
   private ExecutorState replace(
-      ExecutorState previous, Incarnation next, String source, BatchTurn turn) {
-    turn.note(
+      ExecutorState previous, Incarnation next, String source, BatchContext context) {
+    context.note(
         BatchLogEvent.EXECUTOR_RESTARTED,
         previous.incarnation(),
         next,
         source,
         previous.runs().size());
-    turn.count("fescuehook.batch.executors.restarted", "told-by", source);
+    context.count("fescuehook.batch.executors.restarted", "told-by", source);
     ExecutorState executor =
         previous.nextIncarnation(
-            next, describeEnd(previous, next, turn), orders.baselineOfNextIncarnation());
-    executor.restarted(turn.nowNanos());
-    executor.lease().mayLastFor(longestLease, turn.nowNanos());
+            next, describeEnd(previous, next, context), orders.baselineOfNextIncarnation());
+    executor.restarted(context.nowNanos());
+    executor.lease().mayLastFor(longestLease, context.nowNanos());
     List<LiveRun> runs = List.copyOf(previous.runs());
     runs.stream().filter(run -> run.stage() != Stage.PLACED).forEach(executor::add);
     registry.add(executor);
     poller.forget(previous);
     throttler.forget(previous);
-    turn.add(new BatchCommand.ForgetExecutor(next.id()));
+    context.add(new BatchCommand.ForgetExecutor(next.id()));
     runs.stream()
         .filter(run -> run.stage() == Stage.PLACED)
         .forEach(
             run ->
-                reportHandler.reportLost(run, "its executor was restarted before its start", turn));
+                reportHandler.reportLost(
+                    run, "its executor was restarted before its start", context));
     // Until it has been polled, it may still carry out an order meant for the previous
     // incarnation.
-    poller.pollUnresponsive(executor, turn);
+    poller.pollUnresponsive(executor, context);
     return executor;
   }
 
@@ -116,20 +117,20 @@
    * answer and the first poll that was not answered.
    */
   private static PreviousIncarnation describeEnd(
-      ExecutorState previous, Incarnation next, BatchTurn turn) {
+      ExecutorState previous, Incarnation next, BatchContext context) {
     Optional<PreviousIncarnation> earlier = previous.previousIncarnation();
     if (earlier.isPresent() && !previous.reached()) {
       return earlier.get();
     }
-    long latest = previous.silentSince().orElse(turn.nowNanos());
+    long latest = previous.silentSince().orElse(context.nowNanos());
     long nextAgeMillis =
-        Math.max(0, turn.wallMillis() - next.bornMillis().orElse(turn.wallMillis()));
-    long nextStartedAt = turn.nowNanos() - Duration.ofMillis(nextAgeMillis).toNanos();
+        Math.max(0, context.wallMillis() - next.bornMillis().orElse(context.wallMillis()));
+    long nextStartedAt = context.nowNanos() - Duration.ofMillis(nextAgeMillis).toNanos();
     long earliest = previous.answeredAt().orElse(latest);
     return new PreviousIncarnation(
         previous.incarnation(),
         Math.min(latest, Math.max(earliest, nextStartedAt)),
         previous.profile().leaving(),
-        previous.recentlyRestarted(turn.nowNanos()));
+        previous.recentlyRestarted(context.nowNanos()));
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/StartOutcomeHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/StartOutcomeHandler.java
@@ -1,8 +1,8 @@
 package org.fescuehook.logic.batch.executor;
 
 import java.time.Duration;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.BatchLogEvent;
-import org.fescuehook.logic.batch.BatchTurn;
 import org.fescuehook.logic.batch.executor.OrderOutcome.Rejection;
 import org.fescuehook.logic.batch.state.LiveRun;
 import org.fescuehook.logic.batch.state.LiveRun.Stage;
@@ -46,65 +46,68 @@
   }
 
   /** Handles the outcome of the order to start a run. */
-  void handle(ExecutorState executor, LiveRun run, OrderOutcome outcome, BatchTurn turn) {
+  void handle(ExecutorState executor, LiveRun run, OrderOutcome outcome, BatchContext context) {
     switch (outcome) {
       case OrderOutcome.Done done -> {
-        long nanos = turn.nowNanos() - run.placedAt();
-        turn.stage("started", nanos);
+        long nanos = context.nowNanos() - run.placedAt();
+        context.stage("started", nanos);
         long millis = Duration.ofNanos(nanos).toMillis();
-        turn.note(BatchLogEvent.RUN_STARTED, run.run(), run.incarnation(), millis);
-        run.enter(Stage.RUNNING, turn.nowNanos());
-        throttler.runStarted(executor, run, turn);
+        context.note(BatchLogEvent.RUN_STARTED, run.run(), run.incarnation(), millis);
+        run.enter(Stage.RUNNING, context.nowNanos());
+        throttler.runStarted(executor, run, context);
       }
-      case OrderOutcome.Rejected(Rejection rejection) -> rejected(executor, run, rejection, turn);
+      case OrderOutcome.Rejected(Rejection rejection) ->
+          rejected(executor, run, rejection, context);
       case OrderOutcome.Unanswered unanswered -> {
-        turn.count("fescuehook.batch.starts.unanswered", "sent", "maybe");
+        context.count("fescuehook.batch.starts.unanswered", "sent", "maybe");
         run.startBecameUncertain();
-        retryOrGiveUp(executor, run, unanswered.reason(), turn);
+        retryOrGiveUp(executor, run, unanswered.reason(), context);
       }
       case OrderOutcome.NotSent notSent -> {
-        turn.count("fescuehook.batch.starts.unanswered", "sent", "no");
-        retryOrGiveUp(executor, run, notSent.reason(), turn);
+        context.count("fescuehook.batch.starts.unanswered", "sent", "no");
+        retryOrGiveUp(executor, run, notSent.reason(), context);
       }
       case OrderOutcome.Polled polled -> {}
       case OrderOutcome.OtherIncarnation other -> {}
     }
   }
 
-  private void retryOrGiveUp(ExecutorState executor, LiveRun run, String reason, BatchTurn turn) {
+  private void retryOrGiveUp(
+      ExecutorState executor, LiveRun run, String reason, BatchContext context) {
     if (run.orders() < MAX_START_ORDERS && !executor.overbooked()) {
-      orders.start(executor, run, turn);
+      orders.start(executor, run, context);
       return;
     }
     if (run.startUncertain()) {
-      listener.startGivenUp(run, turn);
+      listener.startGivenUp(run, context);
       return;
     }
     // None of its start orders was sent, so the task may start elsewhere before the lease has
     // expired.
-    executor.backOff(UNREACHABLE_BACKOFF, "no connection to it can be opened", turn);
+    executor.backOff(UNREACHABLE_BACKOFF, "no connection to it can be opened", context);
     executor.remove(run);
-    turn.note(
+    context.note(
         BatchLogEvent.RUN_LOST, run.run(), run.incarnation(), "its start was not sent: " + reason);
-    listener.unsent(run, turn);
+    listener.unsent(run, context);
   }
 
-  private void rejected(ExecutorState executor, LiveRun run, Rejection rejection, BatchTurn turn) {
-    turn.count("fescuehook.batch.starts.rejected", "reason", tag(rejection));
+  private void rejected(
+      ExecutorState executor, LiveRun run, Rejection rejection, BatchContext context) {
+    context.count("fescuehook.batch.starts.rejected", "reason", tag(rejection));
     switch (rejection) {
-      case UNHEALTHY -> executor.backOff(UNHEALTHY_BACKOFF, "it reports itself unhealthy", turn);
+      case UNHEALTHY -> executor.backOff(UNHEALTHY_BACKOFF, "it reports itself unhealthy", context);
       case NO_ROOM ->
-          executor.backOff(NO_CAPACITY_BACKOFF, "it has less free capacity than expected", turn);
+          executor.backOff(NO_CAPACITY_BACKOFF, "it has less free capacity than expected", context);
       // The lease was computed from a wrong reading of the executor's clock.
       case EXPIRED -> executor.markUnconfirmed();
       case FENCED, SUPERSEDED, NO_TICKET, OTHER -> {}
     }
     if (run.startUncertain()) {
-      listener.startGivenUp(run, turn);
+      listener.startGivenUp(run, context);
       return;
     }
     executor.remove(run);
-    listener.rejected(run, rejection, turn);
+    listener.rejected(run, rejection, context);
   }
 
   private static String tag(Rejection rejection) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/Throttler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/Throttler.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Function;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.BatchLogEvent;
-import org.fescuehook.logic.batch.BatchTurn;
 import org.fescuehook.logic.batch.executor.OrderOutcome.ActiveRun;
 import org.fescuehook.logic.batch.state.LiveRun;
 import org.fescuehook.model.batch.BatchStep;
@@ -55,15 +55,15 @@
   }
 
   /** Adapts the throttling level of an executor to the loads that it reports. */
-  void evaluate(ExecutorState executor, OrderOutcome.Polled report, BatchTurn turn) {
+  void evaluate(ExecutorState executor, OrderOutcome.Polled report, BatchContext context) {
     double maxRatio = 0;
     for (ActiveRun active : report.active()) {
       maxRatio = Math.max(maxRatio, loadRatio(executor, active));
     }
     Level level = levels.getOrDefault(executor, new Level(FULL_PERCENT, Long.MIN_VALUE / 2));
-    int percent = nextPercent(level, maxRatio, turn.nowNanos() - level.since());
+    int percent = nextPercent(level, maxRatio, context.nowNanos() - level.since());
     if (percent != level.percent()) {
-      applyLevel(executor, percent, maxRatio, turn);
+      applyLevel(executor, percent, maxRatio, context);
     }
   }
 
@@ -89,26 +89,27 @@
     return level.percent();
   }
 
-  private void applyLevel(ExecutorState executor, int percent, double maxRatio, BatchTurn turn) {
-    levels.put(executor, new Level(percent, turn.nowNanos()));
-    turn.note(
+  private void applyLevel(
+      ExecutorState executor, int percent, double maxRatio, BatchContext context) {
+    levels.put(executor, new Level(percent, context.nowNanos()));
+    context.note(
         BatchLogEvent.WORK_PACED,
         executor.incarnation(),
         percent,
         Math.round(maxRatio * FULL_PERCENT));
     for (LiveRun run : executor.runs()) {
       if (!run.step().spec().serves()) {
-        orders.throttle(executor, run, percent, turn);
+        orders.throttle(executor, run, percent, context);
       }
     }
   }
 
   /** Throttles a run that has just started to the level of its executor. */
-  void runStarted(ExecutorState executor, LiveRun run, BatchTurn turn) {
+  void runStarted(ExecutorState executor, LiveRun run, BatchContext context) {
     Level level = levels.get(executor);
     boolean throttled = level != null && level.percent() < FULL_PERCENT;
     if (throttled && !run.step().spec().serves()) {
-      orders.throttle(executor, run, level.percent(), turn);
+      orders.throttle(executor, run, level.percent(), context);
     }
   }
 
@@ -117,7 +118,9 @@
    * where no inherited task serves users, so these orders are left out then.
    */
   void releaseInherited(
-      List<LiveRun> runs, Function<LiveRun, Optional<ExecutorState>> executors, BatchTurn turn) {
+      List<LiveRun> runs,
+      Function<LiveRun, Optional<ExecutorState>> executors,
+      BatchContext context) {
     if (runs.stream().noneMatch(run -> run.step().spec().serves())) {
       return;
     }
@@ -125,7 +128,7 @@
       if (!run.step().spec().serves()) {
         executors
             .apply(run)
-            .ifPresent(executor -> orders.throttle(executor, run, FULL_PERCENT, turn));
+            .ifPresent(executor -> orders.throttle(executor, run, FULL_PERCENT, context));
       }
     }
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnershipDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnershipDuty.java
@@ -5,11 +5,11 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import org.fescuehook.logic.batch.BatchCommand;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.BatchLogEvent;
-import org.fescuehook.logic.batch.BatchTurn;
 import org.fescuehook.logic.batch.store.AppendOutcome;
 import org.fescuehook.logic.batch.store.KeyedRecord;
-import org.fescuehook.logic.batch.store.Outstanding;
+import org.fescuehook.logic.batch.store.PendingCall;
 import org.fescuehook.logic.batch.store.StreamName;
 import org.fescuehook.logic.batch.store.WriterPosition;
 
@@ -72,7 +72,7 @@
   private OptionalLong suspectedAt = OptionalLong.empty();
   private long sequence;
   private boolean readable;
-  private final Outstanding appending = new Outstanding(Outstanding.APPEND);
+  private final PendingCall appending = new PendingCall(PendingCall.APPEND);
 
   /**
    * The append with the present sequence number, if its outcome is open. It is repeated until it is
@@ -119,13 +119,13 @@
   }
 
   /** Returns how well this VM reaches the store. */
-  public StoreContact contact(BatchTurn turn) {
-    return timeouts.storeReachability(confirmedAt.orElse(turn.nowNanos()), turn);
+  public StoreReachability contact(BatchContext context) {
+    return timeouts.storeReachability(confirmedAt.orElse(context.nowNanos()), context);
   }
 
   /** Records that this VM is running. Reading of the stream starts with the first call. */
-  public void runs(BatchTurn turn) {
-    timeouts.recordActivity(turn);
+  public void runs(BatchContext context) {
+    timeouts.recordActivity(context);
   }
 
   /**
@@ -133,13 +133,13 @@
    *
    * @param record the newest record; absent if there was no new one
    */
-  public void read(Optional<OwnerRecord> record, long streamEnd, BatchTurn turn) {
+  public void read(Optional<OwnerRecord> record, long streamEnd, BatchContext context) {
     end = OptionalLong.of(Math.max(streamEnd, end.orElse(0)));
     readable = true;
-    if (timeouts.readOverdue(turn)) {
-      restartSilence(false, turn);
+    if (timeouts.readOverdue(context)) {
+      restartSilence(false, context);
     }
-    timeouts.readCompleted(turn);
+    timeouts.readCompleted(context);
     if (record.isEmpty()) {
       return;
     }
@@ -149,20 +149,20 @@
     }
     boolean changed = newest.isEmpty() || newest.get().epoch() != seen.epoch();
     if (!changed && silentSinceRecord) {
-      timeouts.heartbeatReceived(turn.nowNanos() - silentSince, turn);
+      timeouts.heartbeatReceived(context.nowNanos() - silentSince, context);
     }
     newest = record;
-    restartSilence(true, turn);
+    restartSilence(true, context);
     suspectedAt = OptionalLong.empty();
     if (changed) {
-      turn.note(BatchLogEvent.OWNER_SEEN, seen.vm(), seen.epoch(), seen.kind());
+      context.note(BatchLogEvent.OWNER_SEEN, seen.vm(), seen.epoch(), seen.kind());
     }
     if (epoch.isPresent() && seen.epoch() > epoch.getAsLong()) {
-      loseOwnership(turn, "a claim of " + seen.vm());
+      loseOwnership(context, "a claim of " + seen.vm());
     }
     boolean ownClaim = seen.kind() == OwnerRecord.Kind.CLAIM && bySelf(seen);
     if (ownClaim && epoch.isEmpty() && !retired) {
-      becomeOwner(seen.epoch(), turn);
+      becomeOwner(seen.epoch(), context);
     }
   }
 
@@ -170,14 +170,14 @@
    * Records that the stream could not be read: the silence of the owner is measured anew from now
    * on.
    */
-  public void unreadable(BatchTurn turn) {
+  public void unreadable(BatchContext context) {
     readable = false;
-    timeouts.readFailed(turn);
-    restartSilence(false, turn);
+    timeouts.readFailed(context);
+    restartSilence(false, context);
   }
 
-  private void restartSilence(boolean byRecord, BatchTurn turn) {
-    silentSince = turn.nowNanos();
+  private void restartSilence(boolean byRecord, BatchContext context) {
+    silentSince = context.nowNanos();
     silentSinceRecord = byRecord;
   }
 
@@ -193,41 +193,41 @@
    * Handles an owner reported by a peer, if it is newer than the known one. This matters while this
    * VM cannot read the stream itself; what it reads later has precedence.
    */
-  public void hinted(OwnerHint hint, BatchTurn turn) {
+  public void hinted(OwnerHint hint, BatchContext context) {
     long known = Math.max(epoch.orElse(0), newest.map(OwnerRecord::epoch).orElse(0L));
     if (hint.epoch() <= known || hint.vm().equals(self.vm())) {
       return;
     }
     long offset = newest.map(OwnerRecord::offset).orElse(BEFORE_FIRST_OFFSET);
     newest = Optional.of(OwnerRecord.fromHint(hint, offset));
-    restartSilence(false, turn);
+    restartSilence(false, context);
     suspectedAt = OptionalLong.empty();
-    turn.note(BatchLogEvent.OWNER_SEEN, hint.vm(), hint.epoch(), "peer's word");
+    context.note(BatchLogEvent.OWNER_SEEN, hint.vm(), hint.epoch(), "peer's word");
     if (epoch.isPresent()) {
-      loseOwnership(turn, "a peer knows " + hint.vm() + " at epoch " + hint.epoch());
+      loseOwnership(context, "a peer knows " + hint.vm() + " at epoch " + hint.epoch());
     }
   }
 
   /** Records that the owner has shown that it currently makes no decisions. */
-  public void doubted(BatchTurn turn) {
+  public void doubted(BatchContext context) {
     if (epoch.isEmpty()) {
-      suspectedAt = OptionalLong.of(turn.nowNanos());
+      suspectedAt = OptionalLong.of(context.nowNanos());
     }
   }
 
   /** Sends a claim or a heartbeat if one is due. */
-  public void step(BatchTurn turn) {
-    if (appending.present(turn) || turn.nowNanos() - nextAppendAt < 0) {
+  public void step(BatchContext context) {
+    if (appending.present(context) || context.nowNanos() - nextAppendAt < 0) {
       return;
     }
     if (epoch.isPresent()) {
       OwnerRecord.Kind wanted =
           retired || yielding ? OwnerRecord.Kind.RELEASE : OwnerRecord.Kind.HEARTBEAT;
-      append(unconfirmed.orElse(wanted), OptionalLong.empty(), turn);
+      append(unconfirmed.orElse(wanted), OptionalLong.empty(), context);
       return;
     }
-    if (!retired && end.isPresent() && mayClaim(turn)) {
-      claim(turn);
+    if (!retired && end.isPresent() && mayClaim(context)) {
+      claim(context);
     }
   }
 
@@ -249,14 +249,14 @@
     return OwnershipTimeouts.minTimeToClaim(nowNanos - silentSince);
   }
 
-  private boolean mayClaim(BatchTurn turn) {
+  private boolean mayClaim(BatchContext context) {
     if (newest.isEmpty()) {
       return true;
     }
     OwnerRecord owner = newest.get();
     boolean ownPreviousIncarnation = owner.vm().equals(self.vm()) && !bySelf(owner);
     boolean yielded =
-        yieldedAt.isPresent() && turn.nowNanos() - yieldedAt.getAsLong() < YIELD_PERIOD_NANOS;
+        yieldedAt.isPresent() && context.nowNanos() - yieldedAt.getAsLong() < YIELD_PERIOD_NANOS;
     boolean takesOver =
         readable && ProcessingPower.muchStronger(self.milliCores(), owner.milliCores());
     if (ownPreviousIncarnation || (takesOver && !yielded)) {
@@ -265,31 +265,32 @@
     boolean released = owner.kind() == OwnerRecord.Kind.RELEASE;
     boolean muchWeaker = ProcessingPower.muchStronger(owner.milliCores(), self.milliCores());
     long delay =
-        (released ? 0 : silenceTimeoutNanos(turn))
+        (released ? 0 : silenceTimeoutNanos(context))
             + (muchWeaker ? WEAKER_VM_DELAY_NANOS : 0)
             + (yielded ? YIELD_DELAY_NANOS : 0);
-    return delay == 0 || (turn.nowNanos() - silentSince > delay && !timeouts.readOverdue(turn));
+    return delay == 0
+        || (context.nowNanos() - silentSince > delay && !timeouts.readOverdue(context));
   }
 
-  private long silenceTimeoutNanos(BatchTurn turn) {
+  private long silenceTimeoutNanos(BatchContext context) {
     boolean suspected =
-        suspectedAt.isPresent() && turn.nowNanos() - suspectedAt.getAsLong() < SUSPICION_NANOS;
+        suspectedAt.isPresent() && context.nowNanos() - suspectedAt.getAsLong() < SUSPICION_NANOS;
     return suspected
-        ? timeouts.suspectedSilenceTimeoutNanos(turn)
-        : timeouts.silenceTimeoutNanos(turn);
+        ? timeouts.suspectedSilenceTimeoutNanos(context)
+        : timeouts.silenceTimeoutNanos(context);
   }
 
-  private void claim(BatchTurn turn) {
+  private void claim(BatchContext context) {
     sequence = claimSequence;
     clearUnconfirmed();
-    append(OwnerRecord.Kind.CLAIM, end, turn);
+    append(OwnerRecord.Kind.CLAIM, end, context);
   }
 
-  private void append(OwnerRecord.Kind kind, OptionalLong expectedEnd, BatchTurn turn) {
-    appending.begin(turn);
-    lastSentAt = turn.nowNanos();
+  private void append(OwnerRecord.Kind kind, OptionalLong expectedEnd, BatchContext context) {
+    appending.begin(context);
+    lastSentAt = context.nowNanos();
     if (unconfirmed.isEmpty()) {
-      firstSentAt = turn.nowNanos();
+      firstSentAt = context.nowNanos();
     }
     // An append that is still unconfirmed had no outcome, or one that does not tell whether it was
     // stored.
@@ -300,7 +301,7 @@
         new OwnerRecord(
             kind, self.vm(), self.incarnation(), self.address(), appendEpoch, 0, self.milliCores());
     KeyedRecord keyed = new KeyedRecord(OwnerCodec.KEY, Optional.of(OwnerCodec.encode(record)));
-    turn.add(
+    context.add(
         new BatchCommand.Append(
             StreamName.OWNERSHIP,
             new WriterPosition(appendEpoch, sequence),
@@ -309,32 +310,32 @@
   }
 
   /** Handles the outcome of a claim or a heartbeat. */
-  public void answered(WriterPosition position, AppendOutcome outcome, BatchTurn turn) {
+  public void answered(WriterPosition position, AppendOutcome outcome, BatchContext context) {
     appending.end();
     if (outcome.processedByStore()) {
-      timeouts.appended(turn.nowNanos() - lastSentAt, turn);
+      timeouts.appended(context.nowNanos() - lastSentAt, context);
     }
     boolean claimed = position.sequence() == claimSequence;
     switch (outcome) {
-      case AppendOutcome.Stored stored -> stored(position, claimed, turn);
+      case AppendOutcome.Stored stored -> stored(position, claimed, context);
       case AppendOutcome.Refused refused -> {
         unconfirmed = mayBeStoredAlready ? unconfirmed : Optional.empty();
-        nextAppendAt = turn.nowNanos() + RETRY_PAUSE_NANOS;
+        nextAppendAt = context.nowNanos() + RETRY_PAUSE_NANOS;
       }
       case AppendOutcome.Unanswered unanswered -> {
         mayBeStoredAlready = true;
         nextAppendAt =
-            turn.nowNanos() + (claimed ? timeouts.claimPauseNanos(turn) : RETRY_PAUSE_NANOS);
+            context.nowNanos() + (claimed ? timeouts.claimPauseNanos(context) : RETRY_PAUSE_NANOS);
       }
-      case AppendOutcome.Fenced fenced -> superseded(position, "a higher epoch", turn);
-      case AppendOutcome.Conflict conflict -> superseded(position, "a later record", turn);
-      case AppendOutcome.OutOfSequence _ -> superseded(position, "another sequence", turn);
+      case AppendOutcome.Fenced fenced -> superseded(position, "a higher epoch", context);
+      case AppendOutcome.Conflict conflict -> superseded(position, "a later record", context);
+      case AppendOutcome.OutOfSequence _ -> superseded(position, "another sequence", context);
     }
   }
 
-  private void stored(WriterPosition position, boolean claimed, BatchTurn turn) {
+  private void stored(WriterPosition position, boolean claimed, BatchContext context) {
     if (claimed && epoch.isEmpty() && !retired) {
-      becomeOwner(position.epoch(), turn);
+      becomeOwner(position.epoch(), context);
     }
     if (epoch.isEmpty() || epoch.getAsLong() != position.epoch()) {
       return;
@@ -344,9 +345,9 @@
     confirmedAt = OptionalLong.of(firstSentAt);
     sequence = position.sequence() + 1;
     boolean ending = retired || yielding;
-    nextAppendAt = ending ? turn.nowNanos() : firstSentAt + OwnershipTimeouts.HEARTBEAT_NANOS;
+    nextAppendAt = ending ? context.nowNanos() : firstSentAt + OwnershipTimeouts.HEARTBEAT_NANOS;
     if (released) {
-      loseOwnership(turn, retired ? "this VM stops" : "this VM could not begin to decide");
+      loseOwnership(context, retired ? "this VM stops" : "this VM could not begin to decide");
     }
   }
 
@@ -355,16 +356,16 @@
     mayBeStoredAlready = false;
   }
 
-  private void superseded(WriterPosition position, String cause, BatchTurn turn) {
+  private void superseded(WriterPosition position, String cause, BatchContext context) {
     // Another claim was stored first; its record is read before this VM may claim again.
-    nextAppendAt = turn.nowNanos() + timeouts.claimPauseNanos(turn);
-    restartSilence(false, turn);
+    nextAppendAt = context.nowNanos() + timeouts.claimPauseNanos(context);
+    restartSilence(false, context);
     if (epoch.isPresent() && epoch.getAsLong() == position.epoch()) {
-      loseOwnership(turn, cause);
+      loseOwnership(context, cause);
     }
   }
 
-  private void becomeOwner(long won, BatchTurn turn) {
+  private void becomeOwner(long won, BatchContext context) {
     clearUnconfirmed();
     epoch = OptionalLong.of(won);
     sequence = claimSequence + 1;
@@ -372,25 +373,25 @@
     // Others have received nothing since the claim was sent, which may be long ago if the store is
     // slow.
     nextAppendAt = firstSentAt + OwnershipTimeouts.HEARTBEAT_NANOS;
-    turn.note(BatchLogEvent.OWNERSHIP_WON, won);
+    context.note(BatchLogEvent.OWNERSHIP_WON, won);
   }
 
-  private void loseOwnership(BatchTurn turn, String cause) {
-    turn.note(BatchLogEvent.OWNERSHIP_LOST, epoch.orElse(0), cause);
+  private void loseOwnership(BatchContext context, String cause) {
+    context.note(BatchLogEvent.OWNERSHIP_LOST, epoch.orElse(0), cause);
     if (yielding) {
       yielding = false;
-      yieldedAt = OptionalLong.of(turn.nowNanos());
+      yieldedAt = OptionalLong.of(context.nowNanos());
     }
     clearUnconfirmed();
     epoch = OptionalLong.empty();
     confirmedAt = OptionalLong.empty();
-    restartSilence(false, turn);
+    restartSilence(false, context);
   }
 
   /** Ends ownership that was lost in another stream, or that is given up because of a fault. */
-  public void abandon(String cause, BatchTurn turn) {
+  public void abandon(String cause, BatchContext context) {
     if (epoch.isPresent()) {
-      loseOwnership(turn, cause);
+      loseOwnership(context, cause);
     }
   }
 
@@ -398,18 +399,18 @@
    * Gives ownership up, so that another VM claims at once; this VM then claims only if no other
    * does. Its heartbeats would keep the others from claiming although it makes no decisions.
    */
-  public void yield(BatchTurn turn) {
+  public void yield(BatchContext context) {
     if (epoch.isPresent() && !yielding) {
       yielding = true;
-      nextAppendAt = turn.nowNanos();
+      nextAppendAt = context.nowNanos();
     }
   }
 
   /** Gives ownership up for good, so that another VM claims at once. */
-  public void retire(BatchTurn turn) {
+  public void retire(BatchContext context) {
     retired = true;
-    nextAppendAt = turn.nowNanos();
-    step(turn);
+    nextAppendAt = context.nowNanos();
+    step(context);
   }
 
   private boolean bySelf(OwnerRecord record) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnershipTimeouts.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnershipTimeouts.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import java.util.OptionalLong;
-import org.fescuehook.logic.batch.BatchTurn;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.store.SlidingWindowMaximum;
 
 /**
@@ -91,46 +91,46 @@
    * Records that this VM is running, which detects pauses of it. The first call starts the first
    * read.
    */
-  void recordActivity(BatchTurn turn) {
+  void recordActivity(BatchContext context) {
     if (lastReadAt.isEmpty()) {
-      lastReadAt = OptionalLong.of(turn.nowNanos());
+      lastReadAt = OptionalLong.of(context.nowNanos());
     }
-    long idle = turn.nowNanos() - lastActiveAt.orElse(turn.nowNanos());
+    long idle = context.nowNanos() - lastActiveAt.orElse(context.nowNanos());
     pausedNanos += idle > MAX_USUAL_IDLE_NANOS ? idle : 0;
-    lastActiveAt = OptionalLong.of(turn.nowNanos());
+    lastActiveAt = OptionalLong.of(context.nowNanos());
   }
 
   /**
    * Records that a read has reached the end of the stream; the first one does not wait for a
    * record.
    */
-  void readCompleted(BatchTurn turn) {
+  void readCompleted(BatchContext context) {
     // A pause of this VM is not time that the store took.
-    long since = turn.nowNanos() - lastReadAt.orElse(turn.nowNanos()) - pausedNanos;
-    readTimes.add(Math.max(0, since - (readsWaitForRecord ? READ_INTERVAL_NANOS : 0)), turn);
-    startNextRead(turn);
+    long since = context.nowNanos() - lastReadAt.orElse(context.nowNanos()) - pausedNanos;
+    readTimes.add(Math.max(0, since - (readsWaitForRecord ? READ_INTERVAL_NANOS : 0)), context);
+    startNextRead(context);
   }
 
   /** Records that a read has failed, so that its duration says nothing about the store. */
-  void readFailed(BatchTurn turn) {
-    startNextRead(turn);
+  void readFailed(BatchContext context) {
+    startNextRead(context);
   }
 
-  private void startNextRead(BatchTurn turn) {
-    lastReadAt = OptionalLong.of(turn.nowNanos());
+  private void startNextRead(BatchContext context) {
+    lastReadAt = OptionalLong.of(context.nowNanos());
     pausedNanos = 0;
     readsWaitForRecord = true;
   }
 
   /** Records how long the store took to answer a claim or heartbeat of this VM. */
-  void appended(long nanos, BatchTurn turn) {
+  void appended(long nanos, BatchContext context) {
     lastAppendNanos = nanos;
-    appendTimes.add(nanos, turn);
+    appendTimes.add(nanos, context);
   }
 
   /** Records the gap between the last two heartbeats of the owner. */
-  void heartbeatReceived(long gapNanos, BatchTurn turn) {
-    heartbeatGaps.add(gapNanos, turn);
+  void heartbeatReceived(long gapNanos, BatchContext context) {
+    heartbeatGaps.add(gapNanos, context);
     double weight = gapNanos > usualGapNanos ? LONGER_GAP_WEIGHT : SHORTER_GAP_WEIGHT;
     usualGapNanos += weight * (gapNanos - usualGapNanos);
   }
@@ -139,12 +139,12 @@
    * Tells whether the next read is overdue, by more than is usual at present. Silence of the owner
    * says nothing then, as it may have written all the time.
    */
-  boolean readOverdue(BatchTurn turn) {
+  boolean readOverdue(BatchContext context) {
     if (lastReadAt.isEmpty()) {
       return false;
     }
-    long allowedDelay = Math.max(MIN_READ_DELAY_NANOS, 2 * readTimes.longest(turn));
-    return turn.nowNanos() - lastReadAt.getAsLong() > READ_INTERVAL_NANOS + allowedDelay;
+    long allowedDelay = Math.max(MIN_READ_DELAY_NANOS, 2 * readTimes.longest(context));
+    return context.nowNanos() - lastReadAt.getAsLong() > READ_INTERVAL_NANOS + allowedDelay;
   }
 
   /**
@@ -152,17 +152,17 @@
    *
    * @param confirmedAt when the last heartbeat that the store confirmed was sent, monotonic time
    */
-  StoreContact storeReachability(long confirmedAt, BatchTurn turn) {
-    return new StoreContact(confirmedAt, lastAppendNanos, appendTimes.longest(turn));
+  StoreReachability storeReachability(long confirmedAt, BatchContext context) {
+    return new StoreReachability(confirmedAt, lastAppendNanos, appendTimes.longest(context));
   }
 
   /** Returns the silence after which an owner is replaced. */
-  long silenceTimeoutNanos(BatchTurn turn) {
+  long silenceTimeoutNanos(BatchContext context) {
     long ofHeartbeats =
         Math.max(
-            HEARTBEATS_AT_LONGEST_GAP * heartbeatGaps.longest(turn),
+            HEARTBEATS_AT_LONGEST_GAP * heartbeatGaps.longest(context),
             Math.round(HEARTBEATS_AT_USUAL_GAP * usualGapNanos));
-    long needed = Math.max(ofHeartbeats, heartbeatDelayNanos(turn) + readTimes.longest(turn));
+    long needed = Math.max(ofHeartbeats, heartbeatDelayNanos(context) + readTimes.longest(context));
     return Math.clamp(needed, MIN_SILENCE_NANOS, MAX_SILENCE_NANOS);
   }
 
@@ -170,18 +170,20 @@
    * Returns the silence after which a suspected owner is replaced. If this VM's own reads are slow,
    * the store explains the owner's trouble, and another owner would do no better.
    */
-  long suspectedSilenceTimeoutNanos(BatchTurn turn) {
-    if (readTimes.longest(turn) > SLOW_READ_NANOS) {
-      return silenceTimeoutNanos(turn);
+  long suspectedSilenceTimeoutNanos(BatchContext context) {
+    if (readTimes.longest(context) > SLOW_READ_NANOS) {
+      return silenceTimeoutNanos(context);
     }
     long needed =
-        Math.max(heartbeatGaps.longest(turn) + readTimes.longest(turn), heartbeatDelayNanos(turn));
+        Math.max(
+            heartbeatGaps.longest(context) + readTimes.longest(context),
+            heartbeatDelayNanos(context));
     return Math.clamp(needed, MIN_SUSPECTED_SILENCE_NANOS, MAX_SILENCE_NANOS);
   }
 
   /** Returns the pause after a claim that was not successful. */
-  long claimPauseNanos(BatchTurn turn) {
-    return MIN_CLAIM_PAUSE_NANOS + 2 * readTimes.longest(turn);
+  long claimPauseNanos(BatchContext context) {
+    return MIN_CLAIM_PAUSE_NANOS + 2 * readTimes.longest(context);
   }
 
   /**
@@ -197,8 +199,8 @@
    * Returns how long it takes until a heartbeat is read: its append waits in the queue of the store
    * and is then processed, each for about as long as a read takes.
    */
-  private long heartbeatDelayNanos(BatchTurn turn) {
-    long read = readTimes.longest(turn);
-    return HEARTBEAT_NANOS + Math.max(appendTimes.longest(turn), 2 * read) + read;
+  private long heartbeatDelayNanos(BatchContext context) {
+    long read = readTimes.longest(context);
+    return HEARTBEAT_NANOS + Math.max(appendTimes.longest(context), 2 * read) + read;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/StoreContact.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/StoreReachability.java
@@ -9,7 +9,7 @@
  * @param lastAppendNanos duration of the last heartbeat append
  * @param longestAppendNanos longest recent duration of a heartbeat append
  */
-public record StoreContact(long confirmedAt, long lastAppendNanos, long longestAppendNanos) {
+public record StoreReachability(long confirmedAt, long lastAppendNanos, long longestAppendNanos) {
 
   /**
    * Returns the age of the last confirmed heartbeat up to which the store counts as reachable. It
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/CandidateExecutor.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/CandidateExecutor.java
@@ -7,7 +7,7 @@
 import org.fescuehook.logic.batch.state.StepProgress;
 import org.fescuehook.logic.batch.state.TaskProgress;
 import org.fescuehook.model.batch.BatchStep;
-import org.fescuehook.model.batch.Demand;
+import org.fescuehook.model.batch.ResourceVector;
 import org.fescuehook.model.fleet.Incarnation;
 
 /** An executor and its free capacity while a plan is made. */
@@ -16,7 +16,7 @@
   private final ExecutorState executor;
   private final boolean suspect;
   private final boolean recentlyRestarted;
-  private Demand free;
+  private ResourceVector free;
   private boolean servesUsers;
   private boolean runsOtherWork;
   private boolean onProbation;
@@ -29,7 +29,7 @@
    * @param recentlyRestarted whether the executor is known to have crashed recently
    */
   CandidateExecutor(
-      ExecutorState executor, Demand free, boolean suspect, boolean recentlyRestarted) {
+      ExecutorState executor, ResourceVector free, boolean suspect, boolean recentlyRestarted) {
     this.executor = executor;
     this.free = free;
     this.suspect = suspect;
@@ -53,7 +53,7 @@
     return executor;
   }
 
-  Demand free() {
+  ResourceVector free() {
     return free;
   }
 
@@ -98,7 +98,7 @@
     return step.serves() ? runsOtherWork : servesUsers;
   }
 
-  void release(Demand demand) {
+  void release(ResourceVector demand) {
     free = free.plus(demand);
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/FleetCapacity.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/FleetCapacity.java
@@ -15,7 +15,7 @@
 import org.fescuehook.logic.batch.state.StepProgress;
 import org.fescuehook.logic.batch.state.TaskProgress;
 import org.fescuehook.model.batch.BatchStep;
-import org.fescuehook.model.batch.Demand;
+import org.fescuehook.model.batch.ResourceVector;
 import org.fescuehook.model.fleet.RackId;
 
 /**
@@ -69,7 +69,8 @@
       boolean nearOnly) {}
 
   /** The properties that determine how many tasks of a step fit into a group. */
-  private record Shape(GroupKey group, Demand demand, boolean serves, boolean acceptsSharing) {}
+  private record Shape(
+      GroupKey group, ResourceVector demand, boolean serves, boolean acceptsSharing) {}
 
   FleetCapacity(List<CandidateExecutor> candidates) {
     this.candidates = candidates;
@@ -95,7 +96,7 @@
 
   private static FleetCapacity of(
       Collection<ExecutorState> executors,
-      Function<ExecutorState, Demand> capacity,
+      Function<ExecutorState, ResourceVector> capacity,
       long nowNanos) {
     long suspects = executors.stream().filter(executor -> executor.suspect(nowNanos)).count();
     boolean credible = suspects <= executors.size() * MAX_SUSPECT_SHARE;
@@ -125,8 +126,8 @@
   }
 
   private static int usableAccelerators(CandidateExecutor candidate) {
-    Demand free = candidate.free();
-    Demand total = candidate.executor().profile().capacity();
+    ResourceVector free = candidate.free();
+    ResourceVector total = candidate.executor().profile().capacity();
     double share =
         Math.min(
             share(free.milliCores(), total.milliCores()),
@@ -150,7 +151,7 @@
   }
 
   /** Releases capacity of an executor. */
-  void release(ExecutorState executor, Demand demand) {
+  void release(ExecutorState executor, ResourceVector demand) {
     maxFittingTasks.clear();
     update(executor, candidate -> candidate.release(demand));
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/PlanDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/PlanDuty.java
@@ -8,15 +8,15 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.BatchLogEvent;
-import org.fescuehook.logic.batch.BatchTurn;
-import org.fescuehook.logic.batch.advice.AdviceDuty;
+import org.fescuehook.logic.batch.advice.AdviceCache;
 import org.fescuehook.logic.batch.executor.ExecutorDuty;
 import org.fescuehook.logic.batch.executor.ExecutorState;
-import org.fescuehook.logic.batch.state.JobDuty;
+import org.fescuehook.logic.batch.state.ActiveJob;
+import org.fescuehook.logic.batch.state.JobLifecycle;
 import org.fescuehook.logic.batch.state.LiveRun;
 import org.fescuehook.logic.batch.state.LiveRun.Stage;
-import org.fescuehook.logic.batch.state.OpenJob;
 import org.fescuehook.logic.batch.state.StepProgress;
 import org.fescuehook.logic.batch.state.TaskProgress;
 import org.fescuehook.model.batch.JobQueue;
@@ -28,15 +28,16 @@
 /** Plans the waiting steps, stores each placement and then orders the start of the run. */
 public final class PlanDuty {
 
-  private final JobDuty jobs;
+  private final JobLifecycle jobs;
   private final ExecutorDuty executors;
-  private final AdviceDuty advice;
+  private final AdviceCache advice;
   private final Planner planner;
   private final List<LiveRun> storedRuns = new ArrayList<>();
   private Map<String, Integer> guaranteedNeed = Map.of();
 
   /** Creates the duty. */
-  public PlanDuty(JobDuty jobs, ExecutorDuty executors, AdviceDuty advice, WorkPreferences work) {
+  public PlanDuty(
+      JobLifecycle jobs, ExecutorDuty executors, AdviceCache advice, WorkPreferences work) {
     this.jobs = jobs;
     this.executors = executors;
     this.advice = advice;
@@ -44,32 +45,32 @@
   }
 
   /** Makes a plan and applies it. */
-  public void step(BatchTurn turn) {
+  public void step(BatchContext context) {
     guaranteedNeed = guaranteedNeed();
-    List<WaitingStep> waiting = waiting(turn);
+    List<WaitingStep> waiting = waiting(context);
     if (waiting.isEmpty()) {
       return;
     }
     List<ExecutorState> usable =
         executors.book().all().stream()
-            .filter(executor -> executor.usable(turn.nowNanos()))
+            .filter(executor -> executor.usable(context.nowNanos()))
             .toList();
-    requestAdvice(waiting, usable, turn);
-    Planner.Plan plan = planner.plan(waiting, usable, turn.nowNanos());
+    requestAdvice(waiting, usable, context);
+    Planner.Plan plan = planner.plan(waiting, usable, context.nowNanos());
     for (Planner.Preemption stop : plan.stops()) {
       WaitingStep beneficiary = stop.beneficiary();
       String job = beneficiary.step().job().job().id();
       String cause = "job " + job + " needs its place, " + beneficiary.rank();
-      executors.stop(stop.run(), cause, turn);
+      executors.stop(stop.run(), cause, context);
     }
-    start(plan.starts(), turn);
+    start(plan.starts(), context);
   }
 
   /**
    * Requests external advice for the steps that need it, in the order in which they are planned.
    */
   private void requestAdvice(
-      List<WaitingStep> waiting, List<ExecutorState> usable, BatchTurn turn) {
+      List<WaitingStep> waiting, List<ExecutorState> usable, BatchContext context) {
     advice.forgetEnded();
     List<WaitingStep> advised =
         waiting.stream()
@@ -82,20 +83,20 @@
               .filter(executor -> executor.profile().pool().equals(step.pool()))
               .map(ExecutorState::incarnation)
               .toList();
-      advice.ask(step.step(), executorsOfPool, turn);
+      advice.ask(step.step(), executorsOfPool, context);
     }
   }
 
-  private List<WaitingStep> waiting(BatchTurn turn) {
+  private List<WaitingStep> waiting(BatchContext context) {
     List<WaitingStep> waiting = new ArrayList<>();
-    for (OpenJob job : jobs.book().openJobs()) {
+    for (ActiveJob job : jobs.book().openJobs()) {
       if (!job.open()) {
         continue;
       }
       JobQueue queue = jobs.queue(job);
       for (StepProgress step : job.steps()) {
-        if (!step.done() && job.mayRun(step, turn.wallMillis())) {
-          collect(step, queue, waiting, turn);
+        if (!step.done() && job.mayRun(step, context.wallMillis())) {
+          collect(step, queue, waiting, context);
         }
       }
     }
@@ -103,16 +104,18 @@
   }
 
   private void collect(
-      StepProgress step, JobQueue queue, List<WaitingStep> waiting, BatchTurn turn) {
+      StepProgress step, JobQueue queue, List<WaitingStep> waiting, BatchContext context) {
     List<TaskProgress> tasks = step.waiting();
     boolean complete = !step.spec().gang() || tasks.size() == step.spec().count();
     if (tasks.isEmpty() || !complete) {
       return;
     }
     long accepted = step.job().job().acceptedMillis();
-    StepTiming timing = timing(step, queue, turn);
+    StepTiming timing = timing(step, queue, context);
     Optional<Set<Incarnation>> permitted =
-        queue.advised() ? Optional.of(advice.permitted(step, turn.nowNanos())) : Optional.empty();
+        queue.advised()
+            ? Optional.of(advice.permitted(step, context.nowNanos()))
+            : Optional.empty();
     for (List<TaskProgress> group : placementGroups(step, tasks)) {
       waiting.add(
           new WaitingStep(
@@ -140,7 +143,7 @@
     return groups;
   }
 
-  private static StepTiming timing(StepProgress step, JobQueue queue, BatchTurn turn) {
+  private static StepTiming timing(StepProgress step, JobQueue queue, BatchContext context) {
     Submission submission = step.job().job().submission();
     long dueMillis = step.job().job().acceptedMillis();
     if (submission.schedule().isPresent()) {
@@ -148,8 +151,8 @@
     }
     long objectiveMillis = queue.objectiveMillis(step.job().estimatedChainMillis());
     long spareMillis = objectiveMillis - step.estimatedChainMillis();
-    long waitedMillis = Math.max(0, turn.wallMillis() - dueMillis);
-    long queuedNanos = turn.nowNanos() - step.queuedSince(turn.nowNanos());
+    long waitedMillis = Math.max(0, context.wallMillis() - dueMillis);
+    long queuedNanos = context.nowNanos() - step.queuedSince(context.nowNanos());
     if (step.spec().lasting().isPresent()) {
       return StepTiming.ofLongRunning(queuedNanos);
     }
@@ -160,7 +163,7 @@
         TimeUnit.MILLISECONDS.toNanos(objectiveMillis));
   }
 
-  private Rank rank(OpenJob job) {
+  private Rank rank(ActiveJob job) {
     JobQueue queue = jobs.queue(job);
     String organisation = job.job().organisation();
     int guaranteed = jobs.configuration().guaranteedAccelerators(organisation);
@@ -172,7 +175,7 @@
   /** Returns the number of accelerators that the open jobs of priority 0 need, by organisation. */
   private Map<String, Integer> guaranteedNeed() {
     Map<String, Integer> need = new HashMap<>();
-    for (OpenJob job : jobs.book().openJobs()) {
+    for (ActiveJob job : jobs.book().openJobs()) {
       if (job.open() && jobs.queue(job).priority() == 0) {
         int accelerators =
             job.steps().stream()
@@ -185,8 +188,8 @@
     return need;
   }
 
-  private void start(List<TaskPlacement> placements, BatchTurn turn) {
-    Set<OpenJob> changedJobs = new LinkedHashSet<>();
+  private void start(List<TaskPlacement> placements, BatchContext context) {
+    Set<ActiveJob> changedJobs = new LinkedHashSet<>();
     List<LiveRun> runs = new ArrayList<>();
     Map<StepProgress, Integer> gangRuns = new HashMap<>();
     for (TaskPlacement placement : placements) {
@@ -199,15 +202,15 @@
       String checkpoint = gang ? step.gangCheckpoint() : placement.task().checkpoint();
       TaskRun name = new TaskRun(step.name(placement.task()), number);
       Incarnation executor = placement.executor().incarnation();
-      Optional<String> ticket = advice.ticket(step, executor, turn.nowNanos());
-      LiveRun run = LiveRun.placed(name, executor, step, checkpoint, ticket, turn.nowNanos());
-      StepTiming timing = timing(step, jobs.queue(step.job()), turn);
-      turn.stage("queued", timing.queuedNanos());
+      Optional<String> ticket = advice.ticket(step, executor, context.nowNanos());
+      LiveRun run = LiveRun.placed(name, executor, step, checkpoint, ticket, context.nowNanos());
+      StepTiming timing = timing(step, jobs.queue(step.job()), context);
+      context.stage("queued", timing.queuedNanos());
       step.begin(placement.task(), run);
       placement.executor().add(run);
       changedJobs.add(step.job());
       runs.add(run);
-      turn.note(
+      context.note(
           BatchLogEvent.RUN_PLACED,
           name,
           run.incarnation(),
@@ -216,19 +219,19 @@
           TimeUnit.NANOSECONDS.toMillis(timing.waitedNanos()),
           TimeUnit.NANOSECONDS.toMillis(timing.spareNanos()));
     }
-    for (OpenJob job : changedJobs) {
+    for (ActiveJob job : changedJobs) {
       List<LiveRun> runsOfJob = runs.stream().filter(run -> run.step().job() == job).toList();
       jobs.persist(job, () -> storedRuns.addAll(runsOfJob));
     }
   }
 
   /** Orders the start of the runs whose placements have been stored since the last call. */
-  public void startStored(BatchTurn turn) {
+  public void startStored(BatchContext context) {
     for (LiveRun run : storedRuns) {
       boolean stillReserved =
           executors.book().find(run.executor()).flatMap(state -> state.run(run.run())).isPresent();
       if (stillReserved && run.stage() == Stage.PLACED) {
-        executors.start(run, turn);
+        executors.start(run, context);
       }
     }
     storedRuns.clear();
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/OpenJob.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/ActiveJob.java
@@ -10,7 +10,7 @@
 import org.fescuehook.model.batch.TaskName;
 
 /** A job that is kept: open, or ended while something of it may still run. */
-public final class OpenJob {
+public final class ActiveJob {
 
   private final BatchJob job;
   private final List<StepProgress> steps;
@@ -22,7 +22,7 @@
   private JobPhase shown = JobPhase.QUEUED;
 
   /** Creates a job of which nothing has begun. */
-  public OpenJob(BatchJob job) {
+  public ActiveJob(BatchJob job) {
     this.job = job;
     Submission submission = job.submission();
     this.stepsPerOccurrence = submission.steps().size();
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobCodec.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobCodec.java
@@ -127,7 +127,7 @@
   }
 
   /** Encodes how far a job is. */
-  public static byte[] encodeProgress(OpenJob job) {
+  public static byte[] encodeProgress(ActiveJob job) {
     StoredProgress.Builder stored =
         StoredProgress.newBuilder()
             .setState(state(job.end()))
@@ -140,7 +140,7 @@
   }
 
   /** Encodes the end of a job of which nothing has run. */
-  public static byte[] encodeEnd(JobBook.EndedJob end) {
+  public static byte[] encodeEnd(JobRegistry.EndedJob end) {
     return StoredProgress.newBuilder()
         .setState(state(Optional.of(end.phase())))
         .setEndedMillis(end.endedMillis())
@@ -191,11 +191,11 @@
    * @return the end; absent if the job is open
    * @throws UnreadableRecordException if the bytes are not the progress of a job
    */
-  public static Optional<JobBook.EndedJob> decodeEnd(String id, byte[] value)
+  public static Optional<JobRegistry.EndedJob> decodeEnd(String id, byte[] value)
       throws UnreadableRecordException {
     StoredProgress stored = parse(id, value);
     return phase(stored.getState())
-        .map(phase -> new JobBook.EndedJob(phase, stored.getEndedMillis()));
+        .map(phase -> new JobRegistry.EndedJob(phase, stored.getEndedMillis()));
   }
 
   /**
@@ -203,7 +203,7 @@
    *
    * @throws UnreadableRecordException if the bytes are not the progress of this job
    */
-  public static void restore(OpenJob job, byte[] value, long nowNanos)
+  public static void restore(ActiveJob job, byte[] value, long nowNanos)
       throws UnreadableRecordException {
     StoredProgress stored = parse(job.job().id(), value);
     ProgressRestorer restorer = new ProgressRestorer(job, nowNanos);
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobRecords.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobRecords.java
@@ -1,23 +1,23 @@
 package org.fescuehook.logic.batch.state;
 
 import java.util.Optional;
-import org.fescuehook.logic.batch.BatchTurn;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.store.StateWriter;
 import org.fescuehook.model.batch.JobPhase;
 
 /** Keeps the records of jobs in the store as the book has them. */
 final class JobRecords {
 
-  private final JobBook book;
+  private final JobRegistry book;
   private final StateWriter writer;
 
-  JobRecords(JobBook book, StateWriter writer) {
+  JobRecords(JobRegistry book, StateWriter writer) {
     this.book = book;
     this.writer = writer;
   }
 
   /** Stores how far a job is. */
-  void persist(OpenJob job, Runnable committed) {
+  void persist(ActiveJob job, Runnable committed) {
     Encoded encoded = new Encoded(job);
     writer.put(
         JobCodec.progressKey(job.job().id()),
@@ -29,7 +29,7 @@
   }
 
   /** Calls back once the newest progress of a job is stored. */
-  void whenStored(OpenJob job, Runnable committed) {
+  void whenStored(ActiveJob job, Runnable committed) {
     writer.whenStored(JobCodec.progressKey(job.job().id()), committed);
   }
 
@@ -37,14 +37,14 @@
    * Stores the end of a job. While something of it may run, the store names that, so that an owner
    * that comes meanwhile knows what it has to stop.
    */
-  void end(OpenJob job, Runnable committed, BatchTurn turn) {
+  void end(ActiveJob job, Runnable committed, BatchContext context) {
     String id = job.job().id();
     boolean gone = job.liveRuns().isEmpty();
     persist(
         job,
         () -> {
           if (gone) {
-            book.retire(job, turn.nowNanos());
+            book.retire(job, context.nowNanos());
           }
           committed.run();
         });
@@ -56,20 +56,21 @@
   }
 
   /** Retires a job that has ended once nothing of it can run any more. */
-  void retireIfGone(OpenJob job, BatchTurn turn) {
+  void retireIfGone(ActiveJob job, BatchContext context) {
     if (job.open() || !job.liveRuns().isEmpty()) {
       return;
     }
     String id = job.job().id();
-    persist(job, () -> book.retire(job, turn.nowNanos()));
+    persist(job, () -> book.retire(job, context.nowNanos()));
     writer.put(JobCodec.jobKey(id), Optional::empty, () -> {});
     writer.put(JobCodec.endedJobKey(id), Optional::empty, () -> {});
   }
 
   /** Remembers the cancel of a job that is not known, as its submission may still come. */
-  void cancelEarly(String id, Runnable committed, BatchTurn turn) {
-    JobBook.EndedJob cancelled = new JobBook.EndedJob(JobPhase.CANCELLED, turn.wallMillis());
-    book.addEarlyCancel(id, cancelled, turn.nowNanos());
+  void cancelEarly(String id, Runnable committed, BatchContext context) {
+    JobRegistry.EndedJob cancelled =
+        new JobRegistry.EndedJob(JobPhase.CANCELLED, context.wallMillis());
+    book.addEarlyCancel(id, cancelled, context.nowNanos());
     byte[] stored = JobCodec.encodeEnd(cancelled);
     writer.put(JobCodec.earlyCancelKey(id), () -> Optional.of(stored), committed);
   }
@@ -79,10 +80,10 @@
    * nobody may be shown what no store has.
    */
   private static final class Encoded {
-    private final OpenJob job;
+    private final ActiveJob job;
     private Optional<JobPhase> phase = Optional.empty();
 
-    Encoded(OpenJob job) {
+    Encoded(ActiveJob job) {
       this.job = job;
     }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobBook.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobRegistry.java
@@ -9,12 +9,12 @@
 import org.fescuehook.model.batch.TaskName;
 
 /** All jobs that are kept, open ones in the order of their acceptance. */
-public final class JobBook {
+public final class JobRegistry {
 
   /** Callers may send any number of cancels of jobs that do not exist; these take some 2 MB. */
   private static final int MOST_EARLY_CANCELS = 10_000;
 
-  private final Map<String, OpenJob> open = new LinkedHashMap<>();
+  private final Map<String, ActiveJob> open = new LinkedHashMap<>();
   private final RetainedRecords<EndedJob> ended;
 
   /** Ends of jobs that were cancelled before they were known; their submissions may still come. */
@@ -24,17 +24,17 @@
   public record EndedJob(JobPhase phase, long endedMillis) {}
 
   /** Creates a book without jobs. */
-  public JobBook() {
+  public JobRegistry() {
     this(new RetainedRecords<>(Integer.MAX_VALUE), new RetainedRecords<>(MOST_EARLY_CANCELS));
   }
 
-  private JobBook(RetainedRecords<EndedJob> ended, RetainedRecords<EndedJob> earlyCancels) {
+  private JobRegistry(RetainedRecords<EndedJob> ended, RetainedRecords<EndedJob> earlyCancels) {
     this.ended = ended;
     this.earlyCancels = earlyCancels;
   }
 
   /** Adds a job that is open, or of which something may still run. */
-  public void add(OpenJob job) {
+  public void add(ActiveJob job) {
     String id = job.job().id();
     open.put(id, job);
     ended.remove(id);
@@ -56,12 +56,12 @@
   }
 
   /** Returns a book of the same records without the jobs that have not been retired. */
-  public JobBook withoutOpenJobs() {
-    return new JobBook(ended, earlyCancels);
+  public JobRegistry withoutOpenJobs() {
+    return new JobRegistry(ended, earlyCancels);
   }
 
   /** Finds a job that has not been retired. */
-  public Optional<OpenJob> open(String id) {
+  public Optional<ActiveJob> open(String id) {
     return Optional.ofNullable(open.get(id));
   }
 
@@ -72,7 +72,7 @@
 
   /** Returns what callers are told of a job; absent if there is none. */
   public Optional<JobPhase> shown(String id) {
-    OpenJob job = open.get(id);
+    ActiveJob job = open.get(id);
     if (job != null) {
       return Optional.of(job.shown());
     }
@@ -80,12 +80,12 @@
   }
 
   /** Returns the jobs that have not been retired. */
-  public Collection<OpenJob> openJobs() {
+  public Collection<ActiveJob> openJobs() {
     return open.values();
   }
 
   /** Moves a job whose end is stored, and of which nothing runs, to those that are only shown. */
-  public void retire(OpenJob job, long nowNanos) {
+  public void retire(ActiveJob job, long nowNanos) {
     String id = job.job().id();
     if (open.remove(id, job)) {
       addEnded(id, new EndedJob(job.end().orElseThrow(), job.endedMillis()), nowNanos);
@@ -105,7 +105,7 @@
   /** Returns how many jobs of a queue wait: none of their tasks was started. */
   public int pending(String queue) {
     int count = 0;
-    for (OpenJob job : open.values()) {
+    for (ActiveJob job : open.values()) {
       if (job.job().queue().name().equals(queue) && job.open() && !job.begun()) {
         count++;
       }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/LiveRun.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/LiveRun.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 import java.util.OptionalLong;
-import org.fescuehook.model.batch.Demand;
+import org.fescuehook.model.batch.ResourceVector;
 import org.fescuehook.model.batch.TaskRun;
 import org.fescuehook.model.fleet.ExecutorId;
 import org.fescuehook.model.fleet.Incarnation;
@@ -136,7 +136,7 @@
   }
 
   /** Returns what it holds on the executor. */
-  public Demand demand() {
+  public ResourceVector demand() {
     return step.spec().demand();
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/ProgressRestorer.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/ProgressRestorer.java
@@ -12,10 +12,10 @@
 /** Puts stored steps into a job. */
 final class ProgressRestorer {
 
-  private final OpenJob job;
+  private final ActiveJob job;
   private final long nowNanos;
 
-  ProgressRestorer(OpenJob job, long nowNanos) {
+  ProgressRestorer(ActiveJob job, long nowNanos) {
     this.job = job;
     this.nowNanos = nowNanos;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/StepProgress.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/StepProgress.java
@@ -24,7 +24,7 @@
    */
   private static final int MOST_MOVES = 1;
 
-  private final OpenJob job;
+  private final ActiveJob job;
   private final int occurrence;
   private final int number;
   private final BatchStep spec;
@@ -37,7 +37,7 @@
   private int undone;
   private OptionalLong queuedSince = OptionalLong.empty();
 
-  StepProgress(OpenJob job, int occurrence, int number, BatchStep spec, long chainMillis) {
+  StepProgress(ActiveJob job, int occurrence, int number, BatchStep spec, long chainMillis) {
     this.job = job;
     this.occurrence = occurrence;
     this.number = number;
@@ -51,7 +51,7 @@
   }
 
   /** Returns the job. */
-  public OpenJob job() {
+  public ActiveJob job() {
     return job;
   }
 
@@ -116,7 +116,7 @@
    */
   public int mayMiss() {
     int atWork = (int) tasks.stream().filter(TaskProgress::atWork).count();
-    int most = spec.lasting().map(BatchStep.Lasting::mostAway).orElse(spec.count());
+    int most = spec.lasting().map(BatchStep.LongRunning::mostAway).orElse(spec.count());
     return Math.max(0, most - (spec.count() - atWork));
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/SubmissionCodec.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/SubmissionCodec.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.fescuehook.model.batch.BatchStep;
-import org.fescuehook.model.batch.Demand;
+import org.fescuehook.model.batch.ResourceVector;
 import org.fescuehook.model.batch.Submission;
 import org.fescuehook.model.fleet.RackId;
 import org.fescuehook.wire.batch.StoredStep;
@@ -31,7 +31,7 @@
 
   private static StoredStep encode(BatchStep step) {
     BatchStep.PlacementRule placement = step.placement();
-    Optional<BatchStep.Lasting> lasting = step.lasting();
+    Optional<BatchStep.LongRunning> lasting = step.lasting();
     return StoredStep.newBuilder()
         .setCount(step.count())
         .setMilliCores(step.demand().milliCores())
@@ -47,8 +47,8 @@
         .setMostPerExecutor(placement.mostPerExecutor())
         .setImage(step.image())
         .setLasting(lasting.isPresent())
-        .setMissAllowed(lasting.map(BatchStep.Lasting::mostAway).orElse(0))
-        .setTargetMillis(lasting.map(BatchStep.Lasting::targetMillis).orElse(0L))
+        .setMissAllowed(lasting.map(BatchStep.LongRunning::mostAway).orElse(0))
+        .setTargetMillis(lasting.map(BatchStep.LongRunning::targetMillis).orElse(0L))
         .build();
   }
 
@@ -73,7 +73,8 @@
             stored.getMostPerExecutor());
     return new BatchStep(
         stored.getCount(),
-        new Demand(stored.getMilliCores(), stored.getMemoryMegabytes(), stored.getAccelerators()),
+        new ResourceVector(
+            stored.getMilliCores(), stored.getMemoryMegabytes(), stored.getAccelerators()),
         stored.getEstimateMillis(),
         stored.getDependsOnList(),
         placement,
@@ -83,9 +84,9 @@
         lasting(stored));
   }
 
-  private static Optional<BatchStep.Lasting> lasting(StoredStep stored) {
+  private static Optional<BatchStep.LongRunning> lasting(StoredStep stored) {
     return stored.getLasting()
-        ? Optional.of(new BatchStep.Lasting(stored.getMissAllowed(), stored.getTargetMillis()))
+        ? Optional.of(new BatchStep.LongRunning(stored.getMissAllowed(), stored.getTargetMillis()))
         : Optional.empty();
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/CommitLoss.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/CommitFailure.java
@@ -1,7 +1,7 @@
 package org.fescuehook.logic.batch.store;
 
 /** Why a change was not confirmed as stored. */
-public enum CommitLoss {
+public enum CommitFailure {
   /** It was never sent, or the store reported that it did nothing. */
   NOT_STORED,
   /** It was sent, and ownership was lost before an answer arrived. */
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/Outstanding.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/PendingCall.java
@@ -2,14 +2,14 @@
 
 import java.time.Duration;
 import java.util.OptionalLong;
-import org.fescuehook.logic.batch.BatchTurn;
+import org.fescuehook.logic.batch.BatchContext;
 
 /**
  * Marks a call whose outcome is awaited, for a limited time. Without the limit, an outcome that is
  * lost by a fault of this VM would block its duty forever. Each call ends by its own timeout long
  * before.
  */
-public final class Outstanding {
+public final class PendingCall {
 
   /** For appends; longer than their own time limit and the transfer time of the largest. */
   public static final Duration APPEND = RepeatedAppend.LIMIT.plusSeconds(2);
@@ -28,13 +28,13 @@
    *
    * @param timeout time after which a set mark expires
    */
-  public Outstanding(Duration timeout) {
+  public PendingCall(Duration timeout) {
     this.timeoutNanos = timeout.toNanos();
   }
 
   /** Sets the mark: a call has begun. */
-  public void begin(BatchTurn turn) {
-    since = OptionalLong.of(turn.nowNanos());
+  public void begin(BatchContext context) {
+    since = OptionalLong.of(context.nowNanos());
   }
 
   /** Clears the mark: the outcome has arrived. */
@@ -43,7 +43,7 @@
   }
 
   /** Tells whether a call is under way whose outcome may still arrive. */
-  public boolean present(BatchTurn turn) {
-    return since.isPresent() && turn.nowNanos() - since.getAsLong() < timeoutNanos;
+  public boolean present(BatchContext context) {
+    return since.isPresent() && context.nowNanos() - since.getAsLong() < timeoutNanos;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/PendingChange.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/PendingChange.java
@@ -11,7 +11,7 @@
 
   final List<Runnable> onCommitted = new ArrayList<>();
   Supplier<Optional<byte[]>> encoder = Optional::empty;
-  Optional<Consumer<CommitLoss>> onLost = Optional.empty();
+  Optional<Consumer<CommitFailure>> onLost = Optional.empty();
   long waitingSince;
 
   /** Returns the newer change after adding the callbacks of this one to it. */
@@ -20,7 +20,7 @@
     return newer;
   }
 
-  void notifyLost(CommitLoss loss) {
+  void notifyLost(CommitFailure loss) {
     onLost.ifPresent(waiter -> waiter.accept(loss));
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/RepeatedAppend.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/RepeatedAppend.java
@@ -56,7 +56,7 @@
   private static final long BYTES_PER_MILLI = 875;
 
   private final Link link;
-  private final AnswerTimes times;
+  private final ResponseTimeEstimator times;
   private final Duration transferTime;
   private final Consumer<AppendOutcome> sink;
   private final long startedAt;
@@ -92,7 +92,8 @@
     }
   }
 
-  private RepeatedAppend(Link link, AnswerTimes times, int bytes, Consumer<AppendOutcome> sink) {
+  private RepeatedAppend(
+      Link link, ResponseTimeEstimator times, int bytes, Consumer<AppendOutcome> sink) {
     this.link = link;
     this.times = times;
     this.transferTime = Duration.ofMillis(bytes / BYTES_PER_MILLI);
@@ -108,7 +109,8 @@
    * @param bytes size of its records
    * @param sink called once with its outcome
    */
-  public static void begin(Link link, AnswerTimes times, int bytes, Consumer<AppendOutcome> sink) {
+  public static void begin(
+      Link link, ResponseTimeEstimator times, int bytes, Consumer<AppendOutcome> sink) {
     new RepeatedAppend(link, times, bytes, sink).send();
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/AnswerTimes.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/ResponseTimeEstimator.java
@@ -8,7 +8,7 @@
  * round-trip time (RFC 6298): with a smoothed time and a smoothed deviation. This distinguishes a
  * store that is slow from one whose answer was lost.
  */
-public final class AnswerTimes {
+public final class ResponseTimeEstimator {
 
   /** Longest time until an answer counts as late; callers have given up long before. */
   private static final Duration MAX_LATE_THRESHOLD = Duration.ofSeconds(5);
@@ -37,7 +37,7 @@
   private static final int MAX_GROWTH = 4;
 
   private final Duration minThreshold;
-  private final Optional<AnswerTimes> simplerCalls;
+  private final Optional<ResponseTimeEstimator> simplerCalls;
   private double smoothedNanos;
   private double deviationNanos;
   private boolean hasSample;
@@ -47,7 +47,7 @@
    *
    * @param minThreshold time within which no answer counts as late, even if the store is fast
    */
-  public AnswerTimes(Duration minThreshold) {
+  public ResponseTimeEstimator(Duration minThreshold) {
     this(minThreshold, Optional.empty());
   }
 
@@ -58,11 +58,12 @@
    * @param minThreshold time within which no answer counts as late, even if the store is fast
    * @param simplerCalls the estimator for the simpler calls
    */
-  public AnswerTimes(Duration minThreshold, AnswerTimes simplerCalls) {
+  public ResponseTimeEstimator(Duration minThreshold, ResponseTimeEstimator simplerCalls) {
     this(minThreshold, Optional.of(simplerCalls));
   }
 
-  private AnswerTimes(Duration minThreshold, Optional<AnswerTimes> simplerCalls) {
+  private ResponseTimeEstimator(
+      Duration minThreshold, Optional<ResponseTimeEstimator> simplerCalls) {
     this.minThreshold = minThreshold;
     this.simplerCalls = simplerCalls;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/SlidingWindowMaximum.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/SlidingWindowMaximum.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.Deque;
-import org.fescuehook.logic.batch.BatchTurn;
+import org.fescuehook.logic.batch.BatchContext;
 
 /**
  * The maximum of the durations measured within a sliding window. Unlike a mean, it shows at once
@@ -25,16 +25,17 @@
   private record Sample(long nanos, long at) {}
 
   /** Adds a duration that has just been measured. */
-  public void add(long nanos, BatchTurn turn) {
+  public void add(long nanos, BatchContext context) {
     while (!descending.isEmpty() && descending.getLast().nanos() <= nanos) {
       descending.removeLast();
     }
-    descending.addLast(new Sample(nanos, turn.nowNanos()));
+    descending.addLast(new Sample(nanos, context.nowNanos()));
   }
 
   /** Returns the maximum in nanoseconds; zero if there are no samples in the window. */
-  public long longest(BatchTurn turn) {
-    while (!descending.isEmpty() && turn.nowNanos() - descending.getFirst().at() > WINDOW_NANOS) {
+  public long longest(BatchContext context) {
+    while (!descending.isEmpty()
+        && context.nowNanos() - descending.getFirst().at() > WINDOW_NANOS) {
       descending.removeFirst();
     }
     return descending.isEmpty() ? 0 : descending.getFirst().nanos();
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/SlowStoreWatch.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/SlowStoreDetector.java
@@ -7,7 +7,7 @@
  * waits for the append under way and for its own, so a store that takes 0.7 s delays short jobs by
  * seconds, although nothing fails or is refused.
  */
-public final class SlowStoreWatch {
+public final class SlowStoreDetector {
 
   /**
    * Appends above this time count as slow. Each job goes through three of them, which use up the
@@ -21,7 +21,7 @@
   private boolean slow;
 
   /** The change that an append has shown. */
-  public enum Change {
+  public enum Transition {
     /** The store has become slow. */
     SLOWER,
     /** The store is fast again. */
@@ -31,15 +31,15 @@
   }
 
   /** Records how long an append took until it was stored. */
-  public Change stored(Duration time) {
+  public Transition stored(Duration time) {
     if (!slow && time.compareTo(SLOW_THRESHOLD) > 0) {
       slow = true;
-      return Change.SLOWER;
+      return Transition.SLOWER;
     }
     if (slow && time.compareTo(RECOVERY_THRESHOLD) < 0) {
       slow = false;
-      return Change.QUICKER;
+      return Transition.QUICKER;
     }
-    return Change.NONE;
+    return Transition.NONE;
   }
 }
