--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/StateWriter.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/StateWriter.java
@@ -13,7 +13,7 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import org.fescuehook.logic.batch.BatchCommand;
-import org.fescuehook.logic.batch.BatchTurn;
+import org.fescuehook.logic.batch.BatchContext;
 
 /**
  * Stores the state of the jobs by group commit: changes made while an append is in flight are sent
@@ -75,9 +75,9 @@
   private OptionalLong lastCommitAt = OptionalLong.empty();
 
   /** Creates a writer of an epoch that has not appended anything. */
-  public StateWriter(long epoch, BatchTurn turn) {
+  public StateWriter(long epoch, BatchContext context) {
     this.epoch = epoch;
-    this.pausedUntil = turn.nowNanos();
+    this.pausedUntil = context.nowNanos();
   }
 
   /**
@@ -101,12 +101,12 @@
       String key,
       Supplier<Optional<byte[]>> encoder,
       Runnable committed,
-      Consumer<CommitLoss> lost,
-      BatchTurn turn) {
+      Consumer<CommitFailure> lost,
+      BatchContext context) {
     put(key, encoder, committed);
     PendingChange change = pendingChanges.get(key);
     change.onLost = Optional.of(lost);
-    change.waitingSince = turn.nowNanos();
+    change.waitingSince = context.nowNanos();
   }
 
   /**
@@ -141,16 +141,16 @@
    * Sends pending changes if another append may be sent, or repeats the oldest append if that is
    * due.
    */
-  public void flush(BatchTurn turn) {
-    if (turn.nowNanos() - pausedUntil < 0) {
+  public void flush(BatchContext context) {
+    if (context.nowNanos() - pausedUntil < 0) {
       return;
     }
-    if (!inFlight.isEmpty() && !inFlight.getFirst().underWay.present(turn)) {
-      repeat(inFlight.getFirst(), turn);
+    if (!inFlight.isEmpty() && !inFlight.getFirst().underWay.present(context)) {
+      repeat(inFlight.getFirst(), context);
       return;
     }
-    if (!pendingChanges.isEmpty() && (inFlight.isEmpty() || mayOverlap(turn))) {
-      sendNext(turn);
+    if (!pendingChanges.isEmpty() && (inFlight.isEmpty() || mayOverlap(context))) {
+      sendNext(context);
     }
   }
 
@@ -159,29 +159,29 @@
    * epoch is stored, as an epoch may begin at any sequence number, nor while one has to be
    * repeated.
    */
-  private boolean mayOverlap(BatchTurn turn) {
+  private boolean mayOverlap(BatchContext context) {
     boolean steady = storedAt.isPresent() && troubleSince.isEmpty();
     if (!steady || inFlight.size() == MAX_IN_FLIGHT) {
       return false;
     }
     long overlapDelay = Math.max(MIN_OVERLAP_DELAY_NANOS, lastAppendNanos / OVERLAP_DELAY_DIVISOR);
-    boolean allUnderWay = inFlight.stream().allMatch(append -> append.underWay.present(turn));
-    return allUnderWay && turn.nowNanos() - inFlight.getLast().since >= overlapDelay;
+    boolean allUnderWay = inFlight.stream().allMatch(append -> append.underWay.present(context));
+    return allUnderWay && context.nowNanos() - inFlight.getLast().since >= overlapDelay;
   }
 
-  private void sendNext(BatchTurn turn) {
+  private void sendNext(BatchContext context) {
     InFlightAppend next =
-        new InFlightAppend(new WriterPosition(epoch, nextSequence), turn.nowNanos());
+        new InFlightAppend(new WriterPosition(epoch, nextSequence), context.nowNanos());
     nextSequence++;
     fill(next);
     inFlight.addLast(next);
-    send(next, turn);
+    send(next, context);
   }
 
-  private void repeat(InFlightAppend oldest, BatchTurn turn) {
+  private void repeat(InFlightAppend oldest, BatchContext context) {
     // Without an outcome of the last send, the records may have been stored by it.
     oldest.knownNotStored = oldest.knownNotStored && !oldest.unanswered;
-    send(oldest, turn);
+    send(oldest, context);
   }
 
   /** Tells whether no change is pending or in flight. */
@@ -190,29 +190,30 @@
   }
 
   /** Gives up pending changes that may be given up if the store is unavailable. */
-  public void expire(BatchTurn turn) {
-    if (!storeAway(turn)) {
+  public void expire(BatchContext context) {
+    if (!storeAway(context)) {
       return;
     }
-    List<Consumer<CommitLoss>> expiredCallbacks = new ArrayList<>();
+    List<Consumer<CommitFailure>> expiredCallbacks = new ArrayList<>();
     Iterator<PendingChange> changes = pendingChanges.values().iterator();
     while (changes.hasNext()) {
       PendingChange change = changes.next();
-      boolean old = turn.nowNanos() - change.waitingSince > unavailableAfterNanos(turn);
+      boolean old = context.nowNanos() - change.waitingSince > unavailableAfterNanos(context);
       if (old && change.onLost.isPresent()) {
         expiredCallbacks.add(change.onLost.get());
         changes.remove();
       }
     }
-    expiredCallbacks.forEach(lost -> lost.accept(CommitLoss.NOT_STORED));
+    expiredCallbacks.forEach(lost -> lost.accept(CommitFailure.NOT_STORED));
   }
 
   /** Tells whether the store has not stored anything for a while although there were appends. */
-  public boolean storeAway(BatchTurn turn) {
-    long unavailableAfter = unavailableAfterNanos(turn);
-    boolean unanswered = !inFlight.isEmpty() && oldestWaitNanos(turn) > unavailableAfter;
+  public boolean storeAway(BatchContext context) {
+    long unavailableAfter = unavailableAfterNanos(context);
+    boolean unanswered = !inFlight.isEmpty() && oldestWaitNanos(context) > unavailableAfter;
     boolean failing =
-        troubleSince.isPresent() && turn.nowNanos() - troubleSince.getAsLong() > unavailableAfter;
+        troubleSince.isPresent()
+            && context.nowNanos() - troubleSince.getAsLong() > unavailableAfter;
     return unanswered || failing;
   }
 
@@ -220,8 +221,8 @@
    * Returns the time without success after which the store counts as unavailable. It allows twice
    * the duration of an append, for one that waits for another first.
    */
-  private long unavailableAfterNanos(BatchTurn turn) {
-    long append = Math.max(appendTimes.longest(turn), otherStreamAppendNanos);
+  private long unavailableAfterNanos(BatchContext context) {
+    long append = Math.max(appendTimes.longest(context), otherStreamAppendNanos);
     return Math.max(MIN_UNAVAILABLE_NANOS, 2 * append);
   }
 
@@ -235,21 +236,21 @@
    *
    * @param append duration of one append, in nanoseconds
    */
-  public long storedInNanos(long append, BatchTurn turn) {
+  public long storedInNanos(long append, BatchContext context) {
     if (inFlight.isEmpty()) {
       return append;
     }
     boolean full = inFlight.size() == MAX_IN_FLIGHT;
     InFlightAppend awaited = full ? inFlight.getFirst() : inFlight.getLast();
     long nextSendAfter = full ? append : append / OVERLAP_DELAY_DIVISOR;
-    return append + Math.max(0, nextSendAfter - (turn.nowNanos() - awaited.since));
+    return append + Math.max(0, nextSendAfter - (context.nowNanos() - awaited.since));
   }
 
   /** Returns how long the oldest append has been in flight without waiting for an earlier one. */
-  private long oldestWaitNanos(BatchTurn turn) {
+  private long oldestWaitNanos(BatchContext context) {
     long since = inFlight.getFirst().since;
     boolean waitedForEarlier = lastCommitAt.isPresent() && lastCommitAt.getAsLong() - since > 0;
-    return turn.nowNanos() - (waitedForEarlier ? lastCommitAt.getAsLong() : since);
+    return context.nowNanos() - (waitedForEarlier ? lastCommitAt.getAsLong() : since);
   }
 
   /**
@@ -272,7 +273,7 @@
    *
    * @return false if it shows that ownership is lost
    */
-  public boolean answered(WriterPosition position, AppendOutcome outcome, BatchTurn turn) {
+  public boolean answered(WriterPosition position, AppendOutcome outcome, BatchContext context) {
     Optional<InFlightAppend> found =
         inFlight.stream().filter(current -> current.position.equals(position)).findFirst();
     if (found.isEmpty()) {
@@ -282,21 +283,21 @@
     current.outcomeReceived();
     return switch (outcome) {
       case AppendOutcome.Stored stored -> {
-        commitUpTo(current, turn);
+        commitUpTo(current, context);
         yield true;
       }
       case AppendOutcome.Refused refused -> {
-        pause(turn);
+        pause(context);
         requeueUnstored();
         yield true;
       }
       case AppendOutcome.Unanswered unanswered -> {
         current.knownNotStored = false;
-        pause(turn);
+        pause(context);
         yield true;
       }
       case AppendOutcome.OutOfSequence(long expected) ->
-          handleOutOfSequence(current, expected, turn);
+          handleOutOfSequence(current, expected, context);
       case AppendOutcome.Fenced fenced -> false;
       case AppendOutcome.Conflict conflict -> false;
     };
@@ -306,20 +307,21 @@
    * Handles an append that arrived out of sequence. If it overtook an earlier one, nothing was
    * stored and it is sent again; otherwise the epoch belongs to another writer.
    */
-  private boolean handleOutOfSequence(InFlightAppend current, long expected, BatchTurn turn) {
+  private boolean handleOutOfSequence(InFlightAppend current, long expected, BatchContext context) {
     boolean overtook = storedAt.isPresent() && expected < current.position.sequence();
     if (overtook && current == inFlight.getFirst()) {
-      pause(turn);
+      pause(context);
     }
     return overtook;
   }
 
   /** Gives up all changes that are not confirmed as stored, since ownership is lost. */
   public void close() {
-    pendingChanges.values().forEach(change -> change.notifyLost(CommitLoss.NOT_STORED));
+    pendingChanges.values().forEach(change -> change.notifyLost(CommitFailure.NOT_STORED));
     pendingChanges.clear();
     for (InFlightAppend current : inFlight) {
-      CommitLoss loss = current.certainlyNotStored() ? CommitLoss.NOT_STORED : CommitLoss.UNKNOWN;
+      CommitFailure loss =
+          current.certainlyNotStored() ? CommitFailure.NOT_STORED : CommitFailure.UNKNOWN;
       current.changes.values().forEach(change -> change.notifyLost(loss));
     }
     inFlight.clear();
@@ -338,14 +340,14 @@
     }
   }
 
-  private void send(InFlightAppend current, BatchTurn turn) {
-    current.underWay.begin(turn);
+  private void send(InFlightAppend current, BatchContext context) {
+    current.underWay.begin(context);
     if (!current.unanswered) {
       // Otherwise an outcome that arrives may belong to the previous send.
-      current.sentAt = turn.nowNanos();
+      current.sentAt = context.nowNanos();
     }
     current.unanswered = true;
-    turn.add(
+    context.add(
         new BatchCommand.Append(
             StreamName.STATE, current.position, OptionalLong.empty(), current.records));
   }
@@ -354,12 +356,12 @@
    * Confirms all changes up to an append that is stored, since all appends before it are stored
    * too.
    */
-  private void commitUpTo(InFlightAppend last, BatchTurn turn) {
+  private void commitUpTo(InFlightAppend last, BatchContext context) {
     troubleSince = OptionalLong.empty();
     storedAt = OptionalLong.of(last.sentAt);
-    lastCommitAt = OptionalLong.of(turn.nowNanos());
-    lastAppendNanos = turn.nowNanos() - last.sentAt;
-    appendTimes.add(lastAppendNanos, turn);
+    lastCommitAt = OptionalLong.of(context.nowNanos());
+    lastAppendNanos = context.nowNanos() - last.sentAt;
+    appendTimes.add(lastAppendNanos, context);
     boolean more = true;
     while (more) {
       InFlightAppend stored = inFlight.removeFirst();
@@ -387,10 +389,10 @@
     newer.forEach((key, change) -> pendingChanges.merge(key, change, PendingChange::supersededBy));
   }
 
-  private void pause(BatchTurn turn) {
-    pausedUntil = turn.nowNanos() + RETRY_PAUSE_NANOS;
+  private void pause(BatchContext context) {
+    pausedUntil = context.nowNanos() + RETRY_PAUSE_NANOS;
     if (troubleSince.isEmpty()) {
-      troubleSince = OptionalLong.of(turn.nowNanos());
+      troubleSince = OptionalLong.of(context.nowNanos());
     }
   }
 
@@ -400,7 +402,7 @@
     private final long since;
     private final List<KeyedRecord> records = new ArrayList<>();
     private final Map<String, PendingChange> changes = new LinkedHashMap<>();
-    private final Outstanding underWay = new Outstanding(Outstanding.APPEND);
+    private final PendingCall underWay = new PendingCall(PendingCall.APPEND);
 
     private long sentAt;
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/FleetChecks.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/FleetChecks.java
@@ -11,7 +11,7 @@
 import org.fescuehook.logic.ini.Fault;
 import org.fescuehook.logic.ini.IniSection;
 import org.fescuehook.logic.ini.Key;
-import org.fescuehook.logic.ini.Place;
+import org.fescuehook.logic.ini.SourceLocation;
 import org.fescuehook.model.fleet.Executor;
 import org.fescuehook.model.fleet.RackId;
 import org.fescuehook.model.fleet.Worker;
@@ -44,7 +44,7 @@
     if (!fleetDeclared && items.document().complete()) {
       faults.add(
           new Fault(
-              Place.ofFile(String.join(", ", items.document().files())),
+              SourceLocation.ofFile(String.join(", ", items.document().files())),
               "",
               "the fleet is empty",
               "at least one [worker NAME], [workers NAME-{1..9}], [executor NAME] or"
--- a/fescuehook/src/main/java/org/fescuehook/logic/configuration/Placed.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/configuration/Placed.java
@@ -4,7 +4,7 @@
 import org.fescuehook.logic.ini.IniEntry;
 import org.fescuehook.logic.ini.IniSection;
 import org.fescuehook.logic.ini.Key;
-import org.fescuehook.logic.ini.Place;
+import org.fescuehook.logic.ini.SourceLocation;
 
 /**
  * A declared item with the section that declares it.
@@ -21,7 +21,7 @@
 
   /** Returns a fault of one of its keys. */
   Fault fault(Key<?> key, String problem, String accepted) {
-    Place place =
+    SourceLocation place =
         section.entry(key.name()).map(IniEntry::place).orElse(section.place().withKey(key.name()));
     String value = section.entry(key.name()).map(IniEntry::value).orElse("");
     return new Fault(place, value, problem, accepted);
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ControlCore.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ControlCore.java
@@ -24,8 +24,8 @@
 import org.fescuehook.logic.control.state.ControlState;
 import org.fescuehook.logic.control.state.FoldResult;
 import org.fescuehook.logic.control.state.RecordSubject;
+import org.fescuehook.logic.scheduling.FaultyWorkerDetector;
 import org.fescuehook.logic.scheduling.Scheduler;
-import org.fescuehook.logic.scheduling.WorkerJudge;
 import org.fescuehook.model.configuration.Configuration;
 import org.fescuehook.model.configuration.Declarations;
 import org.fescuehook.model.fleet.VmId;
@@ -78,7 +78,7 @@
     writer = new RecordWriter(vm, incarnation);
     owner = new OwnerDuty(vm, incarnation, preferences, writer, reader, peers);
     gangs = new GangDuty(preferences, writer, peers);
-    plans = new PlanDuty(scheduler, new WorkerJudge(), writer, gangs);
+    plans = new PlanDuty(scheduler, new FaultyWorkerDetector(), writer, gangs);
     jobEnds = new JobEndDuty(writer);
     shares = new ShareDuty(writer, peers);
     shareHolder = new ShareHolder(vm, peers);
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/planning/PlanDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/planning/PlanDuty.java
@@ -11,8 +11,8 @@
 import org.fescuehook.logic.control.gang.GangDuty;
 import org.fescuehook.logic.control.state.ControlState;
 import org.fescuehook.logic.control.state.JobState;
+import org.fescuehook.logic.scheduling.FaultyWorkerDetector;
 import org.fescuehook.logic.scheduling.Scheduler;
-import org.fescuehook.logic.scheduling.WorkerJudge;
 import org.fescuehook.model.configuration.Declarations;
 import org.fescuehook.model.fleet.WorkerId;
 import org.fescuehook.wire.AttemptPlanned;
@@ -27,7 +27,7 @@
  */
 public final class PlanDuty {
   private final Scheduler scheduler;
-  private final WorkerJudge judge;
+  private final FaultyWorkerDetector judge;
   private final RecordWriter writer;
   private final GangDuty gangs;
   private final Set<Long> unread = new HashSet<>();
@@ -35,7 +35,8 @@
   private boolean changed = true;
 
   /** Creates a duty that has planned nothing. */
-  public PlanDuty(Scheduler scheduler, WorkerJudge judge, RecordWriter writer, GangDuty gangs) {
+  public PlanDuty(
+      Scheduler scheduler, FaultyWorkerDetector judge, RecordWriter writer, GangDuty gangs) {
     this.scheduler = scheduler;
     this.judge = judge;
     this.writer = writer;
@@ -140,7 +141,8 @@
     };
   }
 
-  private void quarantine(WorkerJudge.Judgement judgement, ControlState state, Turn turn) {
+  private void quarantine(
+      FaultyWorkerDetector.Quarantine judgement, ControlState state, Turn turn) {
     turn.note(
         ControlLogEvent.WORKER_QUARANTINED,
         judgement.worker(),
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/planning/ViewBuilder.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/planning/ViewBuilder.java
@@ -20,13 +20,13 @@
   /** Builds the view; {@code unavailable} workers get nothing new, nor do quarantined ones. */
   public static Scheduler.View build(
       ControlState state, Declarations declarations, Set<WorkerId> unavailable, long wallMillis) {
-    List<Scheduler.Waiting> waiting = new ArrayList<>();
+    List<Scheduler.WaitingJob> waiting = new ArrayList<>();
     for (JobState job : state.jobs().waiting()) {
       if (runnable(job, declarations)) {
         waiting.add(job.asWaiting());
       }
     }
-    List<Scheduler.Running> running = new ArrayList<>();
+    List<Scheduler.RunningAttempt> running = new ArrayList<>();
     for (JobState job : state.jobs().live()) {
       running.add(job.asRunning());
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/state/JobState.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/state/JobState.java
@@ -94,17 +94,17 @@
   }
 
   /** Returns the job as the scheduling policy sees it while it waits. */
-  public Scheduler.Waiting asWaiting() {
+  public Scheduler.WaitingJob asWaiting() {
     Set<WorkerId> avoid = new HashSet<>();
     for (String worker : facts.getAvoidList()) {
       avoid.add(new WorkerId(worker));
     }
-    return new Scheduler.Waiting(job, facts.getFailures(), facts.getKeptSeconds(), avoid);
+    return new Scheduler.WaitingJob(job, facts.getFailures(), facts.getKeptSeconds(), avoid);
   }
 
   /** Returns the live attempt as the scheduling policy sees it. */
-  public Scheduler.Running asRunning() {
-    return new Scheduler.Running(
+  public Scheduler.RunningAttempt asRunning() {
+    return new Scheduler.RunningAttempt(
         job,
         attempt(),
         new Placement(workers()),
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ClaimDesk.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/ClaimDesk.java
@@ -35,7 +35,7 @@
   private final OpenRequests requests;
   private final ClaimBook book;
   private final ClaimBatcher batcher;
-  private final OwnOutcomes own;
+  private final LocalOutcomes own;
   private final Consumer<OpenRequest> winner;
   private final Consumer<DispatchCommand> out;
   private final Map<String, OpenRequest> awaiting = new HashMap<>();
@@ -54,7 +54,7 @@
       OpenRequests requests,
       ClaimBook book,
       ClaimBatcher batcher,
-      OwnOutcomes own,
+      LocalOutcomes own,
       Consumer<OpenRequest> winner,
       Consumer<DispatchCommand> out) {
     this.vm = vm.value();
@@ -71,7 +71,7 @@
     return key(request.facts);
   }
 
-  private static RequestKey key(RequestFacts facts) {
+  private static RequestKey key(RequestAttributes facts) {
     return RequestKey.newBuilder()
         .setOrganisation(facts.organisation().value())
         .setRequestId(facts.requestId().orElseThrow())
@@ -79,7 +79,7 @@
   }
 
   /** Tells whether the request's id is claimed. */
-  boolean knows(RequestFacts facts) {
+  boolean knows(RequestAttributes facts) {
     return book.find(key(facts)).isPresent();
   }
 
@@ -225,7 +225,7 @@
   }
 
   /** Records the answer to a claimed request. */
-  void answered(OpenRequest request, DispatchEnd.Answered answered) {
+  void answered(OpenRequest request, DispatchResult.Answered answered) {
     if (!request.claimWon) {
       return;
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/DispatchCore.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/DispatchCore.java
@@ -45,7 +45,7 @@
       IdentityPreferences identity,
       String incarnation,
       RequestPreferences preferences,
-      OwnOutcomes own,
+      LocalOutcomes own,
       RandomGenerator random,
       Consumer<DispatchCommand> out) {
     ClaimBook book = new ClaimBook(preferences.claimWindow().toMillis());
@@ -95,7 +95,7 @@
     claims.append(now);
   }
 
-  private void arrived(long ticket, RequestFacts facts) {
+  private void arrived(long ticket, RequestAttributes facts) {
     // What is known of an id is told whatever the load: a refusal as not run would mislead.
     boolean known = facts.claimed() && claims.knows(facts);
     Optional<RefusalReason> refusal = refusal(facts);
@@ -111,7 +111,7 @@
     slots.enqueue(request, now);
   }
 
-  private Optional<RefusalReason> refusal(RequestFacts facts) {
+  private Optional<RefusalReason> refusal(RequestAttributes facts) {
     if (!ready) {
       return Optional.of(whyNotReady);
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/DispatchEvent.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/DispatchEvent.java
@@ -14,13 +14,13 @@
 public sealed interface DispatchEvent {
 
   /** A caller sent a whole request. */
-  record Arrived(long ticket, RequestFacts facts) implements DispatchEvent {}
+  record Arrived(long ticket, RequestAttributes facts) implements DispatchEvent {}
 
   /** The caller of a request is gone. */
   record Cancelled(long ticket) implements DispatchEvent {}
 
   /** A dispatch ended. */
-  record DispatchEnded(long ticket, DispatchEnd end, long tookMillis) implements DispatchEvent {}
+  record DispatchEnded(long ticket, DispatchResult end, long tookMillis) implements DispatchEvent {}
 
   /** A pooled connection to an executor gave no sign of life. */
   record PathSuspected(ExecutorId executor) implements DispatchEvent {}
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/DispatchEnd.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/DispatchResult.java
@@ -1,7 +1,7 @@
 package org.fescuehook.logic.dispatch;
 
 /** How one dispatch of a request to an executor ended. */
-public sealed interface DispatchEnd {
+public sealed interface DispatchResult {
 
   /**
    * A whole answer came.
@@ -11,13 +11,13 @@
    * @param kept whether {@code body} is the whole body
    */
   record Answered(int status, String contentType, byte[] body, boolean kept)
-      implements DispatchEnd {}
+      implements DispatchResult {}
 
   /** No byte of the request was written to a connection. */
-  record NotSent(NotSentCause cause) implements DispatchEnd {}
+  record NotSent(NotSentCause cause) implements DispatchResult {}
 
   /** The executor answered that it has not run the request. */
-  record RefusedNotRun() implements DispatchEnd {}
+  record RefusedNotRun() implements DispatchResult {}
 
   /**
    * A byte may have been written and no whole answer came.
@@ -26,7 +26,7 @@
    * @param freshConnection whether the connection was opened for this request
    */
   record Failed(FailureKind kind, boolean answerStarted, boolean freshConnection)
-      implements DispatchEnd {}
+      implements DispatchResult {}
 
   /** Why nothing was written. */
   enum NotSentCause {
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/HealthWatch.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/HealthWatch.java
@@ -2,8 +2,8 @@
 
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.fescuehook.logic.dispatch.DispatchEnd.FailureKind;
-import org.fescuehook.logic.dispatch.DispatchEnd.NotSentCause;
+import org.fescuehook.logic.dispatch.DispatchResult.FailureKind;
+import org.fescuehook.logic.dispatch.DispatchResult.NotSentCause;
 import org.fescuehook.model.fleet.ExecutorId;
 
 /** Ejects executors that fail, telling a dead path from a dead executor, under a cap. */
@@ -17,25 +17,25 @@
   }
 
   /** Notes how a dispatch ended. */
-  void ended(ExecutorId executor, DispatchEnd end, long nowMillis) {
+  void ended(ExecutorId executor, DispatchResult end, long nowMillis) {
     Optional<ExecutorHealth> health = executors.health(executor);
     if (health.isEmpty()) {
       return;
     }
     switch (end) {
-      case DispatchEnd.Answered _ -> health.get().succeeded(nowMillis);
-      case DispatchEnd.RefusedNotRun _ -> health.get().pause(nowMillis);
-      case DispatchEnd.NotSent notSent -> {
+      case DispatchResult.Answered _ -> health.get().succeeded(nowMillis);
+      case DispatchResult.RefusedNotRun _ -> health.get().pause(nowMillis);
+      case DispatchResult.NotSent notSent -> {
         if (notSent.cause() == NotSentCause.CONNECT_FAILED && health.get().failed()) {
           eject(executor, health.get(), nowMillis);
         }
       }
-      case DispatchEnd.Failed failed -> failed(executor, health.get(), failed, nowMillis);
+      case DispatchResult.Failed failed -> failed(executor, health.get(), failed, nowMillis);
     }
   }
 
   private void failed(
-      ExecutorId executor, ExecutorHealth health, DispatchEnd.Failed failed, long nowMillis) {
+      ExecutorId executor, ExecutorHealth health, DispatchResult.Failed failed, long nowMillis) {
     boolean enough = health.failed();
     if (failed.kind() == FailureKind.BAD_ANSWER) {
       if (enough) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/OwnOutcomes.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/LocalOutcomes.java
@@ -9,7 +9,7 @@
 import org.fescuehook.wire.RequestOutcome;
 
 /** What this VM knows of the request ids that it claimed; asked by peers from other threads. */
-public final class OwnOutcomes {
+public final class LocalOutcomes {
   private static final int MOST_SETTLED = 2048;
 
   private record Known(String token, Optional<RequestOutcome> outcome) {}
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/OpenRequest.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/OpenRequest.java
@@ -22,7 +22,7 @@
   }
 
   final long ticket;
-  final RequestFacts facts;
+  final RequestAttributes facts;
   final List<ExecutorId> tried = new ArrayList<>(0);
   State state = State.QUEUED;
   Optional<ExecutorId> executor = Optional.empty();
@@ -35,7 +35,7 @@
   // Set once a byte may have reached an executor that did not deny having run the request.
   boolean mayHaveRun;
 
-  OpenRequest(long ticket, RequestFacts facts) {
+  OpenRequest(long ticket, RequestAttributes facts) {
     this.ticket = ticket;
     this.facts = facts;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/OpenRequests.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/OpenRequests.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 import org.fescuehook.model.organisation.OrganisationId;
-import org.fescuehook.model.request.Ran;
+import org.fescuehook.model.request.ExecutionStatus;
 import org.fescuehook.model.request.RefusalReason;
 
 /** All requests that have not been answered, and the ways to answer one. */
@@ -34,7 +34,7 @@
     this.random = random;
   }
 
-  OpenRequest add(long ticket, RequestFacts facts) {
+  OpenRequest add(long ticket, RequestAttributes facts) {
     OpenRequest request = new OpenRequest(ticket, facts);
     open.put(ticket, request);
     inFlight.merge(facts.organisation(), 1, Integer::sum);
@@ -84,7 +84,7 @@
   }
 
   private static RefusalReason truthful(OpenRequest request, RefusalReason reason) {
-    if (!request.mayHaveRun || reason.ran() != Ran.NO) {
+    if (!request.mayHaveRun || reason.ran() != ExecutionStatus.NO) {
       return reason;
     }
     return reason == RefusalReason.DEADLINE_BEFORE_DISPATCH
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/RequestFacts.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/RequestAttributes.java
@@ -13,7 +13,7 @@
  * @param repeatable whether running it twice does no harm
  * @param deadlineMillis monotonic time until which the caller waits
  */
-public record RequestFacts(
+public record RequestAttributes(
     OrganisationId organisation,
     Optional<String> requestId,
     RequestDigest digest,
--- a/fescuehook/src/main/java/org/fescuehook/logic/dispatch/SlotDispatcher.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/dispatch/SlotDispatcher.java
@@ -5,8 +5,8 @@
 import java.util.OptionalLong;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
-import org.fescuehook.logic.dispatch.DispatchEnd.FailureKind;
-import org.fescuehook.logic.dispatch.DispatchEnd.NotSentCause;
+import org.fescuehook.logic.dispatch.DispatchResult.FailureKind;
+import org.fescuehook.logic.dispatch.DispatchResult.NotSentCause;
 import org.fescuehook.model.fleet.ExecutorId;
 import org.fescuehook.model.organisation.OrganisationId;
 import org.fescuehook.model.preferences.RequestPreferences;
@@ -57,7 +57,7 @@
   }
 
   /** Returns why a new request could not be dispatched in time; empty if it can be. */
-  Optional<RefusalReason> hopeless(RequestFacts facts, long nowMillis) {
+  Optional<RefusalReason> hopeless(RequestAttributes facts, long nowMillis) {
     FairQueue queue = queue(facts);
     if (queue.size() >= preferences.queueLength()) {
       return Optional.of(RefusalReason.QUEUE_FULL);
@@ -74,7 +74,7 @@
     return late ? Optional.of(RefusalReason.NO_EXECUTOR) : Optional.empty();
   }
 
-  private FairQueue queue(RequestFacts facts) {
+  private FairQueue queue(RequestAttributes facts) {
     return facts.urgent() ? urgent : normal;
   }
 
@@ -150,26 +150,26 @@
   }
 
   /** Takes the end of a dispatch. */
-  void ended(OpenRequest request, DispatchEnd end, long tookMillis, long nowMillis) {
+  void ended(OpenRequest request, DispatchResult end, long tookMillis, long nowMillis) {
     ExecutorId executor = request.executor.orElseThrow();
     executors.release(executor);
     request.executor = Optional.empty();
     health.ended(executor, end, nowMillis);
     switch (end) {
-      case DispatchEnd.Answered answered -> {
+      case DispatchResult.Answered answered -> {
         serviceTime.took(tookMillis);
         claims.answered(request, answered);
         requests.finish(request);
       }
-      case DispatchEnd.NotSent notSent -> notSent(request, executor, notSent.cause(), nowMillis);
-      case DispatchEnd.RefusedNotRun() ->
+      case DispatchResult.NotSent notSent -> notSent(request, executor, notSent.cause(), nowMillis);
+      case DispatchResult.RefusedNotRun() ->
           retry(
               request,
               executor,
               RetryReason.REFUSED_NOT_RUN,
               RefusalReason.EXECUTORS_REFUSED,
               nowMillis);
-      case DispatchEnd.Failed failed -> failed(request, executor, failed, nowMillis);
+      case DispatchResult.Failed failed -> failed(request, executor, failed, nowMillis);
     }
     dispatchWaiting(nowMillis);
   }
@@ -193,7 +193,7 @@
   }
 
   private void failed(
-      OpenRequest request, ExecutorId executor, DispatchEnd.Failed failed, long nowMillis) {
+      OpenRequest request, ExecutorId executor, DispatchResult.Failed failed, long nowMillis) {
     request.mayHaveRun = true;
     if (failed.answerStarted()) {
       // The caller's connection is cut by whoever passes the answer on.
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/Fault.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/Fault.java
@@ -10,7 +10,7 @@
  * @param problem what is wrong with it
  * @param accepted what would be accepted
  */
-public record Fault(Place place, String value, String problem, String accepted) {
+public record Fault(SourceLocation place, String value, String problem, String accepted) {
 
   /** Order of files, then lines, then text. */
   public static final Comparator<Fault> BY_PLACE =
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/IniEntry.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/IniEntry.java
@@ -6,7 +6,7 @@
  * @param place where the key stands
  * @param value its value, without quotes and comments
  */
-public record IniEntry(Place place, String value) {
+public record IniEntry(SourceLocation place, String value) {
 
   /** Returns the key. */
   public String key() {
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/IniParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/IniParser.java
@@ -27,7 +27,7 @@
   public IniDocument parse(List<IniSource> sources) {
     List<IniSection> sections = new ArrayList<>();
     List<Fault> faults = new ArrayList<>();
-    Map<String, Place> seen = new HashMap<>();
+    Map<String, SourceLocation> seen = new HashMap<>();
     boolean complete = true;
     for (IniSource source : sources) {
       try {
@@ -42,7 +42,8 @@
   }
 
   private static List<IniSection> parseFile(
-      IniSource source, Map<String, Place> seen, List<Fault> faults) throws FaultyInputException {
+      IniSource source, Map<String, SourceLocation> seen, List<Fault> faults)
+      throws FaultyInputException {
     String text = new Utf8Decoder().decode(source);
     LineScan scan = new LineScan(source.file(), text);
     faults.addAll(scan.faults());
@@ -53,7 +54,7 @@
     List<IniSection> sections = new ArrayList<>();
     for (LineScan.Header header : scan.headers()) {
       String name = header.place().section();
-      Place first = seen.putIfAbsent(name, header.place());
+      SourceLocation first = seen.putIfAbsent(name, header.place());
       if (first != null) {
         faults.add(repeatedSection(header.place(), first));
         continue;
@@ -73,16 +74,16 @@
     } catch (ConfigurationException | IOException e) {
       String problem = "cannot be parsed: " + e.getMessage();
       throw new FaultyInputException(
-          List.of(new Fault(Place.ofFile(file), "", problem, "INI text")));
+          List.of(new Fault(SourceLocation.ofFile(file), "", problem, "INI text")));
     }
     return configuration.getNodeModel().getInMemoryRepresentation();
   }
 
   private static List<IniEntry> entries(
-      Optional<ImmutableNode> node, List<Place> keys, List<Fault> faults) {
+      Optional<ImmutableNode> node, List<SourceLocation> keys, List<Fault> faults) {
     List<IniEntry> entries = new ArrayList<>();
     Set<String> seen = new HashSet<>();
-    for (Place key : keys) {
+    for (SourceLocation key : keys) {
       if (!seen.add(key.key())) {
         faults.add(new Fault(key, "", "is given twice in this section", "one value for each key"));
         continue;
@@ -106,7 +107,7 @@
     return Optional.empty();
   }
 
-  private static Fault repeatedSection(Place header, Place first) {
+  private static Fault repeatedSection(SourceLocation header, SourceLocation first) {
     String problem = "section is given twice; the first is at " + first.file() + ":" + first.line();
     return new Fault(header, "", problem, "each section once");
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/IniSection.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/IniSection.java
@@ -9,7 +9,7 @@
  * @param place where its header stands
  * @param entries its keys in the order of their lines, each key once
  */
-public record IniSection(Place place, List<IniEntry> entries) {
+public record IniSection(SourceLocation place, List<IniEntry> entries) {
 
   /** Copies the list. */
   public IniSection {
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/LineScan.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/LineScan.java
@@ -16,7 +16,7 @@
    * @param place where it stands
    * @param keys places of the keys up to the next header
    */
-  record Header(Place place, List<Place> keys) {}
+  record Header(SourceLocation place, List<SourceLocation> keys) {}
 
   /** Scans the text. */
   LineScan(String file, String text) {
@@ -45,7 +45,7 @@
       }
       if (line.startsWith("[") && line.endsWith("]")) {
         String name = line.substring(1, line.length() - 1);
-        headers.add(new Header(new Place(file, number, name, ""), new ArrayList<>()));
+        headers.add(new Header(new SourceLocation(file, number, name, ""), new ArrayList<>()));
         continue;
       }
       scanKey(number, line);
@@ -54,13 +54,13 @@
 
   private void scanKey(int number, String line) {
     String section = headers.isEmpty() ? "" : headers.getLast().place().section();
-    Place place = new Place(file, number, section, "");
+    SourceLocation place = new SourceLocation(file, number, section, "");
     int separator = line.indexOf('=');
     if (separator <= 0) {
       faults.add(new Fault(place, "", "\"" + line + "\" is no key with a value", "key = value"));
       return;
     }
-    Place key = place.withKey(line.substring(0, separator).trim());
+    SourceLocation key = place.withKey(line.substring(0, separator).trim());
     if (headers.isEmpty()) {
       faults.add(new Fault(key, "", "stands before any section", "a [section] line above it"));
       return;
@@ -70,7 +70,7 @@
   }
 
   /** Refuses what the INI library would read as more or less than the line shows. */
-  private void scanValue(Place key, String value) {
+  private void scanValue(SourceLocation key, String value) {
     if (value.endsWith("\\")) {
       faults.add(new Fault(key, value, "goes on in the next line", "each value on one line"));
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/SectionReader.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/SectionReader.java
@@ -63,7 +63,7 @@
   }
 
   /** Returns the place of a key, or of the section if the key is not given. */
-  public Place place(Key<?> key) {
+  public SourceLocation place(Key<?> key) {
     return section
         .entry(key.name())
         .map(IniEntry::place)
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/Place.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/SourceLocation.java
@@ -8,16 +8,16 @@
  * @param section name of the section; empty if none is meant
  * @param key name of the key; empty if none is meant
  */
-public record Place(String file, int line, String section, String key) {
+public record SourceLocation(String file, int line, String section, String key) {
 
   /** Returns the place of a file as a whole. */
-  public static Place ofFile(String file) {
-    return new Place(file, 0, "", "");
+  public static SourceLocation ofFile(String file) {
+    return new SourceLocation(file, 0, "", "");
   }
 
   /** Returns the place of another key of the same section, on the same line. */
-  public Place withKey(String other) {
-    return new Place(file, line, section, other);
+  public SourceLocation withKey(String other) {
+    return new SourceLocation(file, line, section, other);
   }
 
   @Override
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/Utf8Decoder.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/Utf8Decoder.java
@@ -36,6 +36,6 @@
     String problem =
         "byte 0x%02x at column %d (offset %d) is not UTF-8"
             .formatted(source.content()[position] & 0xff, column, position);
-    return new Fault(new Place(source.file(), line, "", ""), "", problem, "text in UTF-8");
+    return new Fault(new SourceLocation(source.file(), line, "", ""), "", problem, "text in UTF-8");
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/membership/Readiness.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/membership/Readiness.java
@@ -22,7 +22,7 @@
   }
 
   /** Returns why this VM cannot do work; empty if it can. */
-  public Optional<NotReady> judge(Facts facts, long nowNanos) {
+  public Optional<NotReady> judge(Inputs facts, long nowNanos) {
     if (!facts.configured) {
       return Optional.of(NotReady.NO_CONFIGURATION);
     }
@@ -88,7 +88,7 @@
    *     current, and peers that do not reach it either show an outage of the log
    * @param behindSinceNanos since when a peer has had a newer configuration
    */
-  public record Facts(
+  public record Inputs(
       boolean configured,
       boolean slots,
       boolean caughtUp,
--- a/fescuehook/src/main/java/org/fescuehook/logic/preferences/SettingsValues.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/preferences/SettingsValues.java
@@ -9,8 +9,8 @@
 import org.fescuehook.logic.ini.IniDocument;
 import org.fescuehook.logic.ini.IniSection;
 import org.fescuehook.logic.ini.Key;
-import org.fescuehook.logic.ini.Place;
 import org.fescuehook.logic.ini.SectionReader;
+import org.fescuehook.logic.ini.SourceLocation;
 
 /** Values of all keys of one settings file, with the faults of those that are malformed. */
 final class SettingsValues {
@@ -70,7 +70,7 @@
   }
 
   private void readSection(String file, IniDocument document, String name) {
-    IniSection absent = new IniSection(new Place(file, 0, name, ""), List.of());
+    IniSection absent = new IniSection(new SourceLocation(file, 0, name, ""), List.of());
     SectionReader reader = new SectionReader(document.section(name).orElse(absent), faults);
     List<Key<?>> own = keys.stream().filter(key -> key.section().equals(name)).toList();
     reader.refuseUnknown(own);
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/BorrowStep.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/BorrowStep.java
@@ -19,7 +19,7 @@
 
   private final PlanState state;
   private final GangPlacer placer;
-  private final PolicyParts parts;
+  private final PolicyFeatures parts;
   private final StopTerms terms;
   private final VictimRules victims;
   private final GuaranteeStep guarantees;
@@ -32,7 +32,7 @@
   BorrowStep(
       PlanState state,
       GangPlacer placer,
-      PolicyParts parts,
+      PolicyFeatures parts,
       JobOrder order,
       GuaranteeStep guarantees,
       QuotaStep quotas) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/Candidate.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/Candidate.java
@@ -1,7 +1,7 @@
 package org.fescuehook.logic.scheduling;
 
 import org.fescuehook.logic.rule.RuleMatcher;
-import org.fescuehook.logic.scheduling.Scheduler.Waiting;
+import org.fescuehook.logic.scheduling.Scheduler.WaitingJob;
 import org.fescuehook.model.job.Job;
 import org.fescuehook.model.rule.Verdict;
 
@@ -15,7 +15,11 @@
  * @param score higher is earlier among jobs of equal class and priority
  */
 record Candidate(
-    Waiting waiting, RuleMatcher.Match match, boolean overdue, double leftSeconds, double score) {
+    WaitingJob waiting,
+    RuleMatcher.Match match,
+    boolean overdue,
+    double leftSeconds,
+    double score) {
 
   Job job() {
     return waiting.job();
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/WorkerJudge.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/FaultyWorkerDetector.java
@@ -13,7 +13,7 @@
  * Finds workers that fail jobs which go well elsewhere. A job that fails everywhere is no evidence
  * against any worker.
  */
-public final class WorkerJudge {
+public final class FaultyWorkerDetector {
 
   private static final int LEAST_JOBS = 2;
   private static final long LEAST_SURVIVAL_SECONDS = 60;
@@ -27,14 +27,14 @@
    * @param untilMillis when it gets work again, on probation, milliseconds since 1970
    * @param evidence the jobs that speak against it, in words
    */
-  public record Judgement(WorkerId worker, long untilMillis, String evidence) {}
+  public record Quarantine(WorkerId worker, long untilMillis, String evidence) {}
 
   /**
    * Returns the workers to be quarantined now, in the order of their names. Workers in quarantine
    * are not judged again.
    */
-  public List<Judgement> judge(Scheduler.View view) {
-    List<Judgement> judgements = new ArrayList<>();
+  public List<Quarantine> judge(Scheduler.View view) {
+    List<Quarantine> judgements = new ArrayList<>();
     Map<WorkerId, WorkerRecord> records = new TreeMap<>(view.history().workers());
     records.forEach(
         (worker, record) -> {
@@ -54,10 +54,10 @@
     return record.quarantines() > 0 ? 1 : LEAST_JOBS;
   }
 
-  private static Judgement judgement(
+  private static Quarantine judgement(
       WorkerId worker, WorkerRecord record, SortedSet<JobId> against, long nowMillis) {
     long length = FIRST_QUARANTINE_MILLIS << Math.min(MOST_DOUBLINGS, record.quarantines());
-    return new Judgement(worker, nowMillis + length, "jobs that ran elsewhere: " + against);
+    return new Quarantine(worker, nowMillis + length, "jobs that ran elsewhere: " + against);
   }
 
   private static SortedSet<JobId> evidence(
@@ -74,7 +74,7 @@
   private static boolean survivesElsewhere(
       WorkerRecord.Failure failure, WorkerId worker, Scheduler.View view) {
     long needed = Math.max(LEAST_SURVIVAL_SECONDS, SURVIVAL_FACTOR * failure.ranSeconds());
-    for (Scheduler.Running r : view.running()) {
+    for (Scheduler.RunningAttempt r : view.running()) {
       if (!r.job().id().equals(failure.job())) {
         continue;
       }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GuaranteeScheduler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GuaranteeScheduler.java
@@ -17,17 +17,17 @@
  */
 public final class GuaranteeScheduler implements Scheduler {
 
-  private final PolicyParts parts;
+  private final PolicyFeatures parts;
   private final Set<AttemptId> stoppedAtOnce = new HashSet<>();
   private Optional<Known> known = Optional.empty();
 
   /** Creates the policy with all its parts. */
   public GuaranteeScheduler() {
-    this(PolicyParts.ALL);
+    this(PolicyFeatures.ALL);
   }
 
   /** Creates the policy with some of its parts. */
-  public GuaranteeScheduler(PolicyParts parts) {
+  public GuaranteeScheduler(PolicyFeatures parts) {
     this.parts = parts;
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GuaranteeStep.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/GuaranteeStep.java
@@ -20,14 +20,14 @@
 
   private final PlanState state;
   private final GangPlacer placer;
-  private final PolicyParts parts;
+  private final PolicyFeatures parts;
   private final StopTerms terms;
   private final QuotaStep quotas;
   private final Set<Demand> withoutStart = new HashSet<>();
   private final Set<Demand> withoutReclaim = new HashSet<>();
   private final Set<Shape> withoutRoom = new HashSet<>();
 
-  GuaranteeStep(PlanState state, GangPlacer placer, PolicyParts parts, QuotaStep quotas) {
+  GuaranteeStep(PlanState state, GangPlacer placer, PolicyFeatures parts, QuotaStep quotas) {
     this.quotas = quotas;
     this.state = state;
     this.placer = placer;
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/JobOrder.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/JobOrder.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.fescuehook.logic.rule.RuleMatcher;
 import org.fescuehook.logic.scheduling.Scheduler.View;
-import org.fescuehook.logic.scheduling.Scheduler.Waiting;
+import org.fescuehook.logic.scheduling.Scheduler.WaitingJob;
 import org.fescuehook.model.job.Job;
 import org.fescuehook.model.organisation.Organisation;
 import org.fescuehook.model.organisation.OrganisationId;
@@ -30,11 +30,11 @@
   private static final double LEAST_OVERUSE = 0.25;
   private static final double MOST_OVERUSE = 4;
 
-  private final PolicyParts parts;
+  private final PolicyFeatures parts;
   private final RuleMatcher matcher;
   private Map<OrganisationId, Double> overuse = Map.of();
 
-  JobOrder(PolicyParts parts, RuleMatcher matcher) {
+  JobOrder(PolicyFeatures parts, RuleMatcher matcher) {
     this.parts = parts;
     this.matcher = matcher;
   }
@@ -44,7 +44,7 @@
     View view = state.view();
     overuse = parts.fairness() ? overuse(state) : Map.of();
     List<Candidate> order = new ArrayList<>(view.waiting().size());
-    for (Waiting w : view.waiting()) {
+    for (WaitingJob w : view.waiting()) {
       order.add(candidate(w, state));
     }
     order.sort(ORDER);
@@ -75,7 +75,7 @@
     return score / overuse.getOrDefault(job.organisation(), 1.0);
   }
 
-  private Candidate candidate(Waiting waiting, PlanState state) {
+  private Candidate candidate(WaitingJob waiting, PlanState state) {
     View view = state.view();
     Job job = waiting.job();
     RuleMatcher.Match match =
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/Occupant.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/Occupant.java
@@ -1,6 +1,6 @@
 package org.fescuehook.logic.scheduling;
 
-import org.fescuehook.logic.scheduling.Scheduler.Running;
+import org.fescuehook.logic.scheduling.Scheduler.RunningAttempt;
 
 /**
  * A live attempt with the numbers of its workers.
@@ -10,7 +10,7 @@
  * @param guaranteed whether it runs within its organisation's guarantees
  * @param leftSeconds expected time to its end
  */
-record Occupant(Running running, int[] workers, boolean guaranteed, double leftSeconds) {
+record Occupant(RunningAttempt running, int[] workers, boolean guaranteed, double leftSeconds) {
 
   private static final double RESTART_SECONDS = 60;
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/PlanState.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/PlanState.java
@@ -10,12 +10,12 @@
 import java.util.Set;
 import org.fescuehook.logic.scheduling.Scheduler.Explanation;
 import org.fescuehook.logic.scheduling.Scheduler.Plan;
-import org.fescuehook.logic.scheduling.Scheduler.Running;
+import org.fescuehook.logic.scheduling.Scheduler.RunningAttempt;
 import org.fescuehook.logic.scheduling.Scheduler.Start;
 import org.fescuehook.logic.scheduling.Scheduler.Stop;
 import org.fescuehook.logic.scheduling.Scheduler.StopCause;
 import org.fescuehook.logic.scheduling.Scheduler.View;
-import org.fescuehook.logic.scheduling.Scheduler.Waiting;
+import org.fescuehook.logic.scheduling.Scheduler.WaitingJob;
 import org.fescuehook.model.fleet.Capacity;
 import org.fescuehook.model.fleet.WorkerId;
 import org.fescuehook.model.job.AttemptId;
@@ -102,7 +102,7 @@
             });
   }
 
-  private void addRunning(Running running) {
+  private void addRunning(RunningAttempt running) {
     Job job = running.job();
     int[] workers = index.numbers(running.placement().members());
     boolean guaranteed = !running.borrowed() && guarantees.use(job, workers);
@@ -214,7 +214,7 @@
    * Returns the workers on which a job may not stand, by number: unusable ones, and those on which
    * it failed unless it fits nowhere else.
    */
-  boolean[] avoid(Waiting waiting) {
+  boolean[] avoid(WaitingJob waiting) {
     if (waiting.avoid().isEmpty()) {
       return unusable;
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/PolicyParts.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/PolicyFeatures.java
@@ -13,7 +13,7 @@
  * @param moves checkpointable borrowers move to make room for a shape
  * @param ageing jobs that waited for the declared bound come before all others
  */
-public record PolicyParts(
+public record PolicyFeatures(
     boolean reclaim,
     boolean homes,
     RunTimeCorrection correction,
@@ -25,60 +25,60 @@
     boolean ageing) {
 
   /** All parts. */
-  public static final PolicyParts ALL =
-      new PolicyParts(true, true, RunTimeCorrection.MEAN, true, true, true, true, true, true);
+  public static final PolicyFeatures ALL =
+      new PolicyFeatures(true, true, RunTimeCorrection.MEAN, true, true, true, true, true, true);
 
   /** Returns these parts with reclaim set. */
-  public PolicyParts withReclaim(boolean value) {
-    return new PolicyParts(
+  public PolicyFeatures withReclaim(boolean value) {
+    return new PolicyFeatures(
         value, homes, correction, reservations, ordering, fairness, packing, moves, ageing);
   }
 
   /** Returns these parts with homes set. */
-  public PolicyParts withHomes(boolean value) {
-    return new PolicyParts(
+  public PolicyFeatures withHomes(boolean value) {
+    return new PolicyFeatures(
         reclaim, value, correction, reservations, ordering, fairness, packing, moves, ageing);
   }
 
   /** Returns these parts with correction set. */
-  public PolicyParts withCorrection(RunTimeCorrection value) {
-    return new PolicyParts(
+  public PolicyFeatures withCorrection(RunTimeCorrection value) {
+    return new PolicyFeatures(
         reclaim, homes, value, reservations, ordering, fairness, packing, moves, ageing);
   }
 
   /** Returns these parts with reservations set. */
-  public PolicyParts withReservations(boolean value) {
-    return new PolicyParts(
+  public PolicyFeatures withReservations(boolean value) {
+    return new PolicyFeatures(
         reclaim, homes, correction, value, ordering, fairness, packing, moves, ageing);
   }
 
   /** Returns these parts with ordering set. */
-  public PolicyParts withOrdering(boolean value) {
-    return new PolicyParts(
+  public PolicyFeatures withOrdering(boolean value) {
+    return new PolicyFeatures(
         reclaim, homes, correction, reservations, value, fairness, packing, moves, ageing);
   }
 
   /** Returns these parts with fairness set. */
-  public PolicyParts withFairness(boolean value) {
-    return new PolicyParts(
+  public PolicyFeatures withFairness(boolean value) {
+    return new PolicyFeatures(
         reclaim, homes, correction, reservations, ordering, value, packing, moves, ageing);
   }
 
   /** Returns these parts with packing set. */
-  public PolicyParts withPacking(boolean value) {
-    return new PolicyParts(
+  public PolicyFeatures withPacking(boolean value) {
+    return new PolicyFeatures(
         reclaim, homes, correction, reservations, ordering, fairness, value, moves, ageing);
   }
 
   /** Returns these parts with moves set. */
-  public PolicyParts withMoves(boolean value) {
-    return new PolicyParts(
+  public PolicyFeatures withMoves(boolean value) {
+    return new PolicyFeatures(
         reclaim, homes, correction, reservations, ordering, fairness, packing, value, ageing);
   }
 
   /** Returns these parts with ageing set. */
-  public PolicyParts withAgeing(boolean value) {
-    return new PolicyParts(
+  public PolicyFeatures withAgeing(boolean value) {
+    return new PolicyFeatures(
         reclaim, homes, correction, reservations, ordering, fairness, packing, moves, value);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/Scheduler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/Scheduler.java
@@ -33,8 +33,8 @@
   record View(
       long nowMillis,
       Declarations declarations,
-      List<Waiting> waiting,
-      List<Running> running,
+      List<WaitingJob> waiting,
+      List<RunningAttempt> running,
       Set<WorkerId> unusable,
       History history) {}
 
@@ -46,7 +46,7 @@
    * @param ranSeconds progress kept by checkpoints
    * @param avoid workers on which it failed
    */
-  record Waiting(Job job, int failures, long ranSeconds, Set<WorkerId> avoid) {}
+  record WaitingJob(Job job, int failures, long ranSeconds, Set<WorkerId> avoid) {}
 
   /**
    * A live attempt.
@@ -59,7 +59,7 @@
    * @param keptSeconds progress kept by checkpoints of earlier attempts
    * @param stopping whether it has been told to stop
    */
-  record Running(
+  record RunningAttempt(
       Job job,
       AttemptId attempt,
       Placement placement,
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/StopTerms.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/StopTerms.java
@@ -1,6 +1,6 @@
 package org.fescuehook.logic.scheduling;
 
-import org.fescuehook.logic.scheduling.Scheduler.Running;
+import org.fescuehook.logic.scheduling.Scheduler.RunningAttempt;
 import org.fescuehook.logic.scheduling.Scheduler.Stop;
 import org.fescuehook.logic.scheduling.Scheduler.StopCause;
 import org.fescuehook.model.configuration.PolicyPreferences;
@@ -22,7 +22,7 @@
   }
 
   /** Returns the stop of an attempt for the sake of a job. */
-  Stop stop(Running victim, StopCause cause, Job beneficiary) {
+  Stop stop(RunningAttempt victim, StopCause cause, Job beneficiary) {
     long notice = victim.job().checkpointable() ? notice(cause) : 0;
     return new Stop(victim.attempt(), cause, notice > 0, notice, beneficiary.id());
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/scheduling/VictimRules.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/scheduling/VictimRules.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.fescuehook.logic.scheduling.Scheduler.Running;
+import org.fescuehook.logic.scheduling.Scheduler.RunningAttempt;
 import org.fescuehook.logic.scheduling.VictimSelector.Selection;
 import org.fescuehook.logic.scheduling.VictimSelector.Victim;
 import org.fescuehook.model.job.Job;
@@ -53,7 +53,7 @@
     List<Victim> victims = new ArrayList<>();
     long now = state.view().nowMillis();
     for (Occupant o : state.occupants()) {
-      Running r = o.running();
+      RunningAttempt r = o.running();
       if (o.guaranteed() || state.isStopped(o) || r.job().urgent() || wasOverdue(r)) {
         continue;
       }
@@ -77,7 +77,7 @@
     return sum;
   }
 
-  private boolean wasOverdue(Running running) {
+  private boolean wasOverdue(RunningAttempt running) {
     long waited = running.startedMillis() - running.job().submittedMillis();
     return JobOrder.isOverdue(waited, state.view());
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/story/JobStory.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/story/JobTimeline.java
@@ -14,7 +14,7 @@
  * What happened to one job: its own events, those of the executors that it ran on, and changes of
  * the owner meanwhile, in the order of their times; and where its time went.
  */
-public final class JobStory {
+public final class JobTimeline {
 
   /** Name of the stage in which nothing but work passed. */
   public static final String WORK = "work";
@@ -32,7 +32,7 @@
    */
   public record Stage(String name, long millis) {}
 
-  private JobStory(List<LoggedEvent> events, List<Stage> stages) {
+  private JobTimeline(List<LoggedEvent> events, List<Stage> stages) {
     this.events = List.copyOf(events);
     this.stages = List.copyOf(stages);
   }
@@ -43,14 +43,14 @@
    * @param id the job
    * @param log events of all VMs in any order
    */
-  public static JobStory of(String id, List<LoggedEvent> log) {
+  public static JobTimeline of(String id, List<LoggedEvent> log) {
     List<LoggedEvent> own =
         log.stream()
             .filter(event -> event.message().contains(id))
             .sorted(Comparator.comparingLong(LoggedEvent::millis))
             .toList();
     if (own.isEmpty()) {
-      return new JobStory(List.of(), List.of());
+      return new JobTimeline(List.of(), List.of());
     }
     Set<String> executors = new HashSet<>();
     own.forEach(event -> executor(event).ifPresent(executors::add));
@@ -64,7 +64,7 @@
       }
     }
     all.sort(Comparator.comparingLong(LoggedEvent::millis));
-    return new JobStory(all, stages(own));
+    return new JobTimeline(all, stages(own));
   }
 
   private static Optional<String> executor(LoggedEvent event) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/story/DayStory.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/story/LateJobReport.java
@@ -15,7 +15,7 @@
  * Where the jobs of a log lost their time: each job that ended after its objective, or not at all,
  * with the stage that took longest beside its work. Objectives are by the estimates.
  */
-public final class DayStory {
+public final class LateJobReport {
 
   private static final Pattern ACCEPTED =
       Pattern.compile(
@@ -47,15 +47,15 @@
    * @param jobs how many jobs
    * @param lateMillis time beyond their objectives together
    */
-  public record Loss(String queue, String cause, int jobs, long lateMillis) {}
+  public record LostTime(String queue, String cause, int jobs, long lateMillis) {}
 
-  private DayStory(int jobs, List<LateJob> late) {
+  private LateJobReport(int jobs, List<LateJob> late) {
     this.jobs = jobs;
     this.late = List.copyOf(late);
   }
 
   /** Tells the story of all jobs that a log has accepted; events may come in any order. */
-  public static DayStory of(List<LoggedEvent> log) {
+  public static LateJobReport of(List<LoggedEvent> log) {
     Map<String, List<LoggedEvent>> byJob = new HashMap<>();
     Map<String, LoggedEvent> accepted = new LinkedHashMap<>();
     Map<String, Long> durations = new HashMap<>();
@@ -80,7 +80,7 @@
       late(entry.getValue(), took, ended.isPresent(), byJob.get(id)).ifPresent(late::add);
     }
     late.sort(Comparator.comparingLong(LateJob::coreSeconds).reversed());
-    return new DayStory(accepted.size(), late);
+    return new LateJobReport(accepted.size(), late);
   }
 
   /** Returns the job that an event of a job or of one of its runs names first. */
@@ -102,11 +102,11 @@
     }
     String id = matcher.group(1);
     String cause =
-        JobStory.of(id, own).stages().stream()
-            .filter(stage -> !stage.name().equals(JobStory.WORK))
-            .max(Comparator.comparingLong(JobStory.Stage::millis))
+        JobTimeline.of(id, own).stages().stream()
+            .filter(stage -> !stage.name().equals(JobTimeline.WORK))
+            .max(Comparator.comparingLong(JobTimeline.Stage::millis))
             .filter(stage -> stage.millis() * 2 >= over)
-            .map(JobStory.Stage::name)
+            .map(JobTimeline.Stage::name)
             .orElse(LONG_WORK);
     long work = Long.parseLong(matcher.group(3));
     return Optional.of(new LateJob(id, matcher.group(2), work, over, ended, cause));
@@ -123,21 +123,21 @@
   }
 
   /** Returns what was lost by queue and cause, the most time first; together all that was lost. */
-  public List<Loss> losses() {
-    Map<String, Loss> losses = new LinkedHashMap<>();
+  public List<LostTime> losses() {
+    Map<String, LostTime> losses = new LinkedHashMap<>();
     for (LateJob job : late) {
       losses.merge(
           job.queue() + " " + job.cause(),
-          new Loss(job.queue(), job.cause(), 1, job.lateMillis()),
+          new LostTime(job.queue(), job.cause(), 1, job.lateMillis()),
           (one, other) ->
-              new Loss(
+              new LostTime(
                   one.queue(),
                   one.cause(),
                   one.jobs() + other.jobs(),
                   one.lateMillis() + other.lateMillis()));
     }
     return losses.values().stream()
-        .sorted(Comparator.comparingLong(Loss::lateMillis).reversed())
+        .sorted(Comparator.comparingLong(LostTime::lateMillis).reversed())
         .toList();
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/story/LogGap.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/story/LogGap.java
@@ -30,7 +30,7 @@
   record CutOff(String vm, long fromMillis, long toMillis) implements LogGap {}
 
   /** The end of the log of a process that was lost, or has nothing to log. */
-  record Quiet(String vm, long fromMillis) implements LogGap {
+  record OpenEnd(String vm, long fromMillis) implements LogGap {
 
     @Override
     public long toMillis() {
--- a/fescuehook/src/main/java/org/fescuehook/logic/story/LogGapFinder.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/story/LogGapFinder.java
@@ -76,7 +76,7 @@
       boolean last = i + 1 == processes.size();
       gaps.add(
           last
-              ? new LogGap.Quiet(vm, before)
+              ? new LogGap.OpenEnd(vm, before)
               : new LogGap.CutOff(vm, before, processes.get(i + 1).getFirst().millis()));
     }
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/JobCourse.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/JobBehaviour.java
@@ -9,5 +9,5 @@
  * @param failsAfterSeconds after how long each attempt fails, for a job that can never finish
  * @param checkpointMillis how long a checkpoint takes; empty if the job ignores the request
  */
-public record JobCourse(
+public record JobBehaviour(
     long runSeconds, OptionalLong failsAfterSeconds, OptionalLong checkpointMillis) {}
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/JobOutcome.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/JobOutcome.java
@@ -17,7 +17,7 @@
  */
 public record JobOutcome(
     Job job,
-    JobCourse course,
+    JobBehaviour course,
     End end,
     OptionalLong firstStartMillis,
     OptionalLong endMillis,
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/ReplayedJob.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/ReplayedJob.java
@@ -3,9 +3,9 @@
 import java.util.HashSet;
 import java.util.OptionalLong;
 import java.util.Set;
-import org.fescuehook.logic.scheduling.Scheduler.Running;
+import org.fescuehook.logic.scheduling.Scheduler.RunningAttempt;
 import org.fescuehook.logic.scheduling.Scheduler.Start;
-import org.fescuehook.logic.scheduling.Scheduler.Waiting;
+import org.fescuehook.logic.scheduling.Scheduler.WaitingJob;
 import org.fescuehook.model.fleet.WorkerId;
 import org.fescuehook.model.job.AttemptId;
 import org.fescuehook.model.job.Job;
@@ -14,7 +14,7 @@
 final class ReplayedJob {
 
   final Job job;
-  final JobCourse course;
+  final JobBehaviour course;
   final long order;
   final Set<WorkerId> failedOn = new HashSet<>();
   JobOutcome.End end = JobOutcome.End.UNFINISHED;
@@ -34,19 +34,19 @@
   boolean stopping;
   boolean ending;
 
-  ReplayedJob(Job job, JobCourse course, long order, Start none) {
+  ReplayedJob(Job job, JobBehaviour course, long order, Start none) {
     this.job = job;
     this.course = course;
     this.order = order;
     this.start = none;
   }
 
-  Waiting waiting() {
-    return new Waiting(job, failures, keptSeconds, Set.copyOf(failedOn));
+  WaitingJob waiting() {
+    return new WaitingJob(job, failures, keptSeconds, Set.copyOf(failedOn));
   }
 
-  Running running() {
-    return new Running(
+  RunningAttempt running() {
+    return new RunningAttempt(
         job,
         attempt(),
         start.placement(),
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/Replayer.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/Replayer.java
@@ -12,6 +12,7 @@
 import java.util.TreeMap;
 import org.fescuehook.logic.rule.RuleMatcher;
 import org.fescuehook.logic.scheduling.EndedAttempt;
+import org.fescuehook.logic.scheduling.FaultyWorkerDetector;
 import org.fescuehook.logic.scheduling.FeasibilityChecker;
 import org.fescuehook.logic.scheduling.History;
 import org.fescuehook.logic.scheduling.Scheduler;
@@ -19,7 +20,6 @@
 import org.fescuehook.logic.scheduling.Scheduler.Start;
 import org.fescuehook.logic.scheduling.Scheduler.Stop;
 import org.fescuehook.logic.scheduling.Scheduler.View;
-import org.fescuehook.logic.scheduling.WorkerJudge;
 import org.fescuehook.model.fleet.WorkerId;
 import org.fescuehook.model.job.JobId;
 import org.fescuehook.model.job.Placement;
@@ -39,7 +39,7 @@
 
   private final Trace trace;
   private final Scheduler scheduler;
-  private final Optional<WorkerJudge> judge;
+  private final Optional<FaultyWorkerDetector> judge;
   private final ReplayListener listener;
   private final FeasibilityChecker feasibility = new FeasibilityChecker();
   private final RuleMatcher matcher = new RuleMatcher();
@@ -68,7 +68,10 @@
    * @param listener told of each decision
    */
   public Replayer(
-      Trace trace, Scheduler scheduler, Optional<WorkerJudge> judge, ReplayListener listener) {
+      Trace trace,
+      Scheduler scheduler,
+      Optional<FaultyWorkerDetector> judge,
+      ReplayListener listener) {
     this.trace = trace;
     this.scheduler = scheduler;
     this.judge = judge;
@@ -110,7 +113,7 @@
       case TraceEvent.Returned e -> away.remove(e.worker());
       case TraceEvent.Leaving e -> away.add(e.worker());
       case TraceEvent.Failing e -> failing.put(e.worker(), e.afterSeconds());
-      case TraceEvent.Mended e -> failing.remove(e.worker());
+      case TraceEvent.Recovered e -> failing.remove(e.worker());
     }
   }
 
@@ -189,7 +192,7 @@
         history);
   }
 
-  private void quarantine(WorkerJudge.Judgement judgement) {
+  private void quarantine(FaultyWorkerDetector.Quarantine judgement) {
     quarantinedUntil.put(judgement.worker(), judgement.untilMillis());
     history = history.afterQuarantine(judgement.worker(), judgement.untilMillis());
     at(judgement.untilMillis(), () -> {});
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/TraceEvent.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/TraceEvent.java
@@ -11,7 +11,7 @@
   long atMillis();
 
   /** A job was submitted. Its time of submission counts from the beginning of the trace. */
-  record Submitted(Job job, JobCourse course) implements TraceEvent {
+  record Submitted(Job job, JobBehaviour course) implements TraceEvent {
 
     @Override
     public long atMillis() {
@@ -35,5 +35,5 @@
   record Failing(long atMillis, WorkerId worker, long afterSeconds) implements TraceEvent {}
 
   /** A worker no longer fails its tasks. */
-  record Mended(long atMillis, WorkerId worker) implements TraceEvent {}
+  record Recovered(long atMillis, WorkerId worker) implements TraceEvent {}
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/TraceParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/TraceParser.java
@@ -174,7 +174,7 @@
               at,
               new WorkerId(known(line, "worker")),
               line.number("after-s", 0, Integer.MAX_VALUE));
-      case "mend" -> new TraceEvent.Mended(at, new WorkerId(known(line, "worker")));
+      case "mend" -> new TraceEvent.Recovered(at, new WorkerId(known(line, "worker")));
       default -> throw line.error(kind, "is not a kind of event");
     };
   }
@@ -195,8 +195,8 @@
             line.number("declared-s", 1, Integer.MAX_VALUE),
             at,
             "trace");
-    JobCourse course =
-        new JobCourse(
+    JobBehaviour course =
+        new JobBehaviour(
             line.number("runs-s", 1, Integer.MAX_VALUE),
             optionalNumber(line, "fails-after-s"),
             optionalNumber(line, "checkpoint-ms"));
--- a/fescuehook/src/main/java/org/fescuehook/logic/trace/TraceWriter.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/trace/TraceWriter.java
@@ -36,13 +36,13 @@
   public String event(TraceEvent event) {
     String at = "at " + event.atMillis() + " ";
     return switch (event) {
-      case TraceEvent.Submitted(Job job, JobCourse course) -> at + submitted(job, course);
+      case TraceEvent.Submitted(Job job, JobBehaviour course) -> at + submitted(job, course);
       case TraceEvent.Cancelled e -> at + "cancel " + e.job();
       case TraceEvent.Lapsed e -> at + "lapse " + e.worker();
       case TraceEvent.Returned e -> at + "return " + e.worker();
       case TraceEvent.Leaving e -> at + "leave " + e.worker();
       case TraceEvent.Failing e -> at + "fail " + e.worker() + " after-s=" + e.afterSeconds();
-      case TraceEvent.Mended e -> at + "mend " + e.worker();
+      case TraceEvent.Recovered e -> at + "mend " + e.worker();
     };
   }
 
@@ -122,7 +122,7 @@
     };
   }
 
-  private static String submitted(Job job, JobCourse course) {
+  private static String submitted(Job job, JobBehaviour course) {
     StringBuilder line = new StringBuilder("submit ").append(job.id());
     line.append(" organisation=").append(job.organisation());
     line.append(shape(job.shape()));
--- a/fescuehook/src/main/java/org/fescuehook/model/batch/BatchConfiguration.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/batch/BatchConfiguration.java
@@ -12,7 +12,7 @@
  * @param holders the organisations
  */
 public record BatchConfiguration(
-    long version, Map<String, JobQueue> queues, List<KeyHolder> holders) {
+    long version, Map<String, JobQueue> queues, List<BatchOrganisation> holders) {
 
   /** Copies the collections. */
   public BatchConfiguration {
@@ -26,13 +26,13 @@
   }
 
   /** Finds the organisation that holds a key. */
-  public Optional<KeyHolder> holder(String apiKey) {
+  public Optional<BatchOrganisation> holder(String apiKey) {
     return holders.stream().filter(holder -> holder.apiKeys().contains(apiKey)).findFirst();
   }
 
   /** Returns the accelerators guaranteed to an organisation; 0 if it is not declared. */
   public int guaranteedAccelerators(String organisation) {
-    for (KeyHolder holder : holders) {
+    for (BatchOrganisation holder : holders) {
       if (holder.name().equals(organisation)) {
         return holder.guaranteedAccelerators();
       }
--- a/fescuehook/src/main/java/org/fescuehook/model/batch/KeyHolder.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/batch/BatchOrganisation.java
@@ -9,10 +9,10 @@
  * @param apiKeys keys that its calls carry
  * @param guaranteedAccelerators accelerators that belong to its jobs of priority 0 at all times
  */
-public record KeyHolder(String name, Set<String> apiKeys, int guaranteedAccelerators) {
+public record BatchOrganisation(String name, Set<String> apiKeys, int guaranteedAccelerators) {
 
   /** Copies the set. */
-  public KeyHolder {
+  public BatchOrganisation {
     apiKeys = Set.copyOf(apiKeys);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/model/batch/BatchStep.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/batch/BatchStep.java
@@ -19,14 +19,14 @@
  */
 public record BatchStep(
     int count,
-    Demand demand,
+    ResourceVector demand,
     long estimateMillis,
     List<Integer> dependsOn,
     PlacementRule placement,
     boolean checkpointing,
     boolean gang,
     String image,
-    Optional<Lasting> lasting) {
+    Optional<LongRunning> lasting) {
 
   private static final double MILLIS_PER_SECOND = 1000.0;
 
@@ -38,7 +38,7 @@
   /** Creates a step whose tasks end by themselves. */
   public BatchStep(
       int count,
-      Demand demand,
+      ResourceVector demand,
       long estimateMillis,
       List<Integer> dependsOn,
       PlacementRule placement,
@@ -75,7 +75,7 @@
    * @param targetMillis bound on the response times of a task that serves users; 0 if it serves
    *     none
    */
-  public record Lasting(int mostAway, long targetMillis) {}
+  public record LongRunning(int mostAway, long targetMillis) {}
 
   /**
    * Where the tasks of a step may run and where they run well.
--- a/fescuehook/src/main/java/org/fescuehook/model/batch/ExecutorProfile.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/batch/ExecutorProfile.java
@@ -27,7 +27,7 @@
     FailureDomain domain,
     RackId rack,
     Set<String> labels,
-    Demand capacity,
+    ResourceVector capacity,
     boolean leaving,
     long remainingMillis) {
 
--- a/fescuehook/src/main/java/org/fescuehook/model/batch/Demand.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/batch/ResourceVector.java
@@ -7,10 +7,10 @@
  * @param memoryMegabytes memory in units of 2^20 bytes
  * @param accelerators number of accelerators
  */
-public record Demand(int milliCores, int memoryMegabytes, int accelerators) {
+public record ResourceVector(int milliCores, int memoryMegabytes, int accelerators) {
 
   /** No resources. */
-  public static final Demand NONE = new Demand(0, 0, 0);
+  public static final ResourceVector NONE = new ResourceVector(0, 0, 0);
 
   /** Cores that one accelerator counts as in {@link #coreEquivalents()}; the platform's rate. */
   private static final double CORES_PER_ACCELERATOR = 8.0;
@@ -18,35 +18,35 @@
   private static final double MILLI = 1000.0;
 
   /** Returns the sum of both. */
-  public Demand plus(Demand other) {
-    return new Demand(
+  public ResourceVector plus(ResourceVector other) {
+    return new ResourceVector(
         milliCores + other.milliCores,
         memoryMegabytes + other.memoryMegabytes,
         accelerators + other.accelerators);
   }
 
   /** Returns this less the other; components may become negative. */
-  public Demand minus(Demand other) {
-    return new Demand(
+  public ResourceVector minus(ResourceVector other) {
+    return new ResourceVector(
         milliCores - other.milliCores,
         memoryMegabytes - other.memoryMegabytes,
         accelerators - other.accelerators);
   }
 
   /** Returns this a number of times. */
-  public Demand times(int count) {
-    return new Demand(milliCores * count, memoryMegabytes * count, accelerators * count);
+  public ResourceVector times(int count) {
+    return new ResourceVector(milliCores * count, memoryMegabytes * count, accelerators * count);
   }
 
   /** Tells whether the other is at most this in each component. */
-  public boolean contains(Demand other) {
+  public boolean contains(ResourceVector other) {
     return milliCores >= other.milliCores
         && memoryMegabytes >= other.memoryMegabytes
         && accelerators >= other.accelerators;
   }
 
   /** Returns how many times the unit fits at once; 0 if a component is negative. */
-  public int fits(Demand unit) {
+  public int fits(ResourceVector unit) {
     int most = Integer.MAX_VALUE;
     most = Math.min(most, fits(milliCores, unit.milliCores));
     most = Math.min(most, fits(memoryMegabytes, unit.memoryMegabytes));
--- a/fescuehook/src/main/java/org/fescuehook/model/request/Ran.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/request/ExecutionStatus.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** What is known about whether a request was run. */
-public enum Ran {
+public enum ExecutionStatus {
   /** It surely was not run and will not be. */
   NO,
   /** It may have been run, in whole or in part. */
--- a/fescuehook/src/main/java/org/fescuehook/model/request/RefusalReason.java
+++ b/fescuehook/src/main/java/org/fescuehook/model/request/RefusalReason.java
@@ -5,53 +5,53 @@
 /** Why the system gave a caller no answer of a backend server. Each has a counter. */
 public enum RefusalReason {
   /** The request itself is wrong: framing, header, body or field. */
-  BAD_REQUEST(400, Ran.NO, false),
+  BAD_REQUEST(400, ExecutionStatus.NO, false),
   /** The named organisation is not declared. */
-  UNKNOWN_ORGANISATION(403, Ran.NO, false),
+  UNKNOWN_ORGANISATION(403, ExecutionStatus.NO, false),
   /** No such job, or no such resource. */
-  NOT_FOUND(404, Ran.NO, false),
+  NOT_FOUND(404, ExecutionStatus.NO, false),
   /** Header, body or field beyond its bound. */
-  TOO_LARGE(413, Ran.NO, false),
+  TOO_LARGE(413, ExecutionStatus.NO, false),
   /** A rule refuses the job. */
-  REFUSED_BY_RULE(422, Ran.NO, false),
+  REFUSED_BY_RULE(422, ExecutionStatus.NO, false),
   /** No shape of the declared fleet can ever hold the job. */
-  NEVER_RUNNABLE(422, Ran.NO, false),
+  NEVER_RUNNABLE(422, ExecutionStatus.NO, false),
   /** The organisation has its share of requests in flight. */
-  ORGANISATION_SHARE(429, Ran.NO, true),
+  ORGANISATION_SHARE(429, ExecutionStatus.NO, true),
   /** A bounded queue or ring is full. */
-  QUEUE_FULL(503, Ran.NO, true),
+  QUEUE_FULL(503, ExecutionStatus.NO, true),
   /** No executor has a free slot within the deadline. */
-  NO_EXECUTOR(503, Ran.NO, true),
+  NO_EXECUTOR(503, ExecutionStatus.NO, true),
   /** The VM is stopping. */
-  DRAINING(503, Ran.NO, true),
+  DRAINING(503, ExecutionStatus.NO, true),
   /** The VM has no configuration, or cannot tell that its configuration is current. */
-  NOT_READY(503, Ran.NO, true),
+  NOT_READY(503, ExecutionStatus.NO, true),
   /** The log is needed and cannot be reached. */
-  LOG_UNAVAILABLE(503, Ran.NO, true),
+  LOG_UNAVAILABLE(503, ExecutionStatus.NO, true),
   /** The same request id is being run. */
-  IN_PROGRESS(409, Ran.UNKNOWN, true),
+  IN_PROGRESS(409, ExecutionStatus.UNKNOWN, true),
   /** The request id was used for another request; this one was not run. */
-  REQUEST_ID_REUSED(422, Ran.NO, false),
+  REQUEST_ID_REUSED(422, ExecutionStatus.NO, false),
   /** The same request id was run, and its answer was too large to be kept. */
-  OUTCOME_NOT_KEPT(410, Ran.YES, false),
+  OUTCOME_NOT_KEPT(410, ExecutionStatus.YES, false),
   /** The same request id was claimed and its outcome is not known. */
-  OUTCOME_UNKNOWN(502, Ran.UNKNOWN, false),
+  OUTCOME_UNKNOWN(502, ExecutionStatus.UNKNOWN, false),
   /** The deadline passed before the request was sent to an executor. */
-  DEADLINE_BEFORE_DISPATCH(504, Ran.NO, true),
+  DEADLINE_BEFORE_DISPATCH(504, ExecutionStatus.NO, true),
   /** The deadline passed after the request was sent. */
-  DEADLINE_AFTER_DISPATCH(504, Ran.UNKNOWN, false),
+  DEADLINE_AFTER_DISPATCH(504, ExecutionStatus.UNKNOWN, false),
   /** The connection to the executor broke after the request was sent. */
-  CONNECTION_LOST(502, Ran.UNKNOWN, false),
+  CONNECTION_LOST(502, ExecutionStatus.UNKNOWN, false),
   /** The executor's answer was cut, malformed, or another request's. */
-  BAD_ANSWER(502, Ran.UNKNOWN, false),
+  BAD_ANSWER(502, ExecutionStatus.UNKNOWN, false),
   /** Executors refused the request as not run until attempts or time ended. */
-  EXECUTORS_REFUSED(503, Ran.NO, true);
+  EXECUTORS_REFUSED(503, ExecutionStatus.NO, true);
 
   private final int status;
-  private final Ran ran;
+  private final ExecutionStatus ran;
   private final boolean retryable;
 
-  RefusalReason(int status, Ran ran, boolean retryable) {
+  RefusalReason(int status, ExecutionStatus ran, boolean retryable) {
     this.status = status;
     this.ran = ran;
     this.retryable = retryable;
@@ -63,7 +63,7 @@
   }
 
   /** Returns what is known about whether the request was run. */
-  public Ran ran() {
+  public ExecutionStatus ran() {
     return ran;
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/PassingListener.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/PassingListener.java
@@ -14,7 +14,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
-import org.fescuehook.logic.dispatch.DispatchEnd;
+import org.fescuehook.logic.dispatch.DispatchResult;
 import org.fescuehook.net.executor.AnswerListener;
 import org.fescuehook.net.executor.ExecutorHeaders;
 import org.fescuehook.net.executor.HopByHopHeaders;
@@ -29,7 +29,7 @@
   private static final int HELD_BYTES = 64 << 10;
 
   private final CallerExchange caller;
-  private final BiConsumer<DispatchEnd, Long> whenEnded;
+  private final BiConsumer<DispatchResult, Long> whenEnded;
   private final List<HttpContent> held = new ArrayList<>();
   private Optional<Runnable> heldHead = Optional.empty();
   private int heldBytes;
@@ -40,7 +40,7 @@
    *
    * @param whenEnded takes the end and how long the executor took, in milliseconds
    */
-  PassingListener(CallerExchange caller, BiConsumer<DispatchEnd, Long> whenEnded) {
+  PassingListener(CallerExchange caller, BiConsumer<DispatchResult, Long> whenEnded) {
     this.caller = caller;
     this.whenEnded = whenEnded;
   }
@@ -80,23 +80,23 @@
   }
 
   @Override
-  public void onEnd(DispatchEnd how, long executorNanos) {
-    DispatchEnd end = asTheCallerSees(how);
+  public void onEnd(DispatchResult how, long executorNanos) {
+    DispatchResult end = asTheCallerSees(how);
     held.forEach(HttpContent::release);
     held.clear();
-    if (end instanceof DispatchEnd.Answered) {
+    if (end instanceof DispatchResult.Answered) {
       caller.answered(executorNanos);
     }
-    if (end instanceof DispatchEnd.Failed failed && failed.answerStarted()) {
+    if (end instanceof DispatchResult.Failed failed && failed.answerStarted()) {
       caller.cut();
     }
     whenEnded.accept(end, TimeUnit.NANOSECONDS.toMillis(executorNanos));
   }
 
   /** Of an answer that was held and then cut, the caller has seen nothing. */
-  private DispatchEnd asTheCallerSees(DispatchEnd end) {
-    if (end instanceof DispatchEnd.Failed(var kind, boolean started, boolean fresh)) {
-      return new DispatchEnd.Failed(kind, started && passing, fresh);
+  private DispatchResult asTheCallerSees(DispatchResult end) {
+    if (end instanceof DispatchResult.Failed(var kind, boolean started, boolean fresh)) {
+      return new DispatchResult.Failed(kind, started && passing, fresh);
     }
     return end;
   }
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/RequestPath.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/RequestPath.java
@@ -13,8 +13,8 @@
 import org.fescuehook.logic.control.ControlPort;
 import org.fescuehook.logic.dispatch.DispatchCore;
 import org.fescuehook.logic.dispatch.DispatchEvent;
+import org.fescuehook.logic.dispatch.LocalOutcomes;
 import org.fescuehook.logic.dispatch.OutcomeFetcher;
-import org.fescuehook.logic.dispatch.OwnOutcomes;
 import org.fescuehook.logic.dispatch.RequestEvent;
 import org.fescuehook.logic.event.EventLog;
 import org.fescuehook.logic.platform.LogAppender;
@@ -42,7 +42,7 @@
   private final JobsEndpoint jobs;
   private final CallerServer server;
   private final ExecutorClient executors;
-  private final OwnOutcomes own = new OwnOutcomes();
+  private final LocalOutcomes own = new LocalOutcomes();
   private final CommandPerformer performer;
   private final DispatchCore core;
   private final DispatchThread thread;
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/ServiceRequest.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/ServiceRequest.java
@@ -3,7 +3,7 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
-import org.fescuehook.logic.dispatch.RequestFacts;
+import org.fescuehook.logic.dispatch.RequestAttributes;
 import org.fescuehook.model.job.JobId;
 
 /** What a caller asks, after its headers and path were checked. */
@@ -15,7 +15,8 @@
    * @param uri path and query at the executor
    * @param headers end-to-end headers to pass on
    */
-  record Pass(RequestFacts facts, HttpMethod method, String uri, HttpHeaders headers, ByteBuf body)
+  record Pass(
+      RequestAttributes facts, HttpMethod method, String uri, HttpHeaders headers, ByteBuf body)
       implements ServiceRequest {}
 
   /** A submission of a job. */
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/ServiceRequestParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/ServiceRequestParser.java
@@ -14,8 +14,8 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
+import org.fescuehook.logic.dispatch.RequestAttributes;
 import org.fescuehook.logic.dispatch.RequestDigest;
-import org.fescuehook.logic.dispatch.RequestFacts;
 import org.fescuehook.model.job.JobId;
 import org.fescuehook.model.organisation.OrganisationId;
 import org.fescuehook.model.preferences.RequestPreferences;
@@ -70,8 +70,8 @@
             .orElseThrow(() -> new MalformedRequestException("no Organisation header"));
     RequestDigest digest =
         requestId.isPresent() ? digest(head.method(), uri, body) : RequestDigest.NONE;
-    RequestFacts facts =
-        new RequestFacts(
+    RequestAttributes facts =
+        new RequestAttributes(
             new OrganisationId(organisation),
             requestId,
             digest,
--- a/fescuehook/src/main/java/org/fescuehook/net/executor/AnswerListener.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/executor/AnswerListener.java
@@ -2,7 +2,7 @@
 
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpResponse;
-import org.fescuehook.logic.dispatch.DispatchEnd;
+import org.fescuehook.logic.dispatch.DispatchResult;
 
 /** Receives the answer to one dispatch, on the event loop of the executor's connection. */
 public interface AnswerListener {
@@ -18,7 +18,7 @@
    *
    * @param executorNanos time from the write to the end; 0 if nothing was written
    */
-  void onEnd(DispatchEnd end, long executorNanos);
+  void onEnd(DispatchResult end, long executorNanos);
 
   /** Lets the receiver slow the executor down. Any thread. */
   interface AnswerFlow {
--- a/fescuehook/src/main/java/org/fescuehook/net/executor/Exchange.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/executor/Exchange.java
@@ -20,8 +20,8 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import org.fescuehook.logic.dispatch.DispatchEnd;
-import org.fescuehook.logic.dispatch.DispatchEnd.FailureKind;
+import org.fescuehook.logic.dispatch.DispatchResult;
+import org.fescuehook.logic.dispatch.DispatchResult.FailureKind;
 
 /** One request and its answer on one connection. Event loop only. */
 final class Exchange {
@@ -45,7 +45,7 @@
   }
 
   /** Writes the request; from here on the executor may run it. */
-  void write(Consumer<DispatchEnd> finish) {
+  void write(Consumer<DispatchResult> finish) {
     long leftNanos = request.deadlineNanos() - System.nanoTime();
     deadline = Optional.of(after(leftNanos, () -> finish.accept(failed(FailureKind.DEADLINE))));
     if (!fresh && request.progressMillis() > 0) {
@@ -99,7 +99,7 @@
   }
 
   /** Takes the head of the answer; returns the end if it cannot be one to this request. */
-  Optional<DispatchEnd> head(HttpResponse answer) {
+  Optional<DispatchResult> head(HttpResponse answer) {
     progress.ifPresent(timer -> timer.cancel(false));
     boolean ours = request.token().equals(answer.headers().get(ExecutorHeaders.REQUEST_TOKEN));
     if (!ours || head.isPresent() || !delimited(answer)) {
@@ -128,7 +128,7 @@
   }
 
   /** Takes a piece of the body; returns the end with the last piece. */
-  Optional<DispatchEnd> content(HttpContent content) {
+  Optional<DispatchResult> content(HttpContent content) {
     boolean last = content instanceof LastHttpContent;
     keep(content);
     if (notRun) {
@@ -155,13 +155,13 @@
     kept.writeBytes(ByteBufUtil.getBytes(content.content()));
   }
 
-  private DispatchEnd whole() {
+  private DispatchResult whole() {
     if (notRun) {
-      return new DispatchEnd.RefusedNotRun();
+      return new DispatchResult.RefusedNotRun();
     }
     HttpResponse answer = head.orElseThrow();
     String type = answer.headers().get(HttpHeaderNames.CONTENT_TYPE, "");
-    return new DispatchEnd.Answered(answer.status().code(), type, kept.toByteArray(), keptWhole);
+    return new DispatchResult.Answered(answer.status().code(), type, kept.toByteArray(), keptWhole);
   }
 
   boolean hasHead() {
@@ -182,12 +182,12 @@
     return head.isPresent() ? FailureKind.BAD_ANSWER : FailureKind.CONNECTION_LOST;
   }
 
-  DispatchEnd failed(FailureKind kind) {
+  DispatchResult failed(FailureKind kind) {
     boolean passedOn = head.isPresent() && !notRun;
-    return new DispatchEnd.Failed(kind, passedOn, fresh);
+    return new DispatchResult.Failed(kind, passedOn, fresh);
   }
 
-  void end(DispatchEnd end) {
+  void end(DispatchResult end) {
     deadline.ifPresent(timer -> timer.cancel(false));
     progress.ifPresent(timer -> timer.cancel(false));
     listener.onEnd(end, System.nanoTime() - begunNanos);
--- a/fescuehook/src/main/java/org/fescuehook/net/executor/ExecutorClient.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/executor/ExecutorClient.java
@@ -20,8 +20,8 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import org.fescuehook.logic.dispatch.DispatchEnd;
-import org.fescuehook.logic.dispatch.DispatchEnd.NotSentCause;
+import org.fescuehook.logic.dispatch.DispatchResult;
+import org.fescuehook.logic.dispatch.DispatchResult.NotSentCause;
 import org.fescuehook.model.fleet.Executor;
 import org.fescuehook.model.fleet.ExecutorId;
 
@@ -117,7 +117,7 @@
         .addListener(
             (ChannelFuture opened) -> {
               if (!opened.isSuccess()) {
-                listener.onEnd(new DispatchEnd.NotSent(NotSentCause.CONNECT_FAILED), 0);
+                listener.onEnd(new DispatchResult.NotSent(NotSentCause.CONNECT_FAILED), 0);
                 return;
               }
               ExecutorConnection connection =
@@ -129,7 +129,7 @@
   }
 
   private static SentRequest notSent(SentRequest sent, EventLoop loop, AnswerListener listener) {
-    loop.execute(() -> listener.onEnd(new DispatchEnd.NotSent(NotSentCause.NO_CONNECTION), 0));
+    loop.execute(() -> listener.onEnd(new DispatchResult.NotSent(NotSentCause.NO_CONNECTION), 0));
     return sent;
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/net/executor/ExecutorConnection.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/executor/ExecutorConnection.java
@@ -9,7 +9,7 @@
 import io.netty.handler.codec.http.HttpStatusClass;
 import io.netty.util.ReferenceCountUtil;
 import java.util.Optional;
-import org.fescuehook.logic.dispatch.DispatchEnd;
+import org.fescuehook.logic.dispatch.DispatchResult;
 
 /** One connection to an executor; carries one exchange at a time. */
 final class ExecutorConnection extends ChannelInboundHandlerAdapter {
@@ -36,11 +36,11 @@
 
   private void begin(ExecutorRequest request, AnswerListener listener, boolean fresh) {
     if (!channel.isActive() || exchange.isPresent()) {
-      listener.onEnd(new DispatchEnd.NotSent(DispatchEnd.NotSentCause.CONNECTION_CLOSED), 0);
+      listener.onEnd(new DispatchResult.NotSent(DispatchResult.NotSentCause.CONNECTION_CLOSED), 0);
       return;
     }
     if (request.deadlineNanos() - System.nanoTime() <= 0) {
-      listener.onEnd(new DispatchEnd.NotSent(DispatchEnd.NotSentCause.DEADLINE), 0);
+      listener.onEnd(new DispatchResult.NotSent(DispatchResult.NotSentCause.DEADLINE), 0);
       return;
     }
     Exchange begun = new Exchange(channel, request, listener, fresh);
@@ -57,16 +57,16 @@
       context.close();
       return;
     }
-    Optional<DispatchEnd> end = read(exchange.get(), (HttpObject) message);
+    Optional<DispatchResult> end = read(exchange.get(), (HttpObject) message);
     end.ifPresent(this::finish);
   }
 
-  private Optional<DispatchEnd> read(Exchange running, HttpObject message) {
+  private Optional<DispatchResult> read(Exchange running, HttpObject message) {
     if (message.decoderResult().isFailure()) {
       ReferenceCountUtil.release(message);
-      return Optional.of(running.failed(DispatchEnd.FailureKind.BAD_ANSWER));
+      return Optional.of(running.failed(DispatchResult.FailureKind.BAD_ANSWER));
     }
-    Optional<DispatchEnd> end = Optional.empty();
+    Optional<DispatchResult> end = Optional.empty();
     if (message instanceof HttpResponse head
         && head.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
       end = running.head(head);
@@ -94,13 +94,13 @@
   }
 
   /** Ends the exchange in progress; a connection whose exchange failed is never used again. */
-  private void finish(DispatchEnd end) {
+  private void finish(DispatchResult end) {
     if (exchange.isEmpty()) {
       return;
     }
     Exchange ended = exchange.get();
     exchange = Optional.empty();
-    boolean whole = !(end instanceof DispatchEnd.Failed);
+    boolean whole = !(end instanceof DispatchResult.Failed);
     if (!whole || !ended.keepAlive()) {
       reusable = false;
       channel.close();
--- a/fescuehook/src/main/java/org/fescuehook/net/executor/ProbeListener.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/executor/ProbeListener.java
@@ -2,7 +2,7 @@
 
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpResponse;
-import org.fescuehook.logic.dispatch.DispatchEnd;
+import org.fescuehook.logic.dispatch.DispatchResult;
 
 /** Judges a connection by the answer to a probe. */
 final class ProbeListener implements AnswerListener {
@@ -25,11 +25,11 @@
   }
 
   @Override
-  public void onEnd(DispatchEnd end, long executorNanos) {
+  public void onEnd(DispatchResult end, long executorNanos) {
     switch (end) {
-      case DispatchEnd.Answered _, DispatchEnd.RefusedNotRun _ -> alive.run();
-      case DispatchEnd.Failed _ -> dead.run();
-      case DispatchEnd.NotSent _ -> {
+      case DispatchResult.Answered _, DispatchResult.RefusedNotRun _ -> alive.run();
+      case DispatchResult.Failed _ -> dead.run();
+      case DispatchResult.NotSent _ -> {
         // The executor closed it in the meantime; that is no silence.
       }
     }
--- a/fescuehook/src/main/java/org/fescuehook/platform/ConfigurationParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/ConfigurationParser.java
@@ -8,8 +8,8 @@
 import java.util.Optional;
 import java.util.Set;
 import org.fescuehook.model.batch.BatchConfiguration;
+import org.fescuehook.model.batch.BatchOrganisation;
 import org.fescuehook.model.batch.JobQueue;
-import org.fescuehook.model.batch.KeyHolder;
 
 /** Reads the operators' configuration as the platform holds it. */
 final class ConfigurationParser {
@@ -39,7 +39,7 @@
       queues.put(queue.name(), queue);
       routes.add(new RouteTable.Route(route.text("host"), route.text("pathPrefix"), queue));
     }
-    List<KeyHolder> holders = new ArrayList<>();
+    List<BatchOrganisation> holders = new ArrayList<>();
     for (WireFields tenant : body.objects("tenants")) {
       holders.add(holder(tenant));
     }
@@ -60,11 +60,11 @@
         route.has("recommendation"));
   }
 
-  private static KeyHolder holder(WireFields tenant) throws MalformedMessageException {
+  private static BatchOrganisation holder(WireFields tenant) throws MalformedMessageException {
     Set<String> keys = new HashSet<>(tenant.has("apiKeys") ? tenant.texts("apiKeys") : List.of());
     Optional<WireFields> guaranteed = tenant.innerIfPresent("guaranteed");
     int accelerators =
         guaranteed.isPresent() && guaranteed.get().has("gpu") ? guaranteed.get().count("gpu") : 0;
-    return new KeyHolder(tenant.text("name"), keys, accelerators);
+    return new BatchOrganisation(tenant.text("name"), keys, accelerators);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/platform/ExecutorParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/ExecutorParser.java
@@ -6,8 +6,8 @@
 import org.fescuehook.logic.ini.Addresses;
 import org.fescuehook.logic.ini.MalformedValueException;
 import org.fescuehook.logic.ini.ValueType;
-import org.fescuehook.model.batch.Demand;
 import org.fescuehook.model.batch.ExecutorProfile;
+import org.fescuehook.model.batch.ResourceVector;
 import org.fescuehook.model.fleet.ExecutorId;
 import org.fescuehook.model.fleet.FailureDomain;
 import org.fescuehook.model.fleet.Incarnation;
@@ -49,7 +49,7 @@
         new FailureDomain(fields.text("zone")),
         new RackId(labels.getLast()),
         new HashSet<>(labels),
-        new Demand(capacity.count("cpu"), capacity.count("memMb"), capacity.count("gpu")),
+        new ResourceVector(capacity.count("cpu"), capacity.count("memMb"), capacity.count("gpu")),
         leaving(fields),
         fields.has("remainingMs") ? fields.millis("remainingMs") : 0);
   }
--- a/fescuehook/src/main/java/org/fescuehook/platform/PlatformStore.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/PlatformStore.java
@@ -12,9 +12,9 @@
 import org.fescuehook.logic.batch.BatchEvent;
 import org.fescuehook.logic.batch.ownership.OwnerCodec;
 import org.fescuehook.logic.batch.ownership.OwnerRecord;
-import org.fescuehook.logic.batch.store.AnswerTimes;
 import org.fescuehook.logic.batch.store.AppendOutcome;
 import org.fescuehook.logic.batch.store.KeyedRecord;
+import org.fescuehook.logic.batch.store.ResponseTimeEstimator;
 import org.fescuehook.logic.batch.store.StreamName;
 import org.fescuehook.logic.batch.store.UnreadableRecordException;
 import org.fescuehook.logic.event.EventLog;
@@ -65,7 +65,7 @@
     this.loop = loop;
     this.events = events;
     this.routes = routes;
-    AnswerTimes reads = new AnswerTimes(RepeatedRead.NEVER_LATE);
+    ResponseTimeEstimator reads = new ResponseTimeEstimator(RepeatedRead.NEVER_LATE);
     for (StreamName stream : StreamName.values()) {
       writers.put(stream, new StreamAppender(loop, address, Topic.of(stream), reads));
     }
--- a/fescuehook/src/main/java/org/fescuehook/platform/RepeatedRead.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/RepeatedRead.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import org.fescuehook.logic.batch.store.AnswerTimes;
+import org.fescuehook.logic.batch.store.ResponseTimeEstimator;
 
 /**
  * One read of the store that is asked for again while its answer is late, beside the asks before
@@ -28,7 +28,7 @@
   private static final Duration LONGEST_GAP = Duration.ofMillis(700);
 
   private final Link link;
-  private final AnswerTimes times;
+  private final ResponseTimeEstimator times;
   private final Duration wait;
   private final Listener listener;
   private final long begunAt;
@@ -82,7 +82,7 @@
     void ended(ReadOutcome outcome);
   }
 
-  private RepeatedRead(Link link, AnswerTimes times, Duration wait, Listener listener) {
+  private RepeatedRead(Link link, ResponseTimeEstimator times, Duration wait, Listener listener) {
     this.link = link;
     this.times = times;
     this.wait = wait;
@@ -96,7 +96,8 @@
    * @param times what is known of the store's answers to reads
    * @param wait how long the store may wait for a record
    */
-  static RepeatedRead begin(Link link, AnswerTimes times, Duration wait, Listener listener) {
+  static RepeatedRead begin(
+      Link link, ResponseTimeEstimator times, Duration wait, Listener listener) {
     RepeatedRead read = new RepeatedRead(link, times, wait, listener);
     read.ask(wait);
     return read;
--- a/fescuehook/src/main/java/org/fescuehook/platform/StoreReader.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/StoreReader.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import org.fescuehook.logic.batch.store.AnswerTimes;
+import org.fescuehook.logic.batch.store.ResponseTimeEstimator;
 
 /**
  * Reads the store, one read at a time. While the store answers in time it uses one connection. All
@@ -18,7 +18,7 @@
 
   private final EventLoop loop;
   private final InetSocketAddress address;
-  private final AnswerTimes times;
+  private final ResponseTimeEstimator times;
   private final Deque<StoreClient> idle = new ArrayDeque<>();
   private Optional<RepeatedRead> underWay = Optional.empty();
 
@@ -27,7 +27,7 @@
    *
    * @param times what is known of the store's answers to reads, of all readers of this VM
    */
-  StoreReader(EventLoop loop, InetSocketAddress address, AnswerTimes times) {
+  StoreReader(EventLoop loop, InetSocketAddress address, ResponseTimeEstimator times) {
     this.loop = loop;
     this.address = address;
     this.times = times;
--- a/fescuehook/src/main/java/org/fescuehook/platform/StreamAppender.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/StreamAppender.java
@@ -10,10 +10,10 @@
 import java.util.concurrent.atomic.LongAdder;
 import java.util.function.Consumer;
 import org.fescuehook.logic.batch.BatchCommand;
-import org.fescuehook.logic.batch.store.AnswerTimes;
 import org.fescuehook.logic.batch.store.AppendOutcome;
 import org.fescuehook.logic.batch.store.RepeatedAppend;
-import org.fescuehook.logic.batch.store.SlowStoreWatch;
+import org.fescuehook.logic.batch.store.ResponseTimeEstimator;
+import org.fescuehook.logic.batch.store.SlowStoreDetector;
 import org.fescuehook.logic.event.EventLog;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -32,9 +32,9 @@
   private final EventLoop loop;
   private final InetSocketAddress address;
   private final Topic topic;
-  private final AnswerTimes times;
+  private final ResponseTimeEstimator times;
   private final Deque<StoreClient> idle = new ArrayDeque<>();
-  private final SlowStoreWatch slowness = new SlowStoreWatch();
+  private final SlowStoreDetector slowness = new SlowStoreDetector();
   private final LongAdder repeated = new LongAdder();
   private int busy;
 
@@ -43,11 +43,12 @@
    *
    * @param reads what is known of the store's answers to reads; an append takes up to twice as long
    */
-  StreamAppender(EventLoop loop, InetSocketAddress address, Topic topic, AnswerTimes reads) {
+  StreamAppender(
+      EventLoop loop, InetSocketAddress address, Topic topic, ResponseTimeEstimator reads) {
     this.loop = loop;
     this.address = address;
     this.topic = topic;
-    this.times = new AnswerTimes(RepeatedAppend.NEVER_LATE, reads);
+    this.times = new ResponseTimeEstimator(RepeatedAppend.NEVER_LATE, reads);
   }
 
   /** Returns how many sends were repeats of an append whose answer was late. */
--- a/fescuehook/src/main/java/org/fescuehook/platform/StreamFollower.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/StreamFollower.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
-import org.fescuehook.logic.batch.store.AnswerTimes;
+import org.fescuehook.logic.batch.store.ResponseTimeEstimator;
 import org.fescuehook.logic.event.EventLog;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -67,7 +67,7 @@
   StreamFollower(
       EventLoop loop,
       InetSocketAddress address,
-      AnswerTimes times,
+      ResponseTimeEstimator times,
       Topic topic,
       Pace pace,
       Listener listener) {
--- a/fescuehook/src/main/java/org/fescuehook/platform/SubmissionParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/SubmissionParser.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.fescuehook.model.batch.BatchStep;
-import org.fescuehook.model.batch.Demand;
+import org.fescuehook.model.batch.ResourceVector;
 import org.fescuehook.model.batch.Submission;
 import org.fescuehook.model.fleet.RackId;
 
@@ -91,17 +91,18 @@
   }
 
   /** A step with "utilization" gets cores that others leave unused, and none of its own. */
-  private static Demand demand(JsonNode step) {
+  private static ResourceVector demand(JsonNode step) {
     int cores = step.path("utilization").asBoolean() ? 0 : step.path("cpu").asInt();
-    return new Demand(cores, step.path("memMb").asInt(), step.path("gpu").asInt());
+    return new ResourceVector(cores, step.path("memMb").asInt(), step.path("gpu").asInt());
   }
 
-  private static Optional<BatchStep.Lasting> lasting(JsonNode step) {
+  private static Optional<BatchStep.LongRunning> lasting(JsonNode step) {
     if (!step.path("longRunning").asBoolean()) {
       return Optional.empty();
     }
     return Optional.of(
-        new BatchStep.Lasting(step.path("missAllowed").asInt(), step.path("targetMs").asLong()));
+        new BatchStep.LongRunning(
+            step.path("missAllowed").asInt(), step.path("targetMs").asLong()));
   }
 
   private static BatchStep.PlacementRule placement(JsonNode step) {
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/BatchCluster.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/BatchCluster.java
@@ -15,8 +15,8 @@
 import org.fescuehook.logic.batch.call.BatchCall;
 import org.fescuehook.logic.batch.call.CallAnswer;
 import org.fescuehook.logic.batch.ownership.OwnerIdentity;
-import org.fescuehook.logic.batch.store.AnswerTimes;
 import org.fescuehook.logic.batch.store.RepeatedAppend;
+import org.fescuehook.logic.batch.store.ResponseTimeEstimator;
 import org.fescuehook.logic.batch.store.StreamName;
 import org.fescuehook.model.batch.BatchConfiguration;
 import org.fescuehook.model.batch.ExecutorProfile;
@@ -75,8 +75,9 @@
     BatchCore core;
     boolean running = true;
     boolean frozen;
-    final Map<StreamName, AnswerTimes> answerTimes = new EnumMap<>(StreamName.class);
-    private final AnswerTimes readTimes = new AnswerTimes(RepeatedAppend.NEVER_LATE);
+    final Map<StreamName, ResponseTimeEstimator> answerTimes = new EnumMap<>(StreamName.class);
+    private final ResponseTimeEstimator readTimes =
+        new ResponseTimeEstimator(RepeatedAppend.NEVER_LATE);
     private boolean following;
     private long busyUntil;
     private final List<BatchEvent> held = new ArrayList<>();
@@ -86,7 +87,7 @@
       starts++;
       start = starts;
       for (StreamName stream : StreamName.values()) {
-        answerTimes.put(stream, new AnswerTimes(RepeatedAppend.NEVER_LATE, readTimes));
+        answerTimes.put(stream, new ResponseTimeEstimator(RepeatedAppend.NEVER_LATE, readTimes));
       }
       OwnerIdentity self =
           new OwnerIdentity(id, "start-" + start, "10.0.0.1:7000", Declared.milliCores(id));
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/DayShape.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/DayShape.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Random;
 import org.fescuehook.model.batch.BatchConfiguration;
-import org.fescuehook.model.batch.Demand;
+import org.fescuehook.model.batch.ResourceVector;
 
 /**
  * The proportions of a day: its kinds of jobs, its executors, and what goes wrong with them. The
@@ -66,7 +66,7 @@
       double millis,
       double spread,
       double estimateOff,
-      Demand unit,
+      ResourceVector unit,
       double checkpointing,
       double sameRack,
       double worth,
@@ -89,9 +89,9 @@
   }
 
   private static List<Kind> kindsOfJobs(double urgentSameRack, double normalSameRack) {
-    Demand urgent = new Demand(7_500, 31_000, 0);
-    Demand normal = new Demand(26_000, 110_000, 0);
-    Demand bulk = new Demand(5_600, 16_000, 1);
+    ResourceVector urgent = new ResourceVector(7_500, 31_000, 0);
+    ResourceVector normal = new ResourceVector(26_000, 110_000, 0);
+    ResourceVector bulk = new ResourceVector(5_600, 16_000, 1);
     return List.of(
         new Kind(
             Declared.URGENT,
@@ -151,7 +151,7 @@
   }
 
   /** Returns the most members of a gang that fit into a rack. */
-  int widestGang(Demand member) {
+  int widestGang(ResourceVector member) {
     return narrow ? rackSize : rackSize * Declared.CAPACITY.fits(member);
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/Declared.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/Declared.java
@@ -10,10 +10,10 @@
 import java.util.OptionalLong;
 import java.util.Set;
 import org.fescuehook.model.batch.BatchConfiguration;
-import org.fescuehook.model.batch.Demand;
+import org.fescuehook.model.batch.BatchOrganisation;
 import org.fescuehook.model.batch.ExecutorProfile;
 import org.fescuehook.model.batch.JobQueue;
-import org.fescuehook.model.batch.KeyHolder;
+import org.fescuehook.model.batch.ResourceVector;
 import org.fescuehook.model.fleet.ExecutorId;
 import org.fescuehook.model.fleet.FailureDomain;
 import org.fescuehook.model.fleet.Incarnation;
@@ -36,7 +36,7 @@
   static final String POOL = "pool";
 
   /** An executor as the users have them. */
-  static final Demand CAPACITY = new Demand(64_000, 262_144, 8);
+  static final ResourceVector CAPACITY = new ResourceVector(64_000, 262_144, 8);
 
   private Declared() {}
 
@@ -62,14 +62,15 @@
     queues.put(NORMAL, new JobQueue(NORMAL, POOL, 1, 3, 3, 1000, false, false));
     queues.put(BULK, new JobQueue(BULK, POOL, 2, 2, 3, 3000, false, false));
     queues.put(ADVISED, new JobQueue(ADVISED, POOL, 1, 3, 3, 1000, false, true));
-    return new BatchConfiguration(1, queues, List.of(new KeyHolder("north", Set.of(KEY), 24)));
+    return new BatchConfiguration(
+        1, queues, List.of(new BatchOrganisation("north", Set.of(KEY), 24)));
   }
 
   /** The same queues, and several organisations with as many guaranteed accelerators each. */
   static BatchConfiguration configuration(int organisations, int guaranteedEach) {
-    List<KeyHolder> holders = new ArrayList<>();
+    List<BatchOrganisation> holders = new ArrayList<>();
     for (int i = 0; i < organisations; i++) {
-      holders.add(new KeyHolder("org-" + i, Set.of(keyOf(i)), guaranteedEach));
+      holders.add(new BatchOrganisation("org-" + i, Set.of(keyOf(i)), guaranteedEach));
     }
     return new BatchConfiguration(1, configuration().queues(), holders);
   }
@@ -128,7 +129,7 @@
         0);
   }
 
-  static ExecutorProfile withCapacity(ExecutorProfile profile, Demand capacity) {
+  static ExecutorProfile withCapacity(ExecutorProfile profile, ResourceVector capacity) {
     return new ExecutorProfile(
         profile.incarnation(),
         profile.address(),
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/FakeExecutor.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/FakeExecutor.java
@@ -11,8 +11,8 @@
 import org.fescuehook.logic.batch.BatchCommand.ExecutorOrder;
 import org.fescuehook.logic.batch.executor.OrderOutcome;
 import org.fescuehook.logic.batch.executor.OrderOutcome.Rejection;
-import org.fescuehook.model.batch.Demand;
 import org.fescuehook.model.batch.ExecutorProfile;
+import org.fescuehook.model.batch.ResourceVector;
 import org.fescuehook.model.batch.RunEnd;
 import org.fescuehook.model.batch.TaskName;
 import org.fescuehook.model.batch.TaskRun;
@@ -33,7 +33,7 @@
   private final List<OrderOutcome.EndedRun> ended = new ArrayList<>();
   private final long clockAhead;
   private ExecutorProfile profile;
-  private Demand usable;
+  private ResourceVector usable;
   private boolean guards = true;
   private long epoch;
   private long leaseUntil;
@@ -80,7 +80,7 @@
   }
 
   /** Describes its capacity anew. */
-  void resize(Demand capacity, BatchCluster cluster) {
+  void resize(ResourceVector capacity, BatchCluster cluster) {
     profile = Declared.withCapacity(profile, capacity);
     if (capacity.contains(usable)) {
       usable = capacity;
@@ -197,8 +197,8 @@
     return new OrderOutcome.Done(nowMillis + clockAhead);
   }
 
-  private Demand free() {
-    Demand free = guards ? profile.capacity() : usable;
+  private ResourceVector free() {
+    ResourceVector free = guards ? profile.capacity() : usable;
     for (TaskRun run : active.keySet()) {
       free = free.minus(work.demand(run.task()));
     }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/HeavyDay.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/HeavyDay.java
@@ -9,8 +9,8 @@
 import java.util.Random;
 import org.fescuehook.logic.batch.call.CallAnswer;
 import org.fescuehook.model.batch.BatchStep;
-import org.fescuehook.model.batch.Demand;
 import org.fescuehook.model.batch.JobPhase;
+import org.fescuehook.model.batch.ResourceVector;
 import org.fescuehook.model.batch.TaskName;
 import org.fescuehook.model.fleet.ExecutorId;
 
@@ -125,8 +125,8 @@
     int accelerators = bulk ? 1 : shape.drawAccelerators(random);
     long millis = Math.max(300, Math.round(lognormal(kind.millis(), kind.spread())));
     long estimate = Math.max(200, Math.round(lognormal(millis, kind.estimateOff())));
-    Demand demand =
-        new Demand(kind.unit().milliCores(), kind.unit().memoryMegabytes(), accelerators);
+    ResourceVector demand =
+        new ResourceVector(kind.unit().milliCores(), kind.unit().memoryMegabytes(), accelerators);
     if (!bulk) {
       width = Math.min(width, shape.widestGang(demand));
     }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/Jobs.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/Jobs.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.fescuehook.model.batch.BatchStep;
-import org.fescuehook.model.batch.Demand;
+import org.fescuehook.model.batch.ResourceVector;
 import org.fescuehook.model.batch.Submission;
 
 /** Submissions for tests. */
@@ -31,14 +31,14 @@
   static BatchStep lasting(int count, int accelerators, int mostAway, long targetMillis) {
     return new BatchStep(
         count,
-        new Demand(4_000, 16_000, accelerators),
+        new ResourceVector(4_000, 16_000, accelerators),
         0,
         List.of(),
         BatchStep.PlacementRule.ANYWHERE,
         false,
         false,
         "image",
-        Optional.of(new BatchStep.Lasting(mostAway, targetMillis)));
+        Optional.of(new BatchStep.LongRunning(mostAway, targetMillis)));
   }
 
   static BatchStep after(BatchStep step, Integer... earlier) {
@@ -62,7 +62,7 @@
       boolean gang) {
     return new BatchStep(
         count,
-        new Demand(4_000, 16_000, accelerators),
+        new ResourceVector(4_000, 16_000, accelerators),
         millis,
         dependsOn,
         BatchStep.PlacementRule.ANYWHERE,
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/ShrinkingCapacityTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ShrinkingCapacityTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import org.fescuehook.model.batch.Demand;
+import org.fescuehook.model.batch.ResourceVector;
 import org.fescuehook.model.fleet.ExecutorId;
 import org.junit.jupiter.api.Test;
 
@@ -13,7 +13,7 @@
  */
 class ShrinkingCapacityTest {
 
-  private static final Demand HALF = new Demand(32_000, 131_072, 4);
+  private static final ResourceVector HALF = new ResourceVector(32_000, 131_072, 4);
 
   /** Time that the store takes for an append; the shrunk capacity is binding after 4.5 s. */
   private static final long SLOW_APPEND_MILLIS = 5000;
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/SwallowedReleaseTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/SwallowedReleaseTest.java
@@ -24,16 +24,16 @@
   private final OwnershipDuty duty =
       new OwnershipDuty(new OwnerIdentity(new VmId("vm-1"), "start-1", "10.0.0.1:7000", 1000));
 
-  private static BatchTurn at(long millis) {
-    return new BatchTurn(Duration.ofMillis(millis).toNanos(), millis);
+  private static BatchContext at(long millis) {
+    return new BatchContext(Duration.ofMillis(millis).toNanos(), millis);
   }
 
   /** Has the duty do what is due and returns the append, stored, with its outcome. */
   private BatchCommand.Append step(long millis) {
-    BatchTurn turn = at(millis);
-    duty.step(turn);
+    BatchContext context = at(millis);
+    duty.step(context);
     List<BatchCommand.Append> appends =
-        turn.commands().stream()
+        context.commands().stream()
             .filter(BatchCommand.Append.class::isInstance)
             .map(BatchCommand.Append.class::cast)
             .toList();
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/TakeoverProgressTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/TakeoverProgressTest.java
@@ -39,15 +39,15 @@
   }
 
   private List<Object> told(long millis) {
-    BatchTurn turn = at(millis);
-    takeover.tellWhatIsMissing("executors", turn);
-    return turn.commands().stream()
+    BatchContext context = at(millis);
+    takeover.tellWhatIsMissing("executors", context);
+    return context.commands().stream()
         .map(BatchCommand.Note.class::cast)
         .flatMap(note -> note.arguments().stream())
         .toList();
   }
 
-  private static BatchTurn at(long millis) {
-    return new BatchTurn(Duration.ofMillis(millis).toNanos(), 0);
+  private static BatchContext at(long millis) {
+    return new BatchContext(Duration.ofMillis(millis).toNanos(), 0);
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/UnknownJobDeskTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/UnknownJobDeskTest.java
@@ -24,8 +24,8 @@
   private final Map<String, Optional<JobPhase>> accepted =
       new HashMap<>(Map.of("a1", Optional.empty(), "a2", Optional.empty()));
 
-  private static BatchTurn at(long millis) {
-    return new BatchTurn(nanos(millis), 0);
+  private static BatchContext at(long millis) {
+    return new BatchContext(nanos(millis), 0);
   }
 
   private static long nanos(long millis) {
@@ -37,9 +37,9 @@
   }
 
   private List<BatchCommand> step(long nowMillis, long confirmedMillis) {
-    BatchTurn turn = at(nowMillis);
-    desk.step(nanos(confirmedMillis), accepted::get, turn);
-    return turn.commands();
+    BatchContext context = at(nowMillis);
+    desk.step(nanos(confirmedMillis), accepted::get, context);
+    return context.commands();
   }
 
   private static BatchCommand answer(long ticket, CallAnswer answer) {
@@ -84,8 +84,8 @@
   @Test
   void questionsAreRefusedWhenTheEpochEnds() {
     ask(1, "a1", 100, 900);
-    BatchTurn turn = at(200);
-    desk.close(turn);
-    assertEquals(List.of(answer(1, refused(RefusalCause.NOT_OWNER))), turn.commands());
+    BatchContext context = at(200);
+    desk.close(context);
+    assertEquals(List.of(answer(1, refused(RefusalCause.NOT_OWNER))), context.commands());
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/VirtualWork.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/VirtualWork.java
@@ -12,7 +12,7 @@
 import java.util.OptionalLong;
 import java.util.Set;
 import org.fescuehook.model.batch.BatchStep;
-import org.fescuehook.model.batch.Demand;
+import org.fescuehook.model.batch.ResourceVector;
 import org.fescuehook.model.batch.RunEnd;
 import org.fescuehook.model.batch.Submission;
 import org.fescuehook.model.batch.TaskName;
@@ -107,7 +107,7 @@
     return submissions.get(task.job()).steps().get(task.step());
   }
 
-  Demand demand(TaskName task) {
+  ResourceVector demand(TaskName task) {
     return spec(task).demand();
   }
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/executor/ExecutorStateTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/executor/ExecutorStateTest.java
@@ -7,8 +7,8 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.Set;
-import org.fescuehook.model.batch.Demand;
 import org.fescuehook.model.batch.ExecutorProfile;
+import org.fescuehook.model.batch.ResourceVector;
 import org.fescuehook.model.fleet.ExecutorId;
 import org.fescuehook.model.fleet.FailureDomain;
 import org.fescuehook.model.fleet.Incarnation;
@@ -26,7 +26,7 @@
             new FailureDomain("a"),
             new RackId("r"),
             Set.of(),
-            new Demand(64_000, 262_144, 8),
+            new ResourceVector(64_000, 262_144, 8),
             false,
             0),
         new OrderBaseline(0, 0));
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/ownership/LateHeartbeatTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ownership/LateHeartbeatTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.fescuehook.logic.batch.BatchCommand;
-import org.fescuehook.logic.batch.BatchTurn;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.store.AppendOutcome;
 import org.fescuehook.logic.batch.store.WriterPosition;
 import org.fescuehook.model.fleet.VmId;
@@ -24,8 +24,8 @@
   private final OwnershipDuty duty =
       new OwnershipDuty(new OwnerIdentity(new VmId("vm-1"), "start-1", "10.0.0.1:7000", 1000));
 
-  private static BatchTurn at(long millis) {
-    return new BatchTurn(Duration.ofMillis(millis).toNanos(), millis);
+  private static BatchContext at(long millis) {
+    return new BatchContext(Duration.ofMillis(millis).toNanos(), millis);
   }
 
   private WriterPosition step(long millis) {
@@ -35,9 +35,9 @@
   }
 
   private List<BatchCommand.Append> appends(long millis) {
-    BatchTurn turn = at(millis);
-    duty.step(turn);
-    return turn.commands().stream()
+    BatchContext context = at(millis);
+    duty.step(context);
+    return context.commands().stream()
         .filter(BatchCommand.Append.class::isInstance)
         .map(BatchCommand.Append.class::cast)
         .toList();
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/ownership/OwnershipDutyTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ownership/OwnershipDutyTest.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import org.fescuehook.logic.batch.BatchCommand;
-import org.fescuehook.logic.batch.BatchTurn;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.store.AppendOutcome;
 import org.fescuehook.logic.batch.store.WriterPosition;
 import org.fescuehook.model.fleet.VmId;
@@ -20,8 +20,8 @@
 
   private final OwnershipDuty duty = ofPower(USUAL_MILLI_CORES);
 
-  private static BatchTurn at(long millis) {
-    return new BatchTurn(millis * 1_000_000, 0);
+  private static BatchContext at(long millis) {
+    return new BatchContext(millis * 1_000_000, 0);
   }
 
   private static OwnershipDuty ofPower(int milliCores) {
@@ -50,9 +50,9 @@
   }
 
   private static boolean claims(OwnershipDuty duty, long millis) {
-    BatchTurn turn = at(millis);
-    duty.step(turn);
-    return turn.commands().stream().anyMatch(BatchCommand.Append.class::isInstance);
+    BatchContext context = at(millis);
+    duty.step(context);
+    return context.commands().stream().anyMatch(BatchCommand.Append.class::isInstance);
   }
 
   @Test
@@ -181,9 +181,9 @@
   private static WriterPosition claimOf(long millis) {
     OwnershipDuty sameDuty = ofPower(USUAL_MILLI_CORES);
     sameDuty.read(Optional.empty(), 5, at(0));
-    BatchTurn turn = at(millis);
-    sameDuty.step(turn);
-    return turn.commands().stream()
+    BatchContext context = at(millis);
+    sameDuty.step(context);
+    return context.commands().stream()
         .filter(BatchCommand.Append.class::isInstance)
         .map(BatchCommand.Append.class::cast)
         .findFirst()
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/FilledFleetTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/FilledFleetTest.java
@@ -9,14 +9,14 @@
 import java.util.Set;
 import org.fescuehook.logic.batch.executor.ExecutorState;
 import org.fescuehook.logic.batch.executor.OrderBaseline;
+import org.fescuehook.logic.batch.state.ActiveJob;
 import org.fescuehook.logic.batch.state.LiveRun;
-import org.fescuehook.logic.batch.state.OpenJob;
 import org.fescuehook.logic.batch.state.StepProgress;
 import org.fescuehook.model.batch.BatchJob;
 import org.fescuehook.model.batch.BatchStep;
-import org.fescuehook.model.batch.Demand;
 import org.fescuehook.model.batch.ExecutorProfile;
 import org.fescuehook.model.batch.JobQueue;
+import org.fescuehook.model.batch.ResourceVector;
 import org.fescuehook.model.batch.Submission;
 import org.fescuehook.model.batch.TaskRun;
 import org.fescuehook.model.fleet.ExecutorId;
@@ -75,7 +75,7 @@
             new FailureDomain("domain"),
             rack,
             Set.of(),
-            new Demand(64_000, 262_144, WHOLE_EXECUTOR),
+            new ResourceVector(64_000, 262_144, WHOLE_EXECUTOR),
             false,
             0),
         new OrderBaseline(0, 0));
@@ -86,7 +86,7 @@
     BatchStep spec =
         new BatchStep(
             count,
-            new Demand(1000, 1000, accelerators),
+            new ResourceVector(1000, 1000, accelerators),
             10_000,
             List.of(),
             new BatchStep.PlacementRule(false, Optional.empty(), affinity, 0),
@@ -95,7 +95,7 @@
             "image");
     JobQueue queue = new JobQueue("queue", "pool", priority, 4, 3, 1000, false, false);
     Submission submission = new Submission("spec", List.of(spec), Optional.empty());
-    return new OpenJob(new BatchJob("%016x".formatted(job), queue, "o", 0, submission))
+    return new ActiveJob(new BatchJob("%016x".formatted(job), queue, "o", 0, submission))
         .steps()
         .getFirst();
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/PlannerEquivalenceProperties.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/PlannerEquivalenceProperties.java
@@ -17,15 +17,15 @@
 import net.jqwik.api.Property;
 import org.fescuehook.logic.batch.executor.ExecutorState;
 import org.fescuehook.logic.batch.executor.OrderBaseline;
+import org.fescuehook.logic.batch.state.ActiveJob;
 import org.fescuehook.logic.batch.state.LiveRun;
-import org.fescuehook.logic.batch.state.OpenJob;
 import org.fescuehook.logic.batch.state.StepProgress;
 import org.fescuehook.logic.batch.state.TaskProgress;
 import org.fescuehook.model.batch.BatchJob;
 import org.fescuehook.model.batch.BatchStep;
-import org.fescuehook.model.batch.Demand;
 import org.fescuehook.model.batch.ExecutorProfile;
 import org.fescuehook.model.batch.JobQueue;
+import org.fescuehook.model.batch.ResourceVector;
 import org.fescuehook.model.batch.Submission;
 import org.fescuehook.model.batch.TaskRun;
 import org.fescuehook.model.fleet.ExecutorId;
@@ -84,7 +84,7 @@
                   new FailureDomain("a"),
                   new RackId(rack),
                   Set.of(random.nextBoolean() ? "k" : "l", rack),
-                  new Demand(64_000, 262_144, 8),
+                  new ResourceVector(64_000, 262_144, 8),
                   false,
                   0),
               new OrderBaseline(0, 0));
@@ -109,7 +109,7 @@
       BatchStep spec =
           new BatchStep(
               count,
-              new Demand(
+              new ResourceVector(
                   random.nextInt(24_000),
                   random.nextInt(80_000),
                   ACCELERATORS[random.nextInt(ACCELERATORS.length)]),
@@ -120,13 +120,14 @@
               gang,
               "image",
               lasting
-                  ? Optional.of(new BatchStep.Lasting(1, random.nextBoolean() ? 50 : 0))
+                  ? Optional.of(new BatchStep.LongRunning(1, random.nextBoolean() ? 50 : 0))
                   : Optional.empty());
       jobs++;
       int priority = urgent ? 0 : 1 + random.nextInt(2);
       JobQueue queue = new JobQueue("q" + priority, "pool", priority, 4, 3, 1000, false, false);
       Submission submission = new Submission("spec", List.of(spec), Optional.empty());
-      OpenJob job = new OpenJob(new BatchJob("%016x".formatted(jobs), queue, "o", 0, submission));
+      ActiveJob job =
+          new ActiveJob(new BatchJob("%016x".formatted(jobs), queue, "o", 0, submission));
       StepProgress step = job.steps().getFirst();
       boolean guaranteed = urgent && random.nextBoolean();
       ranks.put(step, guaranteed ? Rank.GUARANTEED : Rank.ofPriority(priority));
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/ReferenceCandidate.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/ReferenceCandidate.java
@@ -3,7 +3,7 @@
 import org.fescuehook.logic.batch.executor.ExecutorState;
 import org.fescuehook.logic.batch.state.StepProgress;
 import org.fescuehook.model.batch.BatchStep;
-import org.fescuehook.model.batch.Demand;
+import org.fescuehook.model.batch.ResourceVector;
 import org.fescuehook.model.fleet.Incarnation;
 
 /** An executor and its free capacity while a plan is made. */
@@ -11,7 +11,7 @@
 
   private final ExecutorState executor;
   private final boolean suspect;
-  private Demand free;
+  private ResourceVector free;
   private boolean servesUsers;
   private boolean runsOtherWork;
 
@@ -20,7 +20,7 @@
    *
    * @param suspect whether runs have recently failed or been slow there
    */
-  ReferenceCandidate(ExecutorState executor, Demand free, boolean suspect) {
+  ReferenceCandidate(ExecutorState executor, ResourceVector free, boolean suspect) {
     this.executor = executor;
     this.free = free;
     this.suspect = suspect;
@@ -34,7 +34,7 @@
     return executor;
   }
 
-  Demand free() {
+  ResourceVector free() {
     return free;
   }
 
@@ -58,7 +58,7 @@
     return step.serves() ? runsOtherWork : servesUsers;
   }
 
-  void release(Demand demand) {
+  void release(ResourceVector demand) {
     free = free.plus(demand);
   }
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/ReferenceCapacity.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/ReferenceCapacity.java
@@ -13,7 +13,7 @@
 import org.fescuehook.logic.batch.state.StepProgress;
 import org.fescuehook.logic.batch.state.TaskProgress;
 import org.fescuehook.model.batch.BatchStep;
-import org.fescuehook.model.batch.Demand;
+import org.fescuehook.model.batch.ResourceVector;
 import org.fescuehook.model.fleet.RackId;
 
 /** Capacity of the usable executors while a plan is made. */
@@ -47,7 +47,7 @@
 
   private static ReferenceCapacity of(
       Collection<ExecutorState> executors,
-      Function<ExecutorState, Demand> capacity,
+      Function<ExecutorState, ResourceVector> capacity,
       long nowNanos) {
     long suspects = executors.stream().filter(executor -> executor.suspect(nowNanos)).count();
     boolean credible = suspects <= executors.size() * MAX_SUSPECT_SHARE;
@@ -69,8 +69,8 @@
   }
 
   private static int usableAccelerators(ReferenceCandidate candidate) {
-    Demand free = candidate.free();
-    Demand total = candidate.executor().profile().capacity();
+    ResourceVector free = candidate.free();
+    ResourceVector total = candidate.executor().profile().capacity();
     double share =
         Math.min(
             share(free.milliCores(), total.milliCores()),
@@ -80,11 +80,11 @@
 
   /** Tells whether this capacity exceeds half of another one, both in accelerators and in cores. */
   boolean exceedsHalfOf(ReferenceCapacity total) {
-    return 2 * sum(Demand::accelerators) > total.sum(Demand::accelerators)
-        && 2 * sum(Demand::milliCores) > total.sum(Demand::milliCores);
+    return 2 * sum(ResourceVector::accelerators) > total.sum(ResourceVector::accelerators)
+        && 2 * sum(ResourceVector::milliCores) > total.sum(ResourceVector::milliCores);
   }
 
-  private long sum(ToIntFunction<Demand> resource) {
+  private long sum(ToIntFunction<ResourceVector> resource) {
     return candidates.stream().mapToLong(candidate -> resource.applyAsInt(candidate.free())).sum();
   }
 
@@ -98,7 +98,7 @@
   }
 
   /** Releases capacity of an executor. */
-  void release(ExecutorState executor, Demand demand) {
+  void release(ExecutorState executor, ResourceVector demand) {
     candidate(executor).ifPresent(candidate -> candidate.release(demand));
   }
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/state/JobCodecTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/state/JobCodecTest.java
@@ -9,9 +9,9 @@
 import org.fescuehook.logic.batch.executor.CrashEvidence;
 import org.fescuehook.model.batch.BatchJob;
 import org.fescuehook.model.batch.BatchStep;
-import org.fescuehook.model.batch.Demand;
 import org.fescuehook.model.batch.JobPhase;
 import org.fescuehook.model.batch.JobQueue;
+import org.fescuehook.model.batch.ResourceVector;
 import org.fescuehook.model.batch.Submission;
 import org.fescuehook.model.batch.TaskRun;
 import org.fescuehook.model.fleet.ExecutorId;
@@ -22,11 +22,11 @@
 
   private static final JobQueue QUEUE = new JobQueue("q", "pool", 1, 2, 3, 1000, false, true);
 
-  private static BatchJob job(boolean gang, Optional<BatchStep.Lasting> lasting) {
+  private static BatchJob job(boolean gang, Optional<BatchStep.LongRunning> lasting) {
     BatchStep step =
         new BatchStep(
             3,
-            new Demand(1000, 100, 1),
+            new ResourceVector(1000, 100, 1),
             500,
             List.of(),
             BatchStep.PlacementRule.ANYWHERE,
@@ -40,7 +40,7 @@
 
   @Test
   void aJobIsReadAsItWasStored() throws Exception {
-    BatchJob job = job(false, Optional.of(new BatchStep.Lasting(2, 80)));
+    BatchJob job = job(false, Optional.of(new BatchStep.LongRunning(2, 80)));
     assertEquals(job, JobCodec.decodeJob("a1", JobCodec.encode(job)));
   }
 
@@ -50,11 +50,11 @@
    */
   @Test
   void aFailedRunOfAGangCountsOnceAlsoWhenTheOwnerChanges() throws Exception {
-    OpenJob former = new OpenJob(job(true, Optional.empty()));
+    ActiveJob former = new ActiveJob(job(true, Optional.empty()));
     StepProgress step = former.steps().getFirst();
     assertEquals(1, step.fail(step.tasks().get(0), 1, life("e1")));
 
-    OpenJob restored = new OpenJob(job(true, Optional.empty()));
+    ActiveJob restored = new ActiveJob(job(true, Optional.empty()));
     JobCodec.restore(restored, JobCodec.encodeProgress(former), 0);
     StepProgress same = restored.steps().getFirst();
 
@@ -65,7 +65,7 @@
   /** A new owner that counted from zero would have three more executors crashed. */
   @Test
   void whatSpeaksAgainstATaskIsKnownToTheNextOwner() throws Exception {
-    OpenJob former = new OpenJob(job(false, Optional.empty()));
+    ActiveJob former = new ActiveJob(job(false, Optional.empty()));
     StepProgress step = former.steps().getFirst();
     TaskRun run = new TaskRun(step.name(step.tasks().get(1)), 1);
     step.begin(step.tasks().get(1), LiveRun.inherited(run, life("e1"), step, 0));
@@ -73,7 +73,7 @@
     step.tasks().get(1).crashed(CrashEvidence.WEAK, 2);
     step.tasks().get(1).crashed(CrashEvidence.STRONG_ALONE, 4);
 
-    OpenJob restored = new OpenJob(job(false, Optional.empty()));
+    ActiveJob restored = new ActiveJob(job(false, Optional.empty()));
     JobCodec.restore(restored, JobCodec.encodeProgress(former), 0);
 
     List<TaskProgress> tasks = restored.steps().getFirst().tasks();
@@ -84,11 +84,11 @@
   /** A next owner that does not know them would leave them to their leases. */
   @Test
   void whatMayStillRunOfAnEndedJobIsKnownToTheNextOwner() throws Exception {
-    OpenJob former = new OpenJob(job(false, Optional.empty()));
+    ActiveJob former = new ActiveJob(job(false, Optional.empty()));
     LiveRun run = begin(former, 1, 4);
     former.end(JobPhase.CANCELLED, 17);
 
-    OpenJob restored = new OpenJob(job(false, Optional.empty()));
+    ActiveJob restored = new ActiveJob(job(false, Optional.empty()));
     JobCodec.restore(restored, JobCodec.encodeProgress(former), 0);
 
     assertEquals(Optional.of(JobPhase.CANCELLED), restored.end());
@@ -99,12 +99,12 @@
   /** The step is done by another run of the task; the next owner has to stop this one. */
   @Test
   void whatMayStillRunOfADoneStepIsKnownToTheNextOwner() throws Exception {
-    OpenJob former = new OpenJob(job(false, Optional.empty()));
+    ActiveJob former = new ActiveJob(job(false, Optional.empty()));
     LiveRun run = begin(former, 2, 1);
     StepProgress step = former.steps().getFirst();
     step.tasks().forEach(step::finish);
 
-    OpenJob restored = new OpenJob(job(false, Optional.empty()));
+    ActiveJob restored = new ActiveJob(job(false, Optional.empty()));
     JobCodec.restore(restored, JobCodec.encodeProgress(former), 0);
 
     assertTrue(restored.steps().getFirst().done());
@@ -115,7 +115,7 @@
     return new Incarnation(new ExecutorId(executor), OptionalLong.of(1_786_115_069_591L));
   }
 
-  private static LiveRun begin(OpenJob job, int task, int number) {
+  private static LiveRun begin(ActiveJob job, int task, int number) {
     StepProgress step = job.steps().getFirst();
     TaskProgress begun = step.tasks().get(task);
     TaskRun run = new TaskRun(step.name(begun), number);
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/state/StrayEndTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/state/StrayEndTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.fescuehook.logic.batch.BatchTurn;
+import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.executor.Countdown;
 import org.fescuehook.logic.batch.executor.CrashEvidence;
 import org.fescuehook.logic.batch.executor.ExecutorDuty;
@@ -21,9 +21,9 @@
 import org.fescuehook.model.batch.BatchConfiguration;
 import org.fescuehook.model.batch.BatchJob;
 import org.fescuehook.model.batch.BatchStep;
-import org.fescuehook.model.batch.Demand;
 import org.fescuehook.model.batch.JobPhase;
 import org.fescuehook.model.batch.JobQueue;
+import org.fescuehook.model.batch.ResourceVector;
 import org.fescuehook.model.batch.RunEnd;
 import org.fescuehook.model.batch.Submission;
 import org.fescuehook.model.batch.TaskName;
@@ -43,7 +43,7 @@
   private static final BatchStep TWO_TASKS =
       new BatchStep(
           2,
-          new Demand(1000, 1000, 1),
+          new ResourceVector(1000, 1000, 1),
           1000,
           List.of(),
           BatchStep.PlacementRule.ANYWHERE,
@@ -51,23 +51,23 @@
           false,
           "image");
 
-  private final JobBook book = new JobBook();
+  private final JobRegistry book = new JobRegistry();
   private final StateWriter writer = new StateWriter(EPOCH, at(0));
-  private final JobDuty jobs = jobs();
+  private final JobLifecycle jobs = jobs();
   private final List<Integer> acknowledged = new ArrayList<>();
 
-  private JobDuty jobs() {
+  private JobLifecycle jobs() {
     Submission submission = new Submission("spec", List.of(TWO_TASKS), Optional.empty());
-    book.add(new OpenJob(new BatchJob(JOB, QUEUE, "north", 0, submission)));
+    book.add(new ActiveJob(new BatchJob(JOB, QUEUE, "north", 0, submission)));
     Duration lease = Duration.ofSeconds(6);
     ExecutorDuty executors =
         new ExecutorDuty(EPOCH, lease, lease, lease, new DeafListener(), at(0));
-    return new JobDuty(
+    return new JobLifecycle(
         book, writer, executors, new BatchConfiguration(1, Map.of("q", QUEUE), List.of()));
   }
 
-  private static BatchTurn at(long millis) {
-    return new BatchTurn(Duration.ofMillis(millis).toNanos(), millis);
+  private static BatchContext at(long millis) {
+    return new BatchContext(Duration.ofMillis(millis).toNanos(), millis);
   }
 
   /** Hears of an end as an executor reports it under a number. */
@@ -145,39 +145,39 @@
   /** No run is known to the executors here, so nothing is heard. */
   private static final class DeafListener implements RunListener {
     @Override
-    public void ended(LiveRun run, EndedRun end, Countdown stored, BatchTurn turn) {}
+    public void ended(LiveRun run, EndedRun end, Countdown stored, BatchContext context) {}
 
     @Override
-    public void strayEnded(EndedRun end, Countdown stored, BatchTurn turn) {}
+    public void strayEnded(EndedRun end, Countdown stored, BatchContext context) {}
 
     @Override
-    public void lost(LiveRun run, String cause, BatchTurn turn) {}
+    public void lost(LiveRun run, String cause, BatchContext context) {}
 
     @Override
-    public void rejected(LiveRun run, Rejection rejection, BatchTurn turn) {}
+    public void rejected(LiveRun run, Rejection rejection, BatchContext context) {}
 
     @Override
-    public void lostWithExecutor(LiveRun run, CrashEvidence evidence, BatchTurn turn) {}
+    public void lostWithExecutor(LiveRun run, CrashEvidence evidence, BatchContext context) {}
 
     @Override
-    public void unsent(LiveRun run, BatchTurn turn) {}
+    public void unsent(LiveRun run, BatchContext context) {}
 
     @Override
-    public void startGivenUp(LiveRun run, BatchTurn turn) {}
+    public void startGivenUp(LiveRun run, BatchContext context) {}
 
     @Override
-    public void foundRunning(LiveRun run, BatchTurn turn) {}
+    public void foundRunning(LiveRun run, BatchContext context) {}
 
     @Override
     public void saved(LiveRun run, String checkpoint) {}
 
     @Override
-    public void stoodStill(LiveRun run, BatchTurn turn) {}
+    public void stoodStill(LiveRun run, BatchContext context) {}
 
     @Override
-    public void leaving(ExecutorState executor, BatchTurn turn) {}
+    public void leaving(ExecutorState executor, BatchContext context) {}
 
     @Override
-    public void fenced(BatchTurn turn) {}
+    public void fenced(BatchContext context) {}
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/store/RepeatedAppendTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/store/RepeatedAppendTest.java
@@ -19,7 +19,7 @@
   private static final AppendOutcome LOST = new AppendOutcome.Unanswered("timeout");
 
   private final FakeLink link = new FakeLink();
-  private final AnswerTimes times = new AnswerTimes(RepeatedAppend.NEVER_LATE);
+  private final ResponseTimeEstimator times = new ResponseTimeEstimator(RepeatedAppend.NEVER_LATE);
   private final List<AppendOutcome> outcomes = new ArrayList<>();
 
   private void begin() {
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/store/AnswerTimesTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/store/ResponseTimeEstimatorTest.java
@@ -6,12 +6,12 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-class AnswerTimesTest {
+class ResponseTimeEstimatorTest {
 
   private static final Duration FAST = Duration.ofMillis(4);
   private static final Duration SLOW = Duration.ofMillis(240);
 
-  private final AnswerTimes times = new AnswerTimes(RepeatedAppend.NEVER_LATE);
+  private final ResponseTimeEstimator times = new ResponseTimeEstimator(RepeatedAppend.NEVER_LATE);
 
   private void answered(Duration time, int count) {
     for (int i = 0; i < count; i++) {
@@ -50,7 +50,7 @@
   @Test
   void slowReadsRaiseTheThresholdOfTheFirstAppend() {
     Duration append = SLOW.multipliedBy(2);
-    AnswerTimes appends = new AnswerTimes(RepeatedAppend.NEVER_LATE, times);
+    ResponseTimeEstimator appends = new ResponseTimeEstimator(RepeatedAppend.NEVER_LATE, times);
     assertEquals(RepeatedAppend.NEVER_LATE, appends.late());
     answered(SLOW, 3);
     assertTrue(appends.late().compareTo(append) > 0, () -> "late after " + appends.late());
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/store/SlidingWindowMaximumTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/store/SlidingWindowMaximumTest.java
@@ -3,15 +3,15 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.time.Duration;
-import org.fescuehook.logic.batch.BatchTurn;
+import org.fescuehook.logic.batch.BatchContext;
 import org.junit.jupiter.api.Test;
 
 class SlidingWindowMaximumTest {
 
   private final SlidingWindowMaximum times = new SlidingWindowMaximum();
 
-  private static BatchTurn at(long millis) {
-    return new BatchTurn(Duration.ofMillis(millis).toNanos(), 0);
+  private static BatchContext at(long millis) {
+    return new BatchContext(Duration.ofMillis(millis).toNanos(), 0);
   }
 
   @Test
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/store/StateWriterTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/store/StateWriterTest.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import org.fescuehook.logic.batch.BatchTurn;
+import org.fescuehook.logic.batch.BatchContext;
 import org.junit.jupiter.api.Test;
 
 class StateWriterTest {
@@ -16,8 +16,8 @@
   private final List<String> events = new ArrayList<>();
   private final StateWriter writer = new StateWriter(7, at(0));
 
-  private static BatchTurn at(long millis) {
-    return new BatchTurn(Duration.ofMillis(millis).toNanos(), 0);
+  private static BatchContext at(long millis) {
+    return new BatchContext(Duration.ofMillis(millis).toNanos(), 0);
   }
 
   private void put(String key) {
@@ -117,9 +117,9 @@
     events.clear();
   }
 
-  private int appendsOf(BatchTurn turn) {
-    writer.flush(turn);
-    return turn.commands().size();
+  private int appendsOf(BatchContext context) {
+    writer.flush(context);
+    return context.commands().size();
   }
 
   /**
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/FirstFitScheduler.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/FirstFitScheduler.java
@@ -33,7 +33,7 @@
       }
     }
     List<Stop> stops = new ArrayList<>();
-    for (Running running : view.running()) {
+    for (RunningAttempt running : view.running()) {
       take(free, running.placement().members(), running.job().shape().perMember());
       if (reclaim.contains(running.attempt()) && !running.stopping()) {
         JobId self = running.job().id();
@@ -41,7 +41,7 @@
       }
     }
     List<Start> starts = new ArrayList<>();
-    for (Waiting waiting : view.waiting()) {
+    for (WaitingJob waiting : view.waiting()) {
       Optional<List<WorkerId>> places = place(free, waiting);
       if (places.isPresent()) {
         take(free, places.get(), waiting.job().shape().perMember());
@@ -51,7 +51,7 @@
     return new Plan(starts, stops, Map.of());
   }
 
-  private static Optional<List<WorkerId>> place(Map<WorkerId, Capacity> free, Waiting waiting) {
+  private static Optional<List<WorkerId>> place(Map<WorkerId, Capacity> free, WaitingJob waiting) {
     List<WorkerId> places = new ArrayList<>();
     for (WorkerId worker : free.keySet().stream().sorted().toList()) {
       if (waiting.avoid().contains(worker)) {
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/OutageTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/OutageTest.java
@@ -8,7 +8,7 @@
 import org.fescuehook.logic.control.VirtualCluster.AppendFault;
 import org.fescuehook.logic.worker.WorkerPort.WorkerCommand;
 import org.fescuehook.model.job.JobId;
-import org.fescuehook.model.request.Ran;
+import org.fescuehook.model.request.ExecutionStatus;
 import org.fescuehook.model.request.RefusalReason;
 import org.junit.jupiter.api.Test;
 
@@ -27,7 +27,7 @@
     Answer refused = s.cluster.answer(s.standBy(), TestDeclarations.gang(1, "finish 1"));
     Answer.Refused refusal = assertInstanceOf(Answer.Refused.class, refused);
     assertEquals(RefusalReason.LOG_UNAVAILABLE, refusal.reason());
-    assertEquals(Ran.NO, refusal.reason().ran());
+    assertEquals(ExecutionStatus.NO, refusal.reason().ran());
     assertTrue(refusal.retryAfterSeconds() > 0);
     s.run(595);
     assertEquals(2, s.running(running));
--- a/fescuehook/src/test/java/org/fescuehook/logic/control/RandomHistoriesTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/control/RandomHistoriesTest.java
@@ -11,7 +11,7 @@
 import org.fescuehook.logic.control.state.ControlState;
 import org.fescuehook.model.job.JobId;
 import org.fescuehook.model.preferences.ControlPreferences;
-import org.fescuehook.model.request.Ran;
+import org.fescuehook.model.request.ExecutionStatus;
 import org.fescuehook.wire.JobResult;
 import org.junit.jupiter.api.Test;
 
@@ -96,7 +96,7 @@
             state
                 .jobs()
                 .findByRequest(TestDeclarations.ORGANISATION.value(), submissions.get(ticket));
-        boolean truthful = refused.reason().ran() != Ran.NO || job.isEmpty();
+        boolean truthful = refused.reason().ran() != ExecutionStatus.NO || job.isEmpty();
         assertTrue(truthful, () -> "said not run but accepted: " + refused);
       }
       default -> {}
--- a/fescuehook/src/test/java/org/fescuehook/logic/dispatch/AtMostOnceProperties.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/dispatch/AtMostOnceProperties.java
@@ -14,11 +14,11 @@
 import java.util.Set;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.fescuehook.logic.dispatch.DispatchEnd.FailureKind;
-import org.fescuehook.logic.dispatch.DispatchEnd.NotSentCause;
+import org.fescuehook.logic.dispatch.DispatchResult.FailureKind;
+import org.fescuehook.logic.dispatch.DispatchResult.NotSentCause;
 import org.fescuehook.logic.platform.LogAppender.AppendResult;
 import org.fescuehook.model.log.LogRecord;
-import org.fescuehook.model.request.Ran;
+import org.fescuehook.model.request.ExecutionStatus;
 import org.fescuehook.wire.OutcomeReply;
 
 /** Random histories of three entry VMs on one log, with faults in pairs and more. */
@@ -38,7 +38,7 @@
   /** A VM with what it commanded and has not heard the end of. */
   private static final class Vm {
     final CoreFixture core;
-    final OwnOutcomes own;
+    final LocalOutcomes own;
     final List<DispatchCommand.Append> appends = new ArrayList<>();
     final List<DispatchCommand.Send> sends = new ArrayList<>();
     final List<DispatchCommand.FetchOutcome> fetches = new ArrayList<>();
@@ -148,20 +148,20 @@
         return;
       }
       DispatchCommand.Send send = vm.sends.removeFirst();
-      DispatchEnd end =
+      DispatchResult end =
           switch (random.nextInt(6)) {
-            case 0 -> new DispatchEnd.RefusedNotRun();
-            case 1 -> new DispatchEnd.NotSent(NotSentCause.CONNECT_FAILED);
-            case 2 -> new DispatchEnd.Failed(FailureKind.CONNECTION_LOST, false, true);
-            case 3 -> new DispatchEnd.Failed(FailureKind.DEADLINE, random.nextBoolean(), true);
+            case 0 -> new DispatchResult.RefusedNotRun();
+            case 1 -> new DispatchResult.NotSent(NotSentCause.CONNECT_FAILED);
+            case 2 -> new DispatchResult.Failed(FailureKind.CONNECTION_LOST, false, true);
+            case 3 -> new DispatchResult.Failed(FailureKind.DEADLINE, random.nextBoolean(), true);
             default -> CoreFixture.answered(send.token());
           };
-      if (end instanceof DispatchEnd.Answered) {
+      if (end instanceof DispatchResult.Answered) {
         String key = keyOf.get(send.ticket());
         answers.computeIfAbsent(key, k -> new HashSet<>()).add(send.token());
       }
       boolean surelyNot =
-          end instanceof DispatchEnd.RefusedNotRun || end instanceof DispatchEnd.NotSent;
+          end instanceof DispatchResult.RefusedNotRun || end instanceof DispatchResult.NotSent;
       if (surelyNot) {
         runs.merge(keyOf.get(send.ticket()), -1, Integer::sum);
         runsOfTicket.merge(send.ticket(), -1, Integer::sum);
@@ -211,7 +211,7 @@
           }
           case DispatchCommand.Refuse refuse -> {
             boolean ran = runsOfTicket.getOrDefault(refuse.ticket(), 0) > 0;
-            if (refuse.reason().ran() == Ran.NO) {
+            if (refuse.reason().ran() == ExecutionStatus.NO) {
               assertEquals(false, ran, () -> "said not run, but was: " + refuse);
             }
           }
--- a/fescuehook/src/test/java/org/fescuehook/logic/dispatch/ClaimDeskTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/dispatch/ClaimDeskTest.java
@@ -146,7 +146,7 @@
   void releasesTheIdOfARequestThatSurelyDidNotRun() {
     core.arrive(1, core.withId("x", "c"));
     core.appendAndRead(0, T);
-    core.end(1, new DispatchEnd.NotSent(DispatchEnd.NotSentCause.DEADLINE));
+    core.end(1, new DispatchResult.NotSent(DispatchResult.NotSentCause.DEADLINE));
     core.pass(50);
     RequestRecord release = core.last(DispatchCommand.Append.class).orElseThrow().record();
     assertEquals(key("x"), release.getReleases(0).getKey());
--- a/fescuehook/src/test/java/org/fescuehook/logic/dispatch/CoreFixture.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/dispatch/CoreFixture.java
@@ -47,7 +47,7 @@
 
   final List<DispatchCommand> commands = new ArrayList<>();
   final DispatchCore core;
-  final OwnOutcomes own = new OwnOutcomes();
+  final LocalOutcomes own = new LocalOutcomes();
   final String vm;
   long now = 1_000_000;
   private int slots = 4;
@@ -125,8 +125,8 @@
     }
   }
 
-  RequestFacts facts(String organisation, boolean urgent, boolean repeatable) {
-    return new RequestFacts(
+  RequestAttributes facts(String organisation, boolean urgent, boolean repeatable) {
+    return new RequestAttributes(
         new OrganisationId(organisation),
         Optional.empty(),
         RequestDigest.NONE,
@@ -135,8 +135,8 @@
         now + 10_000);
   }
 
-  RequestFacts withId(String id, String content) {
-    return new RequestFacts(
+  RequestAttributes withId(String id, String content) {
+    return new RequestAttributes(
         new OrganisationId("a"),
         Optional.of(id),
         new RequestDigest(ByteString.copyFromUtf8(content)),
@@ -145,11 +145,11 @@
         now + 10_000);
   }
 
-  void arrive(long ticket, RequestFacts facts) {
+  void arrive(long ticket, RequestAttributes facts) {
     handle(new DispatchEvent.Arrived(ticket, facts));
   }
 
-  void end(long ticket, DispatchEnd end) {
+  void end(long ticket, DispatchResult end) {
     handle(new DispatchEvent.DispatchEnded(ticket, end, 5));
   }
 
@@ -157,12 +157,13 @@
     end(ticket, answered("done"));
   }
 
-  static DispatchEnd answered(String body) {
-    return new DispatchEnd.Answered(200, "text/plain", body.getBytes(StandardCharsets.UTF_8), true);
+  static DispatchResult answered(String body) {
+    return new DispatchResult.Answered(
+        200, "text/plain", body.getBytes(StandardCharsets.UTF_8), true);
   }
 
-  static DispatchEnd lost() {
-    return new DispatchEnd.Failed(DispatchEnd.FailureKind.CONNECTION_LOST, false, true);
+  static DispatchResult lost() {
+    return new DispatchResult.Failed(DispatchResult.FailureKind.CONNECTION_LOST, false, true);
   }
 
   void readRecord(long offset, long appendedMillis, RequestRecord record) {
--- a/fescuehook/src/test/java/org/fescuehook/logic/dispatch/SlotDispatcherTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/dispatch/SlotDispatcherTest.java
@@ -10,14 +10,14 @@
 import java.util.Map;
 import java.util.Optional;
 import org.fescuehook.model.organisation.OrganisationId;
-import org.fescuehook.model.request.Ran;
+import org.fescuehook.model.request.ExecutionStatus;
 import org.fescuehook.model.request.RefusalReason;
 import org.junit.jupiter.api.Test;
 
 class SlotDispatcherTest {
-  private static final DispatchEnd NOT_RUN = new DispatchEnd.RefusedNotRun();
-  private static final DispatchEnd UNREACHABLE =
-      new DispatchEnd.NotSent(DispatchEnd.NotSentCause.CONNECT_FAILED);
+  private static final DispatchResult NOT_RUN = new DispatchResult.RefusedNotRun();
+  private static final DispatchResult UNREACHABLE =
+      new DispatchResult.NotSent(DispatchResult.NotSentCause.CONNECT_FAILED);
 
   @Test
   void sendsANonRepeatableRequestOnceWhenItsConnectionIsLost() {
@@ -32,7 +32,7 @@
 
   @Test
   void sendsANonRepeatableRequestElsewhereWhenItSurelyDidNotRun() {
-    for (DispatchEnd end : List.of(NOT_RUN, UNREACHABLE)) {
+    for (DispatchResult end : List.of(NOT_RUN, UNREACHABLE)) {
       CoreFixture core = CoreFixture.ready(3, 4);
       core.arrive(1, core.facts("a", false, false));
       core.end(1, end);
@@ -55,7 +55,7 @@
     core.end(1, NOT_RUN);
 
     assertEquals(3, core.executorsOf(1).size());
-    assertEquals(Ran.UNKNOWN, core.refusalOf(1).orElseThrow().ran());
+    assertEquals(ExecutionStatus.UNKNOWN, core.refusalOf(1).orElseThrow().ran());
   }
 
   @Test
@@ -199,7 +199,8 @@
     CoreFixture core = CoreFixture.ready(2, 4);
     core.arrive(1, core.facts("a", true, false));
     String executor = core.executorsOf(1).getFirst();
-    core.end(1, new DispatchEnd.Failed(DispatchEnd.FailureKind.CONNECTION_LOST, false, false));
+    core.end(
+        1, new DispatchResult.Failed(DispatchResult.FailureKind.CONNECTION_LOST, false, false));
     DispatchCommand.CheckPath check = core.last(DispatchCommand.CheckPath.class).orElseThrow();
     assertEquals(executor, check.executor().value());
 
@@ -213,7 +214,8 @@
   void takesAPathWithoutAFreshConnectionForADeadExecutor() {
     CoreFixture core = CoreFixture.ready(2, 4);
     core.arrive(1, core.facts("a", true, false));
-    core.end(1, new DispatchEnd.Failed(DispatchEnd.FailureKind.CONNECTION_LOST, false, false));
+    core.end(
+        1, new DispatchResult.Failed(DispatchResult.FailureKind.CONNECTION_LOST, false, false));
     DispatchCommand.CheckPath check = core.last(DispatchCommand.CheckPath.class).orElseThrow();
     core.handle(new DispatchEvent.PathChecked(check.executor(), false));
     for (int i = 2; i <= 5; i++) {
--- a/fescuehook/src/test/java/org/fescuehook/logic/membership/ReadinessTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/membership/ReadinessTest.java
@@ -5,7 +5,7 @@
 import java.time.Duration;
 import java.util.Optional;
 import java.util.OptionalLong;
-import org.fescuehook.logic.membership.Readiness.Facts;
+import org.fescuehook.logic.membership.Readiness.Inputs;
 import org.fescuehook.logic.membership.Readiness.NotReady;
 import org.junit.jupiter.api.Test;
 
@@ -23,14 +23,14 @@
 
   @Test
   void aVmWithoutConfigurationIsNotReady() {
-    Facts facts = new Facts(false, true, true, secondsAgo(0), secondsAgo(0), NEVER);
+    Inputs facts = new Inputs(false, true, true, secondsAgo(0), secondsAgo(0), NEVER);
 
     assertEquals(Optional.of(NotReady.NO_CONFIGURATION), judge(facts));
   }
 
   @Test
   void aVmWithoutAShareOfTheExecutorsSlotsIsNotReady() {
-    Facts facts = new Facts(true, false, true, secondsAgo(0), secondsAgo(0), NEVER);
+    Inputs facts = new Inputs(true, false, true, secondsAgo(0), secondsAgo(0), NEVER);
 
     assertEquals(Optional.of(NotReady.NO_SLOTS), judge(facts));
   }
@@ -67,13 +67,13 @@
         judge(facts(true, secondsAgo(60), secondsAgo(1), secondsAgo(11))));
   }
 
-  private Optional<NotReady> judge(Facts facts) {
+  private Optional<NotReady> judge(Inputs facts) {
     return readiness.judge(facts, NOW);
   }
 
-  private static Facts facts(
+  private static Inputs facts(
       boolean caughtUp, OptionalLong logContact, OptionalLong peerContact, OptionalLong behind) {
-    return new Facts(true, true, caughtUp, logContact, peerContact, behind);
+    return new Inputs(true, true, caughtUp, logContact, peerContact, behind);
   }
 
   private static OptionalLong secondsAgo(long seconds) {
--- a/fescuehook/src/test/java/org/fescuehook/logic/scheduling/WorkerJudgeTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/scheduling/FaultyWorkerDetectorTest.java
@@ -19,14 +19,14 @@
 import org.fescuehook.model.organisation.OrganisationId;
 import org.junit.jupiter.api.Test;
 
-class WorkerJudgeTest {
+class FaultyWorkerDetectorTest {
 
   private static final WorkerId BAD = new WorkerId("bad");
   private static final WorkerId OTHER = new WorkerId("other");
   private static final long NOW = 1_000_000;
 
-  private final WorkerJudge judge = new WorkerJudge();
-  private final List<Scheduler.Running> running = new ArrayList<>();
+  private final FaultyWorkerDetector judge = new FaultyWorkerDetector();
+  private final List<Scheduler.RunningAttempt> running = new ArrayList<>();
 
   @Test
   void twoJobsThatFinishElsewhereAreEvidence() {
@@ -75,14 +75,16 @@
     History history = failed(History.EMPTY.afterQuarantine(BAD, NOW), "a", BAD);
     running.add(running("a", OTHER, 60));
 
-    List<WorkerJudge.Judgement> judgements = judge.judge(view(history));
+    List<FaultyWorkerDetector.Quarantine> judgements = judge.judge(view(history));
 
     assertEquals(1, judgements.size());
     assertEquals(NOW + 1_200_000, judgements.getFirst().untilMillis());
   }
 
   private List<WorkerId> judged(History history) {
-    return judge.judge(view(history)).stream().map(WorkerJudge.Judgement::worker).toList();
+    return judge.judge(view(history)).stream()
+        .map(FaultyWorkerDetector.Quarantine::worker)
+        .toList();
   }
 
   private Scheduler.View view(History history) {
@@ -107,8 +109,8 @@
     return new EndedAttempt(job(job), placement, 3, 0, result, blamed, 10);
   }
 
-  private static Scheduler.Running running(String job, WorkerId worker, long seconds) {
-    return new Scheduler.Running(
+  private static Scheduler.RunningAttempt running(String job, WorkerId worker, long seconds) {
+    return new Scheduler.RunningAttempt(
         job(job),
         new AttemptId(new JobId(job), 2),
         new Placement(List.of(worker)),
--- a/fescuehook/src/test/java/org/fescuehook/logic/scheduling/PlanAuditor.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/scheduling/PlanAuditor.java
@@ -9,11 +9,11 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import org.fescuehook.logic.scheduling.Scheduler.Plan;
-import org.fescuehook.logic.scheduling.Scheduler.Running;
+import org.fescuehook.logic.scheduling.Scheduler.RunningAttempt;
 import org.fescuehook.logic.scheduling.Scheduler.Start;
 import org.fescuehook.logic.scheduling.Scheduler.Stop;
 import org.fescuehook.logic.scheduling.Scheduler.View;
-import org.fescuehook.logic.scheduling.Scheduler.Waiting;
+import org.fescuehook.logic.scheduling.Scheduler.WaitingJob;
 import org.fescuehook.logic.trace.ReplayListener;
 import org.fescuehook.model.configuration.Declarations;
 import org.fescuehook.model.fleet.Capacity;
@@ -49,13 +49,13 @@
   }
 
   private void checkStarts(View view, Plan plan) {
-    Map<JobId, Waiting> waiting = new HashMap<>();
+    Map<JobId, WaitingJob> waiting = new HashMap<>();
     view.waiting().forEach(w -> waiting.put(w.job().id(), w));
     Map<WorkerId, Worker> workers = workers(view);
     Map<WorkerId, Capacity> used = new HashMap<>();
     view.running().forEach(r -> add(used, r.job(), r.placement().members()));
     for (Start s : plan.starts()) {
-      Waiting w = waiting.remove(s.job());
+      WaitingJob w = waiting.remove(s.job());
       if (w == null) {
         fault(view, s.job() + " started though it does not wait, or twice");
         continue;
@@ -71,7 +71,7 @@
         });
   }
 
-  private void checkPlacement(View view, Waiting w, Start s, Map<WorkerId, Worker> workers) {
+  private void checkPlacement(View view, WaitingJob w, Start s, Map<WorkerId, Worker> workers) {
     List<WorkerId> members = s.placement().members();
     if (members.size() != w.job().shape().members()) {
       fault(view, s.job() + " starts with a part of its members");
@@ -92,7 +92,7 @@
     }
   }
 
-  private static boolean fitsElsewhere(View view, Waiting w) {
+  private static boolean fitsElsewhere(View view, WaitingJob w) {
     Set<WorkerId> without = new HashSet<>(view.unusable());
     without.addAll(w.avoid());
     Declarations left = without(view.declarations(), without);
@@ -102,10 +102,10 @@
   }
 
   private void checkStops(View view, Plan plan) {
-    Map<AttemptId, Running> running = new HashMap<>();
+    Map<AttemptId, RunningAttempt> running = new HashMap<>();
     view.running().forEach(r -> running.put(r.attempt(), r));
     for (Stop s : plan.stops()) {
-      Running r = running.remove(s.attempt());
+      RunningAttempt r = running.remove(s.attempt());
       if (r == null || r.stopping()) {
         fault(view, s.attempt() + " is stopped though it does not run, or twice");
       }
@@ -114,7 +114,7 @@
 
   private void checkExplained(View view, Plan plan) {
     Set<JobId> started = plan.starts().stream().map(Start::job).collect(Collectors.toSet());
-    for (Waiting w : view.waiting()) {
+    for (WaitingJob w : view.waiting()) {
       if (!started.contains(w.job().id()) && !plan.reasons().containsKey(w.job().id())) {
         fault(view, w.job().id() + " waits without a reason");
       }
@@ -126,10 +126,10 @@
     if (!guaranteesCanBeKept(view)) {
       return;
     }
-    List<Running> running = after(view, plan);
+    List<RunningAttempt> running = after(view, plan);
     Set<OrganisationId> present = new HashSet<>();
     running.forEach(r -> present.add(r.job().organisation()));
-    List<Waiting> demand = demand(view, present);
+    List<WaitingJob> demand = demand(view, present);
     if (demand.isEmpty()) {
       return;
     }
@@ -137,9 +137,9 @@
     View first = with(view, demand, running);
     Plan reclaim = scheduler.plan(first);
     Set<JobId> served = reclaim.starts().stream().map(Start::job).collect(Collectors.toSet());
-    List<Running> left = after(first, reclaim);
-    left.removeIf(Running::stopping);
-    List<Waiting> open = new ArrayList<>(demand);
+    List<RunningAttempt> left = after(first, reclaim);
+    left.removeIf(RunningAttempt::stopping);
+    List<WaitingJob> open = new ArrayList<>(demand);
     open.removeIf(w -> served.contains(w.job().id()));
     Plan second = scheduler.plan(with(view, open, left));
     if (second.starts().size() != open.size()) {
@@ -158,18 +158,18 @@
     return new Declarations(d.organisations(), d.guarantees(), d.rules(), fleet, d.policy());
   }
 
-  private static View with(View view, List<Waiting> waiting, List<Running> running) {
+  private static View with(View view, List<WaitingJob> waiting, List<RunningAttempt> running) {
     return new View(
         view.nowMillis(), view.declarations(), waiting, running, view.unusable(), view.history());
   }
 
-  private static List<Running> after(View view, Plan plan) {
+  private static List<RunningAttempt> after(View view, Plan plan) {
     Set<AttemptId> stopped = plan.stops().stream().map(Stop::attempt).collect(Collectors.toSet());
-    List<Running> running = new ArrayList<>();
-    for (Running r : view.running()) {
+    List<RunningAttempt> running = new ArrayList<>();
+    for (RunningAttempt r : view.running()) {
       boolean stopping = r.stopping() || stopped.contains(r.attempt());
       running.add(
-          new Running(
+          new RunningAttempt(
               r.job(),
               r.attempt(),
               r.placement(),
@@ -184,13 +184,14 @@
       AttemptId attempt = new AttemptId(s.job(), 99);
       Job job = jobs.get(s.job());
       running.add(
-          new Running(job, attempt, s.placement(), s.borrowed(), view.nowMillis(), 0, false));
+          new RunningAttempt(
+              job, attempt, s.placement(), s.borrowed(), view.nowMillis(), 0, false));
     }
     return running;
   }
 
-  private static List<Waiting> demand(View view, Set<OrganisationId> present) {
-    List<Waiting> demand = new ArrayList<>();
+  private static List<WaitingJob> demand(View view, Set<OrganisationId> present) {
+    List<WaitingJob> demand = new ArrayList<>();
     for (GuaranteedShape g : view.declarations().guarantees()) {
       for (int i = 0; i < g.count() && !present.contains(g.organisation()); i++) {
         Job job =
@@ -204,7 +205,7 @@
                 60,
                 view.nowMillis(),
                 "test");
-        demand.add(new Waiting(job, 0, 0, Set.of()));
+        demand.add(new WaitingJob(job, 0, 0, Set.of()));
       }
     }
     return demand;
--- a/fescuehook/src/test/java/org/fescuehook/logic/scheduling/RandomHistory.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/scheduling/RandomHistory.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.SplittableRandom;
-import org.fescuehook.logic.trace.JobCourse;
+import org.fescuehook.logic.trace.JobBehaviour;
 import org.fescuehook.logic.trace.Trace;
 import org.fescuehook.logic.trace.TraceEvent;
 import org.fescuehook.logic.trace.WorkerTiming;
@@ -127,7 +127,7 @@
         checkpointable && random.nextInt(4) > 0
             ? OptionalLong.of(between(100, 40_000))
             : OptionalLong.empty();
-    JobCourse course = new JobCourse(between(5, 3000), failsAfter, checkpoint);
+    JobBehaviour course = new JobBehaviour(between(5, 3000), failsAfter, checkpoint);
     events.add(new TraceEvent.Submitted(job, course));
   }
 
@@ -138,7 +138,8 @@
     switch (random.nextInt(FAULT_KINDS)) {
       case 0 -> pair(new TraceEvent.Lapsed(at, worker), new TraceEvent.Returned(until, worker));
       case 1 -> pair(new TraceEvent.Leaving(at, worker), new TraceEvent.Returned(until, worker));
-      case 2 -> pair(new TraceEvent.Failing(at, worker, 3), new TraceEvent.Mended(until, worker));
+      case 2 ->
+          pair(new TraceEvent.Failing(at, worker, 3), new TraceEvent.Recovered(until, worker));
       case 3 -> submit(at, OptionalLong.of(between(1, 60)));
       default -> cancelHalf(at);
     }
--- a/fescuehook/src/test/java/org/fescuehook/logic/scheduling/SchedulerPropertyTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/scheduling/SchedulerPropertyTest.java
@@ -22,7 +22,8 @@
     Trace trace = new RandomHistory(seed).write();
     PlanAuditor auditor = new PlanAuditor();
     Replayer replayer =
-        new Replayer(trace, new GuaranteeScheduler(), Optional.of(new WorkerJudge()), auditor);
+        new Replayer(
+            trace, new GuaranteeScheduler(), Optional.of(new FaultyWorkerDetector()), auditor);
 
     List<JobOutcome> outcomes = replayer.replay();
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/story/JobStoryTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/story/JobTimelineTest.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-class JobStoryTest {
+class JobTimelineTest {
 
   private static final String JOB = "613a0aabc6d4ee61";
   private static final String RUN = JOB + ".0.0.0#1";
@@ -30,20 +30,20 @@
   @Test
   void itHoldsTheJobsEventsThoseOfItsExecutorsAndChangesOfTheOwnerMeanwhile() {
     List<Integer> numbers =
-        JobStory.of(JOB, LOG).events().stream().map(LoggedEvent::number).toList();
+        JobTimeline.of(JOB, LOG).events().stream().map(LoggedEvent::number).toList();
     assertEquals(List.of(8010, 8020, 8021, 8031, 8001, 8024), numbers);
   }
 
   @Test
   void itNamesTheLongestStage() {
-    JobStory.Stage longest = JobStory.of(JOB, LOG).longestStage().orElseThrow();
+    JobTimeline.Stage longest = JobTimeline.of(JOB, LOG).longestStage().orElseThrow();
     assertEquals(6090, longest.millis());
     assertTrue(longest.name().contains("lease"), longest.name());
   }
 
   @Test
   void aJobThatNoLineNamesHasNoStory() {
-    assertTrue(JobStory.of("0000000000000000", LOG).events().isEmpty());
+    assertTrue(JobTimeline.of("0000000000000000", LOG).events().isEmpty());
   }
 
   @Test
--- a/fescuehook/src/test/java/org/fescuehook/logic/story/DayStoryTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/story/LateJobReportTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class DayStoryTest {
+class LateJobReportTest {
 
   private static LoggedEvent event(long millis, int number, String message) {
     return new LoggedEvent(millis, "vm-1", number, message);
@@ -34,16 +34,17 @@
 
   @Test
   void lateJobsAreThoseBeyondTheirObjectiveTheMostWorkFirst() {
-    DayStory day = DayStory.of(LOG);
+    LateJobReport day = LateJobReport.of(LOG);
 
     assertEquals(4, day.jobs());
-    assertEquals(List.of("bb", "cc", "dd"), day.late().stream().map(DayStory.LateJob::id).toList());
+    assertEquals(
+        List.of("bb", "cc", "dd"), day.late().stream().map(LateJobReport.LateJob::id).toList());
     assertEquals(2000, day.late().getFirst().lateMillis());
   }
 
   @Test
   void aJobWithoutAnEndIsLateUntilTheEndOfTheLog() {
-    DayStory.LateJob job = DayStory.of(LOG).late().get(1);
+    LateJobReport.LateJob job = LateJobReport.of(LOG).late().get(1);
 
     assertEquals(6000, job.lateMillis());
     assertEquals(false, job.ended());
@@ -51,10 +52,11 @@
 
   @Test
   void theCausesAddUpToAllTimeThatWasLost() {
-    DayStory day = DayStory.of(LOG);
+    LateJobReport day = LateJobReport.of(LOG);
 
-    long all = day.late().stream().mapToLong(DayStory.LateJob::lateMillis).sum();
-    assertEquals(all, day.losses().stream().mapToLong(DayStory.Loss::lateMillis).sum());
-    assertEquals(new DayStory.Loss("q", "waited for room", 2, 8000), day.losses().getFirst());
+    long all = day.late().stream().mapToLong(LateJobReport.LateJob::lateMillis).sum();
+    assertEquals(all, day.losses().stream().mapToLong(LateJobReport.LostTime::lateMillis).sum());
+    assertEquals(
+        new LateJobReport.LostTime("q", "waited for room", 2, 8000), day.losses().getFirst());
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/trace/ReplayTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/trace/ReplayTest.java
@@ -7,8 +7,8 @@
 import java.util.Optional;
 import org.approvaltests.Approvals;
 import org.approvaltests.core.Options;
+import org.fescuehook.logic.scheduling.FaultyWorkerDetector;
 import org.fescuehook.logic.scheduling.GuaranteeScheduler;
-import org.fescuehook.logic.scheduling.WorkerJudge;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
@@ -54,7 +54,8 @@
                                   s.borrowed() ? " borrowed" : "")));
         };
     List<JobOutcome> outcomes =
-        new Replayer(trace, new GuaranteeScheduler(), Optional.of(new WorkerJudge()), decisions)
+        new Replayer(
+                trace, new GuaranteeScheduler(), Optional.of(new FaultyWorkerDetector()), decisions)
             .replay();
     for (JobOutcome o : outcomes) {
       text.append(
--- a/fescuehook/src/test/java/org/fescuehook/model/batch/DenseDependenciesTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/model/batch/DenseDependenciesTest.java
@@ -25,7 +25,7 @@
   private static BatchStep step(int number) {
     return new BatchStep(
         1,
-        new Demand(1000, 1000, 0),
+        new ResourceVector(1000, 1000, 0),
         10,
         IntStream.range(0, number).boxed().toList(),
         BatchStep.PlacementRule.ANYWHERE,
--- a/fescuehook/src/test/java/org/fescuehook/model/batch/SubmissionTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/model/batch/SubmissionTest.java
@@ -11,7 +11,7 @@
   private static BatchStep step(long millis, Integer... dependsOn) {
     return new BatchStep(
         2,
-        new Demand(1000, 100, 1),
+        new ResourceVector(1000, 100, 1),
         millis,
         List.of(dependsOn),
         BatchStep.PlacementRule.ANYWHERE,
--- a/fescuehook/src/test/java/org/fescuehook/platform/ExecutorParserTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/ExecutorParserTest.java
@@ -6,8 +6,8 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.OptionalLong;
-import org.fescuehook.model.batch.Demand;
 import org.fescuehook.model.batch.ExecutorProfile;
+import org.fescuehook.model.batch.ResourceVector;
 import org.fescuehook.model.fleet.ExecutorId;
 import org.fescuehook.model.fleet.Incarnation;
 import org.fescuehook.model.fleet.RackId;
@@ -37,7 +37,7 @@
 
     assertEquals(new RackId("r1-3"), profile.rack());
     assertTrue(profile.labels().contains("k"));
-    assertEquals(new Demand(64_000, 262_144, 8), profile.capacity());
+    assertEquals(new ResourceVector(64_000, 262_144, 8), profile.capacity());
     assertEquals(8080, profile.address().getPort());
     assertTrue(profile.leaving());
     assertEquals(2100, profile.remainingMillis());
--- a/fescuehook/src/test/java/org/fescuehook/platform/RepeatedReadTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/RepeatedReadTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.function.Consumer;
-import org.fescuehook.logic.batch.store.AnswerTimes;
+import org.fescuehook.logic.batch.store.ResponseTimeEstimator;
 import org.junit.jupiter.api.Test;
 
 class RepeatedReadTest {
@@ -20,7 +20,7 @@
   private static final ReadOutcome FAILED = new ReadOutcome.Failed("status 503");
 
   private final FakeLink link = new FakeLink();
-  private final AnswerTimes times = new AnswerTimes(RepeatedRead.NEVER_LATE);
+  private final ResponseTimeEstimator times = new ResponseTimeEstimator(RepeatedRead.NEVER_LATE);
   private final FakeListener listener = new FakeListener();
 
   private RepeatedRead begin(Duration wait) {
--- a/fescuehook/src/test/java/org/fescuehook/platform/SlowAnswersTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/SlowAnswersTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import org.fescuehook.logic.batch.store.AnswerTimes;
+import org.fescuehook.logic.batch.store.ResponseTimeEstimator;
 import org.fescuehook.net.http.ScriptedServer;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -53,7 +53,7 @@
     new StreamFollower(
             loops.next(),
             server.address(),
-            new AnswerTimes(RepeatedRead.NEVER_LATE),
+            new ResponseTimeEstimator(RepeatedRead.NEVER_LATE),
             Topic.OWNERSHIP,
             pace,
             new Listener(ends))
--- a/fescuehook/src/test/java/org/fescuehook/platform/SlowPageTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/SlowPageTest.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.fescuehook.logic.batch.store.AnswerTimes;
+import org.fescuehook.logic.batch.store.ResponseTimeEstimator;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
@@ -89,7 +89,8 @@
     InetSocketAddress address = (InetSocketAddress) server.getLocalSocketAddress();
     BlockingQueue<ReadOutcome> outcomes = new LinkedBlockingQueue<>();
     EventLoop loop = loops.next();
-    StoreReader reader = new StoreReader(loop, address, new AnswerTimes(RepeatedRead.NEVER_LATE));
+    StoreReader reader =
+        new StoreReader(loop, address, new ResponseTimeEstimator(RepeatedRead.NEVER_LATE));
     loop.execute(() -> reader.newest(Topic.STATE, Optional.empty(), new Listener(outcomes)));
     ReadOutcome outcome = outcomes.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
     assertInstanceOf(ReadOutcome.Newest.class, outcome, String.valueOf(outcome));
--- a/fescuehook/src/test/java/org/fescuehook/platform/SubmissionParserTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/SubmissionParserTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.fescuehook.model.batch.BatchStep;
-import org.fescuehook.model.batch.Demand;
+import org.fescuehook.model.batch.ResourceVector;
 import org.fescuehook.model.batch.Submission;
 import org.fescuehook.model.fleet.RackId;
 import org.junit.jupiter.api.Test;
@@ -34,7 +34,7 @@
             """);
 
     BatchStep step = job.steps().get(1);
-    assertEquals(new Demand(500, 256, 2), step.demand());
+    assertEquals(new ResourceVector(500, 256, 2), step.demand());
     assertEquals(4, step.count());
     assertEquals(900, step.estimateMillis());
     assertEquals(List.of(0), step.dependsOn());
@@ -48,7 +48,7 @@
   void fieldsThatAreLeftOutAreZeroFalseOrEmpty() throws Exception {
     BatchStep step = parse("{\"spec\":\"s\",\"steps\":[{\"count\":1}]}").steps().getFirst();
 
-    assertEquals(Demand.NONE, step.demand());
+    assertEquals(ResourceVector.NONE, step.demand());
     assertEquals(BatchStep.PlacementRule.ANYWHERE, step.placement());
     assertTrue(!step.gang() && !step.checkpointing());
   }
@@ -86,7 +86,7 @@
             .steps()
             .getFirst();
 
-    assertEquals(Optional.of(new BatchStep.Lasting(1, 80)), step.lasting());
+    assertEquals(Optional.of(new BatchStep.LongRunning(1, 80)), step.lasting());
     assertTrue(step.serves());
   }
 
@@ -97,7 +97,7 @@
             .steps()
             .getFirst();
 
-    assertEquals(new Demand(0, 9, 0), step.demand());
+    assertEquals(new ResourceVector(0, 9, 0), step.demand());
     assertEquals(Optional.empty(), step.lasting());
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/platform/UnsentOrderTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/UnsentOrderTest.java
@@ -15,8 +15,8 @@
 import org.fescuehook.logic.batch.BatchCommand;
 import org.fescuehook.logic.batch.BatchCommand.ExecutorOrder;
 import org.fescuehook.logic.batch.executor.OrderOutcome;
-import org.fescuehook.model.batch.Demand;
 import org.fescuehook.model.batch.ExecutorProfile;
+import org.fescuehook.model.batch.ResourceVector;
 import org.fescuehook.model.batch.TaskName;
 import org.fescuehook.model.batch.TaskRun;
 import org.fescuehook.model.fleet.ExecutorId;
@@ -58,7 +58,7 @@
             new FailureDomain("a"),
             new RackId("r"),
             Set.of(),
-            new Demand(1000, 1000, 1),
+            new ResourceVector(1000, 1000, 1),
             false,
             0);
     TaskRun run = new TaskRun(new TaskName("a1", 0, 0, number), 1);
