--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchOwner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchOwner.java
@@ -113,8 +113,8 @@
     this.cancels = new CancelDesk(jobs, submissions, ready);
     this.advice = new AdviceCache(EpochNumbers.before(epoch), context);
     this.plans = new PlanDuty(jobs, executors, advice, preferences.work());
-    executors.serve(jobs.pools());
-    listed.forEach(profile -> executors.seen(profile, context));
+    executors.setPools(jobs.pools());
+    listed.forEach(profile -> executors.handleEntry(profile, context));
     executors.inherit(Takeover.inheritedRuns(book), context);
     jobs.retireGone(context);
   }
@@ -127,7 +127,7 @@
   /** Takes a newer configuration. */
   void configure(BatchConfiguration newer) {
     jobs.configure(newer);
-    executors.serve(jobs.pools());
+    executors.setPools(jobs.pools());
   }
 
   /**
@@ -135,7 +135,7 @@
    * same; a plan for each of them takes more time than a weak VM has for a large fleet.
    */
   void seen(ExecutorProfile profile, BatchContext context) {
-    if (executors.seen(profile, context)) {
+    if (executors.handleEntry(profile, context)) {
       jobs.changed();
     }
   }
@@ -147,7 +147,7 @@
 
   /** Takes what became of an order. */
   void orderEnded(ExecutorId id, long number, OrderOutcome outcome, BatchContext context) {
-    if (executors.ended(id, number, outcome, context)) {
+    if (executors.orderCompleted(id, number, outcome, context)) {
       jobs.changed();
     }
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorDuty.java
@@ -46,7 +46,7 @@
   private final LostExecutorHandler lostExecutors;
   private final RestartHandler restarts;
   private final long inheritedLeaseNanos;
-  private final ExecutorRegistry book = new ExecutorRegistry();
+  private final ExecutorRegistry registry = new ExecutorRegistry();
   private final RunListener listener;
   private final OrphanedRuns orphans;
   private final Set<ExecutorState> withNewOutcomes = new LinkedHashSet<>();
@@ -68,42 +68,42 @@
       BatchContext context) {
     this.nextFullPassAt = context.nowNanos();
     this.orders = new OrderSender(epoch, lease);
-    this.poller = new ExecutorPoller(book, orders);
+    this.poller = new ExecutorPoller(registry, orders);
     this.throttler = new Throttler(orders);
     this.startOutcomes = new StartOutcomeHandler(orders, throttler, listener);
     this.inheritedLeaseNanos = inheritedLease.toNanos();
     this.orphans = new OrphanedRuns(context.nowNanos() + inheritedLeaseNanos);
     this.listener = listener;
     this.reportHandler = new ReportHandler(orders, throttler, listener, longestLease);
-    this.lostExecutors = new LostExecutorHandler(book, reportHandler);
+    this.lostExecutors = new LostExecutorHandler(registry, reportHandler);
     this.restarts =
-        new RestartHandler(book, orders, poller, throttler, reportHandler, longestLease);
+        new RestartHandler(registry, orders, poller, throttler, reportHandler, longestLease);
   }
 
   /** Returns the registry of executors. */
-  public ExecutorRegistry book() {
-    return book;
+  public ExecutorRegistry registry() {
+    return registry;
   }
 
   /**
    * Sets the pools that jobs may run in. Executors of other pools are polled only if a run may be
    * alive there.
    */
-  public void serve(Set<String> newer) {
-    poller.setPools(newer);
+  public void setPools(Set<String> pools) {
+    poller.setPools(pools);
   }
 
   /** Takes over the runs of a former owner; called once, before the first step. */
   public void inherit(List<LiveRun> runs, BatchContext context) {
     for (LiveRun run : runs) {
-      Optional<ExecutorState> executor = book.find(run.executor());
+      Optional<ExecutorState> executor = registry.find(run.executor());
       if (executor.isPresent()) {
         adopt(executor.get(), run, context);
       } else {
         orphans.add(run);
       }
     }
-    throttler.releaseInherited(runs, run -> book.find(run.executor()), context);
+    throttler.releaseInherited(runs, run -> registry.find(run.executor()), context);
   }
 
   private void adopt(ExecutorState executor, LiveRun run, BatchContext context) {
@@ -120,12 +120,12 @@
    *
    * @return whether the entry contains anything new
    */
-  public boolean seen(ExecutorProfile profile, BatchContext context) {
-    Optional<ExecutorState> found = book.find(profile.id());
+  public boolean handleEntry(ExecutorProfile profile, BatchContext context) {
+    Optional<ExecutorState> found = registry.find(profile.id());
     if (found.isEmpty()) {
       ExecutorState executor = new ExecutorState(profile, orders.baseline());
       lostExecutors.listed(executor);
-      book.add(executor);
+      registry.add(executor);
       orphans.take(profile.id()).forEach(run -> adopt(executor, run, context));
       return true;
     }
@@ -145,7 +145,7 @@
 
   /** Records that an executor is no longer listed. */
   public void unlisted(ExecutorId id) {
-    book.find(id).ifPresent(ExecutorState::markUnlisted);
+    registry.find(id).ifPresent(ExecutorState::markUnlisted);
   }
 
   /**
@@ -161,7 +161,7 @@
     }
     nextFullPassAt = context.nowNanos() + FULL_PASS_INTERVAL_NANOS;
     withNewOutcomes.clear();
-    book.snapshot().forEach(executor -> check(executor, context));
+    registry.snapshot().forEach(executor -> check(executor, context));
     poller.pollUnresponsive(context);
     orphans
         .takeLost(context.nowNanos())
@@ -198,7 +198,7 @@
   }
 
   private void forget(ExecutorState executor, BatchContext context) {
-    book.remove(executor);
+    registry.remove(executor);
     withNewOutcomes.remove(executor);
     throttler.forget(executor);
     context.add(new BatchCommand.ForgetExecutor(executor.profile().id()));
@@ -225,7 +225,7 @@
    * up and its task is placed elsewhere.
    */
   public void start(LiveRun run, BatchContext context) {
-    Optional<ExecutorState> executor = book.find(run.executor());
+    Optional<ExecutorState> executor = registry.find(run.executor());
     if (executor.isEmpty() || !executor.get().reached()) {
       return;
     }
@@ -247,7 +247,7 @@
     if (run.stage() == Stage.STOPPING) {
       return;
     }
-    Optional<ExecutorState> executor = book.find(run.executor());
+    Optional<ExecutorState> executor = registry.find(run.executor());
     if (executor.flatMap(state -> state.run(run.run())).isEmpty() && !orphans.contains(run)) {
       return;
     }
@@ -266,7 +266,7 @@
    *
    * @return whether the executor has become usable by it
    */
-  public boolean ended(ExecutorId id, long number, OrderOutcome outcome, BatchContext context) {
+  public boolean orderCompleted(ExecutorId id, long number, OrderOutcome outcome, BatchContext context) {
     if (!orders.ofThisEpoch(number)) {
       return false;
     }
@@ -275,7 +275,7 @@
     }
     Optional<LiveRun> run = orders.takeRun(number);
     poller.orderCompleted(number, outcome, context);
-    Optional<ExecutorState> found = book.find(id);
+    Optional<ExecutorState> found = registry.find(id);
     if (found.isEmpty()) {
       return false;
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/PlanDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/PlanDuty.java
@@ -52,7 +52,7 @@
       return;
     }
     List<ExecutorState> usable =
-        executors.book().all().stream()
+        executors.registry().all().stream()
             .filter(executor -> executor.usable(context.nowNanos()))
             .toList();
     requestAdvice(waiting, usable, context);
@@ -229,7 +229,7 @@
   public void startStored(BatchContext context) {
     for (LiveRun run : storedRuns) {
       boolean stillReserved =
-          executors.book().find(run.executor()).flatMap(state -> state.run(run.run())).isPresent();
+          executors.registry().find(run.executor()).flatMap(state -> state.run(run.run())).isPresent();
       if (stillReserved && run.stage() == Stage.PLACED) {
         executors.start(run, context);
       }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobLifecycle.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobLifecycle.java
@@ -116,7 +116,7 @@
 
   /** Tells whether a run may go on for longer than callers of a cancel expect. */
   public boolean goesOn(LiveRun run, BatchContext context) {
-    return run.task().isLive(run) && !executors.book().endsSoon(run, context.nowNanos());
+    return run.task().isLive(run) && !executors.registry().endsSoon(run, context.nowNanos());
   }
 
   /** A run of a former owner is at work: it is stopped if nobody wants it any more. */
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/BatchCluster.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/BatchCluster.java
@@ -53,7 +53,6 @@
   final Map<VmId, Vm> vms = new LinkedHashMap<>();
   final Map<ExecutorId, FakeExecutor> executors = new LinkedHashMap<>();
   final ClusterFaults faults = new ClusterFaults();
-
   final ClusterOrders orders = new ClusterOrders(this);
   final ClusterCrashes crashes = new ClusterCrashes(this);
   private final ClusterCalm calm = new ClusterCalm(this);
