--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchOwner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchOwner.java
@@ -347,7 +347,7 @@
   }
 
   @Override
-  public void rejected(LiveRun run, Rejection rejection, BatchContext context) {
+  public void startRejected(LiveRun run, Rejection rejection, BatchContext context) {
     if (rejection == Rejection.NO_TICKET) {
       advice.rejected(run.step(), run.incarnation());
     }
@@ -355,7 +355,7 @@
   }
 
   @Override
-  public void unsent(LiveRun run, BatchContext context) {
+  public void startNotSent(LiveRun run, BatchContext context) {
     jobs.unsent(run, context);
   }
 
@@ -370,12 +370,12 @@
   }
 
   @Override
-  public void saved(LiveRun run, String checkpoint) {
+  public void checkpointSaved(LiveRun run, String checkpoint) {
     jobs.saved(run, checkpoint);
   }
 
   @Override
-  public void stoodStill(LiveRun run, BatchContext context) {
+  public void runStalled(LiveRun run, BatchContext context) {
     jobs.stoodStill(run, context);
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ReportHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ReportHandler.java
@@ -117,7 +117,7 @@
     run.foundOn(executor.incarnation());
     run.progressed(active.percent(), context.nowNanos());
     run.stillListed(sentAt, MAX_STOP_NANOS);
-    listener.saved(run, active.checkpoint());
+    listener.checkpointSaved(run, active.checkpoint());
     boolean inherited = run.stage() == Stage.INHERITED;
     if (inherited || run.stage() == Stage.STARTING) {
       run.enter(Stage.RUNNING, context.nowNanos());
@@ -126,7 +126,7 @@
       listener.foundRunning(run, context);
     }
     if (ExecutorEvaluator.shouldMove(executor, run, context.nowNanos())) {
-      listener.stoodStill(run, context);
+      listener.runStalled(run, context);
     }
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/RunListener.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/RunListener.java
@@ -35,13 +35,13 @@
   /**
    * An executor rejected the start of a run, which has not run and will not. Its capacity is free.
    */
-  void rejected(LiveRun run, Rejection rejection, BatchContext context);
+  void startRejected(LiveRun run, Rejection rejection, BatchContext context);
 
   /**
    * None of the start orders of a run was sent, so it has not run and will not. Its capacity is
    * free.
    */
-  void unsent(LiveRun run, BatchContext context);
+  void startNotSent(LiveRun run, BatchContext context);
 
   /** The start orders of a run were not answered several times; the run is being stopped. */
   void startGivenUp(LiveRun run, BatchContext context);
@@ -50,12 +50,12 @@
   void foundRunning(LiveRun run, BatchContext context);
 
   /** A run has saved its progress. */
-  void saved(LiveRun run, String checkpoint);
+  void checkpointSaved(LiveRun run, String checkpoint);
 
   /**
    * A run makes little progress on an executor that appears slow, and would end sooner elsewhere.
    */
-  void stoodStill(LiveRun run, BatchContext context);
+  void runStalled(LiveRun run, BatchContext context);
 
   /** An executor is about to leave. */
   void leaving(ExecutorState executor, BatchContext context);
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/StartOutcomeHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/StartOutcomeHandler.java
@@ -88,7 +88,7 @@
     executor.remove(run);
     context.note(
         BatchLogEvent.RUN_LOST, run.run(), run.incarnation(), "its start was not sent: " + reason);
-    listener.unsent(run, context);
+    listener.startNotSent(run, context);
   }
 
   private void rejected(
@@ -107,7 +107,7 @@
       return;
     }
     executor.remove(run);
-    listener.rejected(run, rejection, context);
+    listener.startRejected(run, rejection, context);
   }
 
   private static String tag(Rejection rejection) {
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/state/StrayEndTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/state/StrayEndTest.java
@@ -154,13 +154,13 @@
     public void lost(LiveRun run, String cause, BatchContext context) {}
 
     @Override
-    public void rejected(LiveRun run, Rejection rejection, BatchContext context) {}
+    public void startRejected(LiveRun run, Rejection rejection, BatchContext context) {}
 
     @Override
     public void lostWithExecutor(LiveRun run, CrashEvidence evidence, BatchContext context) {}
 
     @Override
-    public void unsent(LiveRun run, BatchContext context) {}
+    public void startNotSent(LiveRun run, BatchContext context) {}
 
     @Override
     public void startGivenUp(LiveRun run, BatchContext context) {}
@@ -169,10 +169,10 @@
     public void foundRunning(LiveRun run, BatchContext context) {}
 
     @Override
-    public void saved(LiveRun run, String checkpoint) {}
+    public void checkpointSaved(LiveRun run, String checkpoint) {}
 
     @Override
-    public void stoodStill(LiveRun run, BatchContext context) {}
+    public void runStalled(LiveRun run, BatchContext context) {}
 
     @Override
     public void leaving(ExecutorState executor, BatchContext context) {}
