--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchOwner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchOwner.java
@@ -160,7 +160,7 @@
 
   /** Takes what became of an append. */
   void appended(WriterPosition position, AppendOutcome outcome, BatchContext context) {
-    if (!writer.answered(position, outcome, context)) {
+    if (!writer.appendCompleted(position, outcome, context)) {
       fenced = true;
     }
   }
@@ -183,9 +183,9 @@
   void step(StoreReachability contact, BatchContext context) {
     long storeSeenAt = storeSeenAt(contact.confirmedAt());
     // The stream of the jobs may be away while that of ownership is not.
-    long awaySince = Math.min(storeSeenAt, writer.troubleSince().orElse(storeSeenAt));
+    long awaySince = Math.min(storeSeenAt, writer.failingSince().orElse(storeSeenAt));
     storeAgeMillis = Duration.ofNanos(context.nowNanos() - awaySince).toMillis();
-    writer.appendsToAnotherTake(contact.longestAppendNanos());
+    writer.recordOtherStreamAppend(contact.longestAppendNanos());
     writer.expire(context);
     cancels.step(context);
     unknownJobs.step(contact.confirmedAt(), jobs.book()::shown, context);
@@ -209,7 +209,7 @@
    * After an outage a heartbeat may hang for a second while jobs are stored again.
    */
   private long storeSeenAt(long heartbeatAt) {
-    long storedAt = writer.storedAt().orElse(heartbeatAt);
+    long storedAt = writer.lastReachedAt().orElse(heartbeatAt);
     return storedAt - heartbeatAt > 0 ? storedAt : heartbeatAt;
   }
 
@@ -287,9 +287,9 @@
   private boolean hopeless(
       BatchEvent.Called asked, StoreReachability contact, BatchContext context) {
     long ageNanos = context.nowNanos() - storeSeenAt(contact.confirmedAt());
-    boolean away = ageNanos > contact.nearNanos(REACHABLE) || writer.storeAway(context);
+    boolean away = ageNanos > contact.nearNanos(REACHABLE) || writer.storeUnavailable(context);
     long waitsNanos = Math.min(asked.patience().toNanos(), CALLER_NANOS);
-    return away || writer.storedInNanos(contact.lastAppendNanos(), context) > waitsNanos;
+    return away || writer.estimatedStoreNanos(contact.lastAppendNanos(), context) > waitsNanos;
   }
 
   private void answer(long ticket, CallAnswer answer) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/SubmissionDesk.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/SubmissionDesk.java
@@ -75,7 +75,7 @@
     }
     BatchJob job = new BatchJob(id, queue, organisation, context.wallMillis(), submit.submission());
     underWay.put(id, Submitting.of(ticket));
-    writer.putRefusable(
+    writer.putExpiring(
         JobCodec.jobKey(id),
         () -> Optional.of(JobCodec.encode(job)),
         () -> accepted(job),
@@ -91,7 +91,7 @@
       long comeBackMillis,
       BatchContext context) {
     underWay.put(id, Submitting.of(ticket));
-    writer.putRefusable(
+    writer.putExpiring(
         JobCodec.progressKey(id),
         () -> Optional.of(JobCodec.encodeEnd(cancelled)),
         () -> {
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/Takeover.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/Takeover.java
@@ -44,7 +44,7 @@
   private final long startedAt;
   private final Map<String, byte[]> records = new LinkedHashMap<>();
   private boolean fenced;
-  private final PendingCall underWay = new PendingCall(PendingCall.PAGE);
+  private final PendingCall underWay = new PendingCall(PendingCall.PAGE_TIMEOUT);
   private boolean loaded;
   private Optional<String> afterKey = Optional.empty();
   private long retryAt;
@@ -83,7 +83,7 @@
   }
 
   void step(BatchContext context) {
-    if (underWay.present(context) || loaded || context.nowNanos() - retryAt < 0) {
+    if (underWay.isPending(context) || loaded || context.nowNanos() - retryAt < 0) {
       return;
     }
     underWay.begin(context);
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/advice/AdviceCache.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/advice/AdviceCache.java
@@ -35,7 +35,7 @@
   private final Map<StepProgress, Known> steps = new HashMap<>();
   private final long firstNumber;
   private Optional<Asked> underWay = Optional.empty();
-  private final PendingCall waiting = new PendingCall(PendingCall.ADVICE);
+  private final PendingCall waiting = new PendingCall(PendingCall.ADVICE_TIMEOUT);
   private long lastNumber;
   private long askAgainAt;
 
@@ -94,7 +94,7 @@
    * about yet, or about permitted ones whose tickets have expired.
    */
   public void ask(StepProgress step, List<Incarnation> usable, BatchContext context) {
-    if (waiting.present(context) || context.nowNanos() - askAgainAt < 0) {
+    if (waiting.isPending(context) || context.nowNanos() - askAgainAt < 0) {
       return;
     }
     Known known = steps.computeIfAbsent(step, name -> new Known());
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnershipDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnershipDuty.java
@@ -72,7 +72,7 @@
   private OptionalLong suspectedAt = OptionalLong.empty();
   private long sequence;
   private boolean readable;
-  private final PendingCall appending = new PendingCall(PendingCall.APPEND);
+  private final PendingCall appending = new PendingCall(PendingCall.APPEND_TIMEOUT);
 
   /**
    * The append with the present sequence number, if its outcome is open. It is repeated until it is
@@ -217,7 +217,7 @@
 
   /** Sends a claim or a heartbeat if one is due. */
   public void step(BatchContext context) {
-    if (appending.present(context) || context.nowNanos() - nextAppendAt < 0) {
+    if (appending.isPending(context) || context.nowNanos() - nextAppendAt < 0) {
       return;
     }
     if (epoch.isPresent()) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/PendingCall.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/PendingCall.java
@@ -12,13 +12,13 @@
 public final class PendingCall {
 
   /** For appends; longer than their own time limit and the transfer time of the largest. */
-  public static final Duration APPEND = RepeatedAppend.LIMIT.plusSeconds(2);
+  public static final Duration APPEND_TIMEOUT = RepeatedAppend.LIMIT.plusSeconds(2);
 
   /** For pages read from the store, whose own time limit is 10 s while they arrive steadily. */
-  public static final Duration PAGE = Duration.ofSeconds(11);
+  public static final Duration PAGE_TIMEOUT = Duration.ofSeconds(11);
 
   /** For requests to the advice service, whose own timeout is 5 s. */
-  public static final Duration ADVICE = Duration.ofSeconds(6);
+  public static final Duration ADVICE_TIMEOUT = Duration.ofSeconds(6);
 
   private final long timeoutNanos;
   private OptionalLong since = OptionalLong.empty();
@@ -43,7 +43,7 @@
   }
 
   /** Tells whether a call is under way whose outcome may still arrive. */
-  public boolean present(BatchContext context) {
+  public boolean isPending(BatchContext context) {
     return since.isPresent() && context.nowNanos() - since.getAsLong() < timeoutNanos;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/StateWriter.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/StateWriter.java
@@ -70,8 +70,8 @@
   private long otherStreamAppendNanos;
   private long lastAppendNanos;
   private long pausedUntil;
-  private OptionalLong troubleSince = OptionalLong.empty();
-  private OptionalLong storedAt = OptionalLong.empty();
+  private OptionalLong failingSince = OptionalLong.empty();
+  private OptionalLong lastReachedAt = OptionalLong.empty();
   private OptionalLong lastCommitAt = OptionalLong.empty();
 
   /** Creates a writer of an epoch that has not appended anything. */
@@ -97,7 +97,7 @@
    *
    * @param lost called once if the change is given up
    */
-  public void putRefusable(
+  public void putExpiring(
       String key,
       Supplier<Optional<byte[]>> encoder,
       Runnable committed,
@@ -145,7 +145,7 @@
     if (context.nowNanos() - pausedUntil < 0) {
       return;
     }
-    if (!inFlight.isEmpty() && !inFlight.getFirst().underWay.present(context)) {
+    if (!inFlight.isEmpty() && !inFlight.getFirst().underWay.isPending(context)) {
       repeat(inFlight.getFirst(), context);
       return;
     }
@@ -160,12 +160,12 @@
    * repeated.
    */
   private boolean mayOverlap(BatchContext context) {
-    boolean steady = storedAt.isPresent() && troubleSince.isEmpty();
+    boolean steady = lastReachedAt.isPresent() && failingSince.isEmpty();
     if (!steady || inFlight.size() == MAX_IN_FLIGHT) {
       return false;
     }
     long overlapDelay = Math.max(MIN_OVERLAP_DELAY_NANOS, lastAppendNanos / OVERLAP_DELAY_DIVISOR);
-    boolean allUnderWay = inFlight.stream().allMatch(append -> append.underWay.present(context));
+    boolean allUnderWay = inFlight.stream().allMatch(append -> append.underWay.isPending(context));
     return allUnderWay && context.nowNanos() - inFlight.getLast().since >= overlapDelay;
   }
 
@@ -191,7 +191,7 @@
 
   /** Gives up pending changes that may be given up if the store is unavailable. */
   public void expire(BatchContext context) {
-    if (!storeAway(context)) {
+    if (!storeUnavailable(context)) {
       return;
     }
     List<Consumer<CommitFailure>> expiredCallbacks = new ArrayList<>();
@@ -208,12 +208,12 @@
   }
 
   /** Tells whether the store has not stored anything for a while although there were appends. */
-  public boolean storeAway(BatchContext context) {
+  public boolean storeUnavailable(BatchContext context) {
     long unavailableAfter = unavailableAfterNanos(context);
     boolean unanswered = !inFlight.isEmpty() && oldestWaitNanos(context) > unavailableAfter;
     boolean failing =
-        troubleSince.isPresent()
-            && context.nowNanos() - troubleSince.getAsLong() > unavailableAfter;
+        failingSince.isPresent()
+            && context.nowNanos() - failingSince.getAsLong() > unavailableAfter;
     return unanswered || failing;
   }
 
@@ -227,7 +227,7 @@
   }
 
   /** Records the longest recent duration of appends to another stream of the store. */
-  public void appendsToAnotherTake(long nanos) {
+  public void recordOtherStreamAppend(long nanos) {
     otherStreamAppendNanos = nanos;
   }
 
@@ -236,7 +236,7 @@
    *
    * @param append duration of one append, in nanoseconds
    */
-  public long storedInNanos(long append, BatchContext context) {
+  public long estimatedStoreNanos(long append, BatchContext context) {
     if (inFlight.isEmpty()) {
       return append;
     }
@@ -256,16 +256,16 @@
   /**
    * Returns since when all appends have failed, monotonic time; absent if the last one was stored.
    */
-  public OptionalLong troubleSince() {
-    return troubleSince;
+  public OptionalLong failingSince() {
+    return failingSince;
   }
 
   /**
    * Returns when the last append that was stored had been sent, monotonic time; the store was
    * reachable then.
    */
-  public OptionalLong storedAt() {
-    return storedAt;
+  public OptionalLong lastReachedAt() {
+    return lastReachedAt;
   }
 
   /**
@@ -273,7 +273,7 @@
    *
    * @return false if it shows that ownership is lost
    */
-  public boolean answered(WriterPosition position, AppendOutcome outcome, BatchContext context) {
+  public boolean appendCompleted(WriterPosition position, AppendOutcome outcome, BatchContext context) {
     Optional<InFlightAppend> found =
         inFlight.stream().filter(current -> current.position.equals(position)).findFirst();
     if (found.isEmpty()) {
@@ -308,7 +308,7 @@
    * stored and it is sent again; otherwise the epoch belongs to another writer.
    */
   private boolean handleOutOfSequence(InFlightAppend current, long expected, BatchContext context) {
-    boolean overtook = storedAt.isPresent() && expected < current.position.sequence();
+    boolean overtook = lastReachedAt.isPresent() && expected < current.position.sequence();
     if (overtook && current == inFlight.getFirst()) {
       pause(context);
     }
@@ -357,8 +357,8 @@
    * too.
    */
   private void commitUpTo(InFlightAppend last, BatchContext context) {
-    troubleSince = OptionalLong.empty();
-    storedAt = OptionalLong.of(last.sentAt);
+    failingSince = OptionalLong.empty();
+    lastReachedAt = OptionalLong.of(last.sentAt);
     lastCommitAt = OptionalLong.of(context.nowNanos());
     lastAppendNanos = context.nowNanos() - last.sentAt;
     appendTimes.add(lastAppendNanos, context);
@@ -391,8 +391,8 @@
 
   private void pause(BatchContext context) {
     pausedUntil = context.nowNanos() + RETRY_PAUSE_NANOS;
-    if (troubleSince.isEmpty()) {
-      troubleSince = OptionalLong.of(context.nowNanos());
+    if (failingSince.isEmpty()) {
+      failingSince = OptionalLong.of(context.nowNanos());
     }
   }
 
@@ -402,7 +402,7 @@
     private final long since;
     private final List<KeyedRecord> records = new ArrayList<>();
     private final Map<String, PendingChange> changes = new LinkedHashMap<>();
-    private final PendingCall underWay = new PendingCall(PendingCall.APPEND);
+    private final PendingCall underWay = new PendingCall(PendingCall.APPEND_TIMEOUT);
 
     private long sentAt;
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/store/StateWriterTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/store/StateWriterTest.java
@@ -24,8 +24,8 @@
     writer.put(key, () -> Optional.of(new byte[1]), () -> events.add(key + " stored"));
   }
 
-  private void putRefusable(String key, long millis) {
-    writer.putRefusable(
+  private void putExpiring(String key, long millis) {
+    writer.putExpiring(
         key,
         () -> Optional.of(new byte[1]),
         () -> events.add(key + " stored"),
@@ -43,28 +43,28 @@
     put("b");
     writer.flush(at(0));
     put("c");
-    assertTrue(writer.answered(position(0), new AppendOutcome.Stored(1), at(5)));
+    assertTrue(writer.appendCompleted(position(0), new AppendOutcome.Stored(1), at(5)));
     assertEquals(List.of("a stored", "b stored"), events);
     assertFalse(writer.idle());
   }
 
   @Test
   void unansweredAppendIsRepeatedAndNotGivenUp() {
-    putRefusable("a", 0);
+    putExpiring("a", 0);
     writer.flush(at(0));
-    writer.answered(position(0), new AppendOutcome.Unanswered("timeout"), at(1000));
+    writer.appendCompleted(position(0), new AppendOutcome.Unanswered("timeout"), at(1000));
     writer.expire(at(3000));
     assertEquals(List.of(), events);
     writer.flush(at(3000));
-    writer.answered(position(0), new AppendOutcome.Stored(1), at(3005));
+    writer.appendCompleted(position(0), new AppendOutcome.Stored(1), at(3005));
     assertEquals(List.of("a stored"), events);
   }
 
   @Test
   void changeRefusedByTheStoreIsGivenUpAsNotStored() {
-    putRefusable("a", 0);
+    putExpiring("a", 0);
     writer.flush(at(0));
-    writer.answered(position(0), new AppendOutcome.Refused("503"), at(10));
+    writer.appendCompleted(position(0), new AppendOutcome.Refused("503"), at(10));
     writer.expire(at(500));
     assertEquals(List.of(), events);
     writer.expire(at(800));
@@ -80,31 +80,31 @@
   void changeBehindAnUnansweredAppendIsGivenUpBeforeThatTimesOut() {
     put("silent");
     writer.flush(at(0));
-    putRefusable("behind", 10);
+    putExpiring("behind", 10);
     writer.expire(at(600));
     assertEquals(List.of(), events);
-    assertTrue(writer.storeAway(at(720)));
+    assertTrue(writer.storeUnavailable(at(720)));
     writer.expire(at(720));
     assertEquals(List.of("behind NOT_STORED"), events);
   }
 
   @Test
   void changesOfAFencedAppendAreNotStored() {
-    putRefusable("sent", 0);
+    putExpiring("sent", 0);
     writer.flush(at(0));
-    putRefusable("waiting", 1);
-    assertFalse(writer.answered(position(0), new AppendOutcome.Fenced(), at(5)));
+    putExpiring("waiting", 1);
+    assertFalse(writer.appendCompleted(position(0), new AppendOutcome.Fenced(), at(5)));
     writer.close();
     assertEquals(List.of("waiting NOT_STORED", "sent NOT_STORED"), events);
   }
 
   @Test
   void changeOfAnAppendUnansweredBeforeFencingStaysUnknown() {
-    putRefusable("sent", 0);
+    putExpiring("sent", 0);
     writer.flush(at(0));
-    writer.answered(position(0), new AppendOutcome.Unanswered("timeout"), at(1000));
+    writer.appendCompleted(position(0), new AppendOutcome.Unanswered("timeout"), at(1000));
     writer.flush(at(1200));
-    assertFalse(writer.answered(position(0), new AppendOutcome.Fenced(), at(1205)));
+    assertFalse(writer.appendCompleted(position(0), new AppendOutcome.Fenced(), at(1205)));
     writer.close();
     assertEquals(List.of("sent UNKNOWN"), events);
   }
@@ -113,7 +113,7 @@
   private void storeFirst() {
     put("first");
     writer.flush(at(0));
-    writer.answered(position(0), new AppendOutcome.Stored(0), at(700));
+    writer.appendCompleted(position(0), new AppendOutcome.Stored(0), at(700));
     events.clear();
   }
 
@@ -133,9 +133,9 @@
     put("b");
     assertEquals(0, appendsOf(at(1100)));
     assertEquals(1, appendsOf(at(1180)));
-    writer.answered(position(1), new AppendOutcome.Stored(1), at(1700));
+    writer.appendCompleted(position(1), new AppendOutcome.Stored(1), at(1700));
     assertEquals(List.of("a stored"), events);
-    writer.answered(position(2), new AppendOutcome.Stored(2), at(1880));
+    writer.appendCompleted(position(2), new AppendOutcome.Stored(2), at(1880));
     assertEquals(List.of("a stored", "b stored"), events);
     assertTrue(writer.idle());
   }
@@ -159,9 +159,9 @@
     writer.flush(at(1000));
     put("b");
     writer.flush(at(1200));
-    writer.answered(position(2), new AppendOutcome.Stored(2), at(1300));
+    writer.appendCompleted(position(2), new AppendOutcome.Stored(2), at(1300));
     assertEquals(List.of("a stored", "b stored"), events);
-    writer.answered(position(1), new AppendOutcome.Unanswered("timeout"), at(2000));
+    writer.appendCompleted(position(1), new AppendOutcome.Unanswered("timeout"), at(2000));
     assertTrue(writer.idle());
   }
 
@@ -172,11 +172,11 @@
     writer.flush(at(1000));
     put("b");
     writer.flush(at(1200));
-    assertTrue(writer.answered(position(2), new AppendOutcome.OutOfSequence(1), at(1210)));
+    assertTrue(writer.appendCompleted(position(2), new AppendOutcome.OutOfSequence(1), at(1210)));
     assertEquals(0, appendsOf(at(1400)));
-    writer.answered(position(1), new AppendOutcome.Stored(1), at(1700));
+    writer.appendCompleted(position(1), new AppendOutcome.Stored(1), at(1700));
     assertEquals(1, appendsOf(at(1701)));
-    writer.answered(position(2), new AppendOutcome.Stored(2), at(2400));
+    writer.appendCompleted(position(2), new AppendOutcome.Stored(2), at(2400));
     assertEquals(List.of("a stored", "b stored"), events);
   }
 
@@ -185,18 +185,18 @@
     storeFirst();
     put("a");
     writer.flush(at(1000));
-    assertFalse(writer.answered(position(1), new AppendOutcome.OutOfSequence(5), at(1010)));
+    assertFalse(writer.appendCompleted(position(1), new AppendOutcome.OutOfSequence(5), at(1010)));
   }
 
   @Test
   void refusedAppendIsNotGivenUpWhileAnotherOneMayBeStored() {
     storeFirst();
-    putRefusable("a", 1000);
+    putExpiring("a", 1000);
     writer.flush(at(1000));
-    putRefusable("b", 1200);
+    putExpiring("b", 1200);
     writer.flush(at(1200));
-    writer.answered(position(1), new AppendOutcome.Unanswered("timeout"), at(1300));
-    writer.answered(position(2), new AppendOutcome.Refused("503"), at(1300));
+    writer.appendCompleted(position(1), new AppendOutcome.Unanswered("timeout"), at(1300));
+    writer.appendCompleted(position(2), new AppendOutcome.Refused("503"), at(1300));
     writer.expire(at(9000));
     assertEquals(List.of(), events);
     writer.close();
@@ -206,14 +206,14 @@
   @Test
   void refusedAppendsAreSentAgainTogether() {
     storeFirst();
-    putRefusable("a", 1000);
+    putExpiring("a", 1000);
     writer.flush(at(1000));
-    putRefusable("b", 1200);
+    putExpiring("b", 1200);
     writer.flush(at(1200));
-    writer.answered(position(2), new AppendOutcome.Refused("503"), at(1300));
-    writer.answered(position(1), new AppendOutcome.Refused("503"), at(1300));
+    writer.appendCompleted(position(2), new AppendOutcome.Refused("503"), at(1300));
+    writer.appendCompleted(position(1), new AppendOutcome.Refused("503"), at(1300));
     assertEquals(1, appendsOf(at(1400)));
-    writer.answered(position(1), new AppendOutcome.Stored(1), at(2100));
+    writer.appendCompleted(position(1), new AppendOutcome.Stored(1), at(2100));
     assertEquals(List.of("a stored", "b stored"), events);
   }
 }
