--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchCore.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchCore.java
@@ -93,7 +93,7 @@
    */
   public Duration calmFor(long nowNanos) {
     boolean standsBy = owner.isEmpty() && takeover.isEmpty() && stoppingSince.isEmpty();
-    return standsBy ? ownership.calmFor(nowNanos) : Duration.ZERO;
+    return standsBy ? ownership.minTimeToClaim(nowNanos) : Duration.ZERO;
   }
 
   /** Tells whether this VM decides. */
@@ -107,16 +107,16 @@
   }
 
   private void take(BatchEvent event, BatchContext context) {
-    ownership.runs(context);
+    ownership.recordActivity(context);
     switch (event) {
       case BatchEvent.Called called -> called(called, context);
       case BatchEvent.ConfigurationRead(var newer) -> configure(newer, context);
       case BatchEvent.Appended(var stream, var position, var outcome) ->
           appended(stream, position, outcome, context);
       case BatchEvent.OwnershipRead(var newest, long end) -> ownership.read(newest, end, context);
-      case BatchEvent.OwnershipUnreadable unreadable -> ownership.unreadable(context);
-      case BatchEvent.OwnerDoubted doubted -> ownership.doubted(context);
-      case BatchEvent.OwnerHinted(var hint) -> ownership.hinted(hint, context);
+      case BatchEvent.OwnershipUnreadable unreadable -> ownership.readFailed(context);
+      case BatchEvent.OwnerDoubted doubted -> ownership.ownerSuspected(context);
+      case BatchEvent.OwnerHinted(var hint) -> ownership.hintReceived(hint, context);
       case BatchEvent.StateRead(long epoch, var records, var more) ->
           takeover.ifPresent(loading -> loading.read(epoch, records, more, context));
       case BatchEvent.StateUnreadable(long epoch) ->
@@ -143,7 +143,7 @@
       context.add(new BatchCommand.Answer(asked.ticket(), refused));
       return;
     }
-    owner.get().called(asked, ownership.contact(context), context);
+    owner.get().called(asked, ownership.storeReachability(context), context);
   }
 
   private void configure(BatchConfiguration newer, BatchContext context) {
@@ -163,7 +163,7 @@
   private void appended(
       StreamName stream, WriterPosition position, AppendOutcome outcome, BatchContext context) {
     if (stream == StreamName.OWNERSHIP) {
-      ownership.answered(position, outcome, context);
+      ownership.appendCompleted(position, outcome, context);
       return;
     }
     owner.ifPresent(owning -> owning.appended(position, outcome, context));
@@ -210,7 +210,7 @@
     beginIfLoaded(context);
     yieldIfStalled(context);
     if (owner.isPresent()) {
-      owner.get().step(ownership.contact(context), context);
+      owner.get().step(ownership.storeReachability(context), context);
     }
   }
 
@@ -245,8 +245,8 @@
 
   /** Gives up a take-over that stands still all the while the store confirms this owner. */
   private void yieldIfStalled(BatchContext context) {
-    StoreReachability contact = ownership.contact(context);
-    if (context.nowNanos() - contact.confirmedAt() >= contact.nearNanos(STORE_NEAR)) {
+    StoreReachability contact = ownership.storeReachability(context);
+    if (context.nowNanos() - contact.confirmedAt() >= contact.maxHeartbeatAgeNanos(STORE_NEAR)) {
       takeover.ifPresent(loading -> loading.excuse(context));
     }
     if (takeover.filter(loading -> loading.stalled(contact, context)).isPresent()) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnershipDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnershipDuty.java
@@ -119,12 +119,12 @@
   }
 
   /** Returns how well this VM reaches the store. */
-  public StoreReachability contact(BatchContext context) {
+  public StoreReachability storeReachability(BatchContext context) {
     return timeouts.storeReachability(confirmedAt.orElse(context.nowNanos()), context);
   }
 
   /** Records that this VM is running. Reading of the stream starts with the first call. */
-  public void runs(BatchContext context) {
+  public void recordActivity(BatchContext context) {
     timeouts.recordActivity(context);
   }
 
@@ -170,7 +170,7 @@
    * Records that the stream could not be read: the silence of the owner is measured anew from now
    * on.
    */
-  public void unreadable(BatchContext context) {
+  public void readFailed(BatchContext context) {
     readable = false;
     timeouts.readFailed(context);
     restartSilence(false, context);
@@ -193,7 +193,7 @@
    * Handles an owner reported by a peer, if it is newer than the known one. This matters while this
    * VM cannot read the stream itself; what it reads later has precedence.
    */
-  public void hinted(OwnerHint hint, BatchContext context) {
+  public void hintReceived(OwnerHint hint, BatchContext context) {
     long known = Math.max(epoch.orElse(0), newest.map(OwnerRecord::epoch).orElse(0L));
     if (hint.epoch() <= known || hint.vm().equals(self.vm())) {
       return;
@@ -209,7 +209,7 @@
   }
 
   /** Records that the owner has shown that it currently makes no decisions. */
-  public void doubted(BatchContext context) {
+  public void ownerSuspected(BatchContext context) {
     if (epoch.isEmpty()) {
       suspectedAt = OptionalLong.of(context.nowNanos());
     }
@@ -237,7 +237,7 @@
    *
    * @param nowNanos monotonic time
    */
-  public Duration calmFor(long nowNanos) {
+  public Duration minTimeToClaim(long nowNanos) {
     boolean another =
         owner()
             .filter(owner -> !owner.vm().equals(self.vm()))
@@ -310,7 +310,7 @@
   }
 
   /** Handles the outcome of a claim or a heartbeat. */
-  public void answered(WriterPosition position, AppendOutcome outcome, BatchContext context) {
+  public void appendCompleted(WriterPosition position, AppendOutcome outcome, BatchContext context) {
     appending.end();
     if (outcome.processedByStore()) {
       timeouts.appended(context.nowNanos() - lastSentAt, context);
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/StoreReachability.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/StoreReachability.java
@@ -17,7 +17,7 @@
    *
    * @param least the age that is usual while the store is fast
    */
-  public long nearNanos(Duration least) {
+  public long maxHeartbeatAgeNanos(Duration least) {
     return Math.max(least.toNanos(), OwnershipTimeouts.HEARTBEAT_NANOS + 2 * longestAppendNanos);
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/SwallowedReleaseTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/SwallowedReleaseTest.java
@@ -54,14 +54,14 @@
   void aVmThatTakesItsReleaseForStoredHasStoredIt() {
     duty.read(Optional.empty(), 0, at(0));
     BatchCommand.Append claim = step(0);
-    duty.answered(claim.position(), stored(claim), at(5));
+    duty.appendCompleted(claim.position(), stored(claim), at(5));
     BatchCommand.Append heartbeat = step(505);
     stored(heartbeat);
-    duty.answered(heartbeat.position(), new AppendOutcome.Unanswered("timeout"), at(1505));
+    duty.appendCompleted(heartbeat.position(), new AppendOutcome.Unanswered("timeout"), at(1505));
     duty.yield(at(1510));
     for (long millis = 1700; millis < 4000 && duty.epoch().isPresent(); millis += 600) {
       BatchCommand.Append append = step(millis);
-      duty.answered(append.position(), stored(append), at(millis + 5));
+      duty.appendCompleted(append.position(), stored(append), at(millis + 5));
     }
     assertTrue(duty.epoch().isEmpty(), "ownership is not given up");
     assertEquals(OwnerRecord.Kind.RELEASE, newestStored());
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/ownership/LateHeartbeatTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ownership/LateHeartbeatTest.java
@@ -44,28 +44,28 @@
   }
 
   private void assertConfirmsOnlyTheFirstSend() {
-    long confirmed = duty.contact(at(13_600)).confirmedAt() / 1_000_000;
+    long confirmed = duty.storeReachability(at(13_600)).confirmedAt() / 1_000_000;
     assertTrue(confirmed <= 505, () -> "the store confirmed this owner at " + confirmed + " ms");
   }
 
   @Test
   void outcomeOfAnEarlierHeartbeatDoesNotConfirmTheRepeatAfterThePause() {
     duty.read(Optional.empty(), 0, at(0));
-    duty.answered(step(0), new AppendOutcome.Stored(0), at(5));
+    duty.appendCompleted(step(0), new AppendOutcome.Stored(0), at(5));
     WriterPosition beforeThePause = step(505);
     WriterPosition afterThePause = step(13_600);
     assertEquals(beforeThePause, afterThePause);
-    duty.answered(beforeThePause, new AppendOutcome.Stored(1), at(13_600));
+    duty.appendCompleted(beforeThePause, new AppendOutcome.Stored(1), at(13_600));
     assertConfirmsOnlyTheFirstSend();
   }
 
   @Test
   void outcomeOfAHeartbeatSentBeforeThePauseDoesNotConfirmThePause() {
     duty.read(Optional.empty(), 0, at(0));
-    duty.answered(step(0), new AppendOutcome.Stored(0), at(5));
+    duty.appendCompleted(step(0), new AppendOutcome.Stored(0), at(5));
     WriterPosition beforeThePause = step(505);
     assertEquals(List.of(), appends(6600));
-    duty.answered(beforeThePause, new AppendOutcome.Stored(1), at(6600));
+    duty.appendCompleted(beforeThePause, new AppendOutcome.Stored(1), at(6600));
     assertConfirmsOnlyTheFirstSend();
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/ownership/OwnershipDutyTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ownership/OwnershipDutyTest.java
@@ -69,7 +69,7 @@
   @Test
   void suspectedOwnerIsReplacedSooner() {
     readRecord(1000, OwnerRecord.Kind.CLAIM, 0);
-    duty.doubted(at(1800));
+    duty.ownerSuspected(at(1800));
     assertFalse(claims(1900));
     assertTrue(claims(2100));
   }
@@ -98,10 +98,10 @@
   void suspicionDoesNotShortenTheTimeoutWhileOwnReadsAreSlow() {
     readRecord(1000, OwnerRecord.Kind.CLAIM, 0);
     readRecord(2800, OwnerRecord.Kind.HEARTBEAT, 1);
-    duty.doubted(at(4000));
+    duty.ownerSuspected(at(4000));
     duty.read(Optional.empty(), 2, at(4600));
     duty.read(Optional.empty(), 2, at(6000));
-    duty.doubted(at(6500));
+    duty.ownerSuspected(at(6500));
     assertFalse(claims(7300));
     assertTrue(claims(7500));
   }
@@ -124,7 +124,7 @@
   @Test
   void heartbeatEndsSuspicion() {
     readRecord(1000, OwnerRecord.Kind.CLAIM, 0);
-    duty.doubted(at(1800));
+    duty.ownerSuspected(at(1800));
     readRecord(1900, OwnerRecord.Kind.HEARTBEAT, 1);
     assertFalse(claims(3000));
   }
@@ -132,9 +132,9 @@
   @Test
   void suspicionExpires() {
     readRecord(1000, OwnerRecord.Kind.CLAIM, 0);
-    duty.doubted(at(1100));
+    duty.ownerSuspected(at(1100));
     readRecord(1200, OwnerRecord.Kind.HEARTBEAT, 1);
-    duty.doubted(at(1300));
+    duty.ownerSuspected(at(1300));
     readRecord(2500, OwnerRecord.Kind.HEARTBEAT, 2);
     assertFalse(claims(4000));
   }
@@ -150,7 +150,7 @@
   @Test
   void newerOwnerReportedByAPeerCountsUntilTheStreamIsRead() {
     readRecord(1000, OwnerRecord.Kind.CLAIM, 0);
-    duty.hinted(hint("vm-3", 9), at(4000));
+    duty.hintReceived(hint("vm-3", 9), at(4000));
     assertEquals(Optional.of(hint("vm-3", 9)), duty.hint());
 
     readRecord(5000, OwnerRecord.Kind.HEARTBEAT, 4);
@@ -160,7 +160,7 @@
   @Test
   void olderOwnerReportedByAPeerIsIgnored() {
     readRecord(1000, OwnerRecord.Kind.CLAIM, 0);
-    duty.hinted(hint("vm-3", 1), at(1100));
+    duty.hintReceived(hint("vm-3", 1), at(1100));
     assertEquals(new VmId("vm-2"), duty.hint().orElseThrow().vm());
   }
 
@@ -168,10 +168,10 @@
   void ownerLosesOwnershipWhenAPeerReportsAHigherEpoch() {
     duty.read(Optional.empty(), 5, at(0));
     duty.step(at(3000));
-    duty.answered(claimOf(3000), new AppendOutcome.Stored(5), at(3010));
+    duty.appendCompleted(claimOf(3000), new AppendOutcome.Stored(5), at(3010));
     assertEquals(OptionalLong.of(6), duty.epoch());
 
-    duty.hinted(hint("vm-3", 9), at(4000));
+    duty.hintReceived(hint("vm-3", 9), at(4000));
 
     assertEquals(OptionalLong.empty(), duty.epoch());
     assertEquals(Optional.of(hint("vm-3", 9)), duty.hint());
@@ -232,12 +232,12 @@
   void strongerVmThatCannotReadTheStreamDoesNotTakeOver() {
     OwnershipDuty duty = ofPower(1500);
     readRecord(duty, OwnerRecord.Kind.HEARTBEAT, 360);
-    duty.unreadable(at(1005));
+    duty.readFailed(at(1005));
     assertFalse(claims(duty, 1010));
   }
 
   private long millisUntilClaim(long millis) {
-    return duty.calmFor(millis * 1_000_000).toMillis();
+    return duty.minTimeToClaim(millis * 1_000_000).toMillis();
   }
 
   /** A VM on standby may sleep until it could claim. */
@@ -262,14 +262,14 @@
   void claimMayBeDueAtOnceOnAMuchStrongerVm() {
     OwnershipDuty strong = ofPower(1500);
     readRecord(strong, OwnerRecord.Kind.HEARTBEAT, 360);
-    assertTrue(strong.calmFor(1_000_000_000L).isZero());
+    assertTrue(strong.minTimeToClaim(1_000_000_000L).isZero());
   }
 
   @Test
   void ownerMayAlwaysHaveSomethingDue() {
     duty.read(Optional.empty(), 5, at(0));
     duty.step(at(3000));
-    duty.answered(claimOf(3000), new AppendOutcome.Stored(5), at(3010));
+    duty.appendCompleted(claimOf(3000), new AppendOutcome.Stored(5), at(3010));
     assertEquals(0, millisUntilClaim(3020));
   }
 }
