--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/RepeatedAppend.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/RepeatedAppend.java
@@ -99,7 +99,7 @@
     this.transferTime = Duration.ofMillis(bytes / BYTES_PER_MILLI);
     this.sink = sink;
     this.startedAt = link.nowNanos();
-    this.pause = times.late();
+    this.pause = times.lateAfter();
   }
 
   /**
@@ -135,11 +135,11 @@
   }
 
   private void repeat() {
-    boolean inTime = remainingTime().compareTo(times.late()) > 0;
+    boolean inTime = remainingTime().compareTo(times.lateAfter()) > 0;
     if (completed || !inTime) {
       return;
     }
-    pause = longerOf(sendCount < FAST_SENDS ? pause : grown(pause), times.late());
+    pause = longerOf(sendCount < FAST_SENDS ? pause : grown(pause), times.lateAfter());
     if (inFlight.size() == MAX_IN_FLIGHT) {
       giveUp(inFlight.get(1));
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/ResponseTimeEstimator.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/ResponseTimeEstimator.java
@@ -76,7 +76,7 @@
       deviationNanos = nanos * INITIAL_DEVIATION_SHARE;
       return;
     }
-    long sample = Math.min(nanos, MAX_GROWTH * late().toNanos());
+    long sample = Math.min(nanos, MAX_GROWTH * lateAfter().toNanos());
     double deviation = Math.abs(smoothedNanos - sample);
     // An answer faster than expected must not make later ones count as late sooner.
     double countedDeviation =
@@ -86,7 +86,7 @@
   }
 
   /** Returns the time after which an answer counts as late. */
-  public Duration late() {
+  public Duration lateAfter() {
     double own = hasSample ? estimateNanos() : Double.POSITIVE_INFINITY;
     double nanos = Math.min(own, simplerCallsNanos());
     if (nanos == Double.POSITIVE_INFINITY) {
--- a/fescuehook/src/main/java/org/fescuehook/platform/RepeatedRead.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/RepeatedRead.java
@@ -117,11 +117,11 @@
     Ask ask = new Ask(wanted);
     open.add(ask);
     ask.way = link.ask(wanted, LIMIT.plus(wait).minus(age()), outcome -> took(ask, outcome));
-    link.after(wanted.plus(times.late()), this::askAgain);
+    link.after(wanted.plus(times.lateAfter()), this::askAgain);
   }
 
   private void askAgain() {
-    if (ended || age().plus(times.late()).compareTo(LIMIT.plus(wait)) > 0) {
+    if (ended || age().plus(times.lateAfter()).compareTo(LIMIT.plus(wait)) > 0) {
       return;
     }
     if (open.stream().anyMatch(ask -> ask.way.heardWithin(LONGEST_GAP))) {
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/store/ResponseTimeEstimatorTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/store/ResponseTimeEstimatorTest.java
@@ -21,9 +21,9 @@
 
   @Test
   void thresholdOfAFastStoreIsShortButToleratesAPauseOfThisVm() {
-    assertEquals(Duration.ofMillis(60), times.late());
+    assertEquals(Duration.ofMillis(60), times.lateAfter());
     answered(FAST, 50);
-    assertEquals(Duration.ofMillis(60), times.late());
+    assertEquals(Duration.ofMillis(60), times.lateAfter());
   }
 
   /** Guards against repeating every call when the store becomes 60 times slower. */
@@ -31,16 +31,16 @@
   void thresholdExceedsResponseTimeFromTheFirstSlowAnswerOn() {
     answered(FAST, 50);
     answered(SLOW, 1);
-    assertTrue(times.late().compareTo(SLOW) > 0, () -> "late after " + times.late());
+    assertTrue(times.lateAfter().compareTo(SLOW) > 0, () -> "late after " + times.lateAfter());
     answered(SLOW, 100);
-    assertTrue(times.late().compareTo(SLOW) >= 0, () -> "late after " + times.late());
+    assertTrue(times.lateAfter().compareTo(SLOW) >= 0, () -> "late after " + times.lateAfter());
   }
 
   @Test
   void thresholdFallsOnceTheStoreIsFastAgain() {
     answered(SLOW, 20);
     answered(FAST, 60);
-    assertEquals(Duration.ofMillis(60), times.late());
+    assertEquals(Duration.ofMillis(60), times.lateAfter());
   }
 
   /**
@@ -51,18 +51,18 @@
   void slowReadsRaiseTheThresholdOfTheFirstAppend() {
     Duration append = SLOW.multipliedBy(2);
     ResponseTimeEstimator appends = new ResponseTimeEstimator(RepeatedAppend.NEVER_LATE, times);
-    assertEquals(RepeatedAppend.NEVER_LATE, appends.late());
+    assertEquals(RepeatedAppend.NEVER_LATE, appends.lateAfter());
     answered(SLOW, 3);
-    assertTrue(appends.late().compareTo(append) > 0, () -> "late after " + appends.late());
+    assertTrue(appends.lateAfter().compareTo(append) > 0, () -> "late after " + appends.lateAfter());
     appends.answered(FAST.toNanos());
-    assertEquals(RepeatedAppend.NEVER_LATE, appends.late());
+    assertEquals(RepeatedAppend.NEVER_LATE, appends.lateAfter());
   }
 
   @Test
   void fastAnswerDoesNotRaiseTheThreshold() {
     answered(SLOW, 20);
-    Duration before = times.late();
+    Duration before = times.lateAfter();
     answered(FAST, 1);
-    assertTrue(times.late().compareTo(before) <= 0, () -> before + " became " + times.late());
+    assertTrue(times.lateAfter().compareTo(before) <= 0, () -> before + " became " + times.lateAfter());
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/platform/RepeatedReadTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/RepeatedReadTest.java
@@ -65,7 +65,7 @@
     begin(WAIT);
     link.answer(0, 1004, NOTHING_NEW);
     link.runUntil(1004);
-    assertEquals(RepeatedRead.NEVER_LATE, times.late());
+    assertEquals(RepeatedRead.NEVER_LATE, times.lateAfter());
   }
 
   @Test
