--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchOwner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchOwner.java
@@ -287,7 +287,8 @@
   private boolean hopeless(
       BatchEvent.Called asked, StoreReachability contact, BatchContext context) {
     long ageNanos = context.nowNanos() - storeSeenAt(contact.confirmedAt());
-    boolean away = ageNanos > contact.maxHeartbeatAgeNanos(REACHABLE) || writer.storeUnavailable(context);
+    boolean away =
+        ageNanos > contact.maxHeartbeatAgeNanos(REACHABLE) || writer.storeUnavailable(context);
     long waitsNanos = Math.min(asked.patience().toNanos(), CALLER_NANOS);
     return away || writer.estimatedStoreNanos(contact.lastAppendNanos(), context) > waitsNanos;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorDuty.java
@@ -266,7 +266,8 @@
    *
    * @return whether the executor has become usable by it
    */
-  public boolean orderCompleted(ExecutorId id, long number, OrderOutcome outcome, BatchContext context) {
+  public boolean orderCompleted(
+      ExecutorId id, long number, OrderOutcome outcome, BatchContext context) {
     if (!orders.ofThisEpoch(number)) {
       return false;
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnershipDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnershipDuty.java
@@ -310,7 +310,8 @@
   }
 
   /** Handles the outcome of a claim or a heartbeat. */
-  public void appendCompleted(WriterPosition position, AppendOutcome outcome, BatchContext context) {
+  public void appendCompleted(
+      WriterPosition position, AppendOutcome outcome, BatchContext context) {
     appending.end();
     if (outcome.processedByStore()) {
       timeouts.appended(context.nowNanos() - lastSentAt, context);
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/PlanDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/PlanDuty.java
@@ -229,7 +229,11 @@
   public void startStored(BatchContext context) {
     for (LiveRun run : storedRuns) {
       boolean stillReserved =
-          executors.registry().find(run.executor()).flatMap(state -> state.run(run.run())).isPresent();
+          executors
+              .registry()
+              .find(run.executor())
+              .flatMap(state -> state.run(run.run()))
+              .isPresent();
       if (stillReserved && run.stage() == Stage.PLACED) {
         executors.start(run, context);
       }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/StateWriter.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/StateWriter.java
@@ -273,7 +273,8 @@
    *
    * @return false if it shows that ownership is lost
    */
-  public boolean appendCompleted(WriterPosition position, AppendOutcome outcome, BatchContext context) {
+  public boolean appendCompleted(
+      WriterPosition position, AppendOutcome outcome, BatchContext context) {
     Optional<InFlightAppend> found =
         inFlight.stream().filter(current -> current.position.equals(position)).findFirst();
     if (found.isEmpty()) {
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/state/StrayEndTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/state/StrayEndTest.java
@@ -79,7 +79,8 @@
   }
 
   private void store(long sequence) {
-    writer.appendCompleted(new WriterPosition(EPOCH, sequence), new AppendOutcome.Stored(0), at(10));
+    writer.appendCompleted(
+        new WriterPosition(EPOCH, sequence), new AppendOutcome.Stored(0), at(10));
   }
 
   @Test
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/store/ResponseTimeEstimatorTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/store/ResponseTimeEstimatorTest.java
@@ -53,7 +53,8 @@
     ResponseTimeEstimator appends = new ResponseTimeEstimator(RepeatedAppend.NEVER_LATE, times);
     assertEquals(RepeatedAppend.NEVER_LATE, appends.lateAfter());
     answered(SLOW, 3);
-    assertTrue(appends.lateAfter().compareTo(append) > 0, () -> "late after " + appends.lateAfter());
+    assertTrue(
+        appends.lateAfter().compareTo(append) > 0, () -> "late after " + appends.lateAfter());
     appends.answered(FAST.toNanos());
     assertEquals(RepeatedAppend.NEVER_LATE, appends.lateAfter());
   }
@@ -63,6 +64,7 @@
     answered(SLOW, 20);
     Duration before = times.lateAfter();
     answered(FAST, 1);
-    assertTrue(times.lateAfter().compareTo(before) <= 0, () -> before + " became " + times.lateAfter());
+    assertTrue(
+        times.lateAfter().compareTo(before) <= 0, () -> before + " became " + times.lateAfter());
   }
 }
