--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/OrderSender.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/OrderSender.java
@@ -104,7 +104,7 @@
   }
 
   /**
-   * Tells whether an order was sent in this epoch. Outcomes of orders of earlier epochs are
+   * Tells whether an order was sent in this epoch; outcomes of orders of earlier epochs are
    * ignored.
    */
   boolean ofThisEpoch(long number) {
@@ -113,7 +113,7 @@
 
   /**
    * Records that an order was not sent. If it was the start of a run that has been stopped
-   * meanwhile, no other start of this run was pending, so the run has never begun.
+   * meanwhile, and no earlier start may still arrive, then the run has never begun.
    */
   void notSent(long number) {
     Optional.ofNullable(runOrders.get(number))
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/Throttler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/Throttler.java
@@ -114,8 +114,8 @@
   }
 
   /**
-   * Releases inherited runs, since the former owner may have throttled them. It had no reason to
-   * where no inherited task serves users, so these orders are left out then.
+   * Releases inherited runs, since the former owner may have throttled them. It had no reason to do
+   * so if none of the tasks serves users; nothing is sent in that case.
    */
   void releaseInherited(
       List<LiveRun> runs,
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnershipTimeouts.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnershipTimeouts.java
@@ -187,7 +187,8 @@
   }
 
   /**
-   * Returns the least time after which this VM could claim, if nothing is heard until then.
+   * Returns the least time after which this VM could claim, if it reads nothing from the owner
+   * until then.
    *
    * @param silentNanos how long the owner has been silent
    */
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/FleetCapacity.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/FleetCapacity.java
@@ -144,7 +144,10 @@
     return total == 0 ? 1 : (double) free / total;
   }
 
-  /** Reserves the capacity for a task; reserving more than is free makes the rest negative. */
+  /**
+   * Reserves the capacity for a task. The free capacity becomes negative if more is reserved than
+   * is free.
+   */
   void reserve(TaskPlacement placement) {
     update(
         placement.executor(), candidate -> candidate.reserve(placement.step(), placement.task()));
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/Preemptor.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/Preemptor.java
@@ -56,7 +56,7 @@
    *
    * @param expected capacity once all runs that are being stopped have ended
    * @return the runs to stop and the placements that become possible; absent if preemption within
-   *     the limit doesn't free enough capacity
+   *     the limit does not free enough capacity
    */
   Optional<Selection> choose(WaitingStep waiting, FleetCapacity expected, boolean nearOnly) {
     double limit =
@@ -115,7 +115,7 @@
   }
 
   /**
-   * Removes victims that turn out to be unnecessary.
+   * Removes victims that are not needed after all.
    *
    * @return the work that this saves, in seconds of one core
    */
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/AppendOutcome.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/AppendOutcome.java
@@ -20,7 +20,7 @@
   /** A writer with a higher epoch has taken over the stream; nothing was stored. */
   record Fenced() implements AppendOutcome {}
 
-  /** The stream doesn't end where the append expected; nothing was stored. */
+  /** The stream does not end where the append expected; nothing was stored. */
   record Conflict(long end) implements AppendOutcome {}
 
   /** The store expects another sequence number; nothing was stored. */
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/PendingCall.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/PendingCall.java
@@ -5,9 +5,9 @@
 import org.fescuehook.logic.batch.BatchContext;
 
 /**
- * Marks a call whose outcome is awaited, for a limited time. Without the limit, an outcome that is
- * lost by a fault of this VM would block its duty forever. Each call ends by its own timeout long
- * before.
+ * Tracks whether the outcome of a call is awaited, for a limited time. Without the limit, an
+ * outcome that is lost by a fault of this VM would block its duty forever. Each call ends by its
+ * own timeout long before.
  */
 public final class PendingCall {
 
@@ -24,20 +24,20 @@
   private OptionalLong since = OptionalLong.empty();
 
   /**
-   * Creates a mark that is not set.
+   * Creates an instance without a call.
    *
-   * @param timeout time after which a set mark expires
+   * @param timeout time after which an outcome is no longer awaited
    */
   public PendingCall(Duration timeout) {
     this.timeoutNanos = timeout.toNanos();
   }
 
-  /** Sets the mark: a call has begun. */
+  /** Records that a call has begun. */
   public void begin(BatchContext context) {
     since = OptionalLong.of(context.nowNanos());
   }
 
-  /** Clears the mark: the outcome has arrived. */
+  /** Records that the outcome of the call has arrived. */
   public void end() {
     since = OptionalLong.empty();
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/ResponseTimeEstimator.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/ResponseTimeEstimator.java
@@ -53,7 +53,7 @@
 
   /**
    * Creates an estimator without samples for calls that take up to twice as long as simpler ones.
-   * While the store is slow for those, the first of these calls isn't repeated too early.
+   * While the store is slow for those, the first of these calls is not repeated too early.
    *
    * @param minThreshold time within which no answer counts as late, even if the store is fast
    * @param simplerCalls the estimator for the simpler calls
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/StateWriter.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/StateWriter.java
@@ -189,7 +189,10 @@
     return inFlight.isEmpty() && pendingChanges.isEmpty();
   }
 
-  /** Gives up pending changes that may be given up if the store is unavailable. */
+  /**
+   * Gives up pending changes made by {@link #putExpiring} that have waited for too long, if the
+   * store is unavailable.
+   */
   public void expire(BatchContext context) {
     if (!storeUnavailable(context)) {
       return;
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/ReferenceCapacity.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/ReferenceCapacity.java
@@ -92,7 +92,10 @@
     return total == 0 ? 1 : (double) free / total;
   }
 
-  /** Reserves the capacity for a task; reserving more than is free makes the rest negative. */
+  /**
+   * Reserves the capacity for a task. The free capacity becomes negative if more is reserved than
+   * is free.
+   */
   void reserve(ExecutorState executor, BatchStep step) {
     candidate(executor).ifPresent(candidate -> candidate.reserve(step));
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/ReferencePreemptor.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/ReferencePreemptor.java
@@ -58,7 +58,7 @@
    *
    * @param expected capacity once all runs that are being stopped have ended
    * @return the runs to stop and the placements that become possible; absent if preemption within
-   *     the limit doesn't free enough capacity
+   *     the limit does not free enough capacity
    */
   Optional<Selection> choose(WaitingStep waiting, ReferenceCapacity expected, boolean nearOnly) {
     double limit =
@@ -120,7 +120,7 @@
   }
 
   /**
-   * Removes victims that turn out to be unnecessary.
+   * Removes victims that are not needed after all.
    *
    * @return the work that this saves, in seconds of one core
    */
