--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnershipDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnershipDuty.java
@@ -22,9 +22,7 @@
  */
 public final class OwnershipDuty {
 
-  /**
-   * How long a suspicion of the owner lasts; the calls that renew it come several times a second.
-   */
+  /** Duration of a suspicion of the owner; calls renew it several times a second. */
   private static final long SUSPICION_NANOS = Duration.ofMillis(1500).toNanos();
 
   /** Pause before a claim or heartbeat that was not stored is repeated. */
@@ -42,10 +40,7 @@
    */
   private static final long YIELD_PERIOD_NANOS = Duration.ofSeconds(60).toNanos();
 
-  /**
-   * Delay of a claim during that period; longer than that of any other VM, so that each of them
-   * claims first.
-   */
+  /** Delay of such a claim; longer than that of any other VM, so that each claims first. */
   private static final long YIELD_DELAY_NANOS = Duration.ofMillis(2000).toNanos();
 
   /** Offset of an owner reported by a peer before any record was read. */
@@ -54,9 +49,8 @@
   private final OwnerIdentity self;
 
   /**
-   * Sequence number of this VM's claims. The store answers a repeated epoch and sequence number
-   * with the first answer, so claimants must not share a sequence number: each would be told that
-   * it has won.
+   * Sequence number of this VM's claims. Claimants must not share one: the store answers a repeated
+   * epoch and sequence number with the first answer, so each would be told that it has won.
    */
   private final long claimSequence;
 
@@ -75,9 +69,8 @@
   private final PendingCall appending = new PendingCall(PendingCall.APPEND_TIMEOUT);
 
   /**
-   * The append with the present sequence number, if its outcome is open. It is repeated until it is
-   * certainly stored: the store answers a repeated sequence number with the first answer, whatever
-   * the repeat contains.
+   * The append with the present sequence number, while its outcome is open. It is repeated until it
+   * is certainly stored: the store gives a repeat the first answer, whatever it contains.
    */
   private Optional<OwnerRecord.Kind> unconfirmed = Optional.empty();
 
@@ -109,8 +102,7 @@
   }
 
   /**
-   * Returns the newest record of an owner that may decide; absent if there is none, if the owner
-   * has given up, or if it is this VM and has lost its epoch.
+   * Returns the newest record of an owner, unless it has given up, or is this VM without an epoch.
    */
   public Optional<OwnerRecord> owner() {
     return newest
@@ -128,11 +120,7 @@
     timeouts.recordActivity(context);
   }
 
-  /**
-   * Records that the stream was read to its end.
-   *
-   * @param record the newest record; absent if there was no new one
-   */
+  /** Records a read to the end of the stream, and its newest record if there is a new one. */
   public void read(Optional<OwnerRecord> record, long streamEnd, BatchContext context) {
     end = OptionalLong.of(Math.max(streamEnd, end.orElse(0)));
     readable = true;
@@ -166,10 +154,7 @@
     }
   }
 
-  /**
-   * Records that the stream could not be read: the silence of the owner is measured anew from now
-   * on.
-   */
+  /** Records a failed read: the silence of the owner is measured anew from now on. */
   public void readFailed(BatchContext context) {
     readable = false;
     timeouts.readFailed(context);
@@ -234,8 +219,6 @@
   /**
    * Returns how long no claim can become due if no news arrives; zero if one may be due now, or if
    * this VM is the owner.
-   *
-   * @param nowNanos monotonic time
    */
   public Duration minTimeToClaim(long nowNanos) {
     boolean another =
@@ -275,9 +258,7 @@
   private long silenceTimeoutNanos(BatchContext context) {
     boolean suspected =
         suspectedAt.isPresent() && context.nowNanos() - suspectedAt.getAsLong() < SUSPICION_NANOS;
-    return suspected
-        ? timeouts.suspectedSilenceTimeoutNanos(context)
-        : timeouts.silenceTimeoutNanos(context);
+    return suspected ? timeouts.suspectedSilenceNanos(context) : timeouts.silenceNanos(context);
   }
 
   private void claim(BatchContext context) {
@@ -292,8 +273,7 @@
     if (unconfirmed.isEmpty()) {
       firstSentAt = context.nowNanos();
     }
-    // An append that is still unconfirmed had no outcome, or one that does not tell whether it was
-    // stored.
+    // One that is still unconfirmed had no outcome, or one that leaves open if it is stored.
     mayBeStoredAlready = unconfirmed.isPresent();
     unconfirmed = Optional.of(kind);
     long appendEpoch = epoch.orElseGet(() -> expectedEnd.getAsLong() + 1);
@@ -371,8 +351,7 @@
     epoch = OptionalLong.of(won);
     sequence = claimSequence + 1;
     confirmedAt = OptionalLong.of(firstSentAt);
-    // Others have received nothing since the claim was sent, which may be long ago if the store is
-    // slow.
+    // Others have received nothing since the claim was sent, long ago if the store is slow.
     nextAppendAt = firstSentAt + OwnershipTimeouts.HEARTBEAT_NANOS;
     context.note(BatchLogEvent.OWNERSHIP_WON, won);
   }
@@ -397,8 +376,8 @@
   }
 
   /**
-   * Gives ownership up, so that another VM claims at once; this VM then claims only if no other
-   * does. Its heartbeats would keep the others from claiming although it makes no decisions.
+   * Gives ownership up, so that another VM claims at once; this VM then claims only if none does.
+   * Its heartbeats would keep the others from claiming although it makes no decisions.
    */
   public void yield(BatchContext context) {
     if (epoch.isPresent() && !yielding) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnershipTimeouts.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnershipTimeouts.java
@@ -157,7 +157,7 @@
   }
 
   /** Returns the silence after which an owner is replaced. */
-  long silenceTimeoutNanos(BatchContext context) {
+  long silenceNanos(BatchContext context) {
     long ofHeartbeats =
         Math.max(
             HEARTBEATS_AT_LONGEST_GAP * heartbeatGaps.longest(context),
@@ -170,9 +170,9 @@
    * Returns the silence after which a suspected owner is replaced. If this VM's own reads are slow,
    * the store explains the owner's trouble, and another owner would do no better.
    */
-  long suspectedSilenceTimeoutNanos(BatchContext context) {
+  long suspectedSilenceNanos(BatchContext context) {
     if (readTimes.longest(context) > SLOW_READ_NANOS) {
-      return silenceTimeoutNanos(context);
+      return silenceNanos(context);
     }
     long needed =
         Math.max(
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/StateWriter.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/StateWriter.java
@@ -36,27 +36,16 @@
    */
   private static final long MIN_UNAVAILABLE_NANOS = Duration.ofMillis(700).toNanos();
 
-  /**
-   * Most appends in flight: the store processes one while the answer to the other is in transit.
-   */
+  /** Most appends in flight: one that is processed, and one whose answer is in transit. */
   private static final int MAX_IN_FLIGHT = 2;
 
-  /**
-   * Divisor of the last append's duration that gives the delay after which the next append is sent
-   * concurrently.
-   */
+  /** The next append is sent once this part of the last append's duration has passed. */
   private static final int OVERLAP_DELAY_DIVISOR = 4;
 
-  /**
-   * Least age of the newest append before the next one is sent concurrently; ten times the usual 4
-   * ms.
-   */
+  /** Least delay of the next append while one is in flight; ten times the usual 4 ms. */
   private static final long MIN_OVERLAP_DELAY_NANOS = Duration.ofMillis(40).toNanos();
 
-  /**
-   * Size from which on no record is added to an append; half of what the store accepts, since only
-   * keys and values are counted.
-   */
+  /** Bytes of keys and values that fill an append; half of what the store accepts in total. */
   private static final int MAX_APPEND_BYTES = 1 << 20;
 
   private final long epoch;
@@ -137,10 +126,7 @@
     return Optional.empty();
   }
 
-  /**
-   * Sends pending changes if another append may be sent, or repeats the oldest append if that is
-   * due.
-   */
+  /** Sends pending changes if possible, or repeats the oldest append if that is due. */
   public void flush(BatchContext context) {
     if (context.nowNanos() - pausedUntil < 0) {
       return;
@@ -189,10 +175,7 @@
     return inFlight.isEmpty() && pendingChanges.isEmpty();
   }
 
-  /**
-   * Gives up pending changes made by {@link #putExpiring} that have waited for too long, if the
-   * store is unavailable.
-   */
+  /** Gives up changes of {@link #putExpiring} that have waited too long for the store. */
   public void expire(BatchContext context) {
     if (!storeUnavailable(context)) {
       return;
@@ -220,10 +203,7 @@
     return unanswered || failing;
   }
 
-  /**
-   * Returns the time without success after which the store counts as unavailable. It allows twice
-   * the duration of an append, for one that waits for another first.
-   */
+  /** Returns twice the duration of an append, as one may wait for another, or the least time. */
   private long unavailableAfterNanos(BatchContext context) {
     long append = Math.max(appendTimes.longest(context), otherStreamAppendNanos);
     return Math.max(MIN_UNAVAILABLE_NANOS, 2 * append);
@@ -256,26 +236,17 @@
     return context.nowNanos() - (waitedForEarlier ? lastCommitAt.getAsLong() : since);
   }
 
-  /**
-   * Returns since when all appends have failed, monotonic time; absent if the last one was stored.
-   */
+  /** Returns since when appends fail, monotonic time; absent if the last one was stored. */
   public OptionalLong failingSince() {
     return failingSince;
   }
 
-  /**
-   * Returns when the last append that was stored had been sent, monotonic time; the store was
-   * reachable then.
-   */
+  /** Returns when the store was last reached: the send of its last stored append, monotonic. */
   public OptionalLong lastReachedAt() {
     return lastReachedAt;
   }
 
-  /**
-   * Handles the outcome of an append.
-   *
-   * @return false if it shows that ownership is lost
-   */
+  /** Handles the outcome of an append; returns false if it shows that ownership is lost. */
   public boolean appendCompleted(
       WriterPosition position, AppendOutcome outcome, BatchContext context) {
     Optional<InFlightAppend> found =
@@ -356,10 +327,7 @@
             StreamName.STATE, current.position, OptionalLong.empty(), current.records));
   }
 
-  /**
-   * Confirms all changes up to an append that is stored, since all appends before it are stored
-   * too.
-   */
+  /** Confirms the changes up to a stored append, since all appends before it are stored too. */
   private void commitUpTo(InFlightAppend last, BatchContext context) {
     failingSince = OptionalLong.empty();
     lastReachedAt = OptionalLong.of(last.sentAt);
@@ -374,10 +342,7 @@
     }
   }
 
-  /**
-   * Returns the changes of all appends in flight to the pending ones, provided that the store has
-   * certainly stored none of them.
-   */
+  /** Makes all changes in flight pending again, if the store has certainly stored none. */
   private void requeueUnstored() {
     if (!inFlight.stream().allMatch(InFlightAppend::certainlyNotStored)) {
       return;
