--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchCore.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchCore.java
@@ -121,9 +121,9 @@
       case BatchEvent.Appended(var stream, var position, var outcome) ->
           appended(stream, position, outcome, context);
       case BatchEvent.OwnershipRead(var newest, long end) -> ownership.read(newest, end, context);
-      case BatchEvent.OwnershipUnreadable unreadable -> ownership.unreadable(context);
-      case BatchEvent.OwnerDoubted doubted -> ownership.doubted(context);
-      case BatchEvent.OwnerHinted(var hint) -> ownership.hinted(hint, context);
+      case BatchEvent.OwnershipUnreadable unreadable -> ownership.readFailed(context);
+      case BatchEvent.OwnerDoubted doubted -> ownership.ownerSuspected(context);
+      case BatchEvent.OwnerHinted(var hint) -> ownership.hintReceived(hint, context);
       case BatchEvent.StateRead(long epoch, var records, var more) ->
           takeover.ifPresent(loading -> loading.read(epoch, records, more, context));
       case BatchEvent.StateUnreadable(long epoch) ->
@@ -170,7 +170,7 @@
   private void appended(
       StreamName stream, WriterPosition position, AppendOutcome outcome, BatchContext context) {
     if (stream == StreamName.OWNERSHIP) {
-      ownership.answered(position, outcome, context);
+      ownership.appendCompleted(position, outcome, context);
       return;
     }
     owner.ifPresent(owning -> owning.appended(position, outcome, context));
@@ -217,7 +217,7 @@
     startOwnerIfLoaded(context);
     yieldIfStalled(context);
     if (owner.isPresent()) {
-      owner.get().step(ownership.contact(context), context);
+      owner.get().step(ownership.storeReachability(context), context);
     }
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchOwner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchOwner.java
@@ -128,7 +128,7 @@
   /** Applies a newer configuration. */
   void configure(BatchConfiguration newer) {
     jobs.configure(newer);
-    executors.serve(jobs.pools());
+    executors.setPools(jobs.pools());
   }
 
   /**
@@ -136,7 +136,7 @@
    * mostly unchanged; planning for each of these would overload a weak VM with a large fleet.
    */
   void seen(ExecutorProfile profile, BatchContext context) {
-    if (executors.seen(profile, context)) {
+    if (executors.handleEntry(profile, context)) {
       jobs.changed();
     }
   }
@@ -148,7 +148,7 @@
 
   /** Applies the outcome of an order to an executor. */
   void orderEnded(ExecutorId id, long number, OrderOutcome outcome, BatchContext context) {
-    if (executors.ended(id, number, outcome, context)) {
+    if (executors.orderCompleted(id, number, outcome, context)) {
       jobs.changed();
     }
   }
@@ -161,7 +161,7 @@
 
   /** Applies the outcome of an append to the job stream. */
   void appended(WriterPosition position, AppendOutcome outcome, BatchContext context) {
-    if (!writer.answered(position, outcome, context)) {
+    if (!writer.appendCompleted(position, outcome, context)) {
       fenced = true;
     }
   }
@@ -211,7 +211,7 @@
    * After an outage a heartbeat may hang for a second while jobs are stored again.
    */
   private long storeSeenAt(long heartbeatAt) {
-    long storedAt = writer.storedAt().orElse(heartbeatAt);
+    long storedAt = writer.lastReachedAt().orElse(heartbeatAt);
     return storedAt - heartbeatAt > 0 ? storedAt : heartbeatAt;
   }
 
@@ -353,7 +353,7 @@
   }
 
   @Override
-  public void rejected(LiveRun run, Rejection rejection, BatchContext context) {
+  public void startRejected(LiveRun run, Rejection rejection, BatchContext context) {
     if (rejection == Rejection.NO_TICKET) {
       advice.rejected(run.step(), run.incarnation());
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorDuty.java
@@ -8,7 +8,7 @@
 import org.fescuehook.logic.batch.BatchCommand;
 import org.fescuehook.logic.batch.BatchContext;
 import org.fescuehook.logic.batch.BatchLogEvent;
-import org.fescuehook.logic.batch.executor.CrashJudge.Loss;
+import org.fescuehook.logic.batch.executor.CrashEvaluator.Loss;
 import org.fescuehook.logic.batch.executor.OrderOutcome.Rejection;
 import org.fescuehook.logic.batch.state.LiveRun;
 import org.fescuehook.logic.batch.state.LiveRun.Stage;
@@ -16,43 +16,46 @@
 import org.fescuehook.model.fleet.ExecutorId;
 
 /**
- * Polls executors, renews their leases and gives them orders until each doubt about a run is
- * settled.
+ * Polls executors, renews their leases and sends them orders until it is certain what became of
+ * each run.
  */
 public final class ExecutorDuty {
 
-  /** Time between repeated stops of a run. */
-  private static final long STOP_REPEAT_NANOS = Duration.ofMillis(600).toNanos();
+  /** Time after which an unconfirmed stop of a run is ordered again. */
+  private static final long STOP_RETRY_NANOS = Duration.ofMillis(600).toNanos();
 
   /**
-   * Wait for the outcome of an order after which it counts as lost on its way to the decisions.
-   * Polls end after 1.4 s; other orders to one executor go out three at a time and end after 0.6 s
-   * each. It is longer than any lag of the decisions that was seen on weak VMs (2.2 s), as outcomes
-   * that wait in front of them are not lost.
+   * Time after which the outcome of an order counts as lost between the network and the decisions.
+   * Polls end after 1.4 s; other orders to one executor are sent three at a time and end after 0.6
+   * s each. The timeout exceeds the longest lag of the decisions on weak VMs, 2.2 s, since outcomes
+   * queued for the decisions are not lost.
    */
-  private static final long OVERDUE_NANOS = Duration.ofSeconds(10).toNanos();
+  private static final long OUTCOME_TIMEOUT_NANOS = Duration.ofSeconds(10).toNanos();
 
-  /** Time between looks at all executors; half of the tick, which leases and polls are kept to. */
-  private static final long ROUND_NANOS = Duration.ofMillis(25).toNanos();
+  /**
+   * Interval between checks of all executors; half of the tick on which polls and lease renewals
+   * rely.
+   */
+  private static final long FULL_PASS_INTERVAL_NANOS = Duration.ofMillis(25).toNanos();
 
   private final OrderSender orders;
-  private final PollDuty polls;
-  private final Pacer pacer;
-  private final StartSettler starts;
-  private final ReportReader reports;
-  private final LostExecutors lost;
-  private final Restarts restarts;
+  private final ExecutorPoller poller;
+  private final Throttler throttler;
+  private final StartOutcomeHandler startOutcomes;
+  private final ReportHandler reportHandler;
+  private final LostExecutorHandler lostExecutors;
+  private final RestartHandler restarts;
   private final long inheritedLeaseNanos;
-  private final ExecutorBook book = new ExecutorBook();
+  private final ExecutorRegistry registry = new ExecutorRegistry();
   private final RunListener listener;
   private final OrphanedRuns orphans;
-  private final Set<ExecutorState> heardOf = new LinkedHashSet<>();
-  private long nextRoundAt;
+  private final Set<ExecutorState> withNewOutcomes = new LinkedHashSet<>();
+  private long nextFullPassAt;
 
   /**
    * Creates the duty of an epoch.
    *
-   * @param lease length of the leases given
+   * @param lease length of the leases that orders grant
    * @param longestLease the longest lease that an executor grants
    * @param inheritedLease how long leases of a former owner may last from now on
    */
@@ -63,75 +66,76 @@
       Duration inheritedLease,
       RunListener listener,
       BatchContext context) {
-    this.nextRoundAt = context.nowNanos();
+    this.nextFullPassAt = context.nowNanos();
     this.orders = new OrderSender(epoch, lease);
-    this.polls = new PollDuty(book, orders);
-    this.pacer = new Pacer(orders);
-    this.starts = new StartSettler(orders, pacer, listener);
+    this.poller = new ExecutorPoller(registry, orders);
+    this.throttler = new Throttler(orders);
+    this.startOutcomes = new StartOutcomeHandler(orders, throttler, listener);
     this.inheritedLeaseNanos = inheritedLease.toNanos();
     this.orphans = new OrphanedRuns(context.nowNanos() + inheritedLeaseNanos);
     this.listener = listener;
-    this.reports = new ReportReader(orders, pacer, listener, longestLease);
-    this.lost = new LostExecutors(book, reports);
-    this.restarts = new Restarts(book, orders, polls, pacer, reports, longestLease);
+    this.reportHandler = new ReportHandler(orders, throttler, listener, longestLease);
+    this.lostExecutors = new LostExecutorHandler(registry, reportHandler);
+    this.restarts =
+        new RestartHandler(registry, orders, poller, throttler, reportHandler, longestLease);
   }
 
-  /** Returns the executors. */
-  public ExecutorBook book() {
-    return book;
+  /** Returns the registry of executors. */
+  public ExecutorRegistry registry() {
+    return registry;
   }
 
   /**
-   * Names the pools that jobs may run in. An executor of any other pool is not contacted, unless
-   * something runs there.
+   * Sets the pools that jobs may run in. Executors of other pools are polled only if a run may be
+   * alive there.
    */
-  public void serve(Set<String> newer) {
-    polls.serve(newer);
+  public void setPools(Set<String> pools) {
+    poller.setPools(pools);
   }
 
-  /** Takes over runs of a former owner, once, before the first step. */
+  /** Takes over the runs of a former owner; called once, before the first step. */
   public void inherit(List<LiveRun> runs, BatchContext context) {
     for (LiveRun run : runs) {
-      Optional<ExecutorState> executor = book.find(run.executor());
+      Optional<ExecutorState> executor = registry.find(run.executor());
       if (executor.isPresent()) {
         adopt(executor.get(), run, context);
       } else {
         orphans.add(run);
       }
     }
-    pacer.inherited(runs, run -> book.find(run.executor()), context);
+    throttler.releaseInherited(runs, run -> registry.find(run.executor()), context);
   }
 
   private void adopt(ExecutorState executor, LiveRun run, BatchContext context) {
     executor.add(run);
     executor.lease().mayLastUntil(context.nowNanos() + inheritedLeaseNanos);
     if (run.stage() == Stage.STOPPING) {
-      // Its executor was not listed when the stop was decided.
+      // The executor was not listed when the stop was decided.
       orders.stop(executor, run, context);
     }
   }
 
   /**
-   * Takes in an entry of the list.
+   * Handles an entry of the executor list.
    *
-   * @return whether it tells anything new
+   * @return whether the entry contains anything new
    */
-  public boolean seen(ExecutorProfile profile, BatchContext context) {
-    Optional<ExecutorState> found = book.find(profile.id());
+  public boolean handleEntry(ExecutorProfile profile, BatchContext context) {
+    Optional<ExecutorState> found = registry.find(profile.id());
     if (found.isEmpty()) {
-      ExecutorState executor = new ExecutorState(profile, orders.mark());
-      lost.listed(executor);
-      book.add(executor);
+      ExecutorState executor = new ExecutorState(profile, orders.baseline());
+      lostExecutors.listed(executor);
+      registry.add(executor);
       orphans.take(profile.id()).forEach(run -> adopt(executor, run, context));
       return true;
     }
     if (profile.incarnation().startedBefore(found.get().incarnation())) {
       return false;
     }
-    ExecutorState executor = restarts.described(found.get(), profile.incarnation(), context);
+    ExecutorState executor = restarts.entryListed(found.get(), profile.incarnation(), context);
     boolean same = executor.listed() && executor.profile().equals(profile);
     boolean wasLeaving = executor.profile().leaving();
-    executor.describe(profile);
+    executor.updateProfile(profile);
     if (profile.leaving() && !wasLeaving) {
       context.note(BatchLogEvent.EXECUTOR_LEAVING, executor.incarnation(), executor.runs().size());
       listener.leaving(executor, context);
@@ -139,74 +143,77 @@
     return !same;
   }
 
-  /** Takes in that an executor is no longer listed. */
+  /** Records that an executor is no longer listed. */
   public void unlisted(ExecutorId id) {
-    book.find(id).ifPresent(ExecutorState::unlisted);
+    registry.find(id).ifPresent(ExecutorState::markUnlisted);
   }
 
   /**
-   * Sends what is due: to the executors that were heard of since the last step at once, to all
-   * others in intervals, since a look at each of a large fleet costs more than most events.
+   * Sends the orders that are due. Executors with new order outcomes since the last step are
+   * checked at once and all others at intervals, since checking each executor of a large fleet
+   * costs more than handling most events.
    */
   public void step(BatchContext context) {
-    if (context.nowNanos() - nextRoundAt < 0) {
-      List.copyOf(heardOf).forEach(executor -> look(executor, context));
-      heardOf.clear();
+    if (context.nowNanos() - nextFullPassAt < 0) {
+      List.copyOf(withNewOutcomes).forEach(executor -> check(executor, context));
+      withNewOutcomes.clear();
       return;
     }
-    nextRoundAt = context.nowNanos() + ROUND_NANOS;
-    heardOf.clear();
-    book.snapshot().forEach(executor -> look(executor, context));
-    polls.contact(context);
+    nextFullPassAt = context.nowNanos() + FULL_PASS_INTERVAL_NANOS;
+    withNewOutcomes.clear();
+    registry.snapshot().forEach(executor -> check(executor, context));
+    poller.pollUnresponsive(context);
     orphans
         .takeLost(context.nowNanos())
         .forEach(
             run ->
-                reports.loseWithExecutor(
+                reportHandler.reportLostWithExecutor(
                     run,
                     CrashEvidence.DOUBTFUL,
                     "its executor is not listed and its lease has expired",
                     context));
   }
 
-  private void look(ExecutorState executor, BatchContext context) {
-    polls.missOverdue(executor, OVERDUE_NANOS, context);
-    settleSilence(executor, context);
+  private void check(ExecutorState executor, BatchContext context) {
+    poller.timeOutOverdue(executor, OUTCOME_TIMEOUT_NANOS, context);
+    resolveSilence(executor, context);
     repeatOrders(executor, context);
-    polls.poll(executor, context);
+    poller.poll(executor, context);
   }
 
-  private void settleSilence(ExecutorState executor, BatchContext context) {
+  private void resolveSilence(ExecutorState executor, BatchContext context) {
     boolean silent = executor.missedPolls() > 0;
-    if (silent && context.nowNanos() - executor.lease().untilNanos() > 0) {
-      lost.loseAll(executor, Loss.SILENT, "silent until its lease had expired", context);
+    if (silent && context.nowNanos() - executor.lease().expiryNanos() > 0) {
+      lostExecutors.loseAll(executor, Loss.SILENT, "silent until its lease had expired", context);
     }
-    boolean mayRun = !executor.runs().isEmpty() || (executor.runsUnknown() && !silent);
+    boolean mayRun = !executor.runs().isEmpty() || (executor.hasUnknownRuns() && !silent);
     boolean idle = !mayRun && executor.poll().isEmpty();
-    boolean acknowledges = executor.ends().owes() && !silent;
-    // It may be listed again in a moment, and then lists ends that are on their way to the store.
-    if (!executor.listed() && idle && !acknowledges && !executor.ends().unstored()) {
+    boolean acknowledges = executor.runEnds().needsAcknowledgement() && !silent;
+    // It may be listed again in a moment, and would then report run ends again that are still
+    // being stored.
+    if (!executor.listed() && idle && !acknowledges && !executor.runEnds().hasUnstored()) {
       context.note(BatchLogEvent.EXECUTOR_FORGOTTEN, executor.incarnation());
       forget(executor, context);
     }
   }
 
   private void forget(ExecutorState executor, BatchContext context) {
-    book.remove(executor);
-    heardOf.remove(executor);
-    pacer.forget(executor);
+    registry.remove(executor);
+    withNewOutcomes.remove(executor);
+    throttler.forget(executor);
     context.add(new BatchCommand.ForgetExecutor(executor.profile().id()));
   }
 
   private void repeatOrders(ExecutorState executor, BatchContext context) {
     for (LiveRun run : List.copyOf(executor.runs())) {
-      boolean overdue = context.nowNanos() - run.orderedAt() > OVERDUE_NANOS;
-      if (run.stage() == Stage.STARTING && executor.known() && overdue) {
-        starts.ended(executor, run, new OrderOutcome.Unanswered("no outcome came"), context);
+      boolean overdue = context.nowNanos() - run.orderedAt() > OUTCOME_TIMEOUT_NANOS;
+      if (run.stage() == Stage.STARTING && executor.reached() && overdue) {
+        startOutcomes.handle(
+            executor, run, new OrderOutcome.Unanswered("no outcome came"), context);
         continue;
       }
-      boolean stopOwed = run.stage() == Stage.STOPPING && !run.stopAcknowledged();
-      if (stopOwed && context.nowNanos() - run.orderedAt() > STOP_REPEAT_NANOS) {
+      boolean stopPending = run.stage() == Stage.STOPPING && !run.stopTaken();
+      if (stopPending && context.nowNanos() - run.orderedAt() > STOP_RETRY_NANOS) {
         orders.stop(executor, run, context);
       }
     }
@@ -214,31 +221,33 @@
 
   /**
    * Orders the start of a run whose placement is stored. Storing takes seconds if the store is
-   * slow; where the executor has less room by now, or is about to leave, another place is looked
-   * for.
+   * slow. If the executor has too little capacity by then, or is about to leave, the run is given
+   * up and its task is placed elsewhere.
    */
   public void start(LiveRun run, BatchContext context) {
-    Optional<ExecutorState> executor = book.find(run.executor());
-    if (executor.isEmpty() || !executor.get().known()) {
+    Optional<ExecutorState> executor = registry.find(run.executor());
+    if (executor.isEmpty() || !executor.get().reached()) {
       return;
     }
     boolean leaving = executor.get().profile().leaving();
     if (leaving || executor.get().overbooked()) {
       executor.get().remove(run);
-      reports.lose(
-          run, leaving ? "its executor leaves" : "its executor has less room now", context);
+      reportHandler.reportLost(
+          run,
+          leaving ? "its executor is leaving" : "its executor has less free capacity now",
+          context);
       return;
     }
     run.enter(Stage.STARTING, context.nowNanos());
     orders.start(executor.get(), run, context);
   }
 
-  /** Orders the end of a run; one that was not started yet is dropped at once. */
+  /** Orders the stop of a run; one that was not started yet is given up at once. */
   public void stop(LiveRun run, String cause, BatchContext context) {
     if (run.stage() == Stage.STOPPING) {
       return;
     }
-    Optional<ExecutorState> executor = book.find(run.executor());
+    Optional<ExecutorState> executor = registry.find(run.executor());
     if (executor.flatMap(state -> state.run(run.run())).isEmpty() && !orphans.contains(run)) {
       return;
     }
@@ -253,11 +262,12 @@
   }
 
   /**
-   * Takes in what became of an order.
+   * Handles the outcome of an order.
    *
-   * @return whether the executor can be used from now on and could not before
+   * @return whether the executor has become usable by it
    */
-  public boolean ended(ExecutorId id, long number, OrderOutcome outcome, BatchContext context) {
+  public boolean orderCompleted(
+      ExecutorId id, long number, OrderOutcome outcome, BatchContext context) {
     if (!orders.ofThisEpoch(number)) {
       return false;
     }
@@ -265,17 +275,18 @@
       orders.notSent(number);
     }
     Optional<LiveRun> run = orders.takeRun(number);
-    polls.orderEnded(number, outcome, context);
-    Optional<ExecutorState> found = book.find(id);
+    poller.orderCompleted(number, outcome, context);
+    Optional<ExecutorState> found = registry.find(id);
     if (found.isEmpty()) {
       return false;
     }
     ExecutorState executor = found.get();
-    if (number <= executor.mark().lastNumber()) {
-      // It was meant for a former life; the first answer of this one settles what became of it.
+    if (number <= executor.baseline().lastNumber()) {
+      // It was meant for an earlier incarnation; the first answer of this one shows what became of
+      // it.
       return false;
     }
-    heardOf.add(executor);
+    withNewOutcomes.add(executor);
     if (outcome instanceof OrderOutcome.OtherIncarnation) {
       context.note(
           BatchLogEvent.EXECUTOR_GONE,
@@ -284,9 +295,9 @@
           executor.runs().size());
       run.filter(live -> live.stage() == Stage.STARTING && !live.startUncertain())
           .ifPresent(LiveRun::startNeverArrived);
-      lost.loseAll(executor, Loss.RESTARTED, "its executor was restarted", context);
+      lostExecutors.loseAll(executor, Loss.RESTARTED, "its executor was restarted", context);
       forget(executor, context);
-      lost.crashed(executor.profile(), context);
+      lostExecutors.crashed(executor.profile(), context);
       return false;
     }
     if (outcome instanceof OrderOutcome.Rejected(Rejection rejection)
@@ -299,7 +310,7 @@
       pollEnded(executor, outcome, context);
       return !usable && executor.usable(context.nowNanos());
     }
-    // A run that ended or was given up meanwhile holds no capacity any more.
+    // A run that has ended or been given up meanwhile holds no capacity any more.
     run.filter(live -> executor.run(live.run()).isPresent())
         .ifPresent(live -> orderEnded(executor, live, outcome, context));
     return false;
@@ -308,10 +319,10 @@
   private void orderEnded(
       ExecutorState executor, LiveRun run, OrderOutcome outcome, BatchContext context) {
     if (outcome instanceof OrderOutcome.Done(long clock)) {
-      executor.lease().read(clock, context.nowNanos());
+      executor.lease().clockRead(clock, context.nowNanos());
     }
     switch (run.stage()) {
-      case STARTING -> starts.ended(executor, run, outcome, context);
+      case STARTING -> startOutcomes.handle(executor, run, outcome, context);
       case STOPPING -> stopEnded(run, outcome, context);
       case PLACED, RUNNING, INHERITED -> {}
     }
@@ -333,13 +344,14 @@
 
   private void pollEnded(ExecutorState executor, OrderOutcome outcome, BatchContext context) {
     if (outcome instanceof OrderOutcome.Polled polled) {
-      if (restarts.answered(executor, polled.bornMillis(), context)) {
-        heardOf.remove(executor);
+      if (restarts.pollAnswered(executor, polled.bornMillis(), context)) {
+        withNewOutcomes.remove(executor);
         return;
       }
-      lost.loseUnlisted(executor, reports.take(executor, polled, context), context);
+      lostExecutors.loseUnlisted(
+          executor, reportHandler.handle(executor, polled, context), context);
       return;
     }
-    polls.missed(executor, outcome, context);
+    poller.unanswered(executor, outcome, context);
   }
 }
--- /dev/null
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorPoller.java
@@ -0,0 +1,125 @@
+package org.fescuehook.logic.batch.executor;
+
+import static java.util.Comparator.comparing;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import org.fescuehook.logic.batch.BatchContext;
+import org.fescuehook.logic.batch.BatchLogEvent;
+
+/** Decides when executors are polled, and counts the polls that are not answered. */
+final class ExecutorPoller {
+
+  /**
+   * Pause after unanswered polls; there is none after the first one, which may just have been lost.
+   */
+  private static final long RETRY_PAUSE_NANOS = Duration.ofMillis(150).toNanos();
+
+  /** The same for an executor without runs, where only new work would wait. */
+  private static final long IDLE_RETRY_PAUSE_NANOS = Duration.ofMillis(500).toNanos();
+
+  private final ExecutorRegistry registry;
+  private final OrderSender orders;
+  private final AdaptivePollLimit pollLimit = new AdaptivePollLimit();
+  private Set<String> pools = Set.of();
+
+  ExecutorPoller(ExecutorRegistry registry, OrderSender orders) {
+    this.registry = registry;
+    this.orders = orders;
+  }
+
+  /**
+   * Sets the pools that jobs may run in; their executors are polled even if no run is known there.
+   */
+  void setPools(Set<String> poolsOfJobs) {
+    pools = Set.copyOf(poolsOfJobs);
+  }
+
+  /**
+   * Polls unresponsive executors, as many as the limit allows. Executors with runs come first,
+   * since their leases need renewal, and among them those whose polls have been due longest, so
+   * that executors which stay silent do not displace the others each time.
+   */
+  void pollUnresponsive(BatchContext context) {
+    List<ExecutorState> due = new ArrayList<>();
+    for (ExecutorState executor : registry.all()) {
+      if (!executor.responsive() && needsPoll(executor) && executor.pollDue(context.nowNanos())) {
+        due.add(executor);
+      }
+    }
+    due.sort(
+        comparing((ExecutorState executor) -> executor.runs().isEmpty())
+            .thenComparingLong(ExecutorState::nextPollAt));
+    due.forEach(executor -> pollUnresponsive(executor, context));
+  }
+
+  /** Polls one unresponsive executor now, if the limit allows it. */
+  void pollUnresponsive(ExecutorState executor, BatchContext context) {
+    boolean retry = executor.missedPolls() > 0;
+    if (pollLimit.allows(retry)) {
+      pollLimit.sent(orders.poll(executor, context), retry, context.nowNanos());
+    }
+  }
+
+  /** Polls a responsive executor, if a poll is due. */
+  void poll(ExecutorState executor, BatchContext context) {
+    if (executor.responsive() && needsPoll(executor) && executor.pollDue(context.nowNanos())) {
+      orders.poll(executor, context);
+    }
+  }
+
+  private boolean needsPoll(ExecutorState executor) {
+    boolean unreached = !executor.reached() && pools.contains(executor.profile().pool());
+    boolean mayHaveRuns = !executor.runs().isEmpty() || executor.hasUnknownRuns();
+    // An executor that did not answer is not used, and only an answer shows that it can be used
+    // again.
+    boolean unsure = (executor.missedPolls() > 0 || executor.unconfirmed()) && executor.listed();
+    return unreached || mayHaveRuns || unsure || executor.runEnds().needsAcknowledgement();
+  }
+
+  /** Records the outcome of an order, as far as it shows how fast executors answer. */
+  void orderCompleted(long number, OrderOutcome outcome, BatchContext context) {
+    if (outcome.answered()) {
+      pollLimit.answered(number, context.nowNanos());
+    } else {
+      pollLimit.unanswered(number);
+    }
+  }
+
+  /** Stops waiting for the poll of an executor that is forgotten. */
+  void forget(ExecutorState executor) {
+    executor.poll().ifPresent(poll -> pollLimit.unanswered(poll.number()));
+  }
+
+  /** Treats a poll as unanswered whose outcome has been missing for too long. */
+  void timeOutOverdue(ExecutorState executor, long overdueNanos, BatchContext context) {
+    executor
+        .poll()
+        .filter(poll -> context.nowNanos() - poll.sentAt() > overdueNanos)
+        .ifPresent(
+            poll -> {
+              pollLimit.unanswered(poll.number());
+              unanswered(executor, new OrderOutcome.Unanswered("no outcome came"), context);
+            });
+  }
+
+  /** Records that a poll was not answered. */
+  void unanswered(ExecutorState executor, OrderOutcome outcome, BatchContext context) {
+    if (executor.missedPolls() == 0) {
+      long leaseMillis =
+          Duration.ofNanos(executor.lease().expiryNanos() - context.nowNanos()).toMillis();
+      context.note(
+          BatchLogEvent.EXECUTOR_SILENT,
+          executor.incarnation(),
+          outcome,
+          executor.runs().size(),
+          leaseMillis);
+    }
+    boolean idle = executor.runs().isEmpty();
+    long retryPause = idle ? IDLE_RETRY_PAUSE_NANOS : RETRY_PAUSE_NANOS;
+    long pause = executor.missedPolls() == 0 ? 0 : retryPause;
+    executor.pollMissed(context.nowNanos(), pause);
+  }
+}
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ReportReader.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ReportHandler.java
@@ -13,79 +13,84 @@
 import org.fescuehook.logic.batch.state.LiveRun.Stage;
 import org.fescuehook.model.batch.TaskRun;
 
-/** Reads what executors report of their runs: which are at work, and which have ended. */
-final class ReportReader {
+/** Handles the answers to polls: which runs are alive on an executor, and which have ended. */
+final class ReportHandler {
 
   /**
-   * Time after which a confirmed stop that was not carried out is ordered again; stops take 0.2 s.
+   * Time after which a stop that was confirmed but not carried out is ordered again; a stop takes
+   * 0.2 s.
    */
-  private static final long LONGEST_STOP_NANOS = Duration.ofMillis(500).toNanos();
+  private static final long MAX_STOP_NANOS = Duration.ofMillis(500).toNanos();
 
   private final OrderSender orders;
-  private final Pacer pacer;
+  private final Throttler throttler;
   private final RunListener listener;
   private final Duration longestLease;
 
-  ReportReader(OrderSender orders, Pacer pacer, RunListener listener, Duration longestLease) {
+  ReportHandler(
+      OrderSender orders, Throttler throttler, RunListener listener, Duration longestLease) {
     this.orders = orders;
-    this.pacer = pacer;
+    this.throttler = throttler;
     this.listener = listener;
     this.longestLease = longestLease;
   }
 
-  /** Tells that a run that is no longer booked on its executor is gone. */
-  void lose(LiveRun run, String cause, BatchContext context) {
+  /** Reports a run as lost that no longer holds capacity of its executor. */
+  void reportLost(LiveRun run, String cause, BatchContext context) {
     context.note(BatchLogEvent.RUN_LOST, run.run(), run.incarnation(), cause);
     listener.lost(run, cause, context);
   }
 
-  /** Tells that a run is gone with its executor. */
-  void loseWithExecutor(LiveRun run, CrashEvidence evidence, String cause, BatchContext context) {
+  /** Reports a run as lost together with its executor. */
+  void reportLostWithExecutor(
+      LiveRun run, CrashEvidence evidence, String cause, BatchContext context) {
     context.note(BatchLogEvent.RUN_LOST, run.run(), run.incarnation(), cause);
     listener.lostWithExecutor(run, evidence, context);
   }
 
   /**
-   * Takes in the answer of the poll under way.
+   * Handles the answer to the poll in flight.
    *
-   * @return runs that are booked there, and that it would list if they were alive
+   * @return runs that the owner believes to be on this executor and that it would have listed if
+   *     they were alive
    */
-  List<LiveRun> take(ExecutorState executor, OrderOutcome.Polled answer, BatchContext context) {
+  List<LiveRun> handle(ExecutorState executor, OrderOutcome.Polled answer, BatchContext context) {
     long sentAt = executor.poll().orElseThrow().sentAt();
-    boolean first = !executor.known();
+    boolean first = !executor.reached();
     if (first || executor.missedPolls() > 0) {
       context.note(BatchLogEvent.EXECUTOR_REACHED, executor.incarnation(), answer.active().size());
     }
     if (first) {
-      executor.lease().shutFormerOwnersOut(longestLease, context.nowNanos());
+      executor.lease().excludeFormerOwners(longestLease, context.nowNanos());
     }
     executor.pollAnswered(context.nowNanos());
-    executor.lease().read(answer.clockMillis(), context.nowNanos());
-    takeEnds(executor, answer.ended(), context);
+    executor.lease().clockRead(answer.clockMillis(), context.nowNanos());
+    handleEnds(executor, answer.ended(), context);
     Set<TaskRun> active = new HashSet<>();
-    executor.unknownRunsSeen(false);
+    executor.setHasUnknownRuns(false);
     for (ActiveRun run : answer.active()) {
       active.add(run.run());
-      takeActive(executor, run, sentAt, context);
+      handleActive(executor, run, sentAt, context);
     }
-    pacer.look(executor, answer, context);
+    throttler.evaluate(executor, answer, context);
     return executor.runs().stream()
         .filter(run -> !active.contains(run.run()))
-        // What was ordered before the first answer is there by then, or is fenced off for good.
+        // Orders sent before the first answer have arrived by then, or are rejected for good by
+        // their fencing token.
         .filter(run -> first ? run.stage() != Stage.PLACED : run.mustBeListed(sentAt))
         .toList();
   }
 
-  private void takeEnds(ExecutorState executor, List<EndedRun> ends, BatchContext context) {
-    List<EndedRun> fresh =
-        ends.stream().filter(end -> end.number() > executor.ends().seen()).toList();
-    if (fresh.isEmpty()) {
+  private void handleEnds(ExecutorState executor, List<EndedRun> ends, BatchContext context) {
+    List<EndedRun> newEnds =
+        ends.stream().filter(end -> end.number() > executor.runEnds().lastRead()).toList();
+    if (newEnds.isEmpty()) {
       return;
     }
-    long last = fresh.getLast().number();
-    executor.ends().sawUpTo(last);
-    Countdown stored = new Countdown(() -> executor.ends().stored(last));
-    for (EndedRun end : fresh) {
+    long last = newEnds.getLast().number();
+    executor.runEnds().readUpTo(last);
+    Countdown stored = new Countdown(() -> executor.runEnds().markStored(last));
+    for (EndedRun end : newEnds) {
       Optional<LiveRun> run = executor.run(end.run());
       if (run.isEmpty()) {
         listener.strayEnded(end, stored, context);
@@ -93,17 +98,17 @@
       }
       run.get().foundOn(executor.incarnation());
       executor.remove(run.get());
-      ExecutorJudge.ended(executor, run.get(), end.end(), context);
+      ExecutorEvaluator.ended(executor, run.get(), end.end(), context);
       listener.ended(run.get(), end, stored, context);
     }
     stored.release();
   }
 
-  private void takeActive(
+  private void handleActive(
       ExecutorState executor, ActiveRun active, long sentAt, BatchContext context) {
     Optional<LiveRun> found = executor.run(active.run());
     if (found.isEmpty()) {
-      executor.unknownRunsSeen(true);
+      executor.setHasUnknownRuns(true);
       context.note(BatchLogEvent.RUN_UNKNOWN, active.run(), executor.incarnation());
       orders.stopUnknown(executor, active.run(), context);
       return;
@@ -111,8 +116,8 @@
     LiveRun run = found.get();
     run.foundOn(executor.incarnation());
     run.progressed(active.percent(), context.nowNanos());
-    run.stillListed(sentAt, LONGEST_STOP_NANOS);
-    listener.saved(run, active.checkpoint());
+    run.stillListed(sentAt, MAX_STOP_NANOS);
+    listener.checkpointSaved(run, active.checkpoint());
     boolean inherited = run.stage() == Stage.INHERITED;
     if (inherited || run.stage() == Stage.STARTING) {
       run.enter(Stage.RUNNING, context.nowNanos());
@@ -120,8 +125,8 @@
     if (inherited) {
       listener.foundRunning(run, context);
     }
-    if (ExecutorJudge.standsStill(executor, run, context.nowNanos())) {
-      listener.stoodStill(run, context);
+    if (ExecutorEvaluator.shouldMove(executor, run, context.nowNanos())) {
+      listener.runStalled(run, context);
     }
   }
 }
--- /dev/null
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/CandidateExecutor.java
@@ -0,0 +1,130 @@
+package org.fescuehook.logic.batch.plan;
+
+import java.util.Optional;
+import org.fescuehook.logic.batch.executor.CrashEvaluator;
+import org.fescuehook.logic.batch.executor.ExecutorState;
+import org.fescuehook.logic.batch.state.LiveRun;
+import org.fescuehook.logic.batch.state.StepProgress;
+import org.fescuehook.logic.batch.state.TaskProgress;
+import org.fescuehook.model.batch.BatchStep;
+import org.fescuehook.model.batch.ResourceVector;
+import org.fescuehook.model.fleet.Incarnation;
+
+/** An executor and its free capacity while a plan is made. */
+final class CandidateExecutor {
+
+  private final ExecutorState executor;
+  private final boolean suspect;
+  private final boolean recentlyRestarted;
+  private ResourceVector free;
+  private boolean servesUsers;
+  private boolean runsOtherWork;
+  private boolean onProbation;
+  private boolean fragile;
+
+  /**
+   * Creates a candidate.
+   *
+   * @param suspect whether runs have recently failed or been slow there
+   * @param recentlyRestarted whether the executor is known to have crashed recently
+   */
+  CandidateExecutor(
+      ExecutorState executor, ResourceVector free, boolean suspect, boolean recentlyRestarted) {
+    this.executor = executor;
+    this.free = free;
+    this.suspect = suspect;
+    this.recentlyRestarted = recentlyRestarted;
+  }
+
+  boolean suspect() {
+    return suspect;
+  }
+
+  boolean recentlyRestarted() {
+    return recentlyRestarted;
+  }
+
+  /** Tells whether any work is on the executor. */
+  boolean occupied() {
+    return servesUsers || runsOtherWork;
+  }
+
+  ExecutorState executor() {
+    return executor;
+  }
+
+  ResourceVector free() {
+    return free;
+  }
+
+  /** Reserves capacity for a task. */
+  void reserve(StepProgress step, TaskProgress task) {
+    free = free.minus(step.spec().demand());
+    addWork(step.spec());
+    onProbation |= task.crashes().mayCrash();
+  }
+
+  /** Records that a task of a step is on the executor. */
+  void addWork(BatchStep step) {
+    servesUsers |= step.serves();
+    runsOtherWork |= !step.serves();
+    fragile |= step.gang() || step.lasting().isPresent();
+  }
+
+  /** Records that a run is on the executor, and whether it is suspected of crashing executors. */
+  void addWork(LiveRun run, long nowNanos) {
+    addWork(run.step().spec());
+    onProbation |= CrashEvaluator.onProbation(run, nowNanos);
+  }
+
+  /** Tells whether a run suspected of crashing executors is starting here, or has just started. */
+  boolean onProbation() {
+    return onProbation;
+  }
+
+  /**
+   * Tells whether a crash would cost more than the runs that are here, because one of them belongs
+   * to a gang or to a long-running step.
+   */
+  boolean fragile() {
+    return fragile;
+  }
+
+  /**
+   * Tells whether sharing the executor would lengthen the response times of the step, or of tasks
+   * that are here.
+   */
+  boolean interferesWith(BatchStep step) {
+    return step.serves() ? runsOtherWork : servesUsers;
+  }
+
+  void release(ResourceVector demand) {
+    free = free.plus(demand);
+  }
+
+  CandidateExecutor copy() {
+    CandidateExecutor copy = new CandidateExecutor(executor, free, suspect, recentlyRestarted);
+    copy.servesUsers = servesUsers;
+    copy.runsOtherWork = runsOtherWork;
+    copy.onProbation = onProbation;
+    copy.fragile = fragile;
+    return copy;
+  }
+
+  /**
+   * Tells whether a step may run here at all, regardless of capacity. A step that has failed avoids
+   * the executors on which it failed and suspect ones, since it has few attempts left. Gangs avoid
+   * suspect executors, since one slow member delays all others.
+   */
+  boolean isEligible(WaitingStep waiting) {
+    StepProgress step = waiting.step();
+    boolean avoided = suspect && (step.hasFailed() || step.spec().gang());
+    Incarnation incarnation = executor.incarnation();
+    if (avoided || step.failedOn(incarnation) || !waiting.permits(incarnation)) {
+      return false;
+    }
+    Optional<String> label = step.spec().placement().label();
+    boolean labelled = label.isEmpty() || executor.profile().labels().contains(label.get());
+    return labelled && executor.profile().pool().equals(waiting.pool());
+  }
+}
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/PlanDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/PlanDuty.java
@@ -25,14 +25,14 @@
 import org.fescuehook.model.fleet.Incarnation;
 import org.fescuehook.model.preferences.WorkPreferences;
 
-/** Carries plans out: stores each placement, then orders the start. */
+/** Plans the waiting steps, stores each placement and then orders the start of the run. */
 public final class PlanDuty {
 
   private final JobLifecycle jobs;
   private final ExecutorDuty executors;
   private final AdviceCache advice;
   private final Planner planner;
-  private final List<LiveRun> stored = new ArrayList<>();
+  private final List<LiveRun> storedRuns = new ArrayList<>();
   private Map<String, Integer> guaranteedNeed = Map.of();
 
   /** Creates the duty. */
@@ -44,7 +44,7 @@
     this.planner = new Planner(step -> rank(step.job()), work);
   }
 
-  /** Plans and carries the plan out. */
+  /** Makes a plan and applies it. */
   public void step(BatchContext context) {
     guaranteedNeed = guaranteedNeed();
     List<WaitingStep> waiting = waiting(context);
@@ -52,12 +52,12 @@
       return;
     }
     List<ExecutorState> usable =
-        executors.book().all().stream()
+        executors.registry().all().stream()
             .filter(executor -> executor.usable(context.nowNanos()))
             .toList();
-    ask(waiting, usable, context);
+    requestAdvice(waiting, usable, context);
     Planner.Plan plan = planner.plan(waiting, usable, context.nowNanos());
-    for (Planner.Displacement stop : plan.stops()) {
+    for (Planner.Preemption stop : plan.stops()) {
       WaitingStep beneficiary = stop.beneficiary();
       String job = beneficiary.step().job().job().id();
       String cause = "job " + job + " needs its place, " + beneficiary.rank();
@@ -66,8 +66,11 @@
     start(plan.starts(), context);
   }
 
-  /** Asks for advice on the first step that lacks it. */
-  private void ask(List<WaitingStep> waiting, List<ExecutorState> usable, BatchContext context) {
+  /**
+   * Requests external advice for the steps that need it, in the order in which they are planned.
+   */
+  private void requestAdvice(
+      List<WaitingStep> waiting, List<ExecutorState> usable, BatchContext context) {
     advice.forgetEnded();
     List<WaitingStep> advised =
         waiting.stream()
@@ -75,12 +78,12 @@
             .sorted(WaitingStep.ORDER)
             .toList();
     for (WaitingStep step : advised) {
-      List<Incarnation> pool =
+      List<Incarnation> executorsOfPool =
           usable.stream()
               .filter(executor -> executor.profile().pool().equals(step.pool()))
               .map(ExecutorState::incarnation)
               .toList();
-      advice.ask(step.step(), pool, context);
+      advice.ask(step.step(), executorsOfPool, context);
     }
   }
 
@@ -108,53 +111,56 @@
       return;
     }
     long accepted = step.job().job().acceptedMillis();
-    Timing timing = timing(step, queue, context);
+    StepTiming timing = timing(step, queue, context);
     Optional<Set<Incarnation>> permitted =
         queue.advised()
             ? Optional.of(advice.permitted(step, context.nowNanos()))
             : Optional.empty();
-    for (List<TaskProgress> together : placedTogether(step, tasks)) {
+    for (List<TaskProgress> group : placementGroups(step, tasks)) {
       waiting.add(
           new WaitingStep(
-              step, together, queue.pool(), rank(step.job()), accepted, timing, permitted));
+              step, group, queue.pool(), rank(step.job()), accepted, timing, permitted));
     }
   }
 
-  /** Tasks that may crash their executors are placed one by one, so that none hides another. */
-  private static List<List<TaskProgress>> placedTogether(
+  /**
+   * Divides tasks into the groups that are planned together. Tasks suspected of crashing executors
+   * are planned one by one, so that a crash can be attributed to one of them.
+   */
+  private static List<List<TaskProgress>> placementGroups(
       StepProgress step, List<TaskProgress> tasks) {
     if (step.spec().gang() || tasks.stream().noneMatch(task -> task.crashes().mayCrash())) {
       return List.of(tasks);
     }
-    List<List<TaskProgress>> together = new ArrayList<>();
+    List<List<TaskProgress>> groups = new ArrayList<>();
     List<TaskProgress> others = tasks.stream().filter(task -> !task.crashes().mayCrash()).toList();
     if (!others.isEmpty()) {
-      together.add(others);
+      groups.add(others);
     }
     tasks.stream()
         .filter(task -> task.crashes().mayCrash())
-        .forEach(task -> together.add(List.of(task)));
-    return together;
+        .forEach(task -> groups.add(List.of(task)));
+    return groups;
   }
 
-  private static Timing timing(StepProgress step, JobQueue queue, BatchContext context) {
+  private static StepTiming timing(StepProgress step, JobQueue queue, BatchContext context) {
     Submission submission = step.job().job().submission();
-    long due = step.job().job().acceptedMillis();
+    long dueMillis = step.job().job().acceptedMillis();
     if (submission.schedule().isPresent()) {
-      due = Math.max(due, submission.schedule().get().dueMillis(step.occurrence()));
+      dueMillis = Math.max(dueMillis, submission.schedule().get().dueMillis(step.occurrence()));
     }
-    long objective = queue.objectiveMillis(step.job().estimatedChainMillis());
-    long spare = objective - step.estimatedChainMillis();
-    long waited = Math.max(0, context.wallMillis() - due);
-    long queued = context.nowNanos() - step.queuedSince(context.nowNanos());
-    if (step.spec().longRunning().isPresent()) {
-      return Timing.ofLasting(queued);
+    long objectiveMillis = queue.objectiveMillis(step.job().estimatedChainMillis());
+    long spareMillis = objectiveMillis - step.estimatedChainMillis();
+    long waitedMillis = Math.max(0, context.wallMillis() - dueMillis);
+    long queuedNanos = context.nowNanos() - step.queuedSince(context.nowNanos());
+    if (step.spec().lasting().isPresent()) {
+      return StepTiming.ofLongRunning(queuedNanos);
     }
-    return new Timing(
-        TimeUnit.MILLISECONDS.toNanos(waited),
-        queued,
-        TimeUnit.MILLISECONDS.toNanos(spare),
-        TimeUnit.MILLISECONDS.toNanos(objective));
+    return new StepTiming(
+        TimeUnit.MILLISECONDS.toNanos(waitedMillis),
+        queuedNanos,
+        TimeUnit.MILLISECONDS.toNanos(spareMillis),
+        TimeUnit.MILLISECONDS.toNanos(objectiveMillis));
   }
 
   private Rank rank(ActiveJob job) {
@@ -162,11 +168,11 @@
     String organisation = job.job().organisation();
     int guaranteed = jobs.configuration().guaranteedAccelerators(organisation);
     int needed = guaranteedNeed.getOrDefault(organisation, 0);
-    boolean covered = queue.priority() == 0 && needed > 0 && needed <= guaranteed;
-    return covered ? Rank.GUARANTEED : Rank.ofPriority(queue.priority());
+    boolean coveredByGuarantee = queue.priority() == 0 && needed > 0 && needed <= guaranteed;
+    return coveredByGuarantee ? Rank.GUARANTEED : Rank.ofPriority(queue.priority());
   }
 
-  /** Returns the accelerators that the open jobs of priority 0 need, by organisation. */
+  /** Returns the number of accelerators that the open jobs of priority 0 need, by organisation. */
   private Map<String, Integer> guaranteedNeed() {
     Map<String, Integer> need = new HashMap<>();
     for (ActiveJob job : jobs.registry().activeJobs()) {
@@ -182,52 +188,56 @@
     return need;
   }
 
-  private void start(List<Place> places, BatchContext context) {
-    Set<ActiveJob> touched = new LinkedHashSet<>();
+  private void start(List<TaskPlacement> placements, BatchContext context) {
+    Set<ActiveJob> changedJobs = new LinkedHashSet<>();
     List<LiveRun> runs = new ArrayList<>();
     Map<StepProgress, Integer> gangRuns = new HashMap<>();
-    for (Place place : places) {
-      StepProgress step = place.step();
+    for (TaskPlacement placement : placements) {
+      StepProgress step = placement.step();
       boolean gang = step.spec().gang();
       int number =
           gang
               ? gangRuns.computeIfAbsent(step, StepProgress::nextGangRun)
-              : place.task().lastRun() + 1;
-      String checkpoint = gang ? step.gangCheckpoint() : place.task().checkpoint();
-      TaskRun name = new TaskRun(step.name(place.task()), number);
-      Incarnation executor = place.executor().incarnation();
+              : placement.task().lastRun() + 1;
+      String checkpoint = gang ? step.gangCheckpoint() : placement.task().checkpoint();
+      TaskRun name = new TaskRun(step.name(placement.task()), number);
+      Incarnation executor = placement.executor().incarnation();
       Optional<String> ticket = advice.ticket(step, executor, context.nowNanos());
       LiveRun run = LiveRun.placed(name, executor, step, checkpoint, ticket, context.nowNanos());
-      Timing timing = timing(step, jobs.queue(step.job()), context);
+      StepTiming timing = timing(step, jobs.queue(step.job()), context);
       context.stage("queued", timing.queuedNanos());
-      step.begin(place.task(), run);
-      place.executor().add(run);
-      touched.add(step.job());
+      step.begin(placement.task(), run);
+      placement.executor().add(run);
+      changedJobs.add(step.job());
       runs.add(run);
       context.note(
           BatchLogEvent.RUN_PLACED,
           name,
           run.incarnation(),
-          place.executor().profile().rack(),
+          placement.executor().profile().rack(),
           rank(step.job()),
           TimeUnit.NANOSECONDS.toMillis(timing.waitedNanos()),
           TimeUnit.NANOSECONDS.toMillis(timing.spareNanos()));
     }
-    for (ActiveJob job : touched) {
-      List<LiveRun> own = runs.stream().filter(run -> run.step().job() == job).toList();
-      jobs.persist(job, () -> stored.addAll(own));
+    for (ActiveJob job : changedJobs) {
+      List<LiveRun> runsOfJob = runs.stream().filter(run -> run.step().job() == job).toList();
+      jobs.persist(job, () -> storedRuns.addAll(runsOfJob));
     }
   }
 
-  /** Orders the starts whose placements have been stored since the last call. */
+  /** Orders the start of the runs whose placements have been stored since the last call. */
   public void startStored(BatchContext context) {
-    for (LiveRun run : stored) {
-      boolean held =
-          executors.book().find(run.executor()).flatMap(state -> state.run(run.run())).isPresent();
-      if (held && run.stage() == Stage.PLACED) {
+    for (LiveRun run : storedRuns) {
+      boolean stillReserved =
+          executors
+              .registry()
+              .find(run.executor())
+              .flatMap(state -> state.run(run.run()))
+              .isPresent();
+      if (stillReserved && run.stage() == Stage.PLACED) {
         executors.start(run, context);
       }
     }
-    stored.clear();
+    storedRuns.clear();
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/StateWriter.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/StateWriter.java
@@ -16,53 +16,54 @@
 import org.fescuehook.logic.batch.BatchContext;
 
 /**
- * Group commit: what changes while an append is under way goes out together with the next. A change
- * is encoded when it is sent, so several changes of one key cost one record.
+ * Stores the state of the jobs by group commit: changes made while an append is in flight are sent
+ * together with the next one. A change is encoded when it is sent, so several changes of one key
+ * cost one record.
  *
- * <p>While the store answers in time one append is under way. If it takes long, further ones go out
- * beside, so that a change waits for the store once and not for the append before it as well. The
- * store takes the sequences of an epoch in their order only: that one is stored means that all
- * before it are, and one that came before its turn has done nothing.
+ * <p>While the store answers in time, one append is in flight. If it takes long, further ones are
+ * sent concurrently, so that a change waits for its own append and not for the one before it as
+ * well. The store accepts the sequence numbers of an epoch in order only: once one append is
+ * stored, all before it are, and one that arrived ahead of its turn was not processed.
  */
 public final class StateWriter {
 
-  /** Pause before an append is repeated; some tens of the store's usual 4 ms. */
+  /** Pause before an append is repeated; 25 times the usual 4 ms of the store. */
   private static final long RETRY_PAUSE_NANOS = Duration.ofMillis(100).toNanos();
 
   /**
-   * How long the store may be in trouble before it counts as away, if it was quick before. Callers
-   * wait about 3 s, and half of that leaves them time to ask again.
+   * How long appends may fail before the store counts as unavailable, if it was fast before.
+   * Callers wait about 3 s, and half of that leaves them time to retry.
    */
-  private static final long LEAST_PATIENCE_NANOS = Duration.ofMillis(700).toNanos();
+  private static final long MIN_UNAVAILABLE_NANOS = Duration.ofMillis(700).toNanos();
 
-  /** Appends under way at most: the store works on one and sends the answer to the other. */
-  private static final int MOST_UNDER_WAY = 2;
+  /** Most appends in flight: one that is processed, and one whose answer is in transit. */
+  private static final int MAX_IN_FLIGHT = 2;
 
-  /** Part of an append's time after which the next goes out beside it. */
-  private static final int BESIDE_PART = 4;
+  /** The next append is sent once this part of the last append's duration has passed. */
+  private static final int OVERLAP_DELAY_DIVISOR = 4;
 
-  /** Age of the newest append from which the next goes out beside it; ten of the usual 4 ms. */
-  private static final long BESIDE_NANOS = Duration.ofMillis(40).toNanos();
+  /** Least delay of the next append while one is in flight; ten times the usual 4 ms. */
+  private static final long MIN_OVERLAP_DELAY_NANOS = Duration.ofMillis(40).toNanos();
 
-  /** Most bytes of one append; half of what the store takes, since values are measured alone. */
+  /** Bytes of keys and values that fill an append; half of what the store accepts in total. */
   private static final int MAX_APPEND_BYTES = 1 << 20;
 
   private final long epoch;
-  private final Map<String, Change> waiting = new LinkedHashMap<>();
+  private final Map<String, PendingChange> pendingChanges = new LinkedHashMap<>();
 
-  /** Appends that are not known as stored, in the order of their sequences. */
-  private final Deque<Sent> sent = new ArrayDeque<>();
+  /** Appends that are not confirmed as stored, in the order of their sequence numbers. */
+  private final Deque<InFlightAppend> inFlight = new ArrayDeque<>();
 
   private long nextSequence;
-  private final RecentTimes appends = new RecentTimes();
-  private long otherStreamNanos;
-  private long lastTookNanos;
+  private final SlidingWindowMaximum appendTimes = new SlidingWindowMaximum();
+  private long otherStreamAppendNanos;
+  private long lastAppendNanos;
   private long pausedUntil;
-  private OptionalLong troubleSince = OptionalLong.empty();
-  private OptionalLong storedAt = OptionalLong.empty();
-  private OptionalLong committedAt = OptionalLong.empty();
+  private OptionalLong failingSince = OptionalLong.empty();
+  private OptionalLong lastReachedAt = OptionalLong.empty();
+  private OptionalLong lastCommitAt = OptionalLong.empty();
 
-  /** Creates a writer of an epoch that has not appended anything; time is that of the turn. */
+  /** Creates a writer of an epoch that has not appended anything. */
   public StateWriter(long epoch, BatchContext context) {
     this.epoch = epoch;
     this.pausedUntil = context.nowNanos();
@@ -71,52 +72,53 @@
   /**
    * Stores the newest value of a key with the next append.
    *
-   * @param encoder gives the value when the append is made up; absent deletes the key
+   * @param encoder supplies the value when the append is assembled; absent deletes the key
    * @param committed called once the value, or a newer one of the key, is stored
    */
   public void put(String key, Supplier<Optional<byte[]>> encoder, Runnable committed) {
-    Change change = waiting.computeIfAbsent(key, name -> new Change());
+    PendingChange change = pendingChanges.computeIfAbsent(key, name -> new PendingChange());
     change.encoder = encoder;
-    change.committed.add(committed);
+    change.onCommitted.add(committed);
   }
 
   /**
-   * Stores a new key; the change is given up if the store does not take it in time.
+   * Stores a new key, unless the store is unavailable for so long that the change is given up.
    *
    * @param lost called once if the change is given up
    */
-  public void putRefusable(
+  public void putExpiring(
       String key,
       Supplier<Optional<byte[]>> encoder,
       Runnable committed,
       Consumer<CommitFailure> lost,
       BatchContext context) {
     put(key, encoder, committed);
-    Change change = waiting.get(key);
-    change.lost = Optional.of(lost);
-    change.since = context.nowNanos();
+    PendingChange change = pendingChanges.get(key);
+    change.onLost = Optional.of(lost);
+    change.waitingSince = context.nowNanos();
   }
 
   /**
-   * Calls back once the newest value of a key is stored: at once if none waits and none is on its
-   * way. What is known in memory alone is lost with this owner, so nothing may be confirmed by it.
+   * Runs a callback once the newest value of a key is stored; at once if no change of it is pending
+   * or in flight. Nothing that is only in memory may be confirmed to anybody, since it is lost with
+   * this owner.
    */
   public void whenStored(String key, Runnable committed) {
-    Optional<Change> pending = newestChange(key);
+    Optional<PendingChange> pending = newestChange(key);
     if (pending.isEmpty()) {
       committed.run();
       return;
     }
-    pending.get().committed.add(committed);
+    pending.get().onCommitted.add(committed);
   }
 
-  private Optional<Change> newestChange(String key) {
-    if (waiting.containsKey(key)) {
-      return Optional.of(waiting.get(key));
+  private Optional<PendingChange> newestChange(String key) {
+    if (pendingChanges.containsKey(key)) {
+      return Optional.of(pendingChanges.get(key));
     }
-    Iterator<Sent> newestFirst = sent.descendingIterator();
+    Iterator<InFlightAppend> newestFirst = inFlight.descendingIterator();
     while (newestFirst.hasNext()) {
-      Change change = newestFirst.next().changes.get(key);
+      PendingChange change = newestFirst.next().changes.get(key);
       if (change != null) {
         return Optional.of(change);
       }
@@ -124,138 +126,136 @@
     return Optional.empty();
   }
 
-  /** Sends what waits if its turn has come, or repeats the oldest append when it is time. */
+  /** Sends pending changes if possible, or repeats the oldest append if that is due. */
   public void flush(BatchContext context) {
     if (context.nowNanos() - pausedUntil < 0) {
       return;
     }
-    if (!sent.isEmpty() && !sent.getFirst().underWay.present(context)) {
-      repeat(sent.getFirst(), context);
+    if (!inFlight.isEmpty() && !inFlight.getFirst().underWay.isPending(context)) {
+      repeat(inFlight.getFirst(), context);
       return;
     }
-    if (!waiting.isEmpty() && (sent.isEmpty() || mayGoBeside(context))) {
+    if (!pendingChanges.isEmpty() && (inFlight.isEmpty() || mayOverlap(context))) {
       sendNext(context);
     }
   }
 
   /**
-   * Tells whether an append may go out beside those under way. Not before one of the epoch is
-   * stored, as an epoch may begin at any sequence, and not after one that has to be repeated.
+   * Tells whether an append may be sent while others are in flight. It may not before one of the
+   * epoch is stored, as an epoch may begin at any sequence number, nor while one has to be
+   * repeated.
    */
-  private boolean mayGoBeside(BatchContext context) {
-    boolean steady = storedAt.isPresent() && troubleSince.isEmpty();
-    if (!steady || sent.size() == MOST_UNDER_WAY) {
+  private boolean mayOverlap(BatchContext context) {
+    boolean steady = lastReachedAt.isPresent() && failingSince.isEmpty();
+    if (!steady || inFlight.size() == MAX_IN_FLIGHT) {
       return false;
     }
-    long apart = Math.max(BESIDE_NANOS, lastTookNanos / BESIDE_PART);
-    boolean allUnderWay = sent.stream().allMatch(one -> one.underWay.present(context));
-    return allUnderWay && context.nowNanos() - sent.getLast().since >= apart;
+    long overlapDelay = Math.max(MIN_OVERLAP_DELAY_NANOS, lastAppendNanos / OVERLAP_DELAY_DIVISOR);
+    boolean allUnderWay = inFlight.stream().allMatch(append -> append.underWay.isPending(context));
+    return allUnderWay && context.nowNanos() - inFlight.getLast().since >= overlapDelay;
   }
 
   private void sendNext(BatchContext context) {
-    Sent next = new Sent(new WriterPosition(epoch, nextSequence), context.nowNanos());
+    InFlightAppend next =
+        new InFlightAppend(new WriterPosition(epoch, nextSequence), context.nowNanos());
     nextSequence++;
     fill(next);
-    sent.addLast(next);
+    inFlight.addLast(next);
     send(next, context);
   }
 
-  private void repeat(Sent oldest, BatchContext context) {
-    // It may have been taken if its outcome was lost.
-    oldest.certain = oldest.certain && !oldest.unanswered;
+  private void repeat(InFlightAppend oldest, BatchContext context) {
+    // Without an outcome of the last send, the records may have been stored by it.
+    oldest.knownNotStored = oldest.knownNotStored && !oldest.unanswered;
     send(oldest, context);
   }
 
-  /** Tells whether nothing waits and nothing is on its way. */
+  /** Tells whether no change is pending or in flight. */
   public boolean idle() {
-    return sent.isEmpty() && waiting.isEmpty();
+    return inFlight.isEmpty() && pendingChanges.isEmpty();
   }
 
-  /** Gives up refusable changes that wait while the store is in trouble. */
+  /** Gives up changes of {@link #putExpiring} that have waited too long for the store. */
   public void expire(BatchContext context) {
-    if (!storeAway(context)) {
+    if (!storeUnavailable(context)) {
       return;
     }
-    List<Consumer<CommitFailure>> given = new ArrayList<>();
-    Iterator<Change> changes = waiting.values().iterator();
+    List<Consumer<CommitFailure>> expiredCallbacks = new ArrayList<>();
+    Iterator<PendingChange> changes = pendingChanges.values().iterator();
     while (changes.hasNext()) {
-      Change change = changes.next();
-      boolean old = context.nowNanos() - change.since > patienceNanos(context);
-      if (old && change.lost.isPresent()) {
-        given.add(change.lost.get());
+      PendingChange change = changes.next();
+      boolean old = context.nowNanos() - change.waitingSince > unavailableAfterNanos(context);
+      if (old && change.onLost.isPresent()) {
+        expiredCallbacks.add(change.onLost.get());
         changes.remove();
       }
     }
-    given.forEach(lost -> lost.accept(CommitFailure.NOT_STORED));
+    expiredCallbacks.forEach(lost -> lost.accept(CommitFailure.NOT_STORED));
   }
 
-  /** Tells whether the store has taken nothing for a while although asked. */
-  public boolean storeAway(BatchContext context) {
-    long patience = patienceNanos(context);
-    boolean unanswered = !sent.isEmpty() && waitedNanos(context) > patience;
-    boolean refusing =
-        troubleSince.isPresent() && context.nowNanos() - troubleSince.getAsLong() > patience;
-    return unanswered || refusing;
+  /** Tells whether the store has not stored anything for a while although there were appends. */
+  public boolean storeUnavailable(BatchContext context) {
+    long unavailableAfter = unavailableAfterNanos(context);
+    boolean unanswered = !inFlight.isEmpty() && oldestWaitNanos(context) > unavailableAfter;
+    boolean failing =
+        failingSince.isPresent()
+            && context.nowNanos() - failingSince.getAsLong() > unavailableAfter;
+    return unanswered || failing;
   }
 
-  /** An append that waits for another takes twice as long as one alone. */
-  private long patienceNanos(BatchContext context) {
-    long append = Math.max(appends.longest(context), otherStreamNanos);
-    return Math.max(LEAST_PATIENCE_NANOS, 2 * append);
+  /** Returns twice the duration of an append, as one may wait for another, or the least time. */
+  private long unavailableAfterNanos(BatchContext context) {
+    long append = Math.max(appendTimes.longest(context), otherStreamAppendNanos);
+    return Math.max(MIN_UNAVAILABLE_NANOS, 2 * append);
   }
 
-  /** Takes in how long appends to another stream of the store take at most. */
-  public void appendsToAnotherTake(long nanos) {
-    otherStreamNanos = nanos;
+  /** Records the longest recent duration of appends to another stream of the store. */
+  public void recordOtherStreamAppend(long nanos) {
+    otherStreamAppendNanos = nanos;
   }
 
   /**
-   * Returns how long a change that is put now takes until it is stored, as far as is known.
+   * Estimates how long a change takes from now until it is stored.
    *
-   * @param append how long one append takes, in nanoseconds
+   * @param append duration of one append, in nanoseconds
    */
-  public long storedInNanos(long append, BatchContext context) {
-    if (sent.isEmpty()) {
+  public long estimatedStoreNanos(long append, BatchContext context) {
+    if (inFlight.isEmpty()) {
       return append;
     }
-    boolean full = sent.size() == MOST_UNDER_WAY;
-    Sent awaited = full ? sent.getFirst() : sent.getLast();
-    long turnAfter = full ? append : append / BESIDE_PART;
-    return append + Math.max(0, turnAfter - (context.nowNanos() - awaited.since));
+    boolean full = inFlight.size() == MAX_IN_FLIGHT;
+    InFlightAppend awaited = full ? inFlight.getFirst() : inFlight.getLast();
+    long nextSendAfter = full ? append : append / OVERLAP_DELAY_DIVISOR;
+    return append + Math.max(0, nextSendAfter - (context.nowNanos() - awaited.since));
   }
 
-  /** Returns how long the oldest append has been the one that all others wait for. */
-  private long waitedNanos(BatchContext context) {
-    long since = sent.getFirst().since;
-    boolean behindAnother = committedAt.isPresent() && committedAt.getAsLong() - since > 0;
-    return context.nowNanos() - (behindAnother ? committedAt.getAsLong() : since);
+  /** Returns how long the oldest append has been in flight without waiting for an earlier one. */
+  private long oldestWaitNanos(BatchContext context) {
+    long since = inFlight.getFirst().since;
+    boolean waitedForEarlier = lastCommitAt.isPresent() && lastCommitAt.getAsLong() - since > 0;
+    return context.nowNanos() - (waitedForEarlier ? lastCommitAt.getAsLong() : since);
   }
 
-  /**
-   * Returns since when the store has taken nothing although asked, monotonic time; absent if it
-   * takes.
-   */
-  public OptionalLong troubleSince() {
-    return troubleSince;
+  /** Returns since when appends fail, monotonic time; absent if the last one was stored. */
+  public OptionalLong failingSince() {
+    return failingSince;
   }
 
-  /**
-   * Returns when the last append that the store has answered as stored was sent, monotonic time:
-   * the store could be reached then.
-   */
-  public OptionalLong storedAt() {
-    return storedAt;
+  /** Returns when the store was last reached: the send of its last stored append, monotonic. */
+  public OptionalLong lastReachedAt() {
+    return lastReachedAt;
   }
 
-  /** Takes the outcome of an append; false if ownership is lost by it. */
-  public boolean answered(WriterPosition position, AppendOutcome outcome, BatchContext context) {
-    Optional<Sent> found =
-        sent.stream().filter(current -> current.position.equals(position)).findFirst();
+  /** Handles the outcome of an append; returns false if it shows that ownership is lost. */
+  public boolean appendCompleted(
+      WriterPosition position, AppendOutcome outcome, BatchContext context) {
+    Optional<InFlightAppend> found =
+        inFlight.stream().filter(current -> current.position.equals(position)).findFirst();
     if (found.isEmpty()) {
       return true;
     }
-    Sent current = found.get();
-    current.outcomeCame();
+    InFlightAppend current = found.get();
+    current.outcomeReceived();
     return switch (outcome) {
       case AppendOutcome.Stored stored -> {
         commitUpTo(current, context);
@@ -263,47 +263,50 @@
       }
       case AppendOutcome.Refused refused -> {
         pause(context);
-        takeBack();
+        requeueUnstored();
         yield true;
       }
       case AppendOutcome.Unanswered unanswered -> {
-        current.certain = false;
+        current.knownNotStored = false;
         pause(context);
         yield true;
       }
       case AppendOutcome.OutOfSequence(long expected) ->
-          cameBeforeItsTurn(current, expected, context);
+          handleOutOfSequence(current, expected, context);
       case AppendOutcome.Fenced fenced -> false;
       case AppendOutcome.Conflict conflict -> false;
     };
   }
 
-  /** One that overtook another did nothing and goes out again; else the epoch is another's. */
-  private boolean cameBeforeItsTurn(Sent current, long expected, BatchContext context) {
-    boolean overtook = storedAt.isPresent() && expected < current.position.sequence();
-    if (overtook && current == sent.getFirst()) {
+  /**
+   * Handles an append that arrived out of sequence. If it overtook an earlier one, nothing was
+   * stored and it is sent again; otherwise the epoch belongs to another writer.
+   */
+  private boolean handleOutOfSequence(InFlightAppend current, long expected, BatchContext context) {
+    boolean overtook = lastReachedAt.isPresent() && expected < current.position.sequence();
+    if (overtook && current == inFlight.getFirst()) {
       pause(context);
     }
     return overtook;
   }
 
-  /** Gives up everything that is not known as stored; ownership is lost. */
+  /** Gives up all changes that are not confirmed as stored, since ownership is lost. */
   public void close() {
-    waiting.values().forEach(change -> change.lose(CommitFailure.NOT_STORED));
-    waiting.clear();
-    for (Sent current : sent) {
+    pendingChanges.values().forEach(change -> change.notifyLost(CommitFailure.NOT_STORED));
+    pendingChanges.clear();
+    for (InFlightAppend current : inFlight) {
       CommitFailure loss =
-          current.surelyNotStored() ? CommitFailure.NOT_STORED : CommitFailure.UNKNOWN;
-      current.changes.values().forEach(change -> change.lose(loss));
+          current.certainlyNotStored() ? CommitFailure.NOT_STORED : CommitFailure.UNKNOWN;
+      current.changes.values().forEach(change -> change.notifyLost(loss));
     }
-    sent.clear();
+    inFlight.clear();
   }
 
-  private void fill(Sent next) {
+  private void fill(InFlightAppend next) {
     int bytes = 0;
-    Iterator<Map.Entry<String, Change>> entries = waiting.entrySet().iterator();
+    Iterator<Map.Entry<String, PendingChange>> entries = pendingChanges.entrySet().iterator();
     while (entries.hasNext() && bytes < MAX_APPEND_BYTES) {
-      Map.Entry<String, Change> entry = entries.next();
+      Map.Entry<String, PendingChange> entry = entries.next();
       Optional<byte[]> value = entry.getValue().encoder.get();
       bytes += entry.getKey().length() + value.map(content -> content.length).orElse(0);
       next.records.add(new KeyedRecord(entry.getKey(), value));
@@ -312,10 +315,10 @@
     }
   }
 
-  private void send(Sent current, BatchContext context) {
+  private void send(InFlightAppend current, BatchContext context) {
     current.underWay.begin(context);
     if (!current.unanswered) {
-      // Otherwise an outcome that still comes may be that of the send before.
+      // Otherwise an outcome that arrives may belong to the previous send.
       current.sentAt = context.nowNanos();
     }
     current.unanswered = true;
@@ -324,69 +327,70 @@
             StreamName.STATE, current.position, OptionalLong.empty(), current.records));
   }
 
-  /** What one stores, all before it have stored too. */
-  private void commitUpTo(Sent last, BatchContext context) {
-    troubleSince = OptionalLong.empty();
-    storedAt = OptionalLong.of(last.sentAt);
-    committedAt = OptionalLong.of(context.nowNanos());
-    lastTookNanos = context.nowNanos() - last.sentAt;
-    appends.add(lastTookNanos, context);
+  /** Confirms the changes up to a stored append, since all appends before it are stored too. */
+  private void commitUpTo(InFlightAppend last, BatchContext context) {
+    failingSince = OptionalLong.empty();
+    lastReachedAt = OptionalLong.of(last.sentAt);
+    lastCommitAt = OptionalLong.of(context.nowNanos());
+    lastAppendNanos = context.nowNanos() - last.sentAt;
+    appendTimes.add(lastAppendNanos, context);
     boolean more = true;
     while (more) {
-      Sent stored = sent.removeFirst();
+      InFlightAppend stored = inFlight.removeFirst();
       more = stored != last;
-      stored.changes.values().forEach(change -> change.committed.forEach(Runnable::run));
+      stored.changes.values().forEach(change -> change.onCommitted.forEach(Runnable::run));
     }
   }
 
-  /** What the store surely has nothing of goes back to what waits, all of it or nothing. */
-  private void takeBack() {
-    if (!sent.stream().allMatch(Sent::surelyNotStored)) {
+  /** Makes all changes in flight pending again, if the store has certainly stored none. */
+  private void requeueUnstored() {
+    if (!inFlight.stream().allMatch(InFlightAppend::certainlyNotStored)) {
       return;
     }
-    Map<String, Change> newer = new LinkedHashMap<>(waiting);
-    waiting.clear();
-    nextSequence = sent.getFirst().position.sequence();
-    for (Sent refused : sent) {
-      refused.changes.forEach((key, change) -> waiting.merge(key, change, Change::followedBy));
+    Map<String, PendingChange> newer = new LinkedHashMap<>(pendingChanges);
+    pendingChanges.clear();
+    nextSequence = inFlight.getFirst().position.sequence();
+    for (InFlightAppend refused : inFlight) {
+      refused.changes.forEach(
+          (key, change) -> pendingChanges.merge(key, change, PendingChange::supersededBy));
     }
-    sent.clear();
-    newer.forEach((key, change) -> waiting.merge(key, change, Change::followedBy));
+    inFlight.clear();
+    newer.forEach((key, change) -> pendingChanges.merge(key, change, PendingChange::supersededBy));
   }
 
   private void pause(BatchContext context) {
     pausedUntil = context.nowNanos() + RETRY_PAUSE_NANOS;
-    if (troubleSince.isEmpty()) {
-      troubleSince = OptionalLong.of(context.nowNanos());
+    if (failingSince.isEmpty()) {
+      failingSince = OptionalLong.of(context.nowNanos());
     }
   }
 
-  /** The append under way. */
-  private static final class Sent {
+  /** An append that is not confirmed as stored. */
+  private static final class InFlightAppend {
     private final WriterPosition position;
     private final long since;
     private final List<KeyedRecord> records = new ArrayList<>();
-    private final Map<String, Change> changes = new LinkedHashMap<>();
-    private final PendingCall underWay = new PendingCall(PendingCall.APPEND);
+    private final Map<String, PendingChange> changes = new LinkedHashMap<>();
+    private final PendingCall underWay = new PendingCall(PendingCall.APPEND_TIMEOUT);
 
     private long sentAt;
 
-    /** Whether the last send has had no outcome so far. */
+    /** Whether the last send has had no outcome yet. */
     private boolean unanswered;
 
-    /** Whether all sends with an outcome are known to have done nothing. */
-    private boolean certain = true;
+    /** Whether all sends with an outcome are known not to have been stored. */
+    private boolean knownNotStored = true;
 
-    Sent(WriterPosition position, long since) {
+    InFlightAppend(WriterPosition position, long since) {
       this.position = position;
       this.since = since;
     }
 
-    boolean surelyNotStored() {
-      return certain && !unanswered;
+    boolean certainlyNotStored() {
+      return knownNotStored && !unanswered;
     }
 
-    void outcomeCame() {
+    void outcomeReceived() {
       underWay.end();
       unanswered = false;
     }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/PlannerEquivalenceProperties.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/PlannerEquivalenceProperties.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.fescuehook.logic.batch.executor.ExecutorState;
-import org.fescuehook.logic.batch.executor.OrderMark;
+import org.fescuehook.logic.batch.executor.OrderBaseline;
 import org.fescuehook.logic.batch.state.ActiveJob;
 import org.fescuehook.logic.batch.state.LiveRun;
 import org.fescuehook.logic.batch.state.StepProgress;
@@ -35,8 +35,8 @@
 import org.fescuehook.model.preferences.WorkPreferences;
 
 /**
- * The planner decides as its former version did, which looked at every executor for each step; that
- * version is kept here as {@link FormerPlanner}.
+ * Guards against plans that change because of the caches and running sums of the planner. {@link
+ * ReferencePlanner} evaluates every executor for each step and must give the same plans.
  */
 class PlannerEquivalenceProperties {
 
@@ -49,15 +49,15 @@
           Duration.ofMillis(2700));
   private static final int[] ACCELERATORS = {0, 1, 1, 2, 4, 8};
 
-  /** One fleet with running and waiting work. */
-  private static final class Scene {
+  /** A random fleet with running and waiting work. */
+  private static final class Scenario {
     private final Random random;
     private final List<ExecutorState> executors = new ArrayList<>();
     private final Map<StepProgress, Rank> ranks = new HashMap<>();
     private final List<WaitingStep> waiting = new ArrayList<>();
     private int jobs;
 
-    Scene(long seed) {
+    Scenario(long seed) {
       random = new Random(seed);
       int size = 1 + random.nextInt(24);
       for (int i = 0; i < size; i++) {
@@ -87,7 +87,7 @@
                   new ResourceVector(64_000, 262_144, 8),
                   false,
                   0),
-              new OrderMark(0, 0));
+              new OrderBaseline(0, 0));
       if (random.nextInt(8) == 0) {
         executor.failed();
       }
@@ -134,7 +134,7 @@
       return step;
     }
 
-    /** Puts the tasks of a step on executors with room, as far as there is. */
+    /** Places the tasks of a step on random executors, as far as their free capacity suffices. */
     private void run() {
       StepProgress step = step(random.nextInt(4) == 0);
       for (TaskProgress task : step.tasks()) {
@@ -151,8 +151,8 @@
       }
     }
 
-    private static Incarnation life(String executor) {
-      return Incarnation.ofUnknownStart(new ExecutorId(executor));
+    private static Incarnation incarnation(String executor) {
+      return Incarnation.undated(new ExecutorId(executor));
     }
 
     private WaitingStep waitingStep() {
@@ -162,42 +162,44 @@
         step.fail(step.tasks().getFirst(), 1, failed);
       }
       long second = Duration.ofSeconds(1).toNanos();
-      Timing timing =
-          new Timing(
+      StepTiming timing =
+          new StepTiming(
               random.nextInt(20) * second / 2,
               random.nextInt(30) * second,
               random.nextInt(9) * second,
               random.nextInt(9) * second);
       Optional<Set<Incarnation>> permitted =
-          random.nextInt(8) == 0 ? Optional.of(Set.of(life("e0"), life("e3"))) : Optional.empty();
+          random.nextInt(8) == 0
+              ? Optional.of(Set.of(incarnation("e0"), incarnation("e3")))
+              : Optional.empty();
       return new WaitingStep(
           step, step.waiting(), "pool", ranks.get(step), random.nextInt(9), timing, permitted);
     }
   }
 
   @Property(tries = 3000)
-  void theSamePlanIsMadeAsByTheFormerPlanner(@ForAll long seed) {
+  void planEqualsThatOfTheReferencePlanner(@ForAll long seed) {
     assertSamePlan(seed);
   }
 
   /**
-   * Five of nine tasks fill a fleet that was idle; the other four may stop nothing away from their
-   * data, and five tasks of the next step start in the room that is left.
+   * Five of nine tasks fill an idle fleet. The other four may not preempt anything away from their
+   * data, and five tasks of the next step start in the capacity that is left.
    */
   @Example
-  void theSamePlanIsMadeWhenAStepFillsAnIdleFleet() {
+  void planEqualsThatOfTheReferencePlannerWhenAStepFillsAnIdleFleet() {
     assertSamePlan(1_086_075_471L);
   }
 
   private static void assertSamePlan(long seed) {
-    Scene scene = new Scene(seed);
-    Function<StepProgress, Rank> ranks = scene.ranks::get;
-    FormerPlanner.Plan former =
-        new FormerPlanner(ranks, WORK).plan(scene.waiting, scene.executors, NOW);
-    Planner.Plan plan = new Planner(ranks, WORK).plan(scene.waiting, scene.executors, NOW);
-    assertEquals(former.starts(), plan.starts());
+    Scenario scenario = new Scenario(seed);
+    Function<StepProgress, Rank> ranks = scenario.ranks::get;
+    ReferencePlanner.Plan expected =
+        new ReferencePlanner(ranks, WORK).plan(scenario.waiting, scenario.executors, NOW);
+    Planner.Plan plan = new Planner(ranks, WORK).plan(scenario.waiting, scenario.executors, NOW);
+    assertEquals(expected.starts(), plan.starts());
     assertEquals(
-        former.stops().stream().map(FormerPlanner.Displacement::run).toList(),
-        plan.stops().stream().map(Planner.Displacement::run).toList());
+        expected.stops().stream().map(ReferencePlanner.Preemption::run).toList(),
+        plan.stops().stream().map(Planner.Preemption::run).toList());
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/state/RunEndAcknowledgementTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/state/RunEndAcknowledgementTest.java
@@ -79,7 +79,8 @@
   }
 
   private void store(long sequence) {
-    writer.answered(new WriterPosition(EPOCH, sequence), new AppendOutcome.Stored(0), at(10));
+    writer.appendCompleted(
+        new WriterPosition(EPOCH, sequence), new AppendOutcome.Stored(0), at(10));
   }
 
   @Test
@@ -155,13 +156,13 @@
     public void lost(LiveRun run, String cause, BatchContext context) {}
 
     @Override
-    public void rejected(LiveRun run, Rejection rejection, BatchContext context) {}
+    public void startRejected(LiveRun run, Rejection rejection, BatchContext context) {}
 
     @Override
     public void lostWithExecutor(LiveRun run, CrashEvidence evidence, BatchContext context) {}
 
     @Override
-    public void unsent(LiveRun run, BatchContext context) {}
+    public void startNotSent(LiveRun run, BatchContext context) {}
 
     @Override
     public void startGivenUp(LiveRun run, BatchContext context) {}
@@ -170,10 +171,10 @@
     public void foundRunning(LiveRun run, BatchContext context) {}
 
     @Override
-    public void saved(LiveRun run, String checkpoint) {}
+    public void checkpointSaved(LiveRun run, String checkpoint) {}
 
     @Override
-    public void stoodStill(LiveRun run, BatchContext context) {}
+    public void runStalled(LiveRun run, BatchContext context) {}
 
     @Override
     public void leaving(ExecutorState executor, BatchContext context) {}
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/store/StateWriterTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/store/StateWriterTest.java
@@ -24,8 +24,8 @@
     writer.put(key, () -> Optional.of(new byte[1]), () -> events.add(key + " stored"));
   }
 
-  private void putRefusable(String key, long millis) {
-    writer.putRefusable(
+  private void putExpiring(String key, long millis) {
+    writer.putExpiring(
         key,
         () -> Optional.of(new byte[1]),
         () -> events.add(key + " stored"),
@@ -38,33 +38,33 @@
   }
 
   @Test
-  void whatWaitsGoesOutTogetherAndIsStoredTogether() {
+  void pendingChangesAreSentAndConfirmedTogether() {
     put("a");
     put("b");
     writer.flush(at(0));
     put("c");
-    assertTrue(writer.answered(position(0), new AppendOutcome.Stored(1), at(5)));
+    assertTrue(writer.appendCompleted(position(0), new AppendOutcome.Stored(1), at(5)));
     assertEquals(List.of("a stored", "b stored"), events);
     assertFalse(writer.idle());
   }
 
   @Test
-  void anAppendWithoutAnAnswerIsRepeatedAndNotCalledLost() {
-    putRefusable("a", 0);
+  void unansweredAppendIsRepeatedAndNotGivenUp() {
+    putExpiring("a", 0);
     writer.flush(at(0));
-    writer.answered(position(0), new AppendOutcome.Unanswered("timeout"), at(1000));
+    writer.appendCompleted(position(0), new AppendOutcome.Unanswered("timeout"), at(1000));
     writer.expire(at(3000));
     assertEquals(List.of(), events);
     writer.flush(at(3000));
-    writer.answered(position(0), new AppendOutcome.Stored(1), at(3005));
+    writer.appendCompleted(position(0), new AppendOutcome.Stored(1), at(3005));
     assertEquals(List.of("a stored"), events);
   }
 
   @Test
-  void whatTheStoreRefusedEachTimeIsGivenUpAsNotStored() {
-    putRefusable("a", 0);
+  void changeRefusedByTheStoreIsGivenUpAsNotStored() {
+    putExpiring("a", 0);
     writer.flush(at(0));
-    writer.answered(position(0), new AppendOutcome.Refused("503"), at(10));
+    writer.appendCompleted(position(0), new AppendOutcome.Refused("503"), at(10));
     writer.expire(at(500));
     assertEquals(List.of(), events);
     writer.expire(at(800));
@@ -72,45 +72,48 @@
     assertTrue(writer.idle());
   }
 
-  /** Submissions waited until the append before them had timed out, 1.7 s in place of 0.7 s. */
+  /**
+   * Guards against submissions that wait until the append before them has timed out, 1.7 s instead
+   * of 0.7 s.
+   */
   @Test
-  void whatWaitsBehindASilentAppendIsGivenUpBeforeThatTimesOut() {
+  void changeBehindAnUnansweredAppendIsGivenUpBeforeThatTimesOut() {
     put("silent");
     writer.flush(at(0));
-    putRefusable("behind", 10);
+    putExpiring("behind", 10);
     writer.expire(at(600));
     assertEquals(List.of(), events);
-    assertTrue(writer.storeAway(at(720)));
+    assertTrue(writer.storeUnavailable(at(720)));
     writer.expire(at(720));
     assertEquals(List.of("behind NOT_STORED"), events);
   }
 
   @Test
-  void whatAFencedAppendHeldWasNotStored() {
-    putRefusable("sent", 0);
+  void changesOfAFencedAppendAreNotStored() {
+    putExpiring("sent", 0);
     writer.flush(at(0));
-    putRefusable("waiting", 1);
-    assertFalse(writer.answered(position(0), new AppendOutcome.Fenced(), at(5)));
+    putExpiring("waiting", 1);
+    assertFalse(writer.appendCompleted(position(0), new AppendOutcome.Fenced(), at(5)));
     writer.close();
     assertEquals(List.of("waiting NOT_STORED", "sent NOT_STORED"), events);
   }
 
   @Test
-  void whatWasSentWithoutAnAnswerBeforeStaysUnknown() {
-    putRefusable("sent", 0);
+  void changeOfAnAppendUnansweredBeforeFencingStaysUnknown() {
+    putExpiring("sent", 0);
     writer.flush(at(0));
-    writer.answered(position(0), new AppendOutcome.Unanswered("timeout"), at(1000));
+    writer.appendCompleted(position(0), new AppendOutcome.Unanswered("timeout"), at(1000));
     writer.flush(at(1200));
-    assertFalse(writer.answered(position(0), new AppendOutcome.Fenced(), at(1205)));
+    assertFalse(writer.appendCompleted(position(0), new AppendOutcome.Fenced(), at(1205)));
     writer.close();
     assertEquals(List.of("sent UNKNOWN"), events);
   }
 
-  /** Stores one append, after which others may go out beside each other. */
+  /** Stores one append, after which several may be in flight. */
   private void storeFirst() {
     put("first");
     writer.flush(at(0));
-    writer.answered(position(0), new AppendOutcome.Stored(0), at(700));
+    writer.appendCompleted(position(0), new AppendOutcome.Stored(0), at(700));
     events.clear();
   }
 
@@ -119,25 +122,30 @@
     return context.commands().size();
   }
 
-  /** Pattern: the store takes 0.7 s for each append; a change waited for two of them, 1.05 s. */
+  /**
+   * Guards against a change that waits for two slow appends: 1.05 s with a store that takes 0.7 s.
+   */
   @Test
-  void aChangeDoesNotWaitForASlowAppendBeforeIt() {
+  void changeIsSentWhileASlowAppendIsInFlight() {
     storeFirst();
     put("a");
     assertEquals(1, appendsOf(at(1000)));
     put("b");
     assertEquals(0, appendsOf(at(1100)));
     assertEquals(1, appendsOf(at(1180)));
-    writer.answered(position(1), new AppendOutcome.Stored(1), at(1700));
+    writer.appendCompleted(position(1), new AppendOutcome.Stored(1), at(1700));
     assertEquals(List.of("a stored"), events);
-    writer.answered(position(2), new AppendOutcome.Stored(2), at(1880));
+    writer.appendCompleted(position(2), new AppendOutcome.Stored(2), at(1880));
     assertEquals(List.of("a stored", "b stored"), events);
     assertTrue(writer.idle());
   }
 
-  /** An epoch may begin at any sequence: what came first would shut the one before it out. */
+  /**
+   * An epoch may begin at any sequence number, so the store would reject the first append if a
+   * later one arrived before it.
+   */
   @Test
-  void nothingGoesBesideTheFirstAppendOfAnEpoch() {
+  void nothingIsSentWhileTheFirstAppendOfAnEpochIsInFlight() {
     put("a");
     writer.flush(at(0));
     put("b");
@@ -145,50 +153,50 @@
   }
 
   @Test
-  void whatIsStoredShowsThatAllBeforeItIs() {
+  void storedAppendConfirmsAllBeforeIt() {
     storeFirst();
     put("a");
     writer.flush(at(1000));
     put("b");
     writer.flush(at(1200));
-    writer.answered(position(2), new AppendOutcome.Stored(2), at(1300));
+    writer.appendCompleted(position(2), new AppendOutcome.Stored(2), at(1300));
     assertEquals(List.of("a stored", "b stored"), events);
-    writer.answered(position(1), new AppendOutcome.Unanswered("timeout"), at(2000));
+    writer.appendCompleted(position(1), new AppendOutcome.Unanswered("timeout"), at(2000));
     assertTrue(writer.idle());
   }
 
   @Test
-  void anAppendThatOvertookTheOneBeforeGoesOutAgainAfterIt() {
+  void appendThatOvertookAnEarlierOneIsSentAgainAfterIt() {
     storeFirst();
     put("a");
     writer.flush(at(1000));
     put("b");
     writer.flush(at(1200));
-    assertTrue(writer.answered(position(2), new AppendOutcome.OutOfSequence(1), at(1210)));
+    assertTrue(writer.appendCompleted(position(2), new AppendOutcome.OutOfSequence(1), at(1210)));
     assertEquals(0, appendsOf(at(1400)));
-    writer.answered(position(1), new AppendOutcome.Stored(1), at(1700));
+    writer.appendCompleted(position(1), new AppendOutcome.Stored(1), at(1700));
     assertEquals(1, appendsOf(at(1701)));
-    writer.answered(position(2), new AppendOutcome.Stored(2), at(2400));
+    writer.appendCompleted(position(2), new AppendOutcome.Stored(2), at(2400));
     assertEquals(List.of("a stored", "b stored"), events);
   }
 
   @Test
-  void aSequenceThatTheStoreIsPastMeansThatTheEpochIsAnothers() {
+  void sequenceNumberThatTheStoreHasPassedMeansThatOwnershipIsLost() {
     storeFirst();
     put("a");
     writer.flush(at(1000));
-    assertFalse(writer.answered(position(1), new AppendOutcome.OutOfSequence(5), at(1010)));
+    assertFalse(writer.appendCompleted(position(1), new AppendOutcome.OutOfSequence(5), at(1010)));
   }
 
   @Test
-  void whatTheStoreRefusedOfSeveralIsGivenUpOnlyIfNothingOfThemMayBeStored() {
+  void refusedAppendIsNotGivenUpWhileAnotherOneMayBeStored() {
     storeFirst();
-    putRefusable("a", 1000);
+    putExpiring("a", 1000);
     writer.flush(at(1000));
-    putRefusable("b", 1200);
+    putExpiring("b", 1200);
     writer.flush(at(1200));
-    writer.answered(position(1), new AppendOutcome.Unanswered("timeout"), at(1300));
-    writer.answered(position(2), new AppendOutcome.Refused("503"), at(1300));
+    writer.appendCompleted(position(1), new AppendOutcome.Unanswered("timeout"), at(1300));
+    writer.appendCompleted(position(2), new AppendOutcome.Refused("503"), at(1300));
     writer.expire(at(9000));
     assertEquals(List.of(), events);
     writer.close();
@@ -196,16 +204,16 @@
   }
 
   @Test
-  void whatTheStoreRefusedOfSeveralGoesOutTogetherAgain() {
+  void refusedAppendsAreSentAgainTogether() {
     storeFirst();
-    putRefusable("a", 1000);
+    putExpiring("a", 1000);
     writer.flush(at(1000));
-    putRefusable("b", 1200);
+    putExpiring("b", 1200);
     writer.flush(at(1200));
-    writer.answered(position(2), new AppendOutcome.Refused("503"), at(1300));
-    writer.answered(position(1), new AppendOutcome.Refused("503"), at(1300));
+    writer.appendCompleted(position(2), new AppendOutcome.Refused("503"), at(1300));
+    writer.appendCompleted(position(1), new AppendOutcome.Refused("503"), at(1300));
     assertEquals(1, appendsOf(at(1400)));
-    writer.answered(position(1), new AppendOutcome.Stored(1), at(2100));
+    writer.appendCompleted(position(1), new AppendOutcome.Stored(1), at(2100));
     assertEquals(List.of("a stored", "b stored"), events);
   }
 }
