--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchCommand.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchCommand.java
@@ -47,9 +47,9 @@
    * Sends an order to an executor; the outcome is reported as {@link BatchEvent.OrderEnded}.
    *
    * @param number number of the order, unique over all epochs
-   * @param fencingToken the executor rejects the order if it has seen a higher token
+   * @param fenceToken the executor rejects the order if it has seen a higher token
    */
-  record Order(ExecutorProfile executor, long number, long fencingToken, ExecutorOrder order)
+  record Order(ExecutorProfile executor, long number, long fenceToken, ExecutorOrder order)
       implements BatchCommand {}
 
   /**
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchCore.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchCore.java
@@ -100,7 +100,7 @@
    */
   public Duration minTimeToClaim(long nowNanos) {
     boolean standby = owner.isEmpty() && takeover.isEmpty() && stoppingSince.isEmpty();
-    return standby ? ownership.calmFor(nowNanos) : Duration.ZERO;
+    return standby ? ownership.minTimeToClaim(nowNanos) : Duration.ZERO;
   }
 
   /** Returns whether this VM is the owner and schedules jobs. */
@@ -114,7 +114,7 @@
   }
 
   private void handle(BatchEvent event, BatchContext context) {
-    ownership.runs(context);
+    ownership.recordActivity(context);
     switch (event) {
       case BatchEvent.Called called -> handleCall(called, context);
       case BatchEvent.ConfigurationRead(var newer) -> configure(newer, context);
@@ -150,7 +150,7 @@
       context.add(new BatchCommand.Answer(call.ticket(), refused));
       return;
     }
-    owner.get().handleCall(call, ownership.contact(context), context);
+    owner.get().handleCall(call, ownership.storeReachability(context), context);
   }
 
   private void configure(BatchConfiguration newer, BatchContext context) {
@@ -255,8 +255,9 @@
    * heartbeats. The stall time does not count while the store is unreachable.
    */
   private void yieldIfStalled(BatchContext context) {
-    StoreReachability contact = ownership.contact(context);
-    if (context.nowNanos() - contact.confirmedAt() >= contact.nearNanos(STORE_REACHABLE_AGE)) {
+    StoreReachability contact = ownership.storeReachability(context);
+    if (context.nowNanos() - contact.confirmedAt()
+        >= contact.maxHeartbeatAgeNanos(STORE_REACHABLE_AGE)) {
       takeover.ifPresent(loading -> loading.resetStallTimer(context));
     }
     if (takeover.filter(loading -> loading.stalled(contact, context)).isPresent()) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchOwner.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchOwner.java
@@ -114,8 +114,8 @@
     this.cancels = new CancelHandler(jobs, submissions, outgoing);
     this.advice = new AdviceCache(EpochNumbers.before(epoch), context);
     this.plans = new PlanDuty(jobs, executors, advice, preferences.work());
-    executors.serve(jobs.pools());
-    listed.forEach(profile -> executors.seen(profile, context));
+    executors.setPools(jobs.pools());
+    listed.forEach(profile -> executors.handleEntry(profile, context));
     executors.inherit(Takeover.inheritedRuns(registry), context);
     jobs.retireEnded(context);
   }
@@ -184,9 +184,9 @@
   void step(StoreReachability contact, BatchContext context) {
     long storeSeenAt = storeSeenAt(contact.confirmedAt());
     // The job stream may be unavailable while the ownership stream, with the heartbeats, is not.
-    long unreachableSince = Math.min(storeSeenAt, writer.troubleSince().orElse(storeSeenAt));
+    long unreachableSince = Math.min(storeSeenAt, writer.failingSince().orElse(storeSeenAt));
     storeAgeMillis = Duration.ofNanos(context.nowNanos() - unreachableSince).toMillis();
-    writer.appendsToAnotherTake(contact.longestAppendNanos());
+    writer.recordOtherStreamAppend(contact.longestAppendNanos());
     writer.expire(context);
     cancels.step(context);
     unknownJobs.step(contact.confirmedAt(), jobs.registry()::storedPhase, context);
@@ -293,9 +293,11 @@
   private boolean cannotStoreInTime(
       BatchEvent.Called event, StoreReachability contact, BatchContext context) {
     long ageNanos = context.nowNanos() - storeSeenAt(contact.confirmedAt());
-    boolean away = ageNanos > contact.nearNanos(STORE_REACHABLE_AGE) || writer.storeAway(context);
+    boolean away =
+        ageNanos > contact.maxHeartbeatAgeNanos(STORE_REACHABLE_AGE)
+            || writer.storeUnavailable(context);
     long waitsNanos = Math.min(event.patience().toNanos(), CALLER_TIMEOUT_NANOS);
-    return away || writer.storedInNanos(contact.lastAppendNanos(), context) > waitsNanos;
+    return away || writer.estimatedStoreNanos(contact.lastAppendNanos(), context) > waitsNanos;
   }
 
   private void answer(long ticket, CallAnswer answer) {
@@ -361,7 +363,7 @@
   }
 
   @Override
-  public void unsent(LiveRun run, BatchContext context) {
+  public void startNotSent(LiveRun run, BatchContext context) {
     jobs.startNotSent(run, context);
   }
 
@@ -376,12 +378,12 @@
   }
 
   @Override
-  public void saved(LiveRun run, String checkpoint) {
+  public void checkpointSaved(LiveRun run, String checkpoint) {
     jobs.checkpointSaved(run, checkpoint);
   }
 
   @Override
-  public void stoodStill(LiveRun run, BatchContext context) {
+  public void runStalled(LiveRun run, BatchContext context) {
     jobs.runStalled(run, context);
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/SubmissionHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/SubmissionHandler.java
@@ -82,7 +82,7 @@
     }
     BatchJob job = new BatchJob(id, queue, organisation, context.wallMillis(), submit.submission());
     pending.put(id, PendingSubmission.of(ticket));
-    writer.putRefusable(
+    writer.putExpiring(
         JobCodec.jobKey(id),
         () -> Optional.of(JobCodec.encode(job)),
         () -> accepted(job),
@@ -98,7 +98,7 @@
       long retryAfterMillis,
       BatchContext context) {
     pending.put(id, PendingSubmission.of(ticket));
-    writer.putRefusable(
+    writer.putExpiring(
         JobCodec.progressKey(id),
         () -> Optional.of(JobCodec.encodeEnd(cancelled)),
         () -> {
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/Takeover.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/Takeover.java
@@ -47,7 +47,7 @@
   private final long startedAt;
   private final Map<String, byte[]> records = new LinkedHashMap<>();
   private boolean fenced;
-  private final PendingCall pendingCall = new PendingCall(PendingCall.PAGE);
+  private final PendingCall pendingCall = new PendingCall(PendingCall.PAGE_TIMEOUT);
   private boolean loaded;
   private Optional<String> afterKey = Optional.empty();
   private long retryAt;
@@ -86,7 +86,7 @@
   }
 
   void step(BatchContext context) {
-    if (pendingCall.present(context) || loaded || context.nowNanos() - retryAt < 0) {
+    if (pendingCall.isPending(context) || loaded || context.nowNanos() - retryAt < 0) {
       return;
     }
     pendingCall.begin(context);
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/advice/AdviceCache.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/advice/AdviceCache.java
@@ -37,7 +37,7 @@
   private final Map<StepProgress, StepAdvice> steps = new HashMap<>();
   private final long numberBeforeFirst;
   private Optional<Request> pendingRequest = Optional.empty();
-  private final PendingCall pendingCall = new PendingCall(PendingCall.ADVICE);
+  private final PendingCall pendingCall = new PendingCall(PendingCall.ADVICE_TIMEOUT);
   private long lastNumber;
   private long retryAt;
 
@@ -98,7 +98,7 @@
    * @param usable executors that the step could run on
    */
   public void ask(StepProgress step, List<Incarnation> usable, BatchContext context) {
-    if (pendingCall.present(context) || context.nowNanos() - retryAt < 0) {
+    if (pendingCall.isPending(context) || context.nowNanos() - retryAt < 0) {
       return;
     }
     StepAdvice advice = steps.computeIfAbsent(step, name -> new StepAdvice());
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/CrashEvaluator.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/CrashEvaluator.java
@@ -90,7 +90,7 @@
       return alone ? CrashEvidence.STRONG_ALONE : CrashEvidence.STRONG;
     }
     // A long-running task outlives many executors, and any of them may fail on its own.
-    boolean lasting = run.step().spec().lasting().isPresent();
+    boolean lasting = run.step().spec().longRunning().isPresent();
     boolean ranLong =
         run.seenRunning() && !within(run.runningSince(), lostAt, EARLY_CRASH.toNanos());
     if (lasting && ranLong) {
@@ -105,7 +105,7 @@
    */
   private static long earlyCrashNanos(LiveRun run) {
     BatchStep spec = run.step().spec();
-    if (spec.lasting().isPresent()) {
+    if (spec.longRunning().isPresent()) {
       return EARLY_CRASH.toNanos();
     }
     return Math.min(
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorDuty.java
@@ -212,7 +212,7 @@
             executor, run, new OrderOutcome.Unanswered("no outcome came"), context);
         continue;
       }
-      boolean stopPending = run.stage() == Stage.STOPPING && !run.stopTaken();
+      boolean stopPending = run.stage() == Stage.STOPPING && !run.stopAcknowledged();
       if (stopPending && context.nowNanos() - run.orderedAt() > STOP_RETRY_NANOS) {
         orders.stop(executor, run, context);
       }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorEvaluator.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/ExecutorEvaluator.java
@@ -78,8 +78,8 @@
     boolean comparable =
         run.stage() == Stage.RUNNING
             && run.checkpoint().isEmpty()
-            && run.step().spec().lasting().isEmpty()
-            && !run.wasSlowedDown()
+            && run.step().spec().longRunning().isEmpty()
+            && !run.wasThrottled()
             && !run.step().spec().placement().sameRack();
     double estimate = run.step().spec().estimateMillis();
     double elapsed = Duration.ofNanos(nowNanos - run.stageSince()).toMillis();
@@ -94,12 +94,12 @@
     if (speed >= SLOW_RATIO || asFastAsOthers(run)) {
       return false;
     }
-    if (run.judgeOnce()) {
+    if (run.markEvaluated()) {
       executor.slowness().slowRun(nowNanos);
     }
     double left = (PERCENT - run.percent()) / Math.max(1, run.percent()) * elapsed;
     boolean movingPays = executor.slowness().slow(nowNanos) && left > estimate * MOVE_THRESHOLD;
-    return movingPays && run.step().mayMove(run);
+    return movingPays && run.step().countMove(run);
   }
 
   /**
@@ -108,7 +108,7 @@
    * at the same time.
    */
   private static boolean asFastAsOthers(LiveRun run) {
-    OptionalDouble usual = run.step().usualSpeed(run);
+    OptionalDouble usual = run.step().medianSpeedOfOthers(run);
     return usual.isPresent() && run.speed() > usual.getAsDouble() * SLOW_AGAINST_OTHERS;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/OrderSender.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/OrderSender.java
@@ -25,7 +25,7 @@
   private static final Duration MAX_POLL_WAIT = Duration.ofMillis(1000);
 
   private final long epoch;
-  private final FencingTokens fencingTokens;
+  private final FencingTokens fenceTokens;
   private final Duration lease;
   private final Map<Long, RunOrder> runOrders = new HashMap<>();
   private long lastNumber;
@@ -44,7 +44,7 @@
    */
   OrderSender(long epoch, Duration lease) {
     this.epoch = epoch;
-    this.fencingTokens = new FencingTokens(epoch);
+    this.fenceTokens = new FencingTokens(epoch);
     this.lease = lease;
     this.lastNumber = EpochNumbers.before(epoch);
   }
@@ -94,7 +94,7 @@
 
   /** Orders an executor to throttle a run to a percentage of its speed. */
   void throttle(ExecutorState executor, LiveRun run, int percent, BatchContext context) {
-    run.slowedDown();
+    run.markThrottled();
     send(executor, new ExecutorOrder.Pace(run.run(), percent), context);
   }
 
@@ -135,7 +135,7 @@
 
   /** Returns the baseline for an executor that becomes known now. */
   OrderBaseline baseline() {
-    return new OrderBaseline(lastNumber, fencingTokens.newest());
+    return new OrderBaseline(lastNumber, fenceTokens.newest());
   }
 
   /**
@@ -143,7 +143,7 @@
    * incarnation reject all orders meant for the previous one.
    */
   OrderBaseline baselineOfNextIncarnation() {
-    fencingTokens.increase();
+    fenceTokens.increase();
     return baseline();
   }
 
@@ -151,7 +151,7 @@
     lastNumber++;
     context.add(
         new BatchCommand.Order(
-            executor.profile(), lastNumber, executor.baseline().fencingToken(), order));
+            executor.profile(), lastNumber, executor.baseline().fenceToken(), order));
     return lastNumber;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/RestartHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/RestartHandler.java
@@ -53,7 +53,7 @@
    * @return the state of the newest known incarnation, which is that of the entry or a newer one
    */
   ExecutorState entryListed(ExecutorState executor, Incarnation listed, BatchContext context) {
-    if (executor.incarnation().before(listed)) {
+    if (executor.incarnation().startedBefore(listed)) {
       return replace(executor, listed, "entry", context);
     }
     executor.datedBy(listed.bornMillis());
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/Throttler.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/executor/Throttler.java
@@ -73,10 +73,10 @@
    */
   private static double loadRatio(ExecutorState executor, ActiveRun active) {
     Optional<BatchStep> step = executor.run(active.run()).map(run -> run.step().spec());
-    if (step.isEmpty() || !step.get().serves()) {
+    if (step.isEmpty() || !step.get().servesUsers()) {
       return 0;
     }
-    return (double) active.load() / step.get().lasting().orElseThrow().targetMillis();
+    return (double) active.load() / step.get().longRunning().orElseThrow().targetMillis();
   }
 
   private static int nextPercent(Level level, double maxRatio, long heldNanos) {
@@ -98,7 +98,7 @@
         percent,
         Math.round(maxRatio * FULL_PERCENT));
     for (LiveRun run : executor.runs()) {
-      if (!run.step().spec().serves()) {
+      if (!run.step().spec().servesUsers()) {
         orders.throttle(executor, run, percent, context);
       }
     }
@@ -108,7 +108,7 @@
   void runStarted(ExecutorState executor, LiveRun run, BatchContext context) {
     Level level = levels.get(executor);
     boolean throttled = level != null && level.percent() < FULL_PERCENT;
-    if (throttled && !run.step().spec().serves()) {
+    if (throttled && !run.step().spec().servesUsers()) {
       orders.throttle(executor, run, level.percent(), context);
     }
   }
@@ -121,11 +121,11 @@
       List<LiveRun> runs,
       Function<LiveRun, Optional<ExecutorState>> executors,
       BatchContext context) {
-    if (runs.stream().noneMatch(run -> run.step().spec().serves())) {
+    if (runs.stream().noneMatch(run -> run.step().spec().servesUsers())) {
       return;
     }
     for (LiveRun run : runs) {
-      if (!run.step().spec().serves()) {
+      if (!run.step().spec().servesUsers()) {
         executors
             .apply(run)
             .ifPresent(executor -> orders.throttle(executor, run, FULL_PERCENT, context));
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/CandidateExecutor.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/CandidateExecutor.java
@@ -66,9 +66,9 @@
 
   /** Records that a task of a step is on the executor. */
   void addWork(BatchStep step) {
-    servesUsers |= step.serves();
-    runsOtherWork |= !step.serves();
-    fragile |= step.gang() || step.lasting().isPresent();
+    servesUsers |= step.servesUsers();
+    runsOtherWork |= !step.servesUsers();
+    fragile |= step.gang() || step.longRunning().isPresent();
   }
 
   /** Records that a run is on the executor, and whether it is suspected of crashing executors. */
@@ -95,7 +95,7 @@
    * that are here.
    */
   boolean interferesWith(BatchStep step) {
-    return step.serves() ? runsOtherWork : servesUsers;
+    return step.servesUsers() ? runsOtherWork : servesUsers;
   }
 
   void release(ResourceVector demand) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/FleetCapacity.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/FleetCapacity.java
@@ -194,12 +194,12 @@
 
   private static Optional<Shape> shape(WaitingStep waiting, boolean nearOnly) {
     BatchStep spec = waiting.step().spec();
-    if (spec.placement().mostPerExecutor() > 0) {
+    if (spec.placement().maxPerExecutor() > 0) {
       return Optional.empty();
     }
     boolean acceptsSharing = waiting.timing().acceptsSharing();
     return groupKey(waiting, nearOnly)
-        .map(group -> new Shape(group, spec.demand(), spec.serves(), acceptsSharing));
+        .map(group -> new Shape(group, spec.demand(), spec.servesUsers(), acceptsSharing));
   }
 
   /** Returns the first group; absent if it has no capacity for even one task. */
@@ -288,7 +288,7 @@
       return 0;
     }
     int fitting = candidate.free().fits(spec.demand());
-    int most = spec.placement().mostPerExecutor();
+    int most = spec.placement().maxPerExecutor();
     if (most == 0) {
       return fitting;
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/PlanDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/PlanDuty.java
@@ -153,7 +153,7 @@
     long spareMillis = objectiveMillis - step.estimatedChainMillis();
     long waitedMillis = Math.max(0, context.wallMillis() - dueMillis);
     long queuedNanos = context.nowNanos() - step.queuedSince(context.nowNanos());
-    if (step.spec().lasting().isPresent()) {
+    if (step.spec().longRunning().isPresent()) {
       return StepTiming.ofLongRunning(queuedNanos);
     }
     return new StepTiming(
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/Preemptor.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/Preemptor.java
@@ -180,8 +180,9 @@
         if (!preemptible || !waiting.rank().before(rank)) {
           continue;
         }
-        boolean lasting = run.step().spec().lasting().isPresent();
-        if (lasting && stopped.merge(run.step(), 1, Integer::sum) > run.step().mayMiss()) {
+        boolean lasting = run.step().spec().longRunning().isPresent();
+        if (lasting
+            && stopped.merge(run.step(), 1, Integer::sum) > run.step().disruptionsAllowed()) {
           continue;
         }
         if (run.step().spec().gang()) {
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/StepTiming.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/StepTiming.java
@@ -31,7 +31,8 @@
    * start.
    */
   static StepTiming ofLongRunning(long queuedNanos) {
-    return new StepTiming(queuedNanos, queuedNanos, 0, Long.MAX_VALUE / JobQueue.LATEST_OBJECTIVES);
+    return new StepTiming(
+        queuedNanos, queuedNanos, 0, Long.MAX_VALUE / JobQueue.MAX_USEFUL_OBJECTIVES);
   }
 
   /** Whether a step can still meet its objective. */
@@ -50,7 +51,7 @@
     if (lateness <= 0) {
       return Prospect.IN_TIME;
     }
-    boolean useful = lateness <= objectiveNanos * (JobQueue.LATEST_OBJECTIVES - 1);
+    boolean useful = lateness <= objectiveNanos * (JobQueue.MAX_USEFUL_OBJECTIVES - 1);
     return useful ? Prospect.LATE : Prospect.TOO_LATE;
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobLifecycle.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/state/JobLifecycle.java
@@ -121,7 +121,7 @@
    * has not acknowledged a stop, and its lease does not expire soon.
    */
   public boolean mayContinue(LiveRun run, BatchContext context) {
-    return run.task().isLive(run) && !executors.book().endsSoon(run, context.nowNanos());
+    return run.task().isLive(run) && !executors.registry().endsSoon(run, context.nowNanos());
   }
 
   /** Handles a run of a former owner that was found running: stops it if it is no longer needed. */
--- a/fescuehook/src/main/java/org/fescuehook/platform/ExecutorClient.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/ExecutorClient.java
@@ -132,7 +132,7 @@
     private void exchange(
         HttpClientConnection over, BatchCommand.Order order, Duration timeout, Runnable after) {
       over.send(
-          ExecutorMessages.encode(executor.id(), order.fencingToken(), order.order()),
+          ExecutorMessages.encode(executor.id(), order.fenceToken(), order.order()),
           timeout,
           result -> {
             listener.ended(
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/ClusterOrders.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ClusterOrders.java
@@ -85,7 +85,7 @@
     OrderOutcome outcome =
         executor == null || !executor.up()
             ? new OrderOutcome.Unanswered("closed")
-            : executor.handle(command.fencingToken(), command.order(), cluster.nowMillis());
+            : executor.handle(command.fenceToken(), command.order(), cluster.nowMillis());
     cluster.in(poll ? cluster.faults.pollMillis : 1, () -> ended(vm, command, outcome));
   }
 
@@ -93,7 +93,8 @@
     FakeExecutor executor = cluster.executors.get(id);
     if (executor != null) {
       cluster.work.deliverLate(
-          sentAt, () -> executor.handle(command.fencingToken(), command.order(), cluster.nowMillis()));
+          sentAt,
+          () -> executor.handle(command.fenceToken(), command.order(), cluster.nowMillis()));
     }
   }
 
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/TaskSimulation.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/TaskSimulation.java
@@ -140,7 +140,8 @@
 
   /** Returns whether a run ends by itself. */
   boolean ends(TaskRun run) {
-    return stepOf(run.task()).longRunning().isEmpty() || failingExecutors.contains(running.get(run));
+    return stepOf(run.task()).longRunning().isEmpty()
+        || failingExecutors.contains(running.get(run));
   }
 
   boolean serves(TaskRun run) {
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/PlannerEquivalenceProperties.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/PlannerEquivalenceProperties.java
@@ -152,7 +152,7 @@
     }
 
     private static Incarnation incarnation(String executor) {
-      return Incarnation.undated(new ExecutorId(executor));
+      return Incarnation.ofUnknownStart(new ExecutorId(executor));
     }
 
     private WaitingStep waitingStep() {
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/ReferenceCandidate.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/ReferenceCandidate.java
@@ -46,8 +46,8 @@
 
   /** Records that a task of a step is on the executor. */
   void addWork(BatchStep step) {
-    servesUsers |= step.serves();
-    runsOtherWork |= !step.serves();
+    servesUsers |= step.servesUsers();
+    runsOtherWork |= !step.servesUsers();
   }
 
   /**
@@ -55,7 +55,7 @@
    * that are here.
    */
   boolean interferesWith(BatchStep step) {
-    return step.serves() ? runsOtherWork : servesUsers;
+    return step.servesUsers() ? runsOtherWork : servesUsers;
   }
 
   void release(ResourceVector demand) {
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/ReferenceCapacity.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/ReferenceCapacity.java
@@ -156,7 +156,7 @@
       return 0;
     }
     int fitting = candidate.free().fits(spec.demand());
-    int most = spec.placement().mostPerExecutor();
+    int most = spec.placement().maxPerExecutor();
     if (most == 0) {
       return fitting;
     }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/ReferencePreemptor.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/ReferencePreemptor.java
@@ -166,8 +166,9 @@
         if (!preemptible || !waiting.rank().before(rank)) {
           continue;
         }
-        boolean lasting = run.step().spec().lasting().isPresent();
-        if (lasting && stopped.merge(run.step(), 1, Integer::sum) > run.step().mayMiss()) {
+        boolean lasting = run.step().spec().longRunning().isPresent();
+        if (lasting
+            && stopped.merge(run.step(), 1, Integer::sum) > run.step().disruptionsAllowed()) {
           continue;
         }
         if (run.step().spec().gang()) {
