--- a/fescuehook/src/main/java/org/fescuehook/platform/CallerPatience.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/CallerDeadline.java
@@ -4,33 +4,33 @@
 import java.time.Duration;
 
 /** How long callers wait for their answers. */
-final class CallerPatience {
+final class CallerDeadline {
 
   private static final String HEADER = "Deadline-Ms";
 
   /** Patience of a caller that does not tell it. */
-  private static final long USUAL_MILLIS = 3000;
+  private static final long DEFAULT_MILLIS = 3000;
 
   /** No call is held longer, whatever its caller tells. */
-  private static final long LONGEST_MILLIS = 30_000;
+  private static final long MAX_MILLIS = 30_000;
 
   /** The time that the request and its answer take on their way to and from the caller. */
-  private static final long WAY_MILLIS = 200;
+  private static final long ROUND_TRIP_MILLIS = 200;
 
-  private CallerPatience() {}
+  private CallerDeadline() {}
 
   /** Returns how long an answer to a request that has just come is of use. */
   static Duration of(HttpHeaders headers) {
-    long told = Math.min(LONGEST_MILLIS, told(headers.get(HEADER, "")));
-    return Duration.ofMillis(Math.max(told - WAY_MILLIS, Math.ceilDiv(told, 2)));
+    long requested = Math.min(MAX_MILLIS, requestedMillis(headers.get(HEADER, "")));
+    return Duration.ofMillis(Math.max(requested - ROUND_TRIP_MILLIS, Math.ceilDiv(requested, 2)));
   }
 
-  private static long told(String value) {
+  private static long requestedMillis(String value) {
     try {
       long millis = Long.parseLong(value.strip());
-      return millis > 0 ? millis : USUAL_MILLIS;
+      return millis > 0 ? millis : DEFAULT_MILLIS;
     } catch (NumberFormatException e) {
-      return USUAL_MILLIS;
+      return DEFAULT_MILLIS;
     }
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/platform/CallerEdge.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/CallerEdge.java
@@ -41,13 +41,13 @@
   /** Largest body; the platform's configurations name this limit. */
   private static final int MAX_BODY_BYTES = 262_144;
 
-  private static final String KEY_HEADER = "Credential";
+  private static final String API_KEY_HEADER = "Credential";
   private static final String JOB_ID = "[0-9a-fA-F]{16}";
 
   /**
    * When callers come back after a refusal without a configuration, which comes within a second.
    */
-  private static final long COME_BACK_MILLIS = 1000;
+  private static final long RETRY_AFTER_MILLIS = 1000;
 
   private final CallPort port;
   private final AtomicInteger inFlight = new AtomicInteger();
@@ -62,8 +62,8 @@
   }
 
   /** Puts a table of routes in force. */
-  public void route(RouteTable newer) {
-    routes = Optional.of(newer);
+  public void route(RouteTable newRoutes) {
+    routes = Optional.of(newRoutes);
   }
 
   /**
@@ -91,10 +91,10 @@
   }
 
   /** Reads a request as a call, or answers it at once. */
-  private void take(FullHttpRequest request, Consumer<CallAnswer> sink) {
+  private void handle(FullHttpRequest request, Consumer<CallAnswer> sink) {
     Optional<RouteTable> table = routes;
     if (table.isEmpty()) {
-      sink.accept(new CallAnswer.Refused(RefusalCause.NO_CONFIGURATION, COME_BACK_MILLIS));
+      sink.accept(new CallAnswer.Refused(RefusalCause.NO_CONFIGURATION, RETRY_AFTER_MILLIS));
       return;
     }
     String path = new QueryStringDecoder(request.uri()).rawPath();
@@ -105,15 +105,15 @@
       return;
     }
     JobQueue queue = route.get().queue();
-    String key = request.headers().get(KEY_HEADER, "");
+    String key = request.headers().get(API_KEY_HEADER, "");
     if (!queue.open() && table.get().configuration().organisation(key).isEmpty()) {
       sink.accept(new CallAnswer.UnknownKey());
       return;
     }
     String job = path.substring(route.get().pathPrefix().length());
     try {
-      BatchCall call = call(request, queue.name(), key, job);
-      port.call(call, CallerPatience.of(request.headers()), sink);
+      BatchCall call = parseCall(request, queue.name(), key, job);
+      port.call(call, CallerDeadline.of(request.headers()), sink);
     } catch (MalformedMessageException e) {
       sink.accept(new CallAnswer.Malformed(e.getMessage()));
     }
@@ -124,7 +124,7 @@
     return colon < 0 ? host : host.substring(0, colon);
   }
 
-  private static BatchCall call(FullHttpRequest request, String queue, String key, String job)
+  private static BatchCall parseCall(FullHttpRequest request, String queue, String key, String job)
       throws MalformedMessageException {
     HttpMethod method = request.method();
     if (job.isEmpty() && method.equals(HttpMethod.GET)) {
@@ -148,13 +148,13 @@
 
   private final class Initializer extends ChannelInitializer<SocketChannel> {
     /** Idle connections are closed after this; four times the callers' patience. */
-    private static final int IDLE_SECONDS = 15;
+    private static final int IDLE_TIMEOUT_SECONDS = 15;
 
     @Override
     protected void initChannel(SocketChannel opened) {
       opened
           .pipeline()
-          .addLast(new IdleStateHandler(0, 0, IDLE_SECONDS))
+          .addLast(new IdleStateHandler(0, 0, IDLE_TIMEOUT_SECONDS))
           .addLast(new HttpServerCodec())
           .addLast(new HttpObjectAggregator(MAX_BODY_BYTES))
           .addLast(new RequestHandler());
@@ -173,7 +173,7 @@
         answer(context, CallerMessages.fault(HttpResponseStatus.BAD_REQUEST, "not HTTP"), false);
         return;
       }
-      take(
+      handle(
           request,
           answer ->
               context
--- a/fescuehook/src/main/java/org/fescuehook/platform/ConfigurationEntries.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/ConfigurationEntries.java
@@ -39,7 +39,7 @@
       if (i > 0) {
         EventLog.info(LOGGER, PlatformEvent.CONFIGURATIONS_SKIPPED, i, version(parsed.get()));
       }
-      return parsed.filter(this::newer);
+      return parsed.filter(this::isNewer);
     }
     return Optional.empty();
   }
@@ -48,12 +48,12 @@
     try {
       return Optional.of(ConfigurationParser.parse(text));
     } catch (MalformedMessageException e) {
-      PlatformStore.unreadable(Topic.OPERATORS, KEY, e);
+      PlatformStore.logUnreadable(Topic.OPERATORS, KEY, e);
       return Optional.empty();
     }
   }
 
-  private boolean newer(ConfigurationParser.Parsed parsed) {
+  private boolean isNewer(ConfigurationParser.Parsed parsed) {
     boolean newer = version(parsed) > version;
     version = Math.max(version, version(parsed));
     return newer;
--- a/fescuehook/src/main/java/org/fescuehook/platform/ConfigurationParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/ConfigurationParser.java
@@ -39,11 +39,11 @@
       queues.put(queue.name(), queue);
       routes.add(new RouteTable.Route(route.text("host"), route.text("pathPrefix"), queue));
     }
-    List<BatchOrganisation> holders = new ArrayList<>();
+    List<BatchOrganisation> organisations = new ArrayList<>();
     for (WireFields tenant : body.objects("tenants")) {
-      holders.add(holder(tenant));
+      organisations.add(organisation(tenant));
     }
-    BatchConfiguration configuration = new BatchConfiguration(version, queues, holders);
+    BatchConfiguration configuration = new BatchConfiguration(version, queues, organisations);
     return new Parsed(configuration, new RouteTable(configuration, routes));
   }
 
@@ -60,7 +60,8 @@
         route.has("recommendation"));
   }
 
-  private static BatchOrganisation holder(WireFields tenant) throws MalformedMessageException {
+  private static BatchOrganisation organisation(WireFields tenant)
+      throws MalformedMessageException {
     Set<String> keys = new HashSet<>(tenant.has("apiKeys") ? tenant.texts("apiKeys") : List.of());
     Optional<WireFields> guaranteed = tenant.innerIfPresent("guaranteed");
     int accelerators =
--- a/fescuehook/src/main/java/org/fescuehook/platform/ExecutorClient.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/ExecutorClient.java
@@ -32,14 +32,14 @@
    * Added to the wait that a poll asks for: some hundred times the way there and back, and a pause
    * of this VM. Until then ends on an executor whose answer was lost are not seen.
    */
-  private static final Duration POLL_SLACK = Duration.ofMillis(350);
+  private static final Duration POLL_TIMEOUT_MARGIN = Duration.ofMillis(350);
 
   /** Connections for orders to one executor, so that one silent order does not hold the rest up. */
   private static final int ORDER_CONNECTIONS = 3;
 
   private final EventLoop loop;
   private final Listener listener;
-  private final Map<ExecutorId, Links> executors = new HashMap<>();
+  private final Map<ExecutorId, Connections> executors = new HashMap<>();
 
   /** Hears what became of an order, on the event loop. */
   @FunctionalInterface
@@ -60,33 +60,33 @@
     loop.execute(
         () ->
             executors
-                .computeIfAbsent(order.executor().id(), id -> new Links(order.executor()))
+                .computeIfAbsent(order.executor().id(), id -> new Connections(order.executor()))
                 .send(order));
   }
 
   /** Closes the connections to an executor that is gone. */
   public void forget(ExecutorId id) {
-    loop.execute(() -> Optional.ofNullable(executors.remove(id)).ifPresent(Links::close));
+    loop.execute(() -> Optional.ofNullable(executors.remove(id)).ifPresent(Connections::close));
   }
 
   /** Closes all connections. */
   public void forgetAll() {
     loop.execute(
         () -> {
-          executors.values().forEach(Links::close);
+          executors.values().forEach(Connections::close);
           executors.clear();
         });
   }
 
   /** The connections to one executor. */
-  private final class Links {
+  private final class Connections {
     private final ExecutorProfile executor;
     private final HttpClientConnection polls;
     private final Deque<HttpClientConnection> idle = new ArrayDeque<>();
     private final Deque<BatchCommand.Order> waiting = new ArrayDeque<>();
     private final List<HttpClientConnection> all = new ArrayList<>();
 
-    Links(ExecutorProfile executor) {
+    Connections(ExecutorProfile executor) {
       this.executor = executor;
       this.polls = connection();
     }
@@ -100,7 +100,7 @@
 
     void send(BatchCommand.Order order) {
       if (order.order() instanceof ExecutorOrder.Poll poll) {
-        Duration timeout = Duration.ofMillis(poll.waitMillis()).plus(POLL_SLACK);
+        Duration timeout = Duration.ofMillis(poll.waitMillis()).plus(POLL_TIMEOUT_MARGIN);
         exchange(polls, order, timeout, () -> {});
         return;
       }
@@ -130,14 +130,17 @@
     }
 
     private void exchange(
-        HttpClientConnection over, BatchCommand.Order order, Duration timeout, Runnable after) {
-      over.send(
+        HttpClientConnection connection,
+        BatchCommand.Order order,
+        Duration timeout,
+        Runnable afterwards) {
+      connection.send(
           ExecutorMessages.encode(executor.id(), order.fencingToken(), order.order()),
           timeout,
           result -> {
             listener.ended(
                 executor.id(), order.number(), ExecutorMessages.decode(order.order(), result));
-            after.run();
+            afterwards.run();
           });
     }
 
--- a/fescuehook/src/main/java/org/fescuehook/platform/ExecutorEntries.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/ExecutorEntries.java
@@ -40,7 +40,7 @@
     try {
       return Optional.of(ExecutorParser.parse(key, text));
     } catch (MalformedMessageException e) {
-      PlatformStore.unreadable(Topic.EXECUTORS, key, e);
+      PlatformStore.logUnreadable(Topic.EXECUTORS, key, e);
       return Optional.empty();
     }
   }
--- a/fescuehook/src/main/java/org/fescuehook/platform/ExecutorMessages.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/ExecutorMessages.java
@@ -35,7 +35,7 @@
 
   private static final int FINISHED_TASK = 1;
   private static final int FINISHED_RUN = 2;
-  private static final int FINISHED_HOW = 3;
+  private static final int FINISHED_RESULT = 3;
   private static final int FINISHED_CHECKPOINT = 4;
 
   private ExecutorMessages() {}
@@ -97,7 +97,7 @@
   private static OrderOutcome decode(ExecutorOrder order, HttpResult.Answered answer) {
     try {
       return switch (answer.status()) {
-        case 200 -> carriedOut(order, WireJson.parse(answer.body()));
+        case 200 -> decodeSuccess(order, WireJson.parse(answer.body()));
         case 409 -> new OrderOutcome.Rejected(rejection(WireJson.parse(answer.body())));
         case 421 -> new OrderOutcome.OtherIncarnation();
         case 429, 503 -> new OrderOutcome.Rejected(Rejection.UNHEALTHY);
@@ -109,7 +109,7 @@
     }
   }
 
-  private static OrderOutcome carriedOut(ExecutorOrder order, JsonNode body)
+  private static OrderOutcome decodeSuccess(ExecutorOrder order, JsonNode body)
       throws MalformedMessageException {
     WireFields answer = new WireFields("answer", body);
     long clock = answer.number("clockMs");
@@ -131,7 +131,7 @@
           new EndedRun(
               row.path(FINISHED_NUMBER).asLong(),
               run(row.path(FINISHED_TASK), row.path(FINISHED_RUN)),
-              end(row.path(FINISHED_HOW).asText()),
+              runEnd(row.path(FINISHED_RESULT).asText()),
               row.path(FINISHED_CHECKPOINT).asText()));
     }
     return new OrderOutcome.Polled(answer.numberIfPresent("born"), clock, active, ended);
@@ -156,15 +156,15 @@
     }
   }
 
-  private static RunEnd end(String how) throws MalformedMessageException {
-    return switch (how) {
+  private static RunEnd runEnd(String result) throws MalformedMessageException {
+    return switch (result) {
       case "done" -> RunEnd.DONE;
       case "failed" -> RunEnd.FAILED;
       case "stopped" -> RunEnd.STOPPED;
       case "lapsed" -> RunEnd.LEASE_EXPIRED;
       case "broken" -> RunEnd.GANG_BROKEN;
       case "alone" -> RunEnd.GANG_INCOMPLETE;
-      default -> throw new MalformedMessageException("end '" + how + "'");
+      default -> throw new MalformedMessageException("end '" + result + "'");
     };
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/platform/PlatformStore.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/PlatformStore.java
@@ -27,25 +27,25 @@
   private static final Logger LOGGER = LoggerFactory.getLogger(PlatformStore.class);
 
   /** A read of the owner's heartbeats waits for one or two of them. */
-  private static final StreamFollower.Pace OWNERSHIP_PACE =
-      new StreamFollower.Pace(Duration.ofMillis(1000), Duration.ofMillis(400));
+  private static final StreamFollower.ReadTiming OWNERSHIP_TIMING =
+      new StreamFollower.ReadTiming(Duration.ofMillis(1000), Duration.ofMillis(400));
 
   /** Changes are due in force within 2 s, also where a connection went silent. */
-  private static final StreamFollower.Pace CONFIGURATION_PACE =
-      new StreamFollower.Pace(Duration.ofMillis(1000), Duration.ZERO);
+  private static final StreamFollower.ReadTiming CONFIGURATION_TIMING =
+      new StreamFollower.ReadTiming(Duration.ofMillis(1000), Duration.ZERO);
 
   /**
    * Some twenty entries a second change. A leaving executor gets nothing new after 2 s, and one
    * that is taken away at short notice should get none from the first moment.
    */
-  private static final StreamFollower.Pace EXECUTORS_PACE =
-      new StreamFollower.Pace(Duration.ofMillis(1000), Duration.ofMillis(150));
+  private static final StreamFollower.ReadTiming EXECUTORS_TIMING =
+      new StreamFollower.ReadTiming(Duration.ofMillis(1000), Duration.ofMillis(150));
 
   private final EventLoop loop;
   private final Consumer<BatchEvent> events;
   private final Consumer<RouteTable> routes;
-  private final Map<StreamName, StreamAppender> writers = new EnumMap<>(StreamName.class);
-  private final StoreReader loader;
+  private final Map<StreamName, StreamAppender> appenders = new EnumMap<>(StreamName.class);
+  private final StoreReader stateReader;
   private final StreamFollower ownership;
   private final StreamFollower configuration;
   private final StreamFollower executors;
@@ -65,20 +65,25 @@
     this.loop = loop;
     this.events = events;
     this.routes = routes;
-    ResponseTimeEstimator reads = new ResponseTimeEstimator(RepeatedRead.NEVER_LATE);
+    ResponseTimeEstimator readTimes = new ResponseTimeEstimator(RepeatedRead.NEVER_LATE);
     for (StreamName stream : StreamName.values()) {
-      writers.put(stream, new StreamAppender(loop, address, Topic.of(stream), reads));
+      appenders.put(stream, new StreamAppender(loop, address, Topic.of(stream), readTimes));
     }
-    this.loader = new StoreReader(loop, address, reads);
+    this.stateReader = new StoreReader(loop, address, readTimes);
     this.ownership =
         new StreamFollower(
-            loop, address, reads, Topic.OWNERSHIP, OWNERSHIP_PACE, new OwnershipListener());
+            loop, address, readTimes, Topic.OWNERSHIP, OWNERSHIP_TIMING, new OwnershipListener());
     this.configuration =
         new StreamFollower(
-            loop, address, reads, Topic.OPERATORS, CONFIGURATION_PACE, new ConfigurationListener());
+            loop,
+            address,
+            readTimes,
+            Topic.OPERATORS,
+            CONFIGURATION_TIMING,
+            new ConfigurationListener());
     this.executors =
         new StreamFollower(
-            loop, address, reads, Topic.EXECUTORS, EXECUTORS_PACE, new ExecutorsListener());
+            loop, address, readTimes, Topic.EXECUTORS, EXECUTORS_TIMING, new ExecutorsListener());
   }
 
   /** Begins to follow the configuration and the owner. */
@@ -106,12 +111,12 @@
   /** Appends records. */
   public void append(BatchCommand.Append append) {
     loop.execute(
-        () -> writers.get(append.stream()).append(append, outcome -> appended(append, outcome)));
+        () -> appenders.get(append.stream()).append(append, outcome -> appended(append, outcome)));
   }
 
   /** Returns how many appends were sent once more since their answers were late. */
   public long repeatedAppends() {
-    return writers.values().stream().mapToLong(StreamAppender::repeated).sum();
+    return appenders.values().stream().mapToLong(StreamAppender::repeatedSends).sum();
   }
 
   private void appended(BatchCommand.Append append, AppendOutcome outcome) {
@@ -129,14 +134,16 @@
 
   /** Reads a page of the jobs' stream. */
   public void loadState(BatchCommand.LoadState load) {
-    loop.execute(() -> loader.newest(Topic.STATE, load.afterKey(), new Loading(load.epoch())));
+    loop.execute(
+        () ->
+            stateReader.newest(Topic.STATE, load.afterKey(), new StatePageListener(load.epoch())));
   }
 
   /** A page of the jobs' stream under way. */
-  private final class Loading implements RepeatedRead.Listener {
+  private final class StatePageListener implements RepeatedRead.Listener {
     private final long epoch;
 
-    Loading(long epoch) {
+    StatePageListener(long epoch) {
       this.epoch = epoch;
     }
 
@@ -165,7 +172,7 @@
     events.accept(new BatchEvent.StateUnreadable(epoch));
   }
 
-  static void unreadable(Topic topic, String key, Exception cause) {
+  static void logUnreadable(Topic topic, String key, Exception cause) {
     EventLog.warn(LOGGER, PlatformEvent.RECORD_UNREADABLE, key, topic, cause.getMessage());
   }
 
@@ -191,7 +198,7 @@
       try {
         return Optional.of(OwnerCodec.decode(record.value().orElseThrow(), record.offset()));
       } catch (UnreadableRecordException e) {
-        unreadable(Topic.OWNERSHIP, record.key(), e);
+        logUnreadable(Topic.OWNERSHIP, record.key(), e);
         return Optional.empty();
       }
     }
--- a/fescuehook/src/main/java/org/fescuehook/platform/RepeatedRead.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/RepeatedRead.java
@@ -19,20 +19,20 @@
   static final Duration NEVER_LATE = Duration.ofMillis(700);
 
   /** Longest time to the outcome beside the wait that a read asks for. */
-  static final Duration LIMIT = Duration.ofSeconds(10);
+  static final Duration TIMEOUT = Duration.ofSeconds(10);
 
   /** Asks under way at most: the first one, which a slow store answers first, and the newest. */
-  private static final int MOST_OPEN = 3;
+  private static final int MAX_OPEN_REQUESTS = 3;
 
   /** How long an answer that has begun may pause until it counts as late. */
-  private static final Duration LONGEST_GAP = Duration.ofMillis(700);
+  private static final Duration MAX_ANSWER_GAP = Duration.ofMillis(700);
 
   private final Link link;
   private final ResponseTimeEstimator times;
   private final Duration wait;
   private final Listener listener;
-  private final long begunAt;
-  private final List<Ask> open = new ArrayList<>();
+  private final long startedAtNanos;
+  private final List<ReadRequest> open = new ArrayList<>();
   private boolean ended;
 
   /** How a read gets to the store; all calls and callbacks are on one thread. */
@@ -48,13 +48,13 @@
      * @param limit longest time to the whole answer
      * @param sink called once with what became of it
      */
-    Asking ask(Duration wait, Duration limit, Consumer<ReadOutcome> sink);
+    InFlightRead send(Duration wait, Duration limit, Consumer<ReadOutcome> sink);
 
     /** Does something after a while. */
     void after(Duration delay, Runnable action);
 
     /** One ask under way. */
-    interface Asking {
+    interface InFlightRead {
 
       /** Tells whether a part of the answer has come within a time until now. */
       boolean heardWithin(Duration time);
@@ -87,7 +87,7 @@
     this.times = times;
     this.wait = wait;
     this.listener = listener;
-    this.begunAt = link.nowNanos();
+    this.startedAtNanos = link.nowNanos();
   }
 
   /**
@@ -99,7 +99,7 @@
   static RepeatedRead begin(
       Link link, ResponseTimeEstimator times, Duration wait, Listener listener) {
     RepeatedRead read = new RepeatedRead(link, times, wait, listener);
-    read.ask(wait);
+    read.sendRequest(wait);
     return read;
   }
 
@@ -110,41 +110,42 @@
   }
 
   private Duration age() {
-    return Duration.ofNanos(link.nowNanos() - begunAt);
+    return Duration.ofNanos(link.nowNanos() - startedAtNanos);
   }
 
-  private void ask(Duration wanted) {
-    Ask ask = new Ask(wanted);
-    open.add(ask);
-    ask.way = link.ask(wanted, LIMIT.plus(wait).minus(age()), outcome -> took(ask, outcome));
-    link.after(wanted.plus(times.late()), this::askAgain);
+  private void sendRequest(Duration storeWait) {
+    ReadRequest request = new ReadRequest(storeWait);
+    open.add(request);
+    request.inFlight =
+        link.send(storeWait, TIMEOUT.plus(wait).minus(age()), outcome -> handle(request, outcome));
+    link.after(storeWait.plus(times.late()), this::repeatIfLate);
   }
 
-  private void askAgain() {
-    if (ended || age().plus(times.late()).compareTo(LIMIT.plus(wait)) > 0) {
+  private void repeatIfLate() {
+    if (ended || age().plus(times.late()).compareTo(TIMEOUT.plus(wait)) > 0) {
       return;
     }
-    if (open.stream().anyMatch(ask -> ask.way.heardWithin(LONGEST_GAP))) {
-      link.after(LONGEST_GAP, this::askAgain);
+    if (open.stream().anyMatch(request -> request.inFlight.heardWithin(MAX_ANSWER_GAP))) {
+      link.after(MAX_ANSWER_GAP, this::repeatIfLate);
       return;
     }
     listener.late(age());
-    if (open.size() == MOST_OPEN) {
-      open.remove(1).way.giveUp();
+    if (open.size() == MAX_OPEN_REQUESTS) {
+      open.remove(1).inFlight.giveUp();
     }
     // What the store has now is enough; the first ask still waits for the next record.
-    ask(Duration.ZERO);
+    sendRequest(Duration.ZERO);
   }
 
-  private void took(Ask ask, ReadOutcome outcome) {
-    if (!open.remove(ask)) {
+  private void handle(ReadRequest request, ReadOutcome outcome) {
+    if (!open.remove(request)) {
       return;
     }
     boolean failed = outcome instanceof ReadOutcome.Failed;
     if (failed && !open.isEmpty()) {
       return;
     }
-    long answerNanos = ask.way.firstPartNanos() - ask.wait.toNanos();
+    long answerNanos = request.inFlight.firstPartNanos() - request.wait.toNanos();
     // An answer within the wait came with a record, and tells nothing of the store's pace.
     if (!failed && answerNanos > 0) {
       times.answered(answerNanos);
@@ -155,17 +156,17 @@
   }
 
   private void giveUpAll() {
-    List<Ask> left = List.copyOf(open);
+    List<ReadRequest> remaining = List.copyOf(open);
     open.clear();
-    left.forEach(ask -> ask.way.giveUp());
+    remaining.forEach(request -> request.inFlight.giveUp());
   }
 
   /** One ask. */
-  private static final class Ask {
+  private static final class ReadRequest {
     private final Duration wait;
-    private Link.Asking way;
+    private Link.InFlightRead inFlight;
 
-    Ask(Duration wait) {
+    ReadRequest(Duration wait) {
       this.wait = wait;
     }
   }
--- a/fescuehook/src/main/java/org/fescuehook/platform/StoreReader.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/StoreReader.java
@@ -20,7 +20,7 @@
   private final InetSocketAddress address;
   private final ResponseTimeEstimator times;
   private final Deque<StoreClient> idle = new ArrayDeque<>();
-  private Optional<RepeatedRead> underWay = Optional.empty();
+  private Optional<RepeatedRead> currentRead = Optional.empty();
 
   /**
    * Creates a reader without a connection.
@@ -46,19 +46,19 @@
     begin(
         wait,
         listener,
-        (client, asked, limit, sink) -> client.read(topic, from, asked, limit, sink));
+        (client, waitTime, limit, sink) -> client.read(topic, from, waitTime, limit, sink));
   }
 
   /** Ends the read under way without an outcome, and closes the connections. */
   void close() {
-    underWay.ifPresent(RepeatedRead::cancel);
+    currentRead.ifPresent(RepeatedRead::cancel);
     idle.forEach(StoreClient::close);
     idle.clear();
   }
 
   private void begin(Duration wait, RepeatedRead.Listener listener, Request request) {
-    underWay.ifPresent(RepeatedRead::cancel);
-    underWay = Optional.of(RepeatedRead.begin(new ReadLink(request), times, wait, listener));
+    currentRead.ifPresent(RepeatedRead::cancel);
+    currentRead = Optional.of(RepeatedRead.begin(new ReadLink(request), times, wait, listener));
   }
 
   /** What is asked of the store. */
@@ -79,7 +79,7 @@
     }
 
     @Override
-    public Asking ask(Duration wait, Duration limit, Consumer<ReadOutcome> sink) {
+    public InFlightRead send(Duration wait, Duration limit, Consumer<ReadOutcome> sink) {
       // The connection that was used last is surely open.
       StoreClient client = idle.isEmpty() ? new StoreClient(loop, address) : idle.removeLast();
       Exchange exchange = new Exchange(client);
@@ -101,17 +101,17 @@
   }
 
   /** One ask over a connection, which is used again if its answer came. */
-  private final class Exchange implements RepeatedRead.Link.Asking {
+  private final class Exchange implements RepeatedRead.Link.InFlightRead {
     private final StoreClient client;
-    private boolean over;
+    private boolean released;
 
     Exchange(StoreClient client) {
       this.client = client;
     }
 
     void end() {
-      if (!over) {
-        over = true;
+      if (!released) {
+        released = true;
         idle.addLast(client);
       }
     }
@@ -128,8 +128,8 @@
 
     @Override
     public void giveUp() {
-      if (!over) {
-        over = true;
+      if (!released) {
+        released = true;
         client.close();
       }
     }
--- a/fescuehook/src/main/java/org/fescuehook/platform/StreamAppender.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/StreamAppender.java
@@ -27,16 +27,16 @@
   private static final Logger LOGGER = LoggerFactory.getLogger(StreamAppender.class);
 
   /** As many as the appends that a slow store has under way need with all their open sends. */
-  private static final int MOST_CONNECTIONS = 24;
+  private static final int MAX_CONNECTIONS = 24;
 
   private final EventLoop loop;
   private final InetSocketAddress address;
   private final Topic topic;
   private final ResponseTimeEstimator times;
   private final Deque<StoreClient> idle = new ArrayDeque<>();
-  private final SlowStoreDetector slowness = new SlowStoreDetector();
-  private final LongAdder repeated = new LongAdder();
-  private int busy;
+  private final SlowStoreDetector slowStoreDetector = new SlowStoreDetector();
+  private final LongAdder repeatedSends = new LongAdder();
+  private int busyConnections;
 
   /**
    * Creates an appender without a connection.
@@ -52,8 +52,8 @@
   }
 
   /** Returns how many sends were repeats of an append whose answer was late. */
-  long repeated() {
-    return repeated.sum();
+  long repeatedSends() {
+    return repeatedSends.sum();
   }
 
   void append(BatchCommand.Append append, Consumer<AppendOutcome> sink) {
@@ -65,14 +65,14 @@
         body.length,
         outcome -> {
           if (outcome instanceof AppendOutcome.Stored) {
-            tellOfSlowness(Duration.ofNanos(System.nanoTime() - begunAt));
+            logSpeedChange(Duration.ofNanos(System.nanoTime() - begunAt));
           }
           sink.accept(outcome);
         });
   }
 
-  private void tellOfSlowness(Duration time) {
-    switch (slowness.stored(time)) {
+  private void logSpeedChange(Duration time) {
+    switch (slowStoreDetector.stored(time)) {
       case SLOWER -> EventLog.warn(LOGGER, PlatformEvent.STORE_SLOW, topic, time.toMillis());
       case QUICKER -> EventLog.info(LOGGER, PlatformEvent.STORE_QUICK, topic, time.toMillis());
       case NONE -> {}
@@ -96,11 +96,11 @@
 
     @Override
     public Optional<Sending> send(Duration limit, Consumer<AppendOutcome> sink) {
-      if (busy == MOST_CONNECTIONS) {
+      if (busyConnections == MAX_CONNECTIONS) {
         return Optional.empty();
       }
       if (sentBefore) {
-        repeated.increment();
+        repeatedSends.increment();
       }
       sentBefore = true;
       // The connection that was used last is surely open.
@@ -128,26 +128,26 @@
   /** One send over a connection, which is used again if its answer came. */
   private final class Exchange implements RepeatedAppend.Link.Sending {
     private final StoreClient client;
-    private boolean over;
+    private boolean released;
 
     Exchange(StoreClient client) {
       this.client = client;
-      busy++;
+      busyConnections++;
     }
 
     void end() {
-      if (!over) {
-        over = true;
-        busy--;
+      if (!released) {
+        released = true;
+        busyConnections--;
         idle.addLast(client);
       }
     }
 
     @Override
     public void giveUp() {
-      if (!over) {
-        over = true;
-        busy--;
+      if (!released) {
+        released = true;
+        busyConnections--;
         client.close();
       }
     }
--- a/fescuehook/src/main/java/org/fescuehook/platform/StreamFollower.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/StreamFollower.java
@@ -22,17 +22,17 @@
   private static final Logger LOGGER = LoggerFactory.getLogger(StreamFollower.class);
 
   /** Pause after a failed read; the store's limits allow it for all VMs together. */
-  private static final Duration RETRY_PAUSE = Duration.ofMillis(200);
+  private static final Duration RETRY_DELAY = Duration.ofMillis(200);
 
   private final EventLoop loop;
   private final InetSocketAddress address;
   private final StoreReader store;
   private final Topic topic;
-  private final Pace pace;
+  private final ReadTiming timing;
   private final Listener listener;
-  private List<StreamRecord> pages = new ArrayList<>();
-  private boolean begun;
-  private long next;
+  private List<StreamRecord> pageRecords = new ArrayList<>();
+  private boolean initialReadDone;
+  private long nextOffset;
   private boolean running;
   private long generation;
   private boolean failing;
@@ -44,7 +44,7 @@
    * @param longestWait how long a read waits for a record
    * @param pause time between reads, so that several records come with one
    */
-  record Pace(Duration longestWait, Duration pause) {}
+  record ReadTiming(Duration maxWait, Duration pause) {}
 
   /** Hears what was read, on the event loop. */
   interface Listener {
@@ -69,13 +69,13 @@
       InetSocketAddress address,
       ResponseTimeEstimator times,
       Topic topic,
-      Pace pace,
+      ReadTiming timing,
       Listener listener) {
     this.loop = loop;
     this.address = address;
     this.store = new StoreReader(loop, address, times);
     this.topic = topic;
-    this.pace = pace;
+    this.timing = timing;
     this.listener = listener;
   }
 
@@ -86,8 +86,8 @@
           if (!running) {
             running = true;
             generation++;
-            begun = false;
-            pages = new ArrayList<>();
+            initialReadDone = false;
+            pageRecords = new ArrayList<>();
             readNewest(Optional.empty(), generation);
           }
         });
@@ -103,34 +103,35 @@
         });
   }
 
-  private void readNewest(Optional<String> afterKey, long asked) {
-    store.newest(topic, afterKey, new Reading(asked));
+  private void readNewest(Optional<String> afterKey, long readGeneration) {
+    store.newest(topic, afterKey, new ReadListener(readGeneration));
   }
 
-  private void readOn(long asked) {
-    store.read(topic, next, pace.longestWait(), new Reading(asked));
+  private void readNext(long readGeneration) {
+    store.read(topic, nextOffset, timing.maxWait(), new ReadListener(readGeneration));
   }
 
-  private void took(ReadOutcome outcome, long asked) {
-    if (asked != generation) {
+  private void handle(ReadOutcome outcome, long readGeneration) {
+    if (readGeneration != generation) {
       return;
     }
     switch (outcome) {
-      case ReadOutcome.Newest page -> tookPage(page, asked);
+      case ReadOutcome.Newest page -> handlePage(page, readGeneration);
       case ReadOutcome.Records read -> {
         succeeded(read.end());
-        next = Math.max(next, read.records().isEmpty() ? next : lastOffset(read) + 1);
-        tell(() -> listener.records(read.records(), read.end()), asked);
+        nextOffset =
+            Math.max(nextOffset, read.records().isEmpty() ? nextOffset : lastOffset(read) + 1);
+        deliver(() -> listener.records(read.records(), read.end()), readGeneration);
       }
       case ReadOutcome.Expired(long firstKept) -> {
         EventLog.info(LOGGER, PlatformEvent.RECORDS_EXPIRED, topic, firstKept);
-        begun = false;
-        pages = new ArrayList<>();
-        readNewest(Optional.empty(), asked);
+        initialReadDone = false;
+        pageRecords = new ArrayList<>();
+        readNewest(Optional.empty(), readGeneration);
       }
       case ReadOutcome.Failed(String reason) -> {
         failed(reason);
-        later(RETRY_PAUSE, () -> resume(asked));
+        runAfter(RETRY_DELAY, () -> resume(readGeneration));
       }
     }
   }
@@ -139,51 +140,51 @@
     return read.records().getLast().offset();
   }
 
-  private void tookPage(ReadOutcome.Newest page, long asked) {
-    if (pages.isEmpty()) {
+  private void handlePage(ReadOutcome.Newest page, long readGeneration) {
+    if (pageRecords.isEmpty()) {
       // Pages are no snapshot: what changes after the first one is read again from here.
-      next = page.end();
+      nextOffset = page.end();
     }
-    pages.addAll(page.records());
+    pageRecords.addAll(page.records());
     if (page.moreAfter().isPresent()) {
-      readNewest(page.moreAfter(), asked);
+      readNewest(page.moreAfter(), readGeneration);
       return;
     }
     succeeded(page.end());
-    List<StreamRecord> all = pages;
-    pages = new ArrayList<>();
-    begun = true;
-    tell(() -> listener.newest(all, page.end()), asked);
+    List<StreamRecord> all = pageRecords;
+    pageRecords = new ArrayList<>();
+    initialReadDone = true;
+    deliver(() -> listener.newest(all, page.end()), readGeneration);
   }
 
   /**
    * Tells the listener and goes on. If that ends by a fault, what it was told is lost, so it is
    * told of the newest records again; without that the topic would not be read any more.
    */
-  private void tell(Runnable news, long asked) {
-    boolean told = false;
+  private void deliver(Runnable delivery, long readGeneration) {
+    boolean delivered = false;
     try {
-      news.run();
-      told = true;
+      delivery.run();
+      delivered = true;
     } finally {
-      begun = told;
-      later(told ? pace.pause() : RETRY_PAUSE, () -> resume(asked));
+      initialReadDone = delivered;
+      runAfter(delivered ? timing.pause() : RETRY_DELAY, () -> resume(readGeneration));
     }
   }
 
-  private void resume(long asked) {
-    if (asked != generation) {
+  private void resume(long readGeneration) {
+    if (readGeneration != generation) {
       return;
     }
-    if (begun) {
-      readOn(asked);
+    if (initialReadDone) {
+      readNext(readGeneration);
     } else {
-      pages = new ArrayList<>();
-      readNewest(Optional.empty(), asked);
+      pageRecords = new ArrayList<>();
+      readNewest(Optional.empty(), readGeneration);
     }
   }
 
-  private void later(Duration pause, Runnable step) {
+  private void runAfter(Duration pause, Runnable step) {
     if (pause.isZero()) {
       step.run();
       return;
@@ -209,23 +210,23 @@
   }
 
   /** One read under way. */
-  private final class Reading implements RepeatedRead.Listener {
-    private final long asked;
+  private final class ReadListener implements RepeatedRead.Listener {
+    private final long readGeneration;
 
-    Reading(long asked) {
-      this.asked = asked;
+    ReadListener(long readGeneration) {
+      this.readGeneration = readGeneration;
     }
 
     @Override
     public void late(Duration time) {
-      if (asked == generation) {
+      if (readGeneration == generation) {
         StreamFollower.this.failed("no answer within " + time.toMillis() + " ms, asked again");
       }
     }
 
     @Override
     public void ended(ReadOutcome outcome) {
-      took(outcome, asked);
+      handle(outcome, readGeneration);
     }
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/platform/SubmissionParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/SubmissionParser.java
@@ -87,7 +87,7 @@
         step.path("checkpointing").asBoolean(),
         step.path("gang").asBoolean(),
         step.path("image").asText(),
-        lasting(step));
+        longRunning(step));
   }
 
   /** A step with "utilization" gets cores that others leave unused, and none of its own. */
@@ -96,7 +96,7 @@
     return new ResourceVector(cores, step.path("memMb").asInt(), step.path("gpu").asInt());
   }
 
-  private static Optional<BatchStep.LongRunning> lasting(JsonNode step) {
+  private static Optional<BatchStep.LongRunning> longRunning(JsonNode step) {
     if (!step.path("longRunning").asBoolean()) {
       return Optional.empty();
     }
--- a/fescuehook/src/test/java/org/fescuehook/platform/AdviceClientTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/AdviceClientTest.java
@@ -19,14 +19,14 @@
   }
 
   @Test
-  void anAnswerNamesTheExecutorsAndTheirTickets() {
+  void aSuccessfulAnswerListsExecutorsWithTheirTickets() {
     assertEquals(
         new AdviceOutcome.Given(Map.of(new ExecutorId("i-1"), "t-1"), 3000),
         decode(200, "{\"allowed\":[[\"i-1\",\"t-1\"]],\"validityMs\":3000}"));
   }
 
   @Test
-  void anythingElseIsNoAdvice() {
+  void errorsAndMalformedAnswersAreUnavailableAdvice() {
     assertInstanceOf(AdviceOutcome.Unavailable.class, decode(429, ""));
     assertInstanceOf(AdviceOutcome.Unavailable.class, decode(200, "{"));
     assertInstanceOf(
--- a/fescuehook/src/test/java/org/fescuehook/platform/BlankRackTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/BlankRackTest.java
@@ -13,7 +13,7 @@
 class BlankRackTest {
 
   @Test
-  void aJobThatNamesABlankRackIsMalformed() {
+  void aSubmissionWithABlankRackIsMalformed() {
     byte[] job =
         "{\"spec\":\"s\",\"steps\":[{\"count\":1,\"affinity\":\" \"}]}"
             .getBytes(StandardCharsets.UTF_8);
--- a/fescuehook/src/test/java/org/fescuehook/platform/ConfigurationEntriesTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/ConfigurationEntriesTest.java
@@ -30,12 +30,12 @@
   }
 
   @Test
-  void ofSeveralThatCameTogetherTheNewestIsInForce() {
+  void theNewestOfSeveralConfigurationsInOneReadIsReturned() {
     assertEquals(Optional.of(9L), read(version(3), version(7), version(9)));
   }
 
   @Test
-  void noneGoesBack() {
+  void aConfigurationThatIsNotNewerIsIgnored() {
     assertEquals(Optional.of(9L), read(version(9)));
     assertEquals(Optional.empty(), read(version(9)));
     assertEquals(Optional.empty(), read(version(7)));
@@ -43,13 +43,13 @@
   }
 
   @Test
-  void oneThatCannotBeReadLeavesTheOneBeforeInForce() {
+  void anUnreadableConfigurationIsSkipped() {
     assertEquals(Optional.of(7L), read(version(3), version(7), "{\"routes\":"));
     assertEquals(Optional.empty(), read("nothing"));
   }
 
   @Test
-  void otherKeysAndDeletedOnesAreNoConfiguration() {
+  void otherKeysAndDeletedRecordsAreIgnored() {
     List<StreamRecord> records =
         List.of(record(0, "wave/3", version(5)), new StreamRecord(1, "config", Optional.empty()));
     assertEquals(Optional.empty(), entries.newest(records));
--- a/fescuehook/src/test/java/org/fescuehook/platform/ConfigurationParserTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/ConfigurationParserTest.java
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void theLongestPrefixOfTheHostCounts() throws MalformedMessageException {
+  void theRouteWithTheLongestMatchingPrefixIsFound() throws MalformedMessageException {
     RouteTable routes = parse(TEXT).routes();
 
     assertEquals("q1", routes.find("a.example", "/x/1").orElseThrow().queue().name());
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void aConfigurationWithoutAVersionIsRefused() {
+  void aConfigurationWithoutAVersionIsRejected() {
     assertThrows(MalformedMessageException.class, () -> parse("{\"routes\":[],\"tenants\":[]}"));
     assertThrows(MalformedMessageException.class, () -> parse("nothing"));
   }
--- a/fescuehook/src/test/java/org/fescuehook/platform/ExecutorMessagesTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/ExecutorMessagesTest.java
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void aStartNamesTheTaskTheRunTheEpochAndTheIncarnation() {
+  void aStartOrderNamesTaskRunFencingTokenAndExecutor() {
     HttpCall call =
         ExecutorMessages.encode(
             new ExecutorId("i-1"),
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void aStartOnAnAdvisedQueueCarriesItsTicket() {
+  void aStartOrderCarriesItsAdviceTicket() {
     HttpCall call =
         ExecutorMessages.encode(
             new ExecutorId("i-1"), 7, new ExecutorOrder.Start(RUN, "s", "", Optional.of("t"), 5));
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void aPaceNamesTheRunAndItsShare() {
+  void aPaceOrderNamesTheRunAndItsPercentage() {
     HttpCall call =
         ExecutorMessages.encode(new ExecutorId("i-1"), 7, new ExecutorOrder.Pace(RUN, 30));
 
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void aPollsAnswerTellsWhichLifeOfTheExecutorAnswers() {
+  void aPollAnswerIdentifiesTheIncarnationOfTheExecutor() {
     OrderOutcome outcome =
         decode(POLL, 200, "{\"clockMs\":5,\"born\":1786115069591,\"active\":[],\"finished\":[]}");
 
@@ -77,14 +77,14 @@
   }
 
   @Test
-  void aPollsAnswerWithABirthOfAnotherTypeIsNoAnswer() {
+  void aPollAnswerWithAMalformedStartTimeCountsAsUnanswered() {
     assertInstanceOf(
         OrderOutcome.Unanswered.class,
         decode(POLL, 200, "{\"clockMs\":5,\"born\":\"1\",\"active\":[],\"finished\":[]}"));
   }
 
   @Test
-  void aPollsAnswerHoldsWhatRunsAndWhatHasEnded() {
+  void aPollAnswerListsActiveAndFinishedRuns() {
     OrderOutcome outcome =
         decode(
             POLL,
@@ -103,7 +103,7 @@
   }
 
   @Test
-  void eachKindOfAnswerIsToldApart() {
+  void eachStatusAndRejectionReasonHasItsOutcome() {
     ExecutorOrder stop = new ExecutorOrder.Stop(RUN);
     assertEquals(new OrderOutcome.Done(5), decode(stop, 200, "{\"clockMs\":5}"));
     assertEquals(new OrderOutcome.Rejected(Rejection.FENCED), rejected("fence"));
@@ -121,7 +121,7 @@
   }
 
   @Test
-  void anAnswerThatCannotBeReadLeavesTheOrderUncertain() {
+  void anUnreadableAnswerCountsAsUnanswered() {
     assertInstanceOf(OrderOutcome.Unanswered.class, decode(POLL, 200, "{\"active\":[[\"x\",1]]}"));
     assertInstanceOf(OrderOutcome.Unanswered.class, decode(POLL, 200, "cut"));
     assertInstanceOf(
@@ -130,7 +130,7 @@
   }
 
   @Test
-  void anOrderForWhichNoConnectionWasMadeIsToldApart() {
+  void anOrderWithoutAConnectionCountsAsNotSent() {
     assertEquals(
         new OrderOutcome.NotSent("refused"),
         ExecutorMessages.decode(POLL, new HttpResult.Failed(new IOException("refused"), false)));
--- a/fescuehook/src/test/java/org/fescuehook/platform/ExecutorParserTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/ExecutorParserTest.java
@@ -26,7 +26,7 @@
     return ExecutorParser.parse("i-1", json.getBytes(StandardCharsets.UTF_8));
   }
 
-  private static void assertRefused(String part, String replacement) {
+  private static void assertRejected(String part, String replacement) {
     String entry = ENTRY.replace(part, replacement);
     assertThrows(MalformedMessageException.class, () -> parse(entry), entry);
   }
@@ -44,49 +44,51 @@
   }
 
   @Test
-  void anEntryTellsWhenItsExecutorStarted() throws MalformedMessageException {
-    Incarnation undated = Incarnation.undated(new ExecutorId("i-1"));
-    assertEquals(undated, parse(ENTRY).incarnation());
+  void theStartTimeIdentifiesTheIncarnation() throws MalformedMessageException {
+    Incarnation withoutStartTime = Incarnation.undated(new ExecutorId("i-1"));
+    assertEquals(withoutStartTime, parse(ENTRY).incarnation());
 
-    ExecutorProfile dated = parse(ENTRY.replace("\"slots\"", "\"born\":1786115069591,\"slots\""));
-    assertEquals(undated.datedBy(OptionalLong.of(1_786_115_069_591L)), dated.incarnation());
+    ExecutorProfile withStartTime =
+        parse(ENTRY.replace("\"slots\"", "\"born\":1786115069591,\"slots\""));
+    assertEquals(
+        withoutStartTime.datedBy(OptionalLong.of(1_786_115_069_591L)), withStartTime.incarnation());
   }
 
   @Test
-  void anEntryWithABirthOfAnotherTypeIsRefused() {
-    assertRefused("\"slots\"", "\"born\":\"1786115069591\",\"slots\"");
-    assertRefused("\"slots\"", "\"born\":1.5,\"slots\"");
-    assertRefused("\"slots\"", "\"born\":null,\"slots\"");
+  void anEntryWithAMalformedStartTimeIsRejected() {
+    assertRejected("\"slots\"", "\"born\":\"1786115069591\",\"slots\"");
+    assertRejected("\"slots\"", "\"born\":1.5,\"slots\"");
+    assertRejected("\"slots\"", "\"born\":null,\"slots\"");
   }
 
   @Test
-  void anEntryWithoutAddressOrRackIsRefused() {
-    assertRefused("10.128.0.9:8080", "host:1");
-    assertRefused("10.128.0.9:8080", "10.0.0.1");
-    assertRefused("[\"k\",\"r1-3\"]", "[]");
-    assertRefused("\"labels\"", "\"other\"");
+  void anEntryWithoutAddressOrRackIsRejected() {
+    assertRejected("10.128.0.9:8080", "host:1");
+    assertRejected("10.128.0.9:8080", "10.0.0.1");
+    assertRejected("[\"k\",\"r1-3\"]", "[]");
+    assertRejected("\"labels\"", "\"other\"");
   }
 
   @Test
-  void anEntryInAnUnknownStateIsRefused() {
-    assertRefused("draining", "paused");
-    assertRefused("\"draining\"", "7");
-    assertRefused("\"state\"", "\"other\"");
+  void anEntryInAnUnknownStateIsRejected() {
+    assertRejected("draining", "paused");
+    assertRejected("\"draining\"", "7");
+    assertRejected("\"state\"", "\"other\"");
   }
 
   @Test
-  void nothingIsReadAsAnotherType() {
-    assertRefused("64000", "\"64000\"");
-    assertRefused("64000", "-1");
-    assertRefused("64000", "1e30");
-    assertRefused("64000", "99999999999999999999");
-    assertRefused("{\"cpu\":64000,\"memMb\":262144,\"gpu\":8}", "8");
-    assertRefused("\"p\"", "null");
-    assertRefused("\"a\"", "[\"a\"]");
+  void fieldsAreNotConvertedToAnotherType() {
+    assertRejected("64000", "\"64000\"");
+    assertRejected("64000", "-1");
+    assertRejected("64000", "1e30");
+    assertRejected("64000", "99999999999999999999");
+    assertRejected("{\"cpu\":64000,\"memMb\":262144,\"gpu\":8}", "8");
+    assertRejected("\"p\"", "null");
+    assertRejected("\"a\"", "[\"a\"]");
   }
 
   @Test
-  void anEntryWithoutANameIsRefused() {
+  void anEntryWithABlankIdIsRejected() {
     byte[] entry = ENTRY.getBytes(StandardCharsets.UTF_8);
     assertThrows(MalformedMessageException.class, () -> ExecutorParser.parse(" ", entry));
   }
--- a/fescuehook/src/test/java/org/fescuehook/platform/FaultyListenerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/FaultyListenerTest.java
@@ -25,7 +25,7 @@
  */
 class FaultyListenerTest {
 
-  private static final long PATIENCE_SECONDS = 5;
+  private static final long TIMEOUT_SECONDS = 5;
   private static final String PAGE = "{\"items\":[],\"hasMore\":false,\"endOffset\":0}";
 
   private final EventLoopGroup loops =
@@ -44,7 +44,7 @@
 
   /** Has no memory for the first answer. */
   private static final class Listener implements StreamFollower.Listener {
-    private final BlockingQueue<Long> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Long> reportedEnds = new LinkedBlockingQueue<>();
     private boolean faulty = true;
 
     @Override
@@ -58,7 +58,7 @@
         faulty = false;
         throw new OutOfMemoryError("on purpose");
       }
-      told.add(end);
+      reportedEnds.add(end);
     }
 
     @Override
@@ -68,21 +68,22 @@
   }
 
   @Test
-  void aTopicIsReadOnAfterAFaultOfItsListener() throws Exception {
+  void aTopicIsStillReadAfterItsListenerThrows() throws Exception {
     for (int i = 0; i < 50; i++) {
       server.then(new ScriptedServer.Act.Answer(200, PAGE));
     }
     Listener listener = new Listener();
-    StreamFollower.Pace pace =
-        new StreamFollower.Pace(Duration.ofMillis(100), Duration.ofMillis(10));
+    StreamFollower.ReadTiming timing =
+        new StreamFollower.ReadTiming(Duration.ofMillis(100), Duration.ofMillis(10));
     new StreamFollower(
             loops.next(),
             server.address(),
             new ResponseTimeEstimator(RepeatedRead.NEVER_LATE),
             Topic.OWNERSHIP,
-            pace,
+            timing,
             listener)
         .start();
-    assertNotNull(listener.told.poll(PATIENCE_SECONDS, TimeUnit.SECONDS), "nothing more was read");
+    assertNotNull(
+        listener.reportedEnds.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS), "nothing more was read");
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/platform/ForeignEntryProperties.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/ForeignEntryProperties.java
@@ -42,7 +42,7 @@
       "tenants":[{"name":"t","apiKeys":["k1"],"guaranteed":{"gpu":48}}]}
       """;
 
-  private static final String REPORT =
+  private static final String POLL_ANSWER =
       """
       {"clockMs":482113,"active":[["5c0e7a21d94b36f8.0.1.17",2,"cp",41,7]],
       "finished":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""]]}
@@ -65,7 +65,7 @@
           "/sequence");
 
   /** Values of which none can stand in any of the fields. */
-  private static final List<String> NO_VALUES =
+  private static final List<String> INVALID_VALUES =
       List.of("null", "true", "-3", "{}", "[7]", "\" \"", "[null]", "1e300");
 
   @Provide
@@ -74,8 +74,8 @@
   }
 
   @Provide
-  Arbitrary<String> noValues() {
-    return Arbitraries.of(NO_VALUES);
+  Arbitrary<String> invalidValues() {
+    return Arbitraries.of(INVALID_VALUES);
   }
 
   private static byte[] bytes(String text) {
@@ -89,65 +89,65 @@
   private static byte[] with(String pointer, Optional<String> value)
       throws MalformedMessageException {
     ObjectNode entry = tree(ENTRY);
-    int cut = pointer.lastIndexOf('/');
-    ObjectNode parent = (ObjectNode) entry.at(pointer.substring(0, cut));
-    String field = pointer.substring(cut + 1);
+    int lastSlash = pointer.lastIndexOf('/');
+    ObjectNode parent = (ObjectNode) entry.at(pointer.substring(0, lastSlash));
+    String field = pointer.substring(lastSlash + 1);
     if (value.isEmpty()) {
       parent.remove(field);
     } else {
-      JsonNode other = tree("{\"v\":" + value.get() + "}").get("v");
-      parent.set(field, other);
+      JsonNode replacement = tree("{\"v\":" + value.get() + "}").get("v");
+      parent.set(field, replacement);
     }
     return WireJson.write(entry);
   }
 
-  private static void assertNamesNoExecutor(byte[] entry) {
+  private static void assertRejectedAndUnlisted(byte[] entry) {
     assertThrows(MalformedMessageException.class, () -> ExecutorParser.parse("i-1", entry));
     List<StreamRecord> records =
         List.of(
             new StreamRecord(1, "i-0", Optional.of(bytes(ENTRY))),
             new StreamRecord(2, "i-1", Optional.of(entry)),
             new StreamRecord(3, "i-2", Optional.of(bytes(ENTRY))));
-    List<ExecutorId> named =
+    List<ExecutorId> listed =
         ExecutorEntries.profiles(records).stream().map(ExecutorProfile::id).toList();
-    assertEquals(List.of(new ExecutorId("i-0"), new ExecutorId("i-2")), named);
+    assertEquals(List.of(new ExecutorId("i-0"), new ExecutorId("i-2")), listed);
     assertEquals(
         Optional.of(new BatchEvent.ExecutorUnlisted(new ExecutorId("i-1"))),
         ExecutorEntries.event(records.get(1)));
   }
 
   @Property
-  void anEntryThatLacksAFieldNamesNoExecutor(@ForAll("entryFields") String field)
+  void anEntryThatLacksAFieldIsRejected(@ForAll("entryFields") String field)
       throws MalformedMessageException {
-    assertNamesNoExecutor(with(field, Optional.empty()));
+    assertRejectedAndUnlisted(with(field, Optional.empty()));
   }
 
   @Property
-  void anEntryWithAFieldOfAnotherTypeNamesNoExecutor(
-      @ForAll("entryFields") String field, @ForAll("noValues") String value)
+  void anEntryWithAFieldOfAnotherTypeIsRejected(
+      @ForAll("entryFields") String field, @ForAll("invalidValues") String value)
       throws MalformedMessageException {
-    assertNamesNoExecutor(with(field, Optional.of(value)));
+    assertRejectedAndUnlisted(with(field, Optional.of(value)));
   }
 
   @Property
-  void anEntryThatIsCutNamesNoExecutor(@ForAll int at) {
+  void aTruncatedEntryIsRejected(@ForAll int at) {
     byte[] whole = bytes(ENTRY.strip());
-    assertNamesNoExecutor(Arrays.copyOf(whole, Math.floorMod(at, whole.length)));
+    assertRejectedAndUnlisted(Arrays.copyOf(whole, Math.floorMod(at, whole.length)));
   }
 
   @Property
-  void anyBytesAreAnEntryOrAreRefused(@ForAll byte[] entry, @ForAll String key) {
+  void arbitraryBytesAreRejectedAsAnEntry(@ForAll byte[] entry, @ForAll String key) {
     StreamRecord record = new StreamRecord(1, key, Optional.of(entry));
     assertEquals(List.of(), ExecutorEntries.profiles(List.of(record)));
     assertEquals(key.isBlank(), ExecutorEntries.event(record).isEmpty());
   }
 
   @Property
-  void aConfigurationThatIsDamagedIsRefusedOrReadWhole(@ForAll int at, @ForAll byte replacement) {
-    byte[] damaged = bytes(CONFIGURATION);
-    damaged[Math.floorMod(at, damaged.length)] = replacement;
+  void aCorruptConfigurationIsRejectedOrReadInFull(@ForAll int at, @ForAll byte replacement) {
+    byte[] corrupted = bytes(CONFIGURATION);
+    corrupted[Math.floorMod(at, corrupted.length)] = replacement;
     try {
-      assertEquals(1, ConfigurationParser.parse(damaged).routes().routes().size());
+      assertEquals(1, ConfigurationParser.parse(corrupted).routes().routes().size());
     } catch (MalformedMessageException e) {
       assertTrue(!e.getMessage().isBlank());
     }
@@ -155,11 +155,11 @@
 
   /** A report that cannot be read counts as none: the executor's lease is not extended by it. */
   @Property
-  void aReportThatIsDamagedIsNoAnswerOrReadWhole(@ForAll int at, @ForAll byte replacement) {
-    byte[] damaged = bytes(REPORT);
-    damaged[Math.floorMod(at, damaged.length)] = replacement;
+  void aCorruptPollAnswerIsRejectedOrReadInFull(@ForAll int at, @ForAll byte replacement) {
+    byte[] corrupted = bytes(POLL_ANSWER);
+    corrupted[Math.floorMod(at, corrupted.length)] = replacement;
     OrderOutcome outcome =
-        ExecutorMessages.decode(ExecutorMessagesTest.POLL, new HttpResult.Answered(200, damaged));
+        ExecutorMessages.decode(ExecutorMessagesTest.POLL, new HttpResult.Answered(200, corrupted));
     if (!(outcome instanceof OrderOutcome.Polled)) {
       assertInstanceOf(OrderOutcome.Unanswered.class, outcome);
     }
--- a/fescuehook/src/test/java/org/fescuehook/platform/ForgottenOrderTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/ForgottenOrderTest.java
@@ -37,9 +37,9 @@
 class ForgottenOrderTest {
 
   /** As many as there are connections for orders to one executor. */
-  private static final int AT_ONCE = 3;
+  private static final int ORDER_CONNECTIONS = 3;
 
-  private static final long PATIENCE_SECONDS = 3;
+  private static final long TIMEOUT_SECONDS = 3;
 
   private final EventLoopGroup loops =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -73,38 +73,38 @@
   }
 
   @Test
-  void anOrderThatWaitsIsNotSentOnceItsExecutorIsForgotten() throws Exception {
-    for (int i = 0; i < AT_ONCE; i++) {
+  void aQueuedOrderIsNotSentAfterItsExecutorIsForgotten() throws Exception {
+    for (int i = 0; i < ORDER_CONNECTIONS; i++) {
       server.then(new ScriptedServer.Act.Silence());
     }
     server.then(new ScriptedServer.Act.Answer(409, "{\"reason\":\"fence\"}"));
     ExecutorClient client =
         new ExecutorClient(loops.next(), (id, number, outcome) -> outcomes.add(outcome));
-    for (int number = 0; number <= AT_ONCE; number++) {
+    for (int number = 0; number <= ORDER_CONNECTIONS; number++) {
       client.send(stop(number));
     }
     client.forgetAll();
-    List<OrderOutcome> heard = new ArrayList<>();
-    for (int i = 0; i <= AT_ONCE; i++) {
-      OrderOutcome outcome = outcomes.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    List<OrderOutcome> received = new ArrayList<>();
+    for (int i = 0; i <= ORDER_CONNECTIONS; i++) {
+      OrderOutcome outcome = outcomes.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
       if (outcome != null) {
-        heard.add(outcome);
+        received.add(outcome);
       }
     }
-    long turnedAway =
-        heard.stream().filter(new OrderOutcome.Rejected(Rejection.FENCED)::equals).count();
-    assertEquals(0, turnedAway, heard::toString);
+    long fenced =
+        received.stream().filter(new OrderOutcome.Rejected(Rejection.FENCED)::equals).count();
+    assertEquals(0, fenced, received::toString);
   }
 
   /** The connection that the order waits for is being opened when its executor is forgotten. */
   @Test
-  void anOrderWhoseConnectionIsBeingOpenedIsNotSentOnceItsExecutorIsForgotten() throws Exception {
+  void anOrderIsNotSentOnAConnectionThatOpensAfterItsExecutorIsForgotten() throws Exception {
     server.then(new ScriptedServer.Act.Answer(409, "{\"reason\":\"fence\"}"));
     ExecutorClient client =
         new ExecutorClient(loops.next(), (id, number, outcome) -> outcomes.add(outcome));
     client.send(stop(0));
     client.forgetAll();
-    OrderOutcome outcome = outcomes.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    OrderOutcome outcome = outcomes.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     assertNotEquals(new OrderOutcome.Rejected(Rejection.FENCED), outcome);
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/platform/NamelessAdviceTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/NamelessAdviceTest.java
@@ -15,7 +15,7 @@
 class NamelessAdviceTest {
 
   @Test
-  void anAnswerThatNamesNoExecutorIsNoAdvice() {
+  void anAnswerWithABlankExecutorIdIsUnavailableAdvice() {
     byte[] answer =
         "{\"allowed\":[[\"\",\"t-1\"]],\"validityMs\":3000}".getBytes(StandardCharsets.UTF_8);
     assertInstanceOf(
--- a/fescuehook/src/test/java/org/fescuehook/platform/RecordFramingTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/RecordFramingTest.java
@@ -23,14 +23,14 @@
   }
 
   @Test
-  void aRecordIsItsLengthItsKeyLengthItsKeyAndItsValue() {
+  void aRecordIsEncodedAsLengthKeyLengthKeyAndValue() {
     byte[] framed = RecordFraming.encode(List.of(new KeyedRecord("ab", Optional.of(text("c")))));
 
     assertArrayEquals(new byte[] {0, 0, 0, 4, 2, 'a', 'b', 'c'}, framed);
   }
 
   @Test
-  void whatIsAppendedIsReadWithItsOffsets() throws MalformedMessageException {
+  void encodedRecordsAreDecodedWithTheirOffsets() throws MalformedMessageException {
     byte[] framed =
         RecordFraming.encode(
             List.of(
@@ -48,16 +48,17 @@
   }
 
   @Test
-  void anAnswerThatEndsWithinARecordIsRefused() {
+  void aTruncatedRecordIsRejected() {
     byte[] framed = RecordFraming.encode(List.of(new KeyedRecord("k", Optional.of(text("value")))));
     for (int kept = 1; kept < framed.length; kept++) {
-      byte[] cut = ByteBuffer.allocate(kept).put(framed, 0, kept).array();
-      assertThrows(MalformedMessageException.class, () -> RecordFraming.decode(answer(1, cut), 0));
+      byte[] truncated = ByteBuffer.allocate(kept).put(framed, 0, kept).array();
+      assertThrows(
+          MalformedMessageException.class, () -> RecordFraming.decode(answer(1, truncated), 0));
     }
   }
 
   @Test
-  void anAnswerShorterThanItsHeadIsRefused() {
+  void anAnswerShorterThanItsHeaderIsRejected() {
     assertThrows(MalformedMessageException.class, () -> RecordFraming.decode(new byte[15], 0));
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/platform/RepeatedReadTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/RepeatedReadTest.java
@@ -28,18 +28,18 @@
   }
 
   @Test
-  void anAnswerInTimeIsTheOnlyAsk() {
+  void aTimelyAnswerTakesOneRequest() {
     begin(WAIT);
     link.answer(0, 1004, NOTHING_NEW);
     link.runUntil(20_000);
     assertEquals(List.of(NOTHING_NEW), listener.outcomes);
-    assertEquals(1, link.asks.size());
+    assertEquals(1, link.requests.size());
     assertEquals(0, listener.late);
   }
 
   /** Seen: each try of a page was given up after 0.7 s, and no page ever came. */
   @Test
-  void anAskThatIsLateIsNotGivenUpForThat() {
+  void aLateRequestStaysOpen() {
     begin(Duration.ZERO);
     link.answer(0, 3000, NOTHING_NEW);
     link.runUntil(20_000);
@@ -47,21 +47,21 @@
   }
 
   @Test
-  void theFirstAnswersOfASlowStoreShowThatItIsNotLate() {
+  void aSlowStoreIsNotAskedTwiceOnceItsResponseTimeIsKnown() {
     begin(Duration.ZERO);
     link.answer(0, 900, NOTHING_NEW);
     link.runUntil(900);
-    int first = link.asks.size();
+    int first = link.requests.size();
     begin(Duration.ZERO);
     link.answer(first, 1800, NOTHING_NEW);
     link.runUntil(20_000);
-    assertEquals(first + 1, link.asks.size());
+    assertEquals(first + 1, link.requests.size());
     assertEquals(2, listener.outcomes.size());
   }
 
   /** A read that waits for a record is answered after its wait, however quick the store is. */
   @Test
-  void theWaitOfAReadIsNoSlownessOfTheStore() {
+  void theRequestedWaitDoesNotCountAsResponseTime() {
     begin(WAIT);
     link.answer(0, 1004, NOTHING_NEW);
     link.runUntil(1004);
@@ -69,30 +69,30 @@
   }
 
   @Test
-  void aStoreThatWasSilentIsFoundBackWithinASecondAndNotWaitedForByTheNextAsk() {
+  void aSilentStoreIsAskedAgainWithinASecondAndWithoutAWait() {
     begin(WAIT);
     link.runUntil(6000);
-    int before = link.asks.size();
+    int before = link.requests.size();
     link.runUntil(7000);
-    assertTrue(link.asks.size() > before, "asked again");
-    assertEquals(Duration.ZERO, link.asks.getLast().wait);
+    assertTrue(link.requests.size() > before, "asked again");
+    assertEquals(Duration.ZERO, link.requests.getLast().wait);
     link.answer(before, 7004, NOTHING_NEW);
     link.runUntil(20_000);
     assertEquals(List.of(NOTHING_NEW), listener.outcomes);
   }
 
   @Test
-  void ofManyAsksWithoutAnAnswerTheFirstAndTheNewestStayUnderWay() {
+  void theFirstAndTheNewestUnansweredRequestsStayOpen() {
     begin(WAIT);
     link.runUntil(8000);
-    List<Ask> open = link.asks.stream().filter(ask -> !ask.givenUp).toList();
+    List<FakeRead> open = link.requests.stream().filter(request -> !request.givenUp).toList();
     assertEquals(3, open.size());
-    assertTrue(open.contains(link.asks.getFirst()) && open.contains(link.asks.getLast()));
-    assertEquals(link.asks.size() - 1, listener.late, "each further ask is told");
+    assertTrue(open.contains(link.requests.getFirst()) && open.contains(link.requests.getLast()));
+    assertEquals(link.requests.size() - 1, listener.late, "each further ask is told");
   }
 
   @Test
-  void aSilentStoreEndsTheReadOnce() {
+  void aSilentStoreFailsTheReadExactlyOnce() {
     begin(WAIT);
     link.runUntil(30_000);
     assertEquals(1, listener.outcomes.size());
@@ -100,16 +100,16 @@
   }
 
   @Test
-  void aFailureOfTheOnlyAskEndsTheReadAtOnce() {
+  void aFailureOfTheOnlyRequestEndsTheReadAtOnce() {
     begin(WAIT);
     link.answer(0, 5, FAILED);
     link.runUntil(20_000);
     assertEquals(List.of(FAILED), listener.outcomes);
-    assertEquals(1, link.asks.size());
+    assertEquals(1, link.requests.size());
   }
 
   @Test
-  void aFailureBesideAnotherAskIsNoOutcome() {
+  void aFailureIsIgnoredWhileAnotherRequestIsOpen() {
     begin(Duration.ZERO);
     link.runUntil(701);
     link.answer(1, 705, FAILED);
@@ -120,31 +120,31 @@
 
   /** A large page over a thin link takes seconds, and a second one beside it would take as long. */
   @Test
-  void anAnswerThatComesSteadilyIsNotAskedForAgain() {
+  void anAnswerThatArrivesSteadilyIsNotRequestedAgain() {
     begin(Duration.ZERO);
-    link.hear(0, 100, 3000);
+    link.receivePart(0, 100, 3000);
     link.answer(0, 3100, NOTHING_NEW);
     link.runUntil(20_000);
-    assertEquals(1, link.asks.size());
+    assertEquals(1, link.requests.size());
     assertEquals(List.of(NOTHING_NEW), listener.outcomes);
   }
 
   @Test
-  void anAnswerThatStopsMidwayIsAskedForAgain() {
+  void anAnswerThatStallsIsRequestedAgain() {
     begin(Duration.ZERO);
-    link.hear(0, 100, 300);
+    link.receivePart(0, 100, 300);
     link.runUntil(2000);
-    assertEquals(2, link.asks.size());
+    assertEquals(2, link.requests.size());
   }
 
   @Test
-  void aReadThatWasCancelledTellsNothing() {
+  void aCancelledReadReportsNothing() {
     RepeatedRead read = begin(WAIT);
     read.cancel();
     link.answer(0, 100, NOTHING_NEW);
     link.runUntil(20_000);
     assertEquals(List.of(), listener.outcomes);
-    assertTrue(link.asks.getFirst().givenUp);
+    assertTrue(link.requests.getFirst().givenUp);
     assertFalse(listener.late > 0);
   }
 
@@ -163,49 +163,49 @@
     }
   }
 
-  private static final class Ask implements RepeatedRead.Link.Asking {
+  private static final class FakeRead implements RepeatedRead.Link.InFlightRead {
     private final FakeLink link;
     private final Duration wait;
     private final Consumer<ReadOutcome> sink;
-    private final long askedAt;
+    private final long sentAt;
     private long firstPartAt = -1;
     private long lastPartAt = -1;
     private boolean givenUp;
-    private boolean over;
+    private boolean ended;
 
-    Ask(FakeLink link, Duration wait, Consumer<ReadOutcome> sink) {
+    FakeRead(FakeLink link, Duration wait, Consumer<ReadOutcome> sink) {
       this.link = link;
       this.wait = wait;
       this.sink = sink;
-      this.askedAt = link.millis;
+      this.sentAt = link.millis;
     }
 
-    void hear() {
+    void receivePart() {
       firstPartAt = firstPartAt < 0 ? link.millis : firstPartAt;
       lastPartAt = link.millis;
     }
 
     void end(ReadOutcome outcome) {
-      if (!over) {
-        over = true;
+      if (!ended) {
+        ended = true;
         sink.accept(outcome);
       }
     }
 
     @Override
     public boolean heardWithin(Duration time) {
-      return !over && lastPartAt >= 0 && link.millis - lastPartAt <= time.toMillis();
+      return !ended && lastPartAt >= 0 && link.millis - lastPartAt <= time.toMillis();
     }
 
     @Override
     public long firstPartNanos() {
-      return Duration.ofMillis(firstPartAt - askedAt).toNanos();
+      return Duration.ofMillis(firstPartAt - sentAt).toNanos();
     }
 
     @Override
     public void giveUp() {
       givenUp = true;
-      over = true;
+      ended = true;
     }
   }
 
@@ -213,16 +213,17 @@
   private static final class FakeLink implements RepeatedRead.Link {
     private static final long PART_MILLIS = 100;
 
-    private final List<Ask> asks = new ArrayList<>();
-    private final PriorityQueue<Timed> queue = new PriorityQueue<>();
+    private final List<FakeRead> requests = new ArrayList<>();
+    private final PriorityQueue<TimedAction> queue = new PriorityQueue<>();
     private long millis;
-    private long order;
+    private long sequence;
 
-    private record Timed(long at, long order, Runnable action) implements Comparable<Timed> {
+    private record TimedAction(long at, long sequence, Runnable action)
+        implements Comparable<TimedAction> {
       @Override
-      public int compareTo(Timed other) {
+      public int compareTo(TimedAction other) {
         int byTime = Long.compare(at, other.at);
-        return byTime == 0 ? Long.compare(order, other.order) : byTime;
+        return byTime == 0 ? Long.compare(sequence, other.sequence) : byTime;
       }
     }
 
@@ -232,11 +233,11 @@
     }
 
     @Override
-    public Asking ask(Duration wait, Duration limit, Consumer<ReadOutcome> sink) {
-      Ask ask = new Ask(this, wait, sink);
-      asks.add(ask);
-      after(limit, () -> ask.end(new ReadOutcome.Failed("timeout")));
-      return ask;
+    public InFlightRead send(Duration wait, Duration limit, Consumer<ReadOutcome> sink) {
+      FakeRead request = new FakeRead(this, wait, sink);
+      requests.add(request);
+      after(limit, () -> request.end(new ReadOutcome.Failed("timeout")));
+      return request;
     }
 
     @Override
@@ -244,30 +245,30 @@
       at(millis + delay.toMillis(), action);
     }
 
-    void answer(int ask, long atMillis, ReadOutcome outcome) {
+    void answer(int request, long atMillis, ReadOutcome outcome) {
       at(
           atMillis,
           () -> {
-            asks.get(ask).hear();
-            asks.get(ask).end(outcome);
+            requests.get(request).receivePart();
+            requests.get(request).end(outcome);
           });
     }
 
     /** Parts of an answer come steadily for a while. */
-    void hear(int ask, long fromMillis, long untilMillis) {
+    void receivePart(int request, long fromMillis, long untilMillis) {
       for (long at = fromMillis; at <= untilMillis; at += PART_MILLIS) {
-        at(at, () -> asks.get(ask).hear());
+        at(at, () -> requests.get(request).receivePart());
       }
     }
 
     private void at(long atMillis, Runnable action) {
-      order++;
-      queue.add(new Timed(atMillis, order, action));
+      sequence++;
+      queue.add(new TimedAction(atMillis, sequence, action));
     }
 
     void runUntil(long until) {
       while (!queue.isEmpty() && queue.peek().at() <= until) {
-        Timed next = queue.remove();
+        TimedAction next = queue.remove();
         millis = Math.max(millis, next.at());
         next.action().run();
       }
--- a/fescuehook/src/test/java/org/fescuehook/platform/SlowAnswersTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/SlowAnswersTest.java
@@ -23,8 +23,8 @@
  */
 class SlowAnswersTest {
 
-  private static final Duration ANSWER = Duration.ofMillis(1000);
-  private static final long PATIENCE_SECONDS = 20;
+  private static final Duration ANSWER_DELAY = Duration.ofMillis(1000);
+  private static final long TIMEOUT_SECONDS = 20;
   private static final int ANSWERS = 50;
   private static final String PAGE = "{\"items\":[],\"hasMore\":false,\"endOffset\":0}";
 
@@ -43,22 +43,22 @@
   }
 
   @Test
-  void aStoreThatIsSlowForEachAnswerIsReadAllTheSame() throws Exception {
+  void aTopicIsReadFromAStoreThatIsSlowForEachAnswer() throws Exception {
     for (int i = 0; i < ANSWERS; i++) {
-      server.then(new ScriptedServer.Act.LateAnswer(ANSWER, 200, PAGE));
+      server.then(new ScriptedServer.Act.LateAnswer(ANSWER_DELAY, 200, PAGE));
     }
     BlockingQueue<Long> ends = new LinkedBlockingQueue<>();
-    StreamFollower.Pace pace =
-        new StreamFollower.Pace(Duration.ofMillis(100), Duration.ofMillis(10));
+    StreamFollower.ReadTiming timing =
+        new StreamFollower.ReadTiming(Duration.ofMillis(100), Duration.ofMillis(10));
     new StreamFollower(
             loops.next(),
             server.address(),
             new ResponseTimeEstimator(RepeatedRead.NEVER_LATE),
             Topic.OWNERSHIP,
-            pace,
+            timing,
             new Listener(ends))
         .start();
-    assertNotNull(ends.poll(PATIENCE_SECONDS, TimeUnit.SECONDS), "the topic was not read");
+    assertNotNull(ends.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS), "the topic was not read");
   }
 
   private record Listener(BlockingQueue<Long> ends) implements StreamFollower.Listener {
--- a/fescuehook/src/test/java/org/fescuehook/platform/SlowPageTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/SlowPageTest.java
@@ -35,7 +35,7 @@
 
   private static final int PIECES = 8;
   private static final long PIECE_MILLIS = 200;
-  private static final long PATIENCE_SECONDS = 20;
+  private static final long TIMEOUT_SECONDS = 20;
   private static final String PAGE = "{\"items\":[],\"hasMore\":false,\"endOffset\":0}";
 
   private final EventLoopGroup loops =
@@ -92,7 +92,7 @@
     StoreReader reader =
         new StoreReader(loop, address, new ResponseTimeEstimator(RepeatedRead.NEVER_LATE));
     loop.execute(() -> reader.newest(Topic.STATE, Optional.empty(), new Listener(outcomes)));
-    ReadOutcome outcome = outcomes.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    ReadOutcome outcome = outcomes.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     assertInstanceOf(ReadOutcome.Newest.class, outcome, String.valueOf(outcome));
   }
 
--- a/fescuehook/src/test/java/org/fescuehook/platform/SubmissionParserTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/SubmissionParserTest.java
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void fieldsThatAreLeftOutAreZeroFalseOrEmpty() throws Exception {
+  void missingFieldsAreZeroFalseOrEmpty() throws Exception {
     BatchStep step = parse("{\"spec\":\"s\",\"steps\":[{\"count\":1}]}").steps().getFirst();
 
     assertEquals(ResourceVector.NONE, step.demand());
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void aJobWithTimesHasASchedule() throws Exception {
+  void aRepeatedJobHasASchedule() throws Exception {
     Submission job =
         parse("{\"steps\":[{\"count\":1}],\"repeatCount\":3,\"startAtMs\":1000,\"intervalMs\":50}");
 
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void whatIsNoJobIsRefused() {
+  void aMalformedSubmissionIsRejected() {
     assertMalformed("");
     assertMalformed("[]");
     assertMalformed("{");
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void aStepThatLastsHasItsBounds() throws Exception {
+  void aLongRunningStepHasItsAvailabilityBounds() throws Exception {
     BatchStep step =
         parse(
                 """
@@ -91,7 +91,7 @@
   }
 
   @Test
-  void aStepOnLeftoverCapacityNeedsNoCoresOfItsOwn() throws Exception {
+  void aStepOnUnusedCoresRequestsNoCores() throws Exception {
     BatchStep step =
         parse("{\"steps\":[{\"count\":1,\"cpu\":500,\"memMb\":9,\"utilization\":true}]}")
             .steps()
--- a/fescuehook/src/test/java/org/fescuehook/platform/UnsentOrderTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/UnsentOrderTest.java
@@ -30,7 +30,7 @@
 /** Only an order for which no connection was made is told to be unsent. */
 class UnsentOrderTest {
 
-  private static final long PATIENCE_SECONDS = 5;
+  private static final long TIMEOUT_SECONDS = 5;
 
   private final EventLoopGroup loops =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -49,7 +49,7 @@
     loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
   }
 
-  private OrderOutcome ended(int number) throws InterruptedException {
+  private OrderOutcome send(int number) throws InterruptedException {
     ExecutorProfile executor =
         new ExecutorProfile(
             Incarnation.undated(new ExecutorId("e")),
@@ -64,27 +64,27 @@
     TaskRun run = new TaskRun(new TaskName("a1", 0, 0, number), 1);
     ExecutorOrder start = new ExecutorOrder.Start(run, "s", "", Optional.empty(), 486_000);
     client.send(new BatchCommand.Order(executor, number, 7, start));
-    return outcomes.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    return outcomes.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
   @Test
-  void anOrderThatFindsNobodyListeningIsNotSent() throws Exception {
+  void anOrderToAClosedPortCountsAsNotSent() throws Exception {
     server.close();
-    assertInstanceOf(OrderOutcome.NotSent.class, ended(1));
+    assertInstanceOf(OrderOutcome.NotSent.class, send(1));
   }
 
   @Test
-  void anOrderThatWasWrittenAndNotAnsweredMayBeCarriedOut() throws Exception {
+  void anOrderWrittenWithoutAnAnswerCountsAsUnanswered() throws Exception {
     server.then(new ScriptedServer.Act.Silence(), new ScriptedServer.Act.Close());
-    assertInstanceOf(OrderOutcome.Unanswered.class, ended(1));
-    assertInstanceOf(OrderOutcome.Unanswered.class, ended(2));
+    assertInstanceOf(OrderOutcome.Unanswered.class, send(1));
+    assertInstanceOf(OrderOutcome.Unanswered.class, send(2));
   }
 
   @Test
-  void anOrderOnAConnectionThatWasKeptMayBeCarriedOut() throws Exception {
+  void anOrderOnAReusedConnectionThatClosesCountsAsUnanswered() throws Exception {
     server.then(
         new ScriptedServer.Act.Answer(200, "{\"clockMs\":5}"), new ScriptedServer.Act.Close());
-    assertEquals(new OrderOutcome.Done(5), ended(1));
-    assertInstanceOf(OrderOutcome.Unanswered.class, ended(2));
+    assertEquals(new OrderOutcome.Done(5), send(1));
+    assertInstanceOf(OrderOutcome.Unanswered.class, send(2));
   }
 }
