--- a/fescuehook/src/main/java/org/fescuehook/platform/AdviceClient.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/AdviceClient.java
@@ -18,12 +18,15 @@
 import org.fescuehook.net.http.HttpClientConnection;
 import org.fescuehook.net.http.HttpResult;
 
-/** The one client of the advice service; it has one call under way at most. */
+/** Sends questions to the advice service, one at a time. */
 public final class AdviceClient {
 
   private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(400);
 
-  /** The service takes its time for each executor named, and handles a VM's calls in turn. */
+  /**
+   * Timeout for an answer. The service needs time for each executor named, and handles the calls of
+   * a VM one after another.
+   */
   private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(5);
 
   /** Columns of a row of "allowed". */
@@ -35,10 +38,10 @@
   private final BiConsumer<Long, AdviceOutcome> sink;
 
   /**
-   * Creates a client that has not connected.
+   * Creates a client without a connection.
    *
-   * @param service where the service is; absent if there is none
-   * @param sink takes the number of a question and its outcome, on the event loop
+   * @param service the address of the service; absent if there is none
+   * @param sink receives the number of a question and its outcome, on the event loop
    */
   public AdviceClient(
       EventLoop loop, Optional<InetSocketAddress> service, BiConsumer<Long, AdviceOutcome> sink) {
@@ -47,14 +50,14 @@
     this.sink = sink;
   }
 
-  /** Asks a question. */
+  /** Sends a question; the outcome goes to the sink. */
   public void ask(BatchCommand.AskAdvice question) {
     if (connection.isEmpty()) {
       sink.accept(question.number(), new AdviceOutcome.Unavailable("no service in the settings"));
       return;
     }
     ObjectNode body = WireJson.object().put("stepId", question.step());
-    // The platform calls executors "workers" here.
+    // The advice protocol calls executors "workers".
     ArrayNode workers = body.putArray("workers");
     question.executors().forEach(executor -> workers.add(executor.value()));
     HttpCall call = HttpCall.json(HttpMethod.POST, "/-/advise", WireJson.write(body));
--- a/fescuehook/src/main/java/org/fescuehook/platform/CallerDeadline.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/CallerDeadline.java
@@ -3,23 +3,26 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import java.time.Duration;
 
-/** How long callers wait for their answers. */
+/** Reads how long a caller waits for its answer. */
 final class CallerDeadline {
 
   private static final String HEADER = "Deadline-Ms";
 
-  /** Patience of a caller that does not tell it. */
+  /** Deadline of a caller that sends no valid header. */
   private static final long DEFAULT_MILLIS = 3000;
 
-  /** No call is held longer, whatever its caller tells. */
+  /** Upper bound on the deadline that a caller can request. */
   private static final long MAX_MILLIS = 30_000;
 
-  /** The time that the request and its answer take on their way to and from the caller. */
+  /** Network time reserved for the request and its answer. */
   private static final long ROUND_TRIP_MILLIS = 200;
 
   private CallerDeadline() {}
 
-  /** Returns how long an answer to a request that has just come is of use. */
+  /**
+   * Returns the time within which a request that has just arrived has to be answered. The network
+   * time is subtracted, but never more than half of the caller's deadline.
+   */
   static Duration of(HttpHeaders headers) {
     long requested = Math.min(MAX_MILLIS, requestedMillis(headers.get(HEADER, "")));
     return Duration.ofMillis(Math.max(requested - ROUND_TRIP_MILLIS, Math.ceilDiv(requested, 2)));
--- a/fescuehook/src/main/java/org/fescuehook/platform/CallerEdge.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/CallerEdge.java
@@ -33,19 +33,23 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Where callers connect: reads their requests as calls about batch jobs. */
+/**
+ * HTTP server for callers. Parses their requests into calls about batch jobs and writes the
+ * answers.
+ */
 public final class CallerEdge {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(CallerEdge.class);
 
-  /** Largest body; the platform's configurations name this limit. */
+  /** Largest request body. The platform's configurations state the same limit. */
   private static final int MAX_BODY_BYTES = 262_144;
 
   private static final String API_KEY_HEADER = "Credential";
   private static final String JOB_ID = "[0-9a-fA-F]{16}";
 
   /**
-   * When callers come back after a refusal without a configuration, which comes within a second.
+   * Delay after which callers may retry a request that was refused because this VM has no
+   * configuration yet. The configuration is usually read within a second.
    */
   private static final long RETRY_AFTER_MILLIS = 1000;
 
@@ -55,19 +59,19 @@
   private volatile boolean closing;
   private final ServerPort listener;
 
-  /** Creates an edge that does not listen yet. */
+  /** Creates a server that does not listen yet. */
   public CallerEdge(EventLoopGroup loops, CallPort port) {
     this.listener = new ServerPort(loops, new Initializer());
     this.port = port;
   }
 
-  /** Puts a table of routes in force. */
+  /** Replaces the table of routes. */
   public void route(RouteTable newRoutes) {
     routes = Optional.of(newRoutes);
   }
 
   /**
-   * Listens.
+   * Starts listening.
    *
    * @throws IOException if the address cannot be bound
    */
@@ -75,22 +79,22 @@
     return listener.open(address);
   }
 
-  /** Has each further answer close its connection, so that callers go to other VMs. */
+  /** Makes each further answer close its connection, so that callers connect to other VMs. */
   public void beginClose() {
     closing = true;
   }
 
-  /** Accepts no further connection. */
+  /** Stops accepting connections. */
   public void stopListening() {
     listener.close();
   }
 
-  /** Returns the calls that have not been answered. */
+  /** Returns the number of requests that have not been answered. */
   public int inFlight() {
     return inFlight.get();
   }
 
-  /** Reads a request as a call, or answers it at once. */
+  /** Passes a request on as a call, or answers it at once if it cannot become one. */
   private void handle(FullHttpRequest request, Consumer<CallAnswer> sink) {
     Optional<RouteTable> table = routes;
     if (table.isEmpty()) {
@@ -147,7 +151,9 @@
   }
 
   private final class Initializer extends ChannelInitializer<SocketChannel> {
-    /** Idle connections are closed after this; four times the callers' patience. */
+    /**
+     * Time after which an idle connection is closed, several times the default deadline of callers.
+     */
     private static final int IDLE_TIMEOUT_SECONDS = 15;
 
     @Override
--- a/fescuehook/src/main/java/org/fescuehook/platform/CallerMessages.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/CallerMessages.java
@@ -12,7 +12,7 @@
 import org.fescuehook.logic.batch.call.CallAnswer;
 import org.fescuehook.model.batch.JobPhase;
 
-/** Answers to callers. */
+/** Encodes the answers to callers as HTTP responses. */
 final class CallerMessages {
 
   private static final long MILLIS_PER_SECOND = 1000;
@@ -37,7 +37,7 @@
     };
   }
 
-  /** The platform reads 503 as "was not accepted and never runs". */
+  /** Returns a 503 response, which the platform reads as "was not accepted and never runs". */
   private static FullHttpResponse refused(CallAnswer.Refused refused) {
     FullHttpResponse response =
         fault(HttpResponseStatus.SERVICE_UNAVAILABLE, refused.cause().tag());
--- a/fescuehook/src/main/java/org/fescuehook/platform/ConfigurationEntries.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/ConfigurationEntries.java
@@ -7,9 +7,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The operators' configurations as they are read. Of several that came together only the newest is
- * parsed: one of 1,400 routes keeps a VM of a third of a core busy for longer than the third of a
- * second that operators may leave between two of them.
+ * Selects the configuration to put in force from the records that are read. Of several read at
+ * once, only the newest is parsed: parsing 1,400 routes takes a VM with a third of a core longer
+ * than a third of a second, and operators may publish configurations at that interval.
  */
 final class ConfigurationEntries {
 
@@ -19,11 +19,12 @@
   private long version = Long.MIN_VALUE;
 
   /**
-   * Returns the configuration that is to be in force now.
+   * Returns the configuration to put in force.
    *
    * @param records records of the operators' topic in the order of their offsets, in which versions
    *     rise
-   * @return absent if none of them is newer than what was returned before, or none can be read
+   * @return absent if no record holds a readable configuration that is newer than the last one
+   *     returned
    */
   Optional<ConfigurationParser.Parsed> newest(List<StreamRecord> records) {
     List<byte[]> texts =
--- a/fescuehook/src/main/java/org/fescuehook/platform/ConfigurationParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/ConfigurationParser.java
@@ -11,23 +11,25 @@
 import org.fescuehook.model.batch.BatchOrganisation;
 import org.fescuehook.model.batch.JobQueue;
 
-/** Reads the operators' configuration as the platform holds it. */
+/** Parses the operators' configuration as the platform stores it. */
 final class ConfigurationParser {
 
   private ConfigurationParser() {}
 
   /**
-   * What the platform's configuration says.
+   * A parsed configuration.
    *
-   * @param configuration queues and organisations
-   * @param routes which calls belong to which queue
+   * @param configuration the queues and organisations
+   * @param routes the assignment of calls to queues
    */
   record Parsed(BatchConfiguration configuration, RouteTable routes) {}
 
   /**
-   * Parses a configuration. One with a fault is refused as a whole, so that the one in force stays.
+   * Parses a configuration. An invalid configuration is rejected as a whole, so that the current
+   * one stays in force.
    *
-   * @throws MalformedMessageException if it lacks a version or a name, or a field has another type
+   * @throws MalformedMessageException if the version or a name is missing, or a field has another
+   *     type
    */
   static Parsed parse(byte[] text) throws MalformedMessageException {
     WireFields body = new WireFields("configuration", WireJson.parse(text));
@@ -47,7 +49,10 @@
     return new Parsed(configuration, new RouteTable(configuration, routes));
   }
 
-  /** A route is a queue; its "service" names the pool of executors that runs its tasks. */
+  /**
+   * Returns the queue that a route describes. Its "service" names the pool of executors that run
+   * the tasks.
+   */
   private static JobQueue queue(WireFields route) throws MalformedMessageException {
     return new JobQueue(
         route.text("name"),
--- a/fescuehook/src/main/java/org/fescuehook/platform/ExecutorClient.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/ExecutorClient.java
@@ -17,35 +17,41 @@
 import org.fescuehook.net.http.HttpClientConnection;
 
 /**
- * The one client of the executors: to each of them a connection for polls, which may wait, and a
- * few for orders. All state belongs to one event loop.
+ * Sends orders to executors. Each executor has one connection for polls, which the executor may
+ * hold open, and a few for all other orders. All state is confined to one event loop.
  */
 public final class ExecutorClient {
 
-  /** Longest time to connect; the way between failure domains takes about 1 ms. */
+  /** Timeout for connecting. The network latency between failure domains is about 1 ms. */
   private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(400);
 
-  /** Longest time to the answer of an order, of which three fit into a gang's patience. */
+  /**
+   * Timeout for the answer to an order. Three such timeouts fit into the time that a gang waits for
+   * its members.
+   */
   private static final Duration ORDER_TIMEOUT = Duration.ofMillis(600);
 
   /**
-   * Added to the wait that a poll asks for: some hundred times the way there and back, and a pause
-   * of this VM. Until then ends on an executor whose answer was lost are not seen.
+   * Time added to the wait that a poll requests to get its timeout. It covers a hundred network
+   * round trips and a pause of this VM. If an answer is lost, runs that ended on the executor go
+   * unnoticed until the timeout.
    */
   private static final Duration POLL_TIMEOUT_MARGIN = Duration.ofMillis(350);
 
-  /** Connections for orders to one executor, so that one silent order does not hold the rest up. */
+  /**
+   * Connections for orders to one executor, so that one unanswered order does not delay the others.
+   */
   private static final int ORDER_CONNECTIONS = 3;
 
   private final EventLoop loop;
   private final Listener listener;
   private final Map<ExecutorId, Connections> executors = new HashMap<>();
 
-  /** Hears what became of an order, on the event loop. */
+  /** Receives the outcomes of orders on the event loop. */
   @FunctionalInterface
   public interface Listener {
 
-    /** An order ended. */
+    /** Called when the outcome of an order is known. */
     void ended(ExecutorId executor, long number, OrderOutcome outcome);
   }
 
@@ -64,12 +70,12 @@
                 .send(order));
   }
 
-  /** Closes the connections to an executor that is gone. */
+  /** Closes the connections to an executor and drops its queued orders. */
   public void forget(ExecutorId id) {
     loop.execute(() -> Optional.ofNullable(executors.remove(id)).ifPresent(Connections::close));
   }
 
-  /** Closes all connections. */
+  /** Closes all connections and drops all queued orders. */
   public void forgetAll() {
     loop.execute(
         () -> {
@@ -116,7 +122,7 @@
           }
           idle.add(connection());
         }
-        // The connection that was used last is surely open; others are used only if it is busy.
+        // Prefers the connection used last, as it is the most likely to be open still.
         HttpClientConnection free = idle.removeLast();
         exchange(
             free,
@@ -144,7 +150,10 @@
           });
     }
 
-    /** Who forgets an executor waits for none of its outcomes, so what was not sent is dropped. */
+    /**
+     * Drops the orders that have not been sent. Nothing waits for the outcomes of a forgotten
+     * executor.
+     */
     void close() {
       waiting.clear();
       all.forEach(HttpClientConnection::close);
--- a/fescuehook/src/main/java/org/fescuehook/platform/ExecutorEntries.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/ExecutorEntries.java
@@ -8,15 +8,15 @@
 import org.fescuehook.model.fleet.ExecutorId;
 
 /**
- * The executors' entries of the store as events. An entry that cannot be read names no executor to
- * use: what is known under its name counts as not listed, so that it gets nothing new while what
- * runs there is held. The other entries are not affected.
+ * Translates the executors' entries in the store to profiles and events. An executor whose entry
+ * cannot be read counts as not listed: it gets no new runs, and its current runs continue. Other
+ * entries are not affected.
  */
 final class ExecutorEntries {
 
   private ExecutorEntries() {}
 
-  /** Returns the executors that a whole list names. */
+  /** Returns the profiles of all executors with a readable entry. */
   static List<ExecutorProfile> profiles(List<StreamRecord> records) {
     List<ExecutorProfile> profiles = new ArrayList<>();
     for (StreamRecord record : records) {
@@ -25,7 +25,7 @@
     return profiles;
   }
 
-  /** Returns what a record says; absent if its key can be no executor's name. */
+  /** Returns the event for a changed entry; absent if its key is blank and thus no executor id. */
   static Optional<BatchEvent> event(StreamRecord record) {
     Optional<ExecutorProfile> profile = record.value().flatMap(text -> read(record.key(), text));
     if (profile.isPresent()) {
--- a/fescuehook/src/main/java/org/fescuehook/platform/ExecutorMessages.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/ExecutorMessages.java
@@ -17,12 +17,12 @@
 import org.fescuehook.net.http.HttpCall;
 import org.fescuehook.net.http.HttpResult;
 
-/** Orders to executors and their answers. */
+/** Encodes orders to executors and decodes the answers. */
 final class ExecutorMessages {
 
   private static final String INSTANCE_HEADER = "Expected-Instance";
 
-  /** Columns of a row of "active". */
+  /** Columns of a row of "active", the list of running tasks. */
   private static final int ACTIVE_TASK = 0;
 
   private static final int ACTIVE_RUN = 1;
@@ -30,7 +30,7 @@
   private static final int ACTIVE_PERCENT = 3;
   private static final int ACTIVE_LOAD = 4;
 
-  /** Columns of a row of "finished". */
+  /** Columns of a row of "finished", the list of ended runs. */
   private static final int FINISHED_NUMBER = 0;
 
   private static final int FINISHED_TASK = 1;
@@ -40,7 +40,7 @@
 
   private ExecutorMessages() {}
 
-  /** Encodes an order. */
+  /** Encodes an order as an HTTP request to the executor. */
   static HttpCall encode(ExecutorId executor, long fencingToken, ExecutorOrder order) {
     ObjectNode body = WireJson.object();
     String target =
@@ -83,7 +83,7 @@
     body.put("runId", run.number());
   }
 
-  /** Decodes what became of an order. */
+  /** Decodes the outcome of an order. */
   static OrderOutcome decode(ExecutorOrder order, HttpResult result) {
     return switch (result) {
       case HttpResult.Failed(Throwable cause, boolean maybeSent) ->
@@ -137,7 +137,7 @@
     return new OrderOutcome.Polled(answer.numberIfPresent("born"), clock, active, ended);
   }
 
-  /** A task is named ID.OCCURRENCE.STEP.INDEX. */
+  /** Parses a task name of the form JOB.OCCURRENCE.STEP.INDEX. */
   private static TaskRun run(JsonNode task, JsonNode number) throws MalformedMessageException {
     String[] parts = task.asText().split("\\.");
     if (parts.length != 4) {
--- a/fescuehook/src/main/java/org/fescuehook/platform/ExecutorParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/ExecutorParser.java
@@ -14,8 +14,8 @@
 import org.fescuehook.model.fleet.RackId;
 
 /**
- * Reads what an executor reports of itself. Entries may come from other writers: one that lacks a
- * field, or has one of another type or an unknown state, describes no executor.
+ * Parses the entry in which an executor describes itself. Other programs may write entries too, so
+ * an entry with a missing field, a field of another type or an unknown state is rejected.
  */
 final class ExecutorParser {
 
@@ -28,7 +28,7 @@
   /**
    * Parses an entry.
    *
-   * @throws MalformedMessageException if it does not describe an executor
+   * @throws MalformedMessageException if the entry does not describe an executor
    */
   static ExecutorProfile parse(String id, byte[] text) throws MalformedMessageException {
     if (id.isBlank()) {
@@ -36,7 +36,7 @@
     }
     WireFields fields = new WireFields("executor " + id, WireJson.parse(text));
     checkUnused(fields);
-    // The first label is the executor's kind, the last one its rack.
+    // The first label is the kind of executor, the last one is its rack.
     List<String> labels = fields.texts("labels");
     if (labels.isEmpty()) {
       throw new MalformedMessageException("executor " + id + " has no rack");
@@ -54,7 +54,10 @@
         fields.has("remainingMs") ? fields.millis("remainingMs") : 0);
   }
 
-  /** Fields without use here; that one is missing or of another type shows another writer. */
+  /**
+   * Checks fields that are not used here. If one is missing or of another type, another program
+   * wrote the entry.
+   */
   private static void checkUnused(WireFields fields) throws MalformedMessageException {
     fields.text("version");
     fields.count("slots");
--- a/fescuehook/src/main/java/org/fescuehook/platform/MalformedMessageException.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/MalformedMessageException.java
@@ -1,6 +1,6 @@
 package org.fescuehook.platform;
 
-/** A message of the platform, an executor or a caller cannot be read. */
+/** Thrown if a message of the platform, an executor or a caller cannot be parsed. */
 final class MalformedMessageException extends Exception {
 
   private static final long serialVersionUID = 1L;
--- a/fescuehook/src/main/java/org/fescuehook/platform/PlatformEvent.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/PlatformEvent.java
@@ -9,18 +9,21 @@
   /** A stream of the store can be read again. */
   STREAM_BACK(8201, "Stream {} of the store at {} read again after {} ms, end {}"),
   /** Records of a stream have expired before they were read. */
-  RECORDS_EXPIRED(8202, "Stream {}: records before {} have expired, newest values are read"),
+  RECORDS_EXPIRED(
+      8202, "Stream {}: records before {} have expired, reading the newest value of each key"),
   /** A record cannot be read. */
   RECORD_UNREADABLE(8203, "Record {} of stream {} cannot be read: {}"),
-  /** An append was not taken. */
-  APPEND_TROUBLE(8204, "Append {} {} to stream {}: {}"),
-  /** Configurations came faster than they were put in force. */
-  CONFIGURATIONS_SKIPPED(8205, "{} configurations skipped, as version {} came together with them"),
-  /** The store begins to take long for appends. */
+  /** An append was not stored, or its outcome is unknown. */
+  APPEND_TROUBLE(
+      8204, "Append with epoch {} and sequence number {} to stream {} was not confirmed: {}"),
+  /** Several configurations were read at once, and only the newest was put in force. */
+  CONFIGURATIONS_SKIPPED(
+      8205, "Skipped {} configurations superseded by version {} in the same read"),
+  /** Appends to the store have become slow. */
   STORE_SLOW(8206, "Appends to {} are slow: the last one took {} ms"),
-  /** The store is quick again. */
-  STORE_QUICK(8207, "Appends to {} are quick again: the last one took {} ms"),
-  /** The port of callers has a fault. */
+  /** Appends to the store are fast again. */
+  STORE_QUICK(8207, "Appends to {} are fast again: the last one took {} ms"),
+  /** A caller's connection was closed after an error. */
   CALLER_FAULT(8211, "Connection of caller {} closed: {}");
 
   private final int number;
--- a/fescuehook/src/main/java/org/fescuehook/platform/PlatformStore.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/PlatformStore.java
@@ -21,22 +21,31 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The platform's store as the decisions about batch jobs use it. */
+/**
+ * The platform's store as the scheduler of batch jobs uses it: reads ownership, configuration and
+ * executors, and appends to and loads the job state.
+ */
 public final class PlatformStore {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(PlatformStore.class);
 
-  /** A read of the owner's heartbeats waits for one or two of them. */
+  /**
+   * The pause is a little shorter than the interval of the owner's heartbeats, so a read returns
+   * one or two of them.
+   */
   private static final StreamFollower.ReadTiming OWNERSHIP_TIMING =
       new StreamFollower.ReadTiming(Duration.ofMillis(1000), Duration.ofMillis(400));
 
-  /** Changes are due in force within 2 s, also where a connection went silent. */
+  /**
+   * Configuration changes must take effect within 2 s, even if a connection has stopped responding.
+   */
   private static final StreamFollower.ReadTiming CONFIGURATION_TIMING =
       new StreamFollower.ReadTiming(Duration.ofMillis(1000), Duration.ZERO);
 
   /**
-   * Some twenty entries a second change. A leaving executor gets nothing new after 2 s, and one
-   * that is taken away at short notice should get none from the first moment.
+   * About twenty entries change per second; the pause collects several of them per read. A leaving
+   * executor must get no new run after 2 s, and one that is withdrawn at short notice should get
+   * none from the start.
    */
   private static final StreamFollower.ReadTiming EXECUTORS_TIMING =
       new StreamFollower.ReadTiming(Duration.ofMillis(1000), Duration.ofMillis(150));
@@ -52,10 +61,10 @@
   private final ConfigurationEntries configurations = new ConfigurationEntries();
 
   /**
-   * Creates the store's side of a VM; nothing is called yet.
+   * Creates the adapter without sending any request.
    *
-   * @param events takes what was read and what became of appends, on the event loop
-   * @param routes takes each newer table of routes, on the event loop
+   * @param events receives what was read and the outcomes of appends, on the event loop
+   * @param routes receives each newer table of routes, on the event loop
    */
   public PlatformStore(
       EventLoop loop,
@@ -86,20 +95,20 @@
             loop, address, readTimes, Topic.EXECUTORS, EXECUTORS_TIMING, new ExecutorsListener());
   }
 
-  /** Begins to follow the configuration and the owner. */
+  /** Starts following the configuration and the ownership records. */
   public void start() {
     configuration.start();
     ownership.start();
   }
 
-  /** Stops following. */
+  /** Stops following all topics. */
   public void stop() {
     configuration.stop();
     ownership.stop();
     executors.stop();
   }
 
-  /** Begins or ends to follow the executors. */
+  /** Starts or stops following the executors' entries. */
   public void followExecutors(boolean following) {
     if (following) {
       executors.start();
@@ -108,13 +117,13 @@
     }
   }
 
-  /** Appends records. */
+  /** Appends records; the outcome is reported as an event. */
   public void append(BatchCommand.Append append) {
     loop.execute(
         () -> appenders.get(append.stream()).append(append, outcome -> appended(append, outcome)));
   }
 
-  /** Returns how many appends were sent once more since their answers were late. */
+  /** Returns how many times an append was sent again because its answer was late. */
   public long repeatedAppends() {
     return appenders.values().stream().mapToLong(StreamAppender::repeatedSends).sum();
   }
@@ -132,14 +141,14 @@
     events.accept(new BatchEvent.Appended(append.stream(), append.position(), outcome));
   }
 
-  /** Reads a page of the jobs' stream. */
+  /** Reads a page of the job state; the records are reported as an event. */
   public void loadState(BatchCommand.LoadState load) {
     loop.execute(
         () ->
             stateReader.newest(Topic.STATE, load.afterKey(), new StatePageListener(load.epoch())));
   }
 
-  /** A page of the jobs' stream under way. */
+  /** Reports the outcome of reading a page of the job state. */
   private final class StatePageListener implements RepeatedRead.Listener {
     private final long epoch;
 
@@ -228,7 +237,7 @@
 
     @Override
     public void failed() {
-      // The configuration in force stays in force while the store is away.
+      // The current configuration stays in force while the store is unreachable.
     }
   }
 
@@ -245,7 +254,8 @@
 
     @Override
     public void failed() {
-      // Executors are polled directly; the list matters again once the store is back.
+      // Executors are polled directly, so their list is not needed until the store is reachable
+      // again.
     }
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/platform/ReadOutcome.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/ReadOutcome.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What a read of the store gave. */
+/** Outcome of a read of the store. */
 sealed interface ReadOutcome {
 
   /**
@@ -22,9 +22,11 @@
   record Newest(List<StreamRecord> records, Optional<String> moreAfter, long end)
       implements ReadOutcome {}
 
-  /** The records asked for have been deleted. */
+  /**
+   * The requested records have been deleted; {@code firstKept} is the first offset still available.
+   */
   record Expired(long firstKept) implements ReadOutcome {}
 
-  /** Nothing was read. */
+  /** The read failed. */
   record Failed(String reason) implements ReadOutcome {}
 }
--- a/fescuehook/src/main/java/org/fescuehook/platform/RecordFraming.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/RecordFraming.java
@@ -9,8 +9,8 @@
 import org.fescuehook.logic.batch.store.KeyedRecord;
 
 /**
- * Raw records of keyed topics: four bytes of length, big-endian, then one byte of key length, the
- * key and the value. A record without a value deletes its key.
+ * Encodes and decodes the binary records of keyed topics: four bytes of length (big-endian), one
+ * byte of key length, the key and the value. A record without a value deletes its key.
  */
 final class RecordFraming {
 
@@ -33,7 +33,7 @@
   }
 
   /**
-   * Decodes the answer of a read: the end and the first kept offset, then the records.
+   * Decodes the answer to a read: the end offset and the first retained offset, then the records.
    *
    * @param from offset of the first record
    * @throws MalformedMessageException if the bytes end within a record
@@ -44,7 +44,7 @@
     }
     ByteBuffer buffer = ByteBuffer.wrap(body);
     long end = buffer.getLong();
-    // The first kept offset; it matters only where a read asks for less.
+    // Skips the first retained offset, which matters only if a read asks for an earlier one.
     buffer.getLong();
     List<StreamRecord> records = new ArrayList<>();
     long offset = from;
--- a/fescuehook/src/main/java/org/fescuehook/platform/RepeatedRead.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/RepeatedRead.java
@@ -7,24 +7,31 @@
 import org.fescuehook.logic.batch.store.ResponseTimeEstimator;
 
 /**
- * One read of the store that is asked for again while its answer is late, beside the asks before
- * it, and has one outcome: the first answer. Reads have no effect, so any answer will do.
+ * A read of the store that is requested again, concurrently with the earlier requests, while its
+ * answer is late. Its outcome is the first answer: reads have no side effects, so any answer
+ * serves.
  *
- * <p>A late ask is not given up for that. A store that is slow answers it as soon as any other,
- * while a connection that has gone silent is replaced by that of the next ask.
+ * <p>A late request is not cancelled at once, as a slow store would answer a new request no sooner.
+ * If the connection has stopped responding instead, the next request uses another one.
  */
 final class RepeatedRead {
 
-  /** Time within which no answer is late: a large answer may be on the same link before it. */
+  /**
+   * Time within which no answer counts as late. A large answer may occupy the same network link
+   * first.
+   */
   static final Duration NEVER_LATE = Duration.ofMillis(700);
 
-  /** Longest time to the outcome beside the wait that a read asks for. */
+  /** Longest time to the outcome, in addition to the wait that the read requests from the store. */
   static final Duration TIMEOUT = Duration.ofSeconds(10);
 
-  /** Asks under way at most: the first one, which a slow store answers first, and the newest. */
+  /**
+   * Limit on open requests. The first one is kept, as a slow store answers it first, and the
+   * newest.
+   */
   private static final int MAX_OPEN_REQUESTS = 3;
 
-  /** How long an answer that has begun may pause until it counts as late. */
+  /** Longest gap between parts of an answer before the answer counts as late. */
   private static final Duration MAX_ANSWER_GAP = Duration.ofMillis(700);
 
   private final Link link;
@@ -35,50 +42,52 @@
   private final List<ReadRequest> open = new ArrayList<>();
   private boolean ended;
 
-  /** How a read gets to the store; all calls and callbacks are on one thread. */
+  /** Sends the requests of a read to the store. All calls and callbacks are made on one thread. */
   interface Link {
 
     /** Returns the monotonic time in nanoseconds. */
     long nowNanos();
 
     /**
-     * Asks once.
+     * Sends one request.
      *
      * @param wait how long the store may wait for a record
-     * @param limit longest time to the whole answer
-     * @param sink called once with what became of it
+     * @param limit longest time to the complete answer
+     * @param sink called once with the outcome of the request
      */
     InFlightRead send(Duration wait, Duration limit, Consumer<ReadOutcome> sink);
 
-    /** Does something after a while. */
+    /** Runs an action after a delay. */
     void after(Duration delay, Runnable action);
 
-    /** One ask under way. */
+    /** A request that has not been answered. */
     interface InFlightRead {
 
-      /** Tells whether a part of the answer has come within a time until now. */
+      /** Returns whether a part of the answer has arrived within the given last period. */
       boolean heardWithin(Duration time);
 
-      /** Returns how long the answer's first part took; without a meaning before it has come. */
+      /**
+       * Returns the time from the request to the first part of the answer; undefined before that
+       * part has arrived.
+       */
       long firstPartNanos();
 
-      /** Waits for it no longer; nothing is called afterwards. */
+      /** Abandons the request; its sink is not called afterwards. */
       void giveUp();
     }
   }
 
-  /** Hears of a read. */
+  /** Receives the progress and the outcome of a read. */
   interface Listener {
 
     /**
-     * No answer has come in the usual time, and the store is asked again. Called once for each
-     * further ask.
+     * Called before each repeated request, as no answer has arrived in the usual time.
      *
-     * @param time since the read was begun
+     * @param time time since the read began
      */
     void late(Duration time);
 
-    /** The read has ended. */
+    /** Called once with the outcome of the read. */
     void ended(ReadOutcome outcome);
   }
 
@@ -91,9 +100,9 @@
   }
 
   /**
-   * Begins a read.
+   * Begins a read and sends its first request.
    *
-   * @param times what is known of the store's answers to reads
+   * @param times the response times of reads; the answer adds its own
    * @param wait how long the store may wait for a record
    */
   static RepeatedRead begin(
@@ -103,7 +112,7 @@
     return read;
   }
 
-  /** Ends the read without an outcome. */
+  /** Cancels the read without an outcome. */
   void cancel() {
     ended = true;
     giveUpAll();
@@ -133,7 +142,7 @@
     if (open.size() == MAX_OPEN_REQUESTS) {
       open.remove(1).inFlight.giveUp();
     }
-    // What the store has now is enough; the first ask still waits for the next record.
+    // Requests what the store has now; the first request still waits for the next record.
     sendRequest(Duration.ZERO);
   }
 
@@ -146,7 +155,8 @@
       return;
     }
     long answerNanos = request.inFlight.firstPartNanos() - request.wait.toNanos();
-    // An answer within the wait came with a record, and tells nothing of the store's pace.
+    // An answer within the wait was triggered by a new record, so it says nothing about the store's
+    // response time.
     if (!failed && answerNanos > 0) {
       times.answered(answerNanos);
     }
@@ -161,7 +171,7 @@
     remaining.forEach(request -> request.inFlight.giveUp());
   }
 
-  /** One ask. */
+  /** One request to the store with the wait that it asks for. */
   private static final class ReadRequest {
     private final Duration wait;
     private Link.InFlightRead inFlight;
--- a/fescuehook/src/main/java/org/fescuehook/platform/RouteTable.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/RouteTable.java
@@ -6,21 +6,21 @@
 import org.fescuehook.model.batch.JobQueue;
 
 /**
- * Finds the queue of a call by its host and the longest prefix of its path.
+ * Maps a call to its queue by its host and the longest matching prefix of its path.
  *
  * @param configuration the configuration that the routes belong to
  */
 public record RouteTable(BatchConfiguration configuration, List<Route> routes) {
 
-  /** Copies the list. */
+  /** Creates a table with a copy of the list. */
   public RouteTable {
     routes = List.copyOf(routes);
   }
 
-  /** Calls to a host whose path begins with a prefix. */
+  /** Assigns the calls to a host whose path begins with a prefix to a queue. */
   public record Route(String host, String pathPrefix, JobQueue queue) {}
 
-  /** Finds the route of a call. */
+  /** Returns the route of a call; absent if none matches. */
   public Optional<Route> find(String host, String path) {
     Optional<Route> best = Optional.empty();
     for (Route route : routes) {
--- a/fescuehook/src/main/java/org/fescuehook/platform/StoreClient.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/StoreClient.java
@@ -20,8 +20,8 @@
 import org.fescuehook.net.http.HttpResult;
 
 /**
- * The one client of the platform's store. It has one connection, so one call at a time; who needs
- * calls side by side has several clients. A connection without a whole answer in time is closed.
+ * Client of the platform's store with one connection, which carries one call at a time. Concurrent
+ * calls need several clients. The connection is closed if an answer is not complete in time.
  */
 final class StoreClient {
 
@@ -30,7 +30,7 @@
   private static final String PRODUCER = "fescuehook";
   private static final String RAW = "application/octet-stream";
 
-  /** The store's word for an epoch below one that it has seen. */
+  /** Reason with which the store rejects an epoch lower than one it has seen. */
   private static final String REASON_FENCED = "fenced";
 
   private final HttpClientConnection connection;
@@ -43,17 +43,20 @@
     connection.close();
   }
 
-  /** Tells whether a part of the answer under way has come within a time until now. */
+  /** Returns whether a part of the pending answer has arrived within the given last period. */
   boolean heardWithin(Duration time) {
     return connection.heardWithin(time);
   }
 
-  /** Returns how long the first part of the last answer took; zero if none has come. */
+  /**
+   * Returns the time from the last request to the first part of its answer; zero if none has
+   * arrived.
+   */
   long firstPartNanos() {
     return connection.firstPartNanos();
   }
 
-  /** Appends framed records; the whole answer may take up to a limit. */
+  /** Appends framed records. The complete answer has to arrive within the limit. */
   void append(
       Topic topic,
       WriterPosition position,
@@ -92,7 +95,7 @@
         case 409 -> rejected(WireJson.parse(answer.body()));
         case 412 ->
             new AppendOutcome.Conflict(WireJson.parse(answer.body()).path("endOffset").asLong());
-        // The store says of these that nothing was done.
+        // With these statuses the store states that nothing was stored.
         case 400, 403, 413, 429, 503, 507 -> new AppendOutcome.Refused("status " + answer.status());
         default -> new AppendOutcome.Unanswered("status " + answer.status());
       };
@@ -108,7 +111,7 @@
     return new AppendOutcome.OutOfSequence(body.path("sequence").asLong());
   }
 
-  /** Reads records from an offset on; the store waits up to a time for the first one. */
+  /** Reads records from an offset on. The store waits up to the given time for the first one. */
   void read(Topic topic, long from, Duration wait, Duration limit, Consumer<ReadOutcome> sink) {
     String target =
         "/-/log-read?" + partition(topic) + "&startKey=" + from + "&waitMs=" + wait.toMillis();
@@ -138,10 +141,13 @@
     }
   }
 
-  /** Reads a page of the newest record of each key, after a key or from the start. */
+  /**
+   * Reads a page of the newest record of each key. The page begins after the given key, or with the
+   * first key.
+   */
   void newest(Topic topic, Optional<String> afterKey, Duration limit, Consumer<ReadOutcome> sink) {
     StringBuilder target = new StringBuilder("/-/log-newest?").append(partition(topic));
-    // The store takes the key that a page continues after under this name.
+    // The store's protocol uses this parameter for the key after which a page begins.
     afterKey.ifPresent(key -> target.append("&dependsOn=").append(encode(key)));
     HttpCall call = HttpCall.without(HttpMethod.GET, target.toString());
     connection.send(call, limit, result -> sink.accept(newest(result)));
--- a/fescuehook/src/main/java/org/fescuehook/platform/StoreReader.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/StoreReader.java
@@ -11,8 +11,8 @@
 import org.fescuehook.logic.batch.store.ResponseTimeEstimator;
 
 /**
- * Reads the store, one read at a time. While the store answers in time it uses one connection. All
- * calls are made on its event loop.
+ * Reads from the store, one read at a time. Opens further connections only while the store answers
+ * late. All calls must be made on its event loop.
  */
 final class StoreReader {
 
@@ -25,7 +25,7 @@
   /**
    * Creates a reader without a connection.
    *
-   * @param times what is known of the store's answers to reads, of all readers of this VM
+   * @param times the response times of reads, shared by all readers of this VM
    */
   StoreReader(EventLoop loop, InetSocketAddress address, ResponseTimeEstimator times) {
     this.loop = loop;
@@ -33,7 +33,10 @@
     this.times = times;
   }
 
-  /** Reads a page of the newest record of each key, after a key or from the start. */
+  /**
+   * Reads a page of the newest record of each key. The page begins after the given key, or with the
+   * first key.
+   */
   void newest(Topic topic, Optional<String> afterKey, RepeatedRead.Listener listener) {
     begin(
         Duration.ZERO,
@@ -41,7 +44,7 @@
         (client, wait, limit, sink) -> client.newest(topic, afterKey, limit, sink));
   }
 
-  /** Reads records from an offset on; waits up to a time for the first one. */
+  /** Reads records from an offset on. The store waits up to the given time for the first one. */
   void read(Topic topic, long from, Duration wait, RepeatedRead.Listener listener) {
     begin(
         wait,
@@ -49,7 +52,7 @@
         (client, waitTime, limit, sink) -> client.read(topic, from, waitTime, limit, sink));
   }
 
-  /** Ends the read under way without an outcome, and closes the connections. */
+  /** Cancels the current read without an outcome and closes the connections. */
   void close() {
     currentRead.ifPresent(RepeatedRead::cancel);
     idle.forEach(StoreClient::close);
@@ -61,7 +64,7 @@
     currentRead = Optional.of(RepeatedRead.begin(new ReadLink(request), times, wait, listener));
   }
 
-  /** What is asked of the store. */
+  /** Sends one kind of read request to the store. */
   private interface Request {
     void send(StoreClient client, Duration wait, Duration limit, Consumer<ReadOutcome> sink);
   }
@@ -80,7 +83,7 @@
 
     @Override
     public InFlightRead send(Duration wait, Duration limit, Consumer<ReadOutcome> sink) {
-      // The connection that was used last is surely open.
+      // Prefers the connection used last, as it is the most likely to be open still.
       StoreClient client = idle.isEmpty() ? new StoreClient(loop, address) : idle.removeLast();
       Exchange exchange = new Exchange(client);
       request.send(
@@ -100,7 +103,7 @@
     }
   }
 
-  /** One ask over a connection, which is used again if its answer came. */
+  /** One request over a connection. The connection is reused if its answer arrives. */
   private final class Exchange implements RepeatedRead.Link.InFlightRead {
     private final StoreClient client;
     private boolean released;
--- a/fescuehook/src/main/java/org/fescuehook/platform/StreamAppender.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/StreamAppender.java
@@ -19,14 +19,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Appends to one topic. While the store answers in time it uses one connection; an append whose
- * answer is late is sent again over another one. All state but the count belongs to one event loop.
+ * Appends to one topic. An append whose answer is late is sent again over another connection, so
+ * one connection is in use while the store answers in time. All state except the counter is
+ * confined to one event loop.
  */
 final class StreamAppender {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(StreamAppender.class);
 
-  /** As many as the appends that a slow store has under way need with all their open sends. */
+  /**
+   * Enough for all appends that are pending while the store is slow, with all of their repeated
+   * sends.
+   */
   private static final int MAX_CONNECTIONS = 24;
 
   private final EventLoop loop;
@@ -41,7 +45,7 @@
   /**
    * Creates an appender without a connection.
    *
-   * @param reads what is known of the store's answers to reads; an append takes up to twice as long
+   * @param reads the response times of reads; an append takes up to twice as long as a read
    */
   StreamAppender(
       EventLoop loop, InetSocketAddress address, Topic topic, ResponseTimeEstimator reads) {
@@ -51,7 +55,7 @@
     this.times = new ResponseTimeEstimator(RepeatedAppend.NEVER_LATE, reads);
   }
 
-  /** Returns how many sends were repeats of an append whose answer was late. */
+  /** Returns how many times an append was sent again because its answer was late. */
   long repeatedSends() {
     return repeatedSends.sum();
   }
@@ -103,7 +107,7 @@
         repeatedSends.increment();
       }
       sentBefore = true;
-      // The connection that was used last is surely open.
+      // Prefers the connection used last, as it is the most likely to be open still.
       StoreClient client = idle.isEmpty() ? new StoreClient(loop, address) : idle.removeLast();
       Exchange exchange = new Exchange(client);
       client.append(
@@ -125,7 +129,7 @@
     }
   }
 
-  /** One send over a connection, which is used again if its answer came. */
+  /** One send over a connection. The connection is reused if its answer arrives. */
   private final class Exchange implements RepeatedAppend.Link.Sending {
     private final StoreClient client;
     private boolean released;
--- a/fescuehook/src/main/java/org/fescuehook/platform/StreamFollower.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/StreamFollower.java
@@ -13,15 +13,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows a keyed topic: reads the newest record of each key, then each further record as it comes.
- * Where records have expired unread, it begins again with the newest ones. All state belongs to one
- * event loop.
+ * Follows a keyed topic: reads the newest record of each key, then each new record. If records
+ * expire before they are read, it starts over with the newest record of each key. All state is
+ * confined to one event loop.
  */
 final class StreamFollower {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(StreamFollower.class);
 
-  /** Pause after a failed read; the store's limits allow it for all VMs together. */
+  /**
+   * Pause after a failed read. The store's rate limits allow it even if all VMs retry at the same
+   * time.
+   */
   private static final Duration RETRY_DELAY = Duration.ofMillis(200);
 
   private final EventLoop loop;
@@ -39,30 +42,30 @@
   private long failingSince;
 
   /**
-   * How a topic is read.
+   * Timing of the reads of a topic.
    *
-   * @param longestWait how long a read waits for a record
-   * @param pause time between reads, so that several records come with one
+   * @param longestWait how long a read waits in the store for a record
+   * @param pause time between reads; several records that arrive meanwhile are read at once
    */
   record ReadTiming(Duration maxWait, Duration pause) {}
 
-  /** Hears what was read, on the event loop. */
+  /** Receives what was read, on the event loop. */
   interface Listener {
 
-    /** All newest records, in place of what was known. */
+    /** Receives the newest record of every key; they replace everything received before. */
     void newest(List<StreamRecord> records, long end);
 
-    /** The records that have come since; none if a read waited in vain. */
+    /** Receives the records that were appended since; empty if there were none within the wait. */
     void records(List<StreamRecord> records, long end);
 
-    /** A read failed, or its answer is late. */
+    /** Called when a read has failed or its answer is late. */
     void failed();
   }
 
   /**
-   * Creates a follower that does not run.
+   * Creates a follower that is not started.
    *
-   * @param times what is known of the store's answers to reads, of all readers of this VM
+   * @param times the response times of reads, shared by all readers of this VM
    */
   StreamFollower(
       EventLoop loop,
@@ -79,7 +82,7 @@
     this.listener = listener;
   }
 
-  /** Begins from the newest records; a follower that runs goes on. */
+  /** Starts with the newest record of each key. Has no effect on a running follower. */
   void start() {
     loop.execute(
         () -> {
@@ -93,7 +96,7 @@
         });
   }
 
-  /** Stops; nothing is reported afterwards. */
+  /** Stops the follower. The listener is not called afterwards. */
   void stop() {
     loop.execute(
         () -> {
@@ -142,7 +145,8 @@
 
   private void handlePage(ReadOutcome.Newest page, long readGeneration) {
     if (pageRecords.isEmpty()) {
-      // Pages are no snapshot: what changes after the first one is read again from here.
+      // The pages are no consistent snapshot, so changes since the first page are read again from
+      // here.
       nextOffset = page.end();
     }
     pageRecords.addAll(page.records());
@@ -158,8 +162,9 @@
   }
 
   /**
-   * Tells the listener and goes on. If that ends by a fault, what it was told is lost, so it is
-   * told of the newest records again; without that the topic would not be read any more.
+   * Calls the listener and schedules the next read, even if the listener throws; otherwise the
+   * topic would never be read again. After an exception the records may be lost, so reading starts
+   * over with the newest record of each key.
    */
   private void deliver(Runnable delivery, long readGeneration) {
     boolean delivered = false;
@@ -209,7 +214,7 @@
     listener.failed();
   }
 
-  /** One read under way. */
+  /** Reports the outcome of one read, unless the follower was stopped or restarted meanwhile. */
   private final class ReadListener implements RepeatedRead.Listener {
     private final long readGeneration;
 
--- a/fescuehook/src/main/java/org/fescuehook/platform/SubmissionParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/SubmissionParser.java
@@ -10,13 +10,13 @@
 import org.fescuehook.model.batch.Submission;
 import org.fescuehook.model.fleet.RackId;
 
-/** Reads a job as a caller hands it in. Fields that are 0, false or empty are left out there. */
+/** Parses the job that a caller submits. Callers omit fields that are 0, false or empty. */
 final class SubmissionParser {
 
-  /** The page's bound on the text that is passed to tasks. */
+  /** Largest size that the platform's protocol allows for the text passed to tasks. */
   private static final int MAX_SPEC_BYTES = 4_000;
 
-  /** More than any deployment's largest step; a bound on the memory that one call can take. */
+  /** Limits the memory that one call can use. Every deployment's largest step has fewer tasks. */
   private static final int MAX_TASKS = 10_000;
 
   private SubmissionParser() {}
@@ -24,13 +24,13 @@
   /**
    * Parses a job.
    *
-   * @throws MalformedMessageException if it is not a job
+   * @throws MalformedMessageException if the text is not a valid job
    */
   static Submission parse(byte[] text) throws MalformedMessageException {
     try {
       return submission(WireJson.parse(text));
     } catch (IllegalArgumentException e) {
-      // A name or amount that the model does not take, such as a blank rack.
+      // The model rejects the value of a field, such as a blank rack.
       throw new MalformedMessageException(String.valueOf(e.getMessage()), e);
     }
   }
@@ -90,7 +90,10 @@
         longRunning(step));
   }
 
-  /** A step with "utilization" gets cores that others leave unused, and none of its own. */
+  /**
+   * Returns the resources that a task requests. A step with "utilization" runs on cores that other
+   * tasks leave unused and requests none.
+   */
   private static ResourceVector demand(JsonNode step) {
     int cores = step.path("utilization").asBoolean() ? 0 : step.path("cpu").asInt();
     return new ResourceVector(cores, step.path("memMb").asInt(), step.path("gpu").asInt());
@@ -113,7 +116,7 @@
         step.path("antiAffinity").asInt());
   }
 
-  /** The requirement is one label, which some messages carry as a list of one. */
+  /** Returns the required label, which some callers send as a list of one. */
   private static Optional<String> label(JsonNode node) {
     return node.isArray() ? text(node.path(0)) : text(node);
   }
--- a/fescuehook/src/main/java/org/fescuehook/platform/Topic.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/Topic.java
@@ -6,14 +6,14 @@
 enum Topic {
   /** The operators' writes; the key "config" holds the whole configuration. */
   OPERATORS("keyed.op"),
-  /** The executors' entries, each under the executor's id. */
+  /** The entries in which executors describe themselves, each under the executor's id. */
   EXECUTORS("keyed.servers"),
-  /** The project's own stream of ownership. */
+  /** The scheduler's own topic of ownership records. */
   OWNERSHIP("keyed.fescuehook-owner"),
-  /** The project's own stream of jobs. */
+  /** The scheduler's own topic of job state. */
   STATE("keyed.fescuehook-jobs");
 
-  /** All topics that are used have one partition. */
+  /** The only partition of each topic in use. */
   static final int PARTITION = 0;
 
   private final String wireName;
--- a/fescuehook/src/main/java/org/fescuehook/platform/WireFields.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/WireFields.java
@@ -7,8 +7,8 @@
 import java.util.OptionalLong;
 
 /**
- * Reads the fields of a JSON object by their types. A field that is missing or of another type is a
- * fault that names the field; nothing is converted.
+ * Reads typed fields of a JSON object. Values are never converted; a field that is missing or has
+ * another type causes an exception that names the field.
  *
  * @param subject what the object describes, for messages
  * @param object the object
@@ -16,9 +16,9 @@
 record WireFields(String subject, JsonNode object) {
 
   /**
-   * Returns a text that is not blank.
+   * Returns a string that is not blank.
    *
-   * @throws MalformedMessageException if the field is missing, blank or no text
+   * @throws MalformedMessageException if the field is missing, blank or not a string
    */
   String text(String field) throws MalformedMessageException {
     JsonNode value = object.path(field);
@@ -29,7 +29,7 @@
   }
 
   /**
-   * Returns a whole number from 0 on.
+   * Returns a non-negative integer.
    *
    * @throws MalformedMessageException if the field is missing, negative, too large or no whole
    *     number
@@ -43,7 +43,7 @@
   }
 
   /**
-   * Returns a whole number from 0 on, which may be larger than a count.
+   * Returns a non-negative integer of up to 63 bits.
    *
    * @throws MalformedMessageException if the field is missing, negative, too large or no whole
    *     number
@@ -57,16 +57,16 @@
   }
 
   /**
-   * Returns a whole number from 0 on; absent if the field is missing.
+   * Returns a non-negative integer; absent if the field is missing.
    *
-   * @throws MalformedMessageException if the field is there and no such number
+   * @throws MalformedMessageException if the field is present but not such a number
    */
   OptionalLong numberIfPresent(String field) throws MalformedMessageException {
     return object.has(field) ? OptionalLong.of(number(field)) : OptionalLong.empty();
   }
 
   /**
-   * Returns a duration in milliseconds, without its fraction.
+   * Returns a duration in milliseconds; a fraction is dropped.
    *
    * @throws MalformedMessageException if the field is missing, negative, too large or no number
    */
@@ -92,7 +92,7 @@
   }
 
   /**
-   * Returns a truth value; false if the field is missing.
+   * Returns a boolean; false if the field is missing.
    *
    * @throws MalformedMessageException if the field is of another type
    */
@@ -103,7 +103,7 @@
     return object.path(field).booleanValue();
   }
 
-  /** Tells whether the object has a field that is not null, of whatever type. */
+  /** Returns whether the object has a field of any type that is not null. */
   boolean has(String field) {
     return object.hasNonNull(field);
   }
@@ -111,7 +111,7 @@
   /**
    * Returns the objects of a list.
    *
-   * @throws MalformedMessageException if the field is missing or no list, or an entry no object
+   * @throws MalformedMessageException if the field is missing or not a list of objects
    */
   List<WireFields> objects(String field) throws MalformedMessageException {
     JsonNode list = object.path(field);
@@ -129,18 +129,18 @@
   }
 
   /**
-   * Returns the fields of an object inside this one; absent if the field is missing.
+   * Returns the fields of a nested object; absent if the field is missing.
    *
-   * @throws MalformedMessageException if the field is no object
+   * @throws MalformedMessageException if the field is not an object
    */
   Optional<WireFields> innerIfPresent(String field) throws MalformedMessageException {
     return has(field) ? Optional.of(inner(field)) : Optional.empty();
   }
 
   /**
-   * Returns a list of texts that are not blank.
+   * Returns a list of strings that are not blank.
    *
-   * @throws MalformedMessageException if the field is missing or anything else
+   * @throws MalformedMessageException if the field is missing or not such a list
    */
   List<String> texts(String field) throws MalformedMessageException {
     JsonNode list = object.path(field);
@@ -158,9 +158,9 @@
   }
 
   /**
-   * Returns the fields of an object inside this one.
+   * Returns the fields of a nested object.
    *
-   * @throws MalformedMessageException if the field is missing or no object
+   * @throws MalformedMessageException if the field is missing or not an object
    */
   WireFields inner(String field) throws MalformedMessageException {
     JsonNode value = object.path(field);
--- a/fescuehook/src/main/java/org/fescuehook/platform/WireJson.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/WireJson.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 
-/** JSON of the platform's messages. */
+/** Parses and writes the JSON of the platform's messages. */
 final class WireJson {
 
   private static final ObjectMapper MAPPER =
@@ -16,7 +16,7 @@
   private WireJson() {}
 
   /**
-   * Parses an object.
+   * Parses a JSON object.
    *
    * @throws MalformedMessageException if the bytes are not one JSON object
    */
--- a/fescuehook/src/main/java/org/fescuehook/platform/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The users' platform: its store, its executors and its callers' protocol, each translated to and
- * from the product's own types. Nothing outside this package knows a name of the platform's
- * protocol, and nothing in it decides.
+ * Adapter to the users' platform. It translates the protocols of the platform's store, executors,
+ * advice service and callers to and from the scheduler's own types. Only this package knows the
+ * names used in those protocols, and it makes no scheduling decisions.
  */
 @NullMarked
 package org.fescuehook.platform;
--- a/fescuehook/src/test/java/org/fescuehook/platform/BlankRackTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/BlankRackTest.java
@@ -6,9 +6,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seen: a caller's connection is closed without an answer, and the VM waits for that call to the
- * last moment when it stops. The job named a rack of spaces for its data. Cause: the fault of that
- * name is not taken as a job that cannot be read.
+ * Guards against an exception other than {@link MalformedMessageException} for a rack name of
+ * spaces. It closed the caller's connection without an answer, and the call stayed open, so that
+ * the VM waited for it until the end of its graceful stop.
  */
 class BlankRackTest {
 
--- a/fescuehook/src/test/java/org/fescuehook/platform/ConfigurationEntriesTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/ConfigurationEntriesTest.java
@@ -8,7 +8,10 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** Pattern: an operator publishes a configuration each third of a second. */
+/**
+ * Covers configurations that are published faster than a VM can parse them, such as one each third
+ * of a second.
+ */
 class ConfigurationEntriesTest {
 
   private final ConfigurationEntries entries = new ConfigurationEntries();
--- a/fescuehook/src/test/java/org/fescuehook/platform/FaultyListenerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/FaultyListenerTest.java
@@ -17,11 +17,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seen: a VM reads nothing more of a topic until it is started anew, and logs nothing of it; of the
- * topic of owners it then knows none, of that of executors it never decides. Memory ran out once
- * while an answer was taken in. Cause: the next read is asked for only after the one before was
- * taken in without a fault; the fault closes the connection, and no request is under way that could
- * fail.
+ * Guards against a topic that is never read again, without a log line, after its listener has
+ * thrown an error, such as {@link OutOfMemoryError}. Without the topic of ownership a VM knows no
+ * owner, and without that of executors it cannot decide. It happened because the next read was
+ * requested only after the listener had returned normally: the error closed the connection, and no
+ * pending request was left that could fail and be retried.
  */
 class FaultyListenerTest {
 
@@ -42,7 +42,7 @@
     loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
   }
 
-  /** Has no memory for the first answer. */
+  /** Throws an {@link OutOfMemoryError} for the first answer. */
   private static final class Listener implements StreamFollower.Listener {
     private final BlockingQueue<Long> reportedEnds = new LinkedBlockingQueue<>();
     private boolean faulty = true;
@@ -63,7 +63,7 @@
 
     @Override
     public void failed() {
-      // The next read tells.
+      // The next read shows whether the topic is still read.
     }
   }
 
--- a/fescuehook/src/test/java/org/fescuehook/platform/ForeignEntryProperties.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/ForeignEntryProperties.java
@@ -23,8 +23,9 @@
 import org.fescuehook.net.http.HttpResult;
 
 /**
- * Records and reports that another writer made, or that were damaged: each field is taken out, set
- * to null or to another type, and the bytes are cut or replaced.
+ * Checks that malformed entries, configurations and poll answers are rejected. Other programs may
+ * write them and they may be corrupt: each field is removed, set to null or to another type, and
+ * bytes are truncated or replaced.
  */
 class ForeignEntryProperties {
 
@@ -64,7 +65,7 @@
           "/labels",
           "/sequence");
 
-  /** Values of which none can stand in any of the fields. */
+  /** Values that are invalid in each of the fields. */
   private static final List<String> INVALID_VALUES =
       List.of("null", "true", "-3", "{}", "[7]", "\" \"", "[null]", "1e300");
 
@@ -153,7 +154,10 @@
     }
   }
 
-  /** A report that cannot be read counts as none: the executor's lease is not extended by it. */
+  /**
+   * A poll answer that cannot be parsed must count as unanswered, so that it doesn't extend the
+   * executor's lease.
+   */
   @Property
   void aCorruptPollAnswerIsRejectedOrReadInFull(@ForAll int at, @ForAll byte replacement) {
     byte[] corrupted = bytes(POLL_ANSWER);
--- a/fescuehook/src/test/java/org/fescuehook/platform/ForgottenOrderTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/ForgottenOrderTest.java
@@ -29,14 +29,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seen: a VM has lost ownership and won it again, and gives it up once more for an executor that
- * turned an order away. The order was of its former epoch: it waited for a connection to an
- * executor that did not answer, and went out after the VM had forgotten all executors. Cause: the
- * connections are closed, but what waits for one of them is kept, and opens it anew.
+ * Guards against sending queued orders after their executor is forgotten. Such an order, of the
+ * VM's previous epoch, had waited for a connection to an executor that did not answer. The
+ * connections were closed but the queue was kept, and it opened a new connection. The executor
+ * rejected the old fencing token, so the VM gave up the ownership that it had just regained.
  */
 class ForgottenOrderTest {
 
-  /** As many as there are connections for orders to one executor. */
+  /** Number of connections for orders to one executor. */
   private static final int ORDER_CONNECTIONS = 3;
 
   private static final long TIMEOUT_SECONDS = 3;
@@ -96,7 +96,7 @@
     assertEquals(0, fenced, received::toString);
   }
 
-  /** The connection that the order waits for is being opened when its executor is forgotten. */
+  /** The executor is forgotten while the connection for the order is being opened. */
   @Test
   void anOrderIsNotSentOnAConnectionThatOpensAfterItsExecutorIsForgotten() throws Exception {
     server.then(new ScriptedServer.Act.Answer(409, "{\"reason\":\"fence\"}"));
--- a/fescuehook/src/test/java/org/fescuehook/platform/NamelessAdviceTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/NamelessAdviceTest.java
@@ -8,9 +8,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seen: no step that needs advice starts any more until another VM owns. The advice service named
- * an executor by an empty text once. Cause: the fault of that name is not taken as an answer that
- * cannot be read, so the question has no outcome and counts as under way for good.
+ * Guards against an uncaught exception when the advice service returns an empty executor id. The
+ * question then got no outcome and stayed pending, so no step that needs advice started until
+ * another VM became the owner.
  */
 class NamelessAdviceTest {
 
--- a/fescuehook/src/test/java/org/fescuehook/platform/RecordFramingTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/RecordFramingTest.java
@@ -17,7 +17,7 @@
     return value.getBytes(StandardCharsets.UTF_8);
   }
 
-  /** An answer of a read: the end and the first kept offset, then the records. */
+  /** Returns an answer to a read: the end offset, the first retained offset and the records. */
   private static byte[] answer(long end, byte[] records) {
     return ByteBuffer.allocate(16 + records.length).putLong(end).putLong(0).put(records).array();
   }
--- a/fescuehook/src/test/java/org/fescuehook/platform/RepeatedReadTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/RepeatedReadTest.java
@@ -37,7 +37,9 @@
     assertEquals(0, listener.late);
   }
 
-  /** Seen: each try of a page was given up after 0.7 s, and no page ever came. */
+  /**
+   * Guards against cancelling each request after 0.7 s, so that a slow store never delivers a page.
+   */
   @Test
   void aLateRequestStaysOpen() {
     begin(Duration.ZERO);
@@ -59,7 +61,7 @@
     assertEquals(2, listener.outcomes.size());
   }
 
-  /** A read that waits for a record is answered after its wait, however quick the store is. */
+  /** Without a new record even a fast store answers only after the wait that was requested. */
   @Test
   void theRequestedWaitDoesNotCountAsResponseTime() {
     begin(WAIT);
@@ -74,7 +76,7 @@
     link.runUntil(6000);
     int before = link.requests.size();
     link.runUntil(7000);
-    assertTrue(link.requests.size() > before, "asked again");
+    assertTrue(link.requests.size() > before, "no further request was sent");
     assertEquals(Duration.ZERO, link.requests.getLast().wait);
     link.answer(before, 7004, NOTHING_NEW);
     link.runUntil(20_000);
@@ -88,7 +90,7 @@
     List<FakeRead> open = link.requests.stream().filter(request -> !request.givenUp).toList();
     assertEquals(3, open.size());
     assertTrue(open.contains(link.requests.getFirst()) && open.contains(link.requests.getLast()));
-    assertEquals(link.requests.size() - 1, listener.late, "each further ask is told");
+    assertEquals(link.requests.size() - 1, listener.late, "each repeated request is reported");
   }
 
   @Test
@@ -118,7 +120,10 @@
     assertEquals(List.of(NOTHING_NEW), listener.outcomes);
   }
 
-  /** A large page over a thin link takes seconds, and a second one beside it would take as long. */
+  /**
+   * A large page takes seconds over a slow network link, and a concurrent second request would take
+   * as long.
+   */
   @Test
   void anAnswerThatArrivesSteadilyIsNotRequestedAgain() {
     begin(Duration.ZERO);
@@ -209,7 +214,7 @@
     }
   }
 
-  /** A link on a virtual clock, without a store behind it. */
+  /** A link with a virtual clock whose answers are scripted by the test. */
   private static final class FakeLink implements RepeatedRead.Link {
     private static final long PART_MILLIS = 100;
 
@@ -254,7 +259,7 @@
           });
     }
 
-    /** Parts of an answer come steadily for a while. */
+    /** Schedules parts of an answer at a steady rate. */
     void receivePart(int request, long fromMillis, long untilMillis) {
       for (long at = fromMillis; at <= untilMillis; at += PART_MILLIS) {
         at(at, () -> requests.get(request).receivePart());
--- a/fescuehook/src/test/java/org/fescuehook/platform/SlowAnswersTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/SlowAnswersTest.java
@@ -17,9 +17,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seen: while each answer of the store took 0.9 s, VMs that had come back asked for the first page
- * of each stream again and again; some knew no configuration and no owner for 16 s. Cause: a page
- * had 0.7 s, and each try closed the connection on which the answer was on its way.
+ * Guards against requesting the first page of a topic over and over while the store takes longer
+ * for each answer than the timeout of a request. With answers after 0.9 s and a timeout of 0.7 s,
+ * each timeout closed the connection on which the answer was about to arrive, so restarted VMs knew
+ * no configuration and no owner for up to 16 s.
  */
 class SlowAnswersTest {
 
@@ -69,12 +70,12 @@
 
     @Override
     public void records(List<StreamRecord> records, long end) {
-      // Only the first page matters here.
+      // Only the first page matters to this test.
     }
 
     @Override
     public void failed() {
-      // A late answer may still come.
+      // A late answer may still arrive.
     }
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/platform/SlowPageTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/SlowPageTest.java
@@ -26,10 +26,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seen: a VM asks for the same page of the jobs again and again and never has it. Its way from the
- * store carries a whole page in a second or two. Cause: a page has 0.7 s from the request to its
- * last byte, however steadily it comes; what has come by then is thrown away, so the next try is no
- * better.
+ * Guards against never reading a page of the job state over a slow network link, on which a page
+ * takes a second or two. A timeout of 0.7 s for the complete page discarded the part that had
+ * already arrived, however steadily it came, so every further request failed in the same way.
  */
 class SlowPageTest {
 
@@ -54,7 +53,7 @@
     loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
   }
 
-  /** Answers one request, the body in equal pieces with pauses between. */
+  /** Answers one request with a body in equal pieces and pauses between them. */
   private void answerSlowly() {
     try {
       Socket connection = server.accept();
@@ -69,7 +68,7 @@
           PIECE_MILLIS,
           TimeUnit.MILLISECONDS);
     } catch (IOException e) {
-      // Closed by the test's end.
+      // The server was closed at the end of the test.
     }
   }
 
@@ -79,7 +78,7 @@
     try {
       out.write(body, from, to - from);
     } catch (IOException e) {
-      // The client gave up.
+      // The client has closed the connection.
     }
   }
 
--- a/fescuehook/src/test/java/org/fescuehook/platform/UnsentOrderTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/UnsentOrderTest.java
@@ -27,7 +27,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Only an order for which no connection was made is told to be unsent. */
+/**
+ * Checks that an order counts as not sent only if no connection could be opened for it. In all
+ * other cases the executor may have executed it.
+ */
 class UnsentOrderTest {
 
   private static final long TIMEOUT_SECONDS = 5;
