--- a/fescuehook/src/main/java/org/fescuehook/entry/scheduler/BatchDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/scheduler/BatchDuty.java
@@ -27,7 +27,7 @@
   private static final Logger LOGGER = LoggerFactory.getLogger(BatchDuty.class);
 
   /** Buckets of durations: from an append's to that of a job that waited long. */
-  private static final Duration[] BUCKETS =
+  private static final Duration[] HISTOGRAM_BUCKETS =
       Stream.of(10, 30, 100, 300, 1000, 3000, 10_000, 30_000)
           .map(Duration::ofMillis)
           .toArray(Duration[]::new);
@@ -37,7 +37,7 @@
    * comes due meanwhile is late by this at most. On a VM that only stands by, 20 wake-ups a second
    * become 4.
    */
-  private static final Duration LONGEST_IDLE = Duration.ofMillis(250);
+  private static final Duration MAX_IDLE_TIME = Duration.ofMillis(250);
 
   private final BatchCore core;
   private final PlatformStore store;
@@ -45,7 +45,7 @@
   private final AdviceClient advice;
   private final MeterRegistry meters;
   private final Consumer<OwnerView> views;
-  private final Map<Long, Consumer<CallAnswer>> open = new HashMap<>();
+  private final Map<Long, Consumer<CallAnswer>> pendingCalls = new HashMap<>();
   private OwnerView view = OwnerView.NONE;
 
   BatchDuty(
@@ -71,11 +71,11 @@
   @Override
   public void accept(BatchRing.Item item, boolean more) {
     switch (item) {
-      case BatchRing.Item.Happened(BatchEvent event) -> apply(event, more);
+      case BatchRing.Item.EventItem(BatchEvent event) -> apply(event, more);
       // Nothing of its own; the last item of a batch plans for those before.
-      case BatchRing.Item.OwnershipWaits waits -> apply(new BatchEvent.Tick(), more);
-      case BatchRing.Item.Asked(long ticket, var call, var patience, var sink) -> {
-        open.put(ticket, sink);
+      case BatchRing.Item.OwnershipPending pending -> apply(new BatchEvent.Tick(), more);
+      case BatchRing.Item.CallItem(long ticket, var call, var patience, var sink) -> {
+        pendingCalls.put(ticket, sink);
         apply(new BatchEvent.Called(ticket, call, patience), more);
       }
     }
@@ -88,15 +88,16 @@
 
   @Override
   public Duration longestIdle(Duration usual) {
-    Duration calm = core.calmFor(System.nanoTime());
-    Duration most = calm.compareTo(LONGEST_IDLE) < 0 ? calm : LONGEST_IDLE;
-    return most.compareTo(usual) < 0 ? usual : most;
+    Duration untilNextDeadline = core.calmFor(System.nanoTime());
+    Duration maxIdleTime =
+        untilNextDeadline.compareTo(MAX_IDLE_TIME) < 0 ? untilNextDeadline : MAX_IDLE_TIME;
+    return maxIdleTime.compareTo(usual) < 0 ? usual : maxIdleTime;
   }
 
   private void apply(BatchEvent event, boolean more) {
     try {
       core.apply(event, System.nanoTime(), System.currentTimeMillis(), more)
-          .forEach(this::tryCarryOut);
+          .forEach(this::executeSafely);
     } catch (RuntimeException e) {
       EventLog.error(LOGGER, SchedulerEvent.DECISION_FAULT, event.getClass().getSimpleName(), e);
     }
@@ -104,18 +105,18 @@
   }
 
   /** A command that meets a fault takes none of the others of its turn with it. */
-  private void tryCarryOut(BatchCommand command) {
+  private void executeSafely(BatchCommand command) {
     try {
-      carryOut(command);
+      execute(command);
     } catch (RuntimeException e) {
       EventLog.error(LOGGER, SchedulerEvent.DECISION_FAULT, command.getClass().getSimpleName(), e);
     }
   }
 
-  private void carryOut(BatchCommand command) {
+  private void execute(BatchCommand command) {
     switch (command) {
       case BatchCommand.Answer(long ticket, CallAnswer answer) ->
-          Optional.ofNullable(open.remove(ticket)).ifPresent(sink -> sink.accept(answer));
+          Optional.ofNullable(pendingCalls.remove(ticket)).ifPresent(sink -> sink.accept(answer));
       case BatchCommand.Append append -> store.append(append);
       case BatchCommand.LoadState load -> store.loadState(load);
       case BatchCommand.FollowExecutors(boolean following) -> follow(following);
@@ -127,7 +128,7 @@
       case BatchCommand.Measure(String metric, String tag, String value, long nanos) ->
           Timer.builder(metric)
               .tag(tag, value)
-              .serviceLevelObjectives(BUCKETS)
+              .serviceLevelObjectives(HISTOGRAM_BUCKETS)
               .register(meters)
               .record(nanos, TimeUnit.NANOSECONDS);
       case BatchCommand.Count(String metric, String tag, String value) ->
@@ -143,10 +144,10 @@
   }
 
   private void publishView() {
-    OwnerView now = new OwnerView(core.deciding(), core.ownerHint(), core.handedOver());
-    if (!now.equals(view)) {
-      view = now;
-      views.accept(now);
+    OwnerView newView = new OwnerView(core.deciding(), core.ownerHint(), core.handedOver());
+    if (!newView.equals(view)) {
+      view = newView;
+      views.accept(newView);
     }
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/entry/scheduler/BatchRing.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/scheduler/BatchRing.java
@@ -32,23 +32,23 @@
    * executors, and streams and clients some tens. {@link SchedulerEvent#RING_FULL} tells if more
    * come while the decisions stand still.
    */
-  private static final int SIZE = 1 << 13;
+  private static final int CAPACITY = 1 << 13;
 
   /** Places that calls leave to outcomes; calls can be refused. */
-  private static final int KEPT_FOR_OUTCOMES = SIZE - (1 << 11);
+  private static final int RESERVED_FOR_OUTCOMES = CAPACITY - (1 << 11);
 
   /** When callers come back after the ring was full. */
-  private static final long COME_BACK_MILLIS = 1000;
+  private static final long RETRY_AFTER_MILLIS = 1000;
 
   /** Outcomes and reads of the stream of ownership come some times a second, one at a time each. */
-  private static final int OWNERSHIP_SIZE = 64;
+  private static final int OWNERSHIP_CAPACITY = 64;
 
-  private final Queue<BatchEvent> ownership = new ArrayBlockingQueue<>(OWNERSHIP_SIZE);
+  private final Queue<BatchEvent> ownershipEvents = new ArrayBlockingQueue<>(OWNERSHIP_CAPACITY);
   private final DutyRing<Item> ring;
   private final AtomicLong tickets = new AtomicLong();
 
   BatchRing(Duration tick, MeterRegistry meters) {
-    this.ring = new DutyRing<>("batch-decisions", SIZE, tick, meters);
+    this.ring = new DutyRing<>("batch-decisions", CAPACITY, tick, meters);
   }
 
   void start(DutyRing.Handler<Item> handler) {
@@ -60,12 +60,12 @@
   }
 
   void publish(BatchEvent event) {
-    if (concernsOwnership(event) && ownership.offer(event)) {
+    if (concernsOwnership(event) && ownershipEvents.offer(event)) {
       // Wakes the thread; if the ring is full it does not sleep.
-      ring.offer(new Item.OwnershipWaits());
+      ring.offer(new Item.OwnershipPending());
       return;
     }
-    if (!ring.offer(new Item.Happened(event))) {
+    if (!ring.offer(new Item.EventItem(event))) {
       EventLog.error(LOGGER, SchedulerEvent.RING_FULL, event.getClass().getSimpleName());
     }
   }
@@ -81,9 +81,9 @@
 
   @Override
   public void call(BatchCall call, Duration patience, Consumer<CallAnswer> sink) {
-    Item asked = new Item.Asked(tickets.incrementAndGet(), call, patience, sink);
-    if (!ring.offer(asked, KEPT_FOR_OUTCOMES)) {
-      sink.accept(new CallAnswer.Refused(RefusalCause.OVERLOADED, COME_BACK_MILLIS));
+    Item item = new Item.CallItem(tickets.incrementAndGet(), call, patience, sink);
+    if (!ring.offer(item, RESERVED_FOR_OUTCOMES)) {
+      sink.accept(new CallAnswer.Refused(RefusalCause.OVERLOADED, RETRY_AFTER_MILLIS));
     }
   }
 
@@ -102,13 +102,13 @@
 
     @Override
     public void accept(Item item, boolean more) {
-      handOverOwnership(true);
+      drainOwnershipEvents(true);
       handler.accept(item, more);
     }
 
     @Override
     public void idle() {
-      handOverOwnership(false);
+      drainOwnershipEvents(false);
       handler.idle();
     }
 
@@ -117,9 +117,9 @@
       return handler.longestIdle(usual);
     }
 
-    private void handOverOwnership(boolean more) {
-      for (BatchEvent next = ownership.poll(); next != null; next = ownership.poll()) {
-        handler.accept(new Item.Happened(next), more);
+    private void drainOwnershipEvents(boolean more) {
+      for (BatchEvent next = ownershipEvents.poll(); next != null; next = ownershipEvents.poll()) {
+        handler.accept(new Item.EventItem(next), more);
       }
     }
   }
@@ -128,13 +128,13 @@
   sealed interface Item {
 
     /** Something happened. */
-    record Happened(BatchEvent event) implements Item {}
+    record EventItem(BatchEvent event) implements Item {}
 
     /** Something concerning ownership has come; it has been handed over before. */
-    record OwnershipWaits() implements Item {}
+    record OwnershipPending() implements Item {}
 
     /** Somebody asks. */
-    record Asked(long ticket, BatchCall call, Duration patience, Consumer<CallAnswer> sink)
+    record CallItem(long ticket, BatchCall call, Duration patience, Consumer<CallAnswer> sink)
         implements Item {}
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/entry/scheduler/CallGateway.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/scheduler/CallGateway.java
@@ -38,13 +38,13 @@
   private static final Logger LOGGER = LoggerFactory.getLogger(CallGateway.class);
 
   /** Pause before a call is sent again for the first time; each further one is twice as long. */
-  private static final Duration FIRST_PAUSE = Duration.ofMillis(100);
+  private static final Duration INITIAL_RETRY_DELAY = Duration.ofMillis(100);
 
   /** Longest pause; a change of the owner ends it sooner. */
-  private static final Duration LONGEST_PAUSE = Duration.ofMillis(400);
+  private static final Duration MAX_RETRY_DELAY = Duration.ofMillis(400);
 
   /** When callers come back while there is no owner; a take-over lasts some 3 s. */
-  private static final long COME_BACK_MILLIS = 1000;
+  private static final long RETRY_AFTER_MILLIS = 1000;
 
   private final EventLoop loop;
   private final CallPort local;
@@ -52,7 +52,7 @@
   private final BiFunction<InetSocketAddress, OwnerHints, OwnerLink> links;
   private final MeterRegistry meters;
   private final Set<OpenCall> open = ConcurrentHashMap.newKeySet();
-  private final Set<Retry> waiting = ConcurrentHashMap.newKeySet();
+  private final Set<Retry> pendingRetries = ConcurrentHashMap.newKeySet();
   private volatile OwnerView view = OwnerView.NONE;
   private volatile Optional<OwnerLink> link = Optional.empty();
 
@@ -81,14 +81,15 @@
   }
 
   /** Takes a newer view; called by the decision thread only. */
-  void update(OwnerView newer) {
-    boolean moved = !address(newer).equals(address(view)) || newer.deciding() != view.deciding();
-    view = newer;
-    if (moved) {
-      link.ifPresent(former -> former.close(newer.owner()));
-      link = newer.deciding() ? Optional.empty() : address(newer).flatMap(this::linkTo);
+  void update(OwnerView newView) {
+    boolean ownerChanged =
+        !address(newView).equals(address(view)) || newView.deciding() != view.deciding();
+    view = newView;
+    if (ownerChanged) {
+      link.ifPresent(previous -> previous.close(newView.owner()));
+      link = newView.deciding() ? Optional.empty() : address(newView).flatMap(this::linkTo);
     }
-    List.copyOf(waiting).forEach(loop::execute);
+    List.copyOf(pendingRetries).forEach(loop::execute);
   }
 
   private static Optional<String> address(OwnerView view) {
@@ -116,61 +117,62 @@
 
   @Override
   public void call(BatchCall call, Duration patience, Consumer<CallAnswer> sink) {
-    OpenCall opened = new OpenCall(call, loop.ticker(), patience, open::remove, sink, meters);
-    open.add(opened);
-    opened.endBy(
+    OpenCall newCall = new OpenCall(call, loop.ticker(), patience, open::remove, sink, meters);
+    open.add(newCall);
+    newCall.setDeadlineTimer(
         loop.schedule(
-            () -> opened.answer(new CallAnswer.Undecided(silentCause())),
+            () -> newCall.answer(new CallAnswer.Undecided(timeoutCause())),
             patience.toNanos(),
             TimeUnit.NANOSECONDS));
-    send(opened, FIRST_PAUSE, false);
+    send(newCall, INITIAL_RETRY_DELAY, false);
   }
 
   /** Answers all open calls, as this VM ends before their callers' patience does. */
   void giveUpAll() {
-    open.forEach(call -> call.answer(new CallAnswer.Undecided(silentCause())));
+    open.forEach(call -> call.answer(new CallAnswer.Undecided(timeoutCause())));
   }
 
-  private UndecidedCause silentCause() {
+  private UndecidedCause timeoutCause() {
     return view.deciding() ? UndecidedCause.STORE_SILENT : UndecidedCause.OWNER_SILENT;
   }
 
-  private void send(OpenCall call, Duration pause, boolean perhapsTaken) {
-    Consumer<CallAnswer> answered = answer -> answered(call, answer, pause, perhapsTaken);
+  private void send(OpenCall call, Duration delay, boolean mayBeAccepted) {
+    Consumer<CallAnswer> onAnswer = answer -> handleAnswer(call, answer, delay, mayBeAccepted);
     Optional<OwnerLink> owner = link;
     if (view.deciding()) {
-      local.call(call.call(), call.left(), answered);
+      local.call(call.call(), call.remaining(), onAnswer);
     } else if (owner.isPresent()) {
-      owner.get().call(call.call(), call.left(), answered);
+      owner.get().call(call.call(), call.remaining(), onAnswer);
     } else {
-      answered.accept(new CallAnswer.Refused(RefusalCause.NO_OWNER, COME_BACK_MILLIS));
+      onAnswer.accept(new CallAnswer.Refused(RefusalCause.NO_OWNER, RETRY_AFTER_MILLIS));
     }
   }
 
-  private void answered(OpenCall call, CallAnswer answer, Duration pause, boolean perhapsTaken) {
-    if (answer instanceof CallAnswer.Refused refused && showsOwnerUnfit(refused.cause())) {
+  private void handleAnswer(
+      OpenCall call, CallAnswer answer, Duration delay, boolean mayBeAccepted) {
+    if (answer instanceof CallAnswer.Refused refused && indicatesOwnerFailure(refused.cause())) {
       events.accept(new BatchEvent.OwnerDoubted());
     }
     boolean undecided = answer instanceof CallAnswer.Undecided;
     // A refusal of a repeated call says nothing of the first one, which may have been taken.
-    boolean unsure = undecided || (perhapsTaken && answer instanceof CallAnswer.Refused);
-    if (!unsure && !waitsForOwner(call.call(), answer)) {
+    boolean outcomeUnknown = undecided || (mayBeAccepted && answer instanceof CallAnswer.Refused);
+    if (!outcomeUnknown && !waitsForOwner(call.call(), answer)) {
       call.answer(answer);
       return;
     }
-    if (call.left().compareTo(pause) <= 0) {
-      boolean told = undecided || !unsure;
-      call.answer(told ? answer : new CallAnswer.Undecided(UndecidedCause.OWNERSHIP_LOST));
+    if (call.remaining().compareTo(delay) <= 0) {
+      boolean definite = undecided || !outcomeUnknown;
+      call.answer(definite ? answer : new CallAnswer.Undecided(UndecidedCause.OWNERSHIP_LOST));
       return;
     }
-    Retry retry = new Retry(call, longer(pause), unsure);
-    waiting.add(retry);
-    loop.schedule(retry, pause.toMillis(), TimeUnit.MILLISECONDS);
+    Retry retry = new Retry(call, nextDelay(delay), outcomeUnknown);
+    pendingRetries.add(retry);
+    loop.schedule(retry, delay.toMillis(), TimeUnit.MILLISECONDS);
   }
 
-  private static Duration longer(Duration pause) {
-    Duration doubled = pause.multipliedBy(2);
-    return doubled.compareTo(LONGEST_PAUSE) < 0 ? doubled : LONGEST_PAUSE;
+  private static Duration nextDelay(Duration delay) {
+    Duration doubled = delay.multipliedBy(2);
+    return doubled.compareTo(MAX_RETRY_DELAY) < 0 ? doubled : MAX_RETRY_DELAY;
   }
 
   /** Tells whether the answer only says that there is no owner for a question or a cancel. */
@@ -184,32 +186,32 @@
   /**
    * Tells whether a refusal shows that the owner is cut off from the store or cannot be reached.
    */
-  private boolean showsOwnerUnfit(RefusalCause cause) {
-    boolean passedOn = !view.deciding() && link.isPresent();
-    return passedOn && (cause == RefusalCause.STORE_AWAY || cause == RefusalCause.NO_OWNER);
+  private boolean indicatesOwnerFailure(RefusalCause cause) {
+    boolean forwarded = !view.deciding() && link.isPresent();
+    return forwarded && (cause == RefusalCause.STORE_AWAY || cause == RefusalCause.NO_OWNER);
   }
 
   /** Sends a call again, once: after its pause or when the owner changes. */
   private final class Retry implements Runnable {
     private final OpenCall call;
-    private final Duration nextPause;
-    private final boolean perhapsTaken;
+    private final Duration nextRetryDelay;
+    private final boolean mayBeAccepted;
 
-    Retry(OpenCall call, Duration nextPause, boolean perhapsTaken) {
+    Retry(OpenCall call, Duration nextRetryDelay, boolean mayBeAccepted) {
       this.call = call;
-      this.nextPause = nextPause;
-      this.perhapsTaken = perhapsTaken;
+      this.nextRetryDelay = nextRetryDelay;
+      this.mayBeAccepted = mayBeAccepted;
     }
 
     @Override
     public void run() {
-      if (!waiting.remove(this) || call.ended()) {
+      if (!pendingRetries.remove(this) || call.answered()) {
         return;
       }
       meters
           .counter("fescuehook.batch.repeated", "call", call.call().getClass().getSimpleName())
           .increment();
-      send(call, nextPause, perhapsTaken);
+      send(call, nextRetryDelay, mayBeAccepted);
     }
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/entry/scheduler/CountingLogAppender.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/scheduler/CountingLogAppender.java
@@ -31,19 +31,19 @@
   private static final AtomicLong DROPPED = new AtomicLong();
 
   /** A planned stop takes up to 5.2 s before it, and the platform kills 6 s after its begin. */
-  private static final long FLUSH_MILLIS = 300;
+  private static final long FLUSH_TIMEOUT_MILLIS = 300;
 
   private static final int DEFAULT_QUEUE_SIZE = 1024;
 
   private final AppenderAttachableImpl<ILoggingEvent> outputs = new AppenderAttachableImpl<>();
-  private final AtomicReference<LostLines> untold = new AtomicReference<>(LostLines.NONE);
+  private final AtomicReference<DroppedLines> unreported = new AtomicReference<>(DroppedLines.NONE);
   private final Thread writer = new Thread(this::writeAll, "log-writer");
   private int queueSize = DEFAULT_QUEUE_SIZE;
   private BlockingQueue<ILoggingEvent> queue = new ArrayBlockingQueue<>(1);
   private volatile boolean stopping;
 
   /** Used by the writer alone. */
-  private int writtenSinceTold;
+  private int writtenSinceReport;
 
   /** Creates the appender; Logback sets its properties afterwards. */
   public CountingLogAppender() {
@@ -80,7 +80,7 @@
     stopping = true;
     writer.interrupt();
     try {
-      writer.join(FLUSH_MILLIS);
+      writer.join(FLUSH_TIMEOUT_MILLIS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -102,15 +102,15 @@
   private void drop(ILoggingEvent event) {
     DROPPED.incrementAndGet();
     boolean decision = LinePriority.of(event) == LinePriority.DECISION;
-    untold.accumulateAndGet(
-        LostLines.one(decision, event.getTimeStamp()), (sum, one) -> sum.plus(one));
+    unreported.accumulateAndGet(
+        DroppedLines.one(decision, event.getTimeStamp()), (sum, one) -> sum.plus(one));
   }
 
   private void writeAll() {
     try {
       while (!stopping) {
         write(queue.take());
-        tellOfLoss();
+        reportDroppedLines();
       }
     } catch (InterruptedException e) {
       // The stop: what waits is written below, and the thread ends.
@@ -118,9 +118,9 @@
     for (ILoggingEvent event = queue.poll(); event != null; event = queue.poll()) {
       write(event);
     }
-    LostLines lost = untold.getAndSet(LostLines.NONE);
+    DroppedLines lost = unreported.getAndSet(DroppedLines.NONE);
     if (!lost.isEmpty()) {
-      write(notice(lost));
+      write(createReport(lost));
     }
     outputs.detachAndStopAllAppenders();
   }
@@ -132,24 +132,24 @@
       // Without this thread no line would be written any more; the lost one is told later.
       drop(event);
     }
-    writtenSinceTold++;
+    writtenSinceReport++;
   }
 
   /** In an overload that lasts the queue is never empty, so its size bounds what stays untold. */
-  private void tellOfLoss() {
-    boolean due = queue.isEmpty() || writtenSinceTold >= queueSize;
-    if (!due || untold.get().isEmpty()) {
+  private void reportDroppedLines() {
+    boolean reportDue = queue.isEmpty() || writtenSinceReport >= queueSize;
+    if (!reportDue || unreported.get().isEmpty()) {
       return;
     }
-    LostLines lost = untold.getAndSet(LostLines.NONE);
-    if (!queue.offer(notice(lost))) {
-      untold.accumulateAndGet(lost, LostLines::plus);
+    DroppedLines lost = unreported.getAndSet(DroppedLines.NONE);
+    if (!queue.offer(createReport(lost))) {
+      unreported.accumulateAndGet(lost, DroppedLines::plus);
       return;
     }
-    writtenSinceTold = 0;
+    writtenSinceReport = 0;
   }
 
-  private ILoggingEvent notice(LostLines lost) {
+  private ILoggingEvent createReport(DroppedLines lost) {
     LoggerContext context = (LoggerContext) getContext();
     Object[] arguments = {
       lost.count(),
--- a/fescuehook/src/main/java/org/fescuehook/entry/scheduler/LostLines.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/scheduler/DroppedLines.java
@@ -8,16 +8,16 @@
  * @param firstMillis when the oldest of them was logged, milliseconds since 1970
  * @param lastMillis when the newest of them was logged
  */
-record LostLines(long count, long decisions, long firstMillis, long lastMillis) {
+record DroppedLines(long count, long decisions, long firstMillis, long lastMillis) {
 
-  static final LostLines NONE = new LostLines(0, 0, Long.MAX_VALUE, Long.MIN_VALUE);
+  static final DroppedLines NONE = new DroppedLines(0, 0, Long.MAX_VALUE, Long.MIN_VALUE);
 
-  static LostLines one(boolean decision, long millis) {
-    return new LostLines(1, decision ? 1 : 0, millis, millis);
+  static DroppedLines one(boolean decision, long millis) {
+    return new DroppedLines(1, decision ? 1 : 0, millis, millis);
   }
 
-  LostLines plus(LostLines other) {
-    return new LostLines(
+  DroppedLines plus(DroppedLines other) {
+    return new DroppedLines(
         count + other.count,
         decisions + other.decisions,
         Math.min(firstMillis, other.firstMillis),
--- a/fescuehook/src/main/java/org/fescuehook/entry/scheduler/LinePriority.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/scheduler/LinePriority.java
@@ -22,10 +22,10 @@
   /** Above level INFO. */
   TROUBLE(100);
 
-  private static final int FIRST_DECISION = 8000;
-  private static final int LAST_DECISION = 8099;
+  private static final int FIRST_BATCH_EVENT = 8000;
+  private static final int LAST_BATCH_EVENT = 8099;
 
-  private static final Set<Integer> OF_EXECUTORS =
+  private static final Set<Integer> EXECUTOR_EVENTS =
       Stream.of(
               BatchLogEvent.EXECUTOR_REACHED,
               BatchLogEvent.EXECUTOR_SILENT,
@@ -37,10 +37,10 @@
           .map(NumberedEvent::number)
           .collect(Collectors.toUnmodifiableSet());
 
-  private final int percent;
+  private final int capacityPercent;
 
-  LinePriority(int percent) {
-    this.percent = percent;
+  LinePriority(int capacityPercent) {
+    this.capacityPercent = capacityPercent;
   }
 
   static LinePriority of(ILoggingEvent event) {
@@ -48,10 +48,10 @@
       return TROUBLE;
     }
     int number = number(event);
-    if (number < FIRST_DECISION || number > LAST_DECISION) {
+    if (number < FIRST_BATCH_EVENT || number > LAST_BATCH_EVENT) {
       return ORDINARY;
     }
-    return OF_EXECUTORS.contains(number) ? EXECUTOR : DECISION;
+    return EXECUTOR_EVENTS.contains(number) ? EXECUTOR : DECISION;
   }
 
   private static int number(ILoggingEvent event) {
@@ -69,6 +69,6 @@
 
   /** Returns how many lines may wait in a queue when one of this priority is put behind them. */
   int limit(int capacity) {
-    return (int) ((long) capacity * percent / 100);
+    return (int) ((long) capacity * capacityPercent / 100);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/entry/scheduler/OpenCall.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/scheduler/OpenCall.java
@@ -22,13 +22,13 @@
 
   private final BatchCall call;
   private final Ticker ticker;
-  private final long since;
-  private final long deadline;
-  private final Consumer<OpenCall> atEnd;
+  private final long startNanos;
+  private final long deadlineNanos;
+  private final Consumer<OpenCall> onAnswered;
   private final Consumer<CallAnswer> sink;
   private final MeterRegistry meters;
-  private final AtomicBoolean ended = new AtomicBoolean();
-  private volatile Optional<Future<?>> limit = Optional.empty();
+  private final AtomicBoolean answered = new AtomicBoolean();
+  private volatile Optional<Future<?>> deadlineTimer = Optional.empty();
 
   /**
    * Opens a call.
@@ -40,48 +40,48 @@
       BatchCall call,
       Ticker ticker,
       Duration patience,
-      Consumer<OpenCall> atEnd,
+      Consumer<OpenCall> onAnswered,
       Consumer<CallAnswer> sink,
       MeterRegistry meters) {
     this.call = call;
     this.ticker = ticker;
-    this.since = ticker.nanoTime();
-    this.deadline = since + patience.toNanos();
-    this.atEnd = atEnd;
+    this.startNanos = ticker.nanoTime();
+    this.deadlineNanos = startNanos + patience.toNanos();
+    this.onAnswered = onAnswered;
     this.sink = sink;
     this.meters = meters;
   }
 
   /** Has the answer cancel what would end the call at its deadline. */
-  void endBy(Future<?> timer) {
-    limit = Optional.of(timer);
+  void setDeadlineTimer(Future<?> timer) {
+    deadlineTimer = Optional.of(timer);
   }
 
   BatchCall call() {
     return call;
   }
 
-  boolean ended() {
-    return ended.get();
+  boolean answered() {
+    return answered.get();
   }
 
   /** Returns how long the caller still waits. */
-  Duration left() {
-    return Duration.ofNanos(Math.max(0, deadline - ticker.nanoTime()));
+  Duration remaining() {
+    return Duration.ofNanos(Math.max(0, deadlineNanos - ticker.nanoTime()));
   }
 
   /** Answers the caller unless it has been answered. */
   void answer(CallAnswer answer) {
-    if (!ended.compareAndSet(false, true)) {
+    if (!answered.compareAndSet(false, true)) {
       return;
     }
-    limit.ifPresent(timer -> timer.cancel(false));
-    atEnd.accept(this);
-    note(answer, ticker.nanoTime() - since);
+    deadlineTimer.ifPresent(timer -> timer.cancel(false));
+    onAnswered.accept(this);
+    record(answer, ticker.nanoTime() - startNanos);
     sink.accept(answer);
   }
 
-  private void note(CallAnswer answer, long nanos) {
+  private void record(CallAnswer answer, long nanos) {
     Timer.builder("fescuehook.batch.calls")
         .tag("call", call.getClass().getSimpleName())
         .tag("outcome", answer.getClass().getSimpleName())
--- a/fescuehook/src/main/java/org/fescuehook/entry/scheduler/PlannedStop.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/scheduler/PlannedStop.java
@@ -7,10 +7,10 @@
  */
 final class PlannedStop implements Runnable {
 
-  private static final int EXIT_STOPPED = 0;
+  private static final int EXIT_SUCCESS = 0;
 
   private final Stoppable program;
-  private final Runnable log;
+  private final Runnable flushLog;
   private final IntConsumer halt;
 
   /** Stops a program. */
@@ -25,9 +25,9 @@
    * @param log writes what waits to be logged; nothing is logged afterwards
    * @param halt ends the process without further hooks
    */
-  PlannedStop(Stoppable program, Runnable log, IntConsumer halt) {
+  PlannedStop(Stoppable program, Runnable flushLog, IntConsumer halt) {
     this.program = program;
-    this.log = log;
+    this.flushLog = flushLog;
     this.halt = halt;
   }
 
@@ -39,8 +39,8 @@
     } catch (InterruptedException e) {
       // The process ends here; with the flag set again the log would not be waited for.
     } finally {
-      log.run();
+      flushLog.run();
     }
-    halt.accept(EXIT_STOPPED);
+    halt.accept(EXIT_SUCCESS);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/entry/scheduler/SchedulerProcess.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/scheduler/SchedulerProcess.java
@@ -29,7 +29,7 @@
   public void run() throws IOException {
     HangupSignal.handle(() -> EventLog.info(LOGGER, SchedulerEvent.RELOAD_ASKED));
     PlannedStop stop =
-        new PlannedStop(program::stop, SchedulerProcess::writeLog, Runtime.getRuntime()::halt);
+        new PlannedStop(program::stop, SchedulerProcess::flushLog, Runtime.getRuntime()::halt);
     Runtime.getRuntime().addShutdownHook(new Thread(stop, "stop-on-signal"));
     program.start();
     try {
@@ -39,7 +39,7 @@
     }
   }
 
-  private static void writeLog() {
+  private static void flushLog() {
     if (LoggerFactory.getILoggerFactory() instanceof LoggerContext context) {
       context.stop();
     }
--- a/fescuehook/src/main/java/org/fescuehook/entry/scheduler/SchedulerProgram.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/scheduler/SchedulerProgram.java
@@ -44,13 +44,13 @@
    * How long a stopping VM goes on taking connections: the balancer asks once a second and gives up
    * after two misses.
    */
-  private static final Duration BALANCER_DELAY = Duration.ofMillis(2300);
+  private static final Duration BALANCER_DRAIN_TIME = Duration.ofMillis(2300);
 
   /** Longest graceful stop; the platform kills after 6 s. */
-  private static final Duration STOP_LIMIT = Duration.ofMillis(5000);
+  private static final Duration STOP_TIMEOUT = Duration.ofMillis(5000);
 
-  private static final Duration STOP_CHECK = Duration.ofMillis(20);
-  private static final Duration RING_END = Duration.ofMillis(200);
+  private static final Duration STOP_POLL_INTERVAL = Duration.ofMillis(20);
+  private static final Duration SHUTDOWN_TIMEOUT = Duration.ofMillis(200);
 
   private final SchedulerPreferences preferences;
   private final String incarnation = UUID.randomUUID().toString().substring(0, 13);
@@ -67,7 +67,7 @@
   private final StatusServer metrics;
   private final PlatformStore store;
   private final BatchDuty decisions;
-  private final AtomicBoolean stopBegun = new AtomicBoolean();
+  private final AtomicBoolean stopStarted = new AtomicBoolean();
   private final CountDownLatch stopped = new CountDownLatch(1);
   private volatile boolean configured;
 
@@ -150,20 +150,20 @@
   }
 
   private StatusServer.Page ready() {
-    if (stopBegun.get()) {
+    if (stopStarted.get()) {
       return new StatusServer.Page(false, "stopping");
     }
     if (!configured) {
       return new StatusServer.Page(false, "no configuration");
     }
     OwnerView view = gateway.view();
-    boolean served = view.deciding() || view.owner().isPresent();
-    return new StatusServer.Page(served, served ? "ready" : "no owner");
+    boolean ownerKnown = view.deciding() || view.owner().isPresent();
+    return new StatusServer.Page(ownerKnown, ownerKnown ? "ready" : "no owner");
   }
 
   /** Stops gracefully; blocks until all is done. A second call waits for the first. */
   public void stop() throws InterruptedException {
-    if (!stopBegun.compareAndSet(false, true)) {
+    if (!stopStarted.compareAndSet(false, true)) {
       stopped.await();
       return;
     }
@@ -171,9 +171,9 @@
     EventLog.info(LOGGER, SchedulerEvent.STOP_BEGAN);
     callers.beginClose();
     ring.publish(new BatchEvent.StopBegun());
-    awaitUntil(start, BALANCER_DELAY, () -> false);
+    awaitUntil(start, BALANCER_DRAIN_TIME, () -> false);
     callers.stopListening();
-    awaitUntil(start, STOP_LIMIT, () -> callers.inFlight() == 0 && gateway.view().handedOver());
+    awaitUntil(start, STOP_TIMEOUT, () -> callers.inFlight() == 0 && gateway.view().handedOver());
     long millis = Duration.ofNanos(System.nanoTime() - start).toMillis();
     EventLog.info(LOGGER, SchedulerEvent.STOPPED, millis, callers.inFlight());
     gateway.giveUpAll();
@@ -184,17 +184,17 @@
   private void awaitUntil(long start, Duration limit, Condition condition)
       throws InterruptedException {
     while (System.nanoTime() - start < limit.toNanos() && !condition.holds()) {
-      stopped.await(STOP_CHECK.toMillis(), TimeUnit.MILLISECONDS);
+      stopped.await(STOP_POLL_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
     }
   }
 
   private void close() {
-    ring.stop(RING_END);
+    ring.stop(SHUTDOWN_TIMEOUT);
     store.stop();
     peers.close();
     readiness.close();
     metrics.close();
-    loops.shutdownGracefully(0, RING_END.toMillis(), TimeUnit.MILLISECONDS);
+    loops.shutdownGracefully(0, SHUTDOWN_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
   }
 
   /** Waits until the graceful stop has ended. */
--- a/fescuehook/src/main/java/org/fescuehook/entry/scheduler/StatusServer.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/scheduler/StatusServer.java
@@ -27,7 +27,7 @@
 final class StatusServer {
 
   private static final int MAX_REQUEST_BYTES = 8 << 10;
-  private static final int IDLE_SECONDS = 30;
+  private static final int IDLE_TIMEOUT_SECONDS = 30;
 
   private final Map<String, Supplier<Page>> pages;
   private final ServerPort listener;
@@ -78,7 +78,7 @@
     protected void initChannel(SocketChannel opened) {
       opened
           .pipeline()
-          .addLast(new ReadTimeoutHandler(IDLE_SECONDS))
+          .addLast(new ReadTimeoutHandler(IDLE_TIMEOUT_SECONDS))
           .addLast(new HttpServerCodec())
           .addLast(new HttpObjectAggregator(MAX_REQUEST_BYTES))
           .addLast(new RequestHandler());
--- a/fescuehook/src/test/java/org/fescuehook/entry/scheduler/CallGatewayTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/entry/scheduler/CallGatewayTest.java
@@ -30,17 +30,17 @@
  */
 class CallGatewayTest {
 
-  private static final BatchCall QUESTION = new BatchCall.Status("q", "key", "a1");
-  private static final BatchCall CANCEL = new BatchCall.Cancel("q", "key", "a1");
-  private static final BatchCall SUBMISSION =
+  private static final BatchCall STATUS_CALL = new BatchCall.Status("q", "key", "a1");
+  private static final BatchCall CANCEL_CALL = new BatchCall.Cancel("q", "key", "a1");
+  private static final BatchCall SUBMIT_CALL =
       new BatchCall.Submit("q", "key", "a1", new Submission("", List.of(), Optional.empty()));
-  private static final Duration PATIENCE = Duration.ofMillis(2800);
+  private static final Duration CALLER_TIMEOUT = Duration.ofMillis(2800);
   private static final CallAnswer QUEUED = new CallAnswer.Phase(JobPhase.QUEUED);
   private static final OwnerView THIS_VM = new OwnerView(true, Optional.empty(), false);
 
   private final EmbeddedChannel clock = new EmbeddedChannel();
-  private final FakeOwner self = new FakeOwner();
-  private final List<FakeOwner> linked = new ArrayList<>();
+  private final FakeOwner local = new FakeOwner();
+  private final List<FakeOwner> links = new ArrayList<>();
   private final List<CallAnswer> answers = new ArrayList<>();
   private final CallGateway gateway;
 
@@ -49,37 +49,37 @@
     gateway =
         new CallGateway(
             clock.eventLoop(),
-            self,
+            local,
             event -> {},
             (address, hints) -> link(),
             new SimpleMeterRegistry());
   }
 
   private OwnerLink link() {
-    linked.add(new FakeOwner());
-    return linked.getLast();
+    links.add(new FakeOwner());
+    return links.getLast();
   }
 
   /** Keeps what it is asked; a link that is closed leaves its calls undecided. */
   private static final class FakeOwner implements OwnerLink {
-    private final List<Consumer<CallAnswer>> asked = new ArrayList<>();
+    private final List<Consumer<CallAnswer>> calls = new ArrayList<>();
     private Duration patience = Duration.ZERO;
-    private Optional<CallAnswer> always = Optional.empty();
+    private Optional<CallAnswer> immediateAnswer = Optional.empty();
 
     @Override
-    public void call(BatchCall call, Duration left, Consumer<CallAnswer> sink) {
-      asked.add(sink);
-      patience = left;
-      always.ifPresent(sink);
+    public void call(BatchCall call, Duration remaining, Consumer<CallAnswer> sink) {
+      calls.add(sink);
+      patience = remaining;
+      immediateAnswer.ifPresent(sink);
     }
 
     @Override
     public void close(Optional<OwnerHint> next) {
-      asked.forEach(sink -> sink.accept(new CallAnswer.Undecided(UndecidedCause.OWNER_SILENT)));
+      calls.forEach(sink -> sink.accept(new CallAnswer.Undecided(UndecidedCause.OWNER_SILENT)));
     }
 
     private void answer(CallAnswer answer) {
-      asked.getLast().accept(answer);
+      calls.getLast().accept(answer);
     }
   }
 
@@ -93,97 +93,97 @@
   }
 
   private void call(BatchCall call) {
-    gateway.call(call, PATIENCE, answers::add);
+    gateway.call(call, CALLER_TIMEOUT, answers::add);
   }
 
-  private void pass(long millis) {
-    for (long left = millis; left > 0; left -= 50) {
-      clock.advanceTimeBy(Math.min(50, left), TimeUnit.MILLISECONDS);
+  private void advanceMillis(long millis) {
+    for (long remaining = millis; remaining > 0; remaining -= 50) {
+      clock.advanceTimeBy(Math.min(50, remaining), TimeUnit.MILLISECONDS);
       clock.runPendingTasks();
     }
     clock.runPendingTasks();
   }
 
   @Test
-  void aCallIsHeldAsLongAsItsCallerWaits() {
+  void aCallIsHeldUntilItsOwnDeadline() {
     gateway.update(THIS_VM);
-    gateway.call(QUESTION, Duration.ofMillis(5800), answers::add);
-    pass(5700);
+    gateway.call(STATUS_CALL, Duration.ofMillis(5800), answers::add);
+    advanceMillis(5700);
     assertEquals(List.of(), answers);
-    self.answer(QUEUED);
+    local.answer(QUEUED);
     assertEquals(List.of(QUEUED), answers);
   }
 
   @Test
-  void aCallerIsAnsweredWhenItsPatienceEnds() {
+  void aCallIsAnsweredAsUndecidedAtItsDeadline() {
     gateway.update(THIS_VM);
-    gateway.call(QUESTION, Duration.ofMillis(800), answers::add);
-    pass(800);
+    gateway.call(STATUS_CALL, Duration.ofMillis(800), answers::add);
+    advanceMillis(800);
     assertEquals(List.of(new CallAnswer.Undecided(UndecidedCause.STORE_SILENT)), answers);
   }
 
   @Test
-  void aQuestionIsAnsweredAsSoonAsAnOwnerDecides() {
-    call(QUESTION);
-    pass(2200);
+  void aStatusCallIsSentAsSoonAsAnOwnerDecides() {
+    call(STATUS_CALL);
+    advanceMillis(2200);
     assertEquals(List.of(), answers);
     gateway.update(THIS_VM);
-    pass(0);
-    self.answer(QUEUED);
+    advanceMillis(0);
+    local.answer(QUEUED);
     assertEquals(List.of(QUEUED), answers);
   }
 
   @Test
-  void aQuestionWaitsForAnOwnerThatStillLoadsTheJobs() {
+  void aStatusCallIsRetriedWhileTheOwnerLoadsTheJobs() {
     gateway.update(owner("vm-2", 7001));
-    linked.getFirst().always = Optional.of(refused(RefusalCause.NOT_OWNER));
-    call(QUESTION);
-    pass(1000);
-    linked.getFirst().always = Optional.of(QUEUED);
-    pass(800);
+    links.getFirst().immediateAnswer = Optional.of(refused(RefusalCause.NOT_OWNER));
+    call(STATUS_CALL);
+    advanceMillis(1000);
+    links.getFirst().immediateAnswer = Optional.of(QUEUED);
+    advanceMillis(800);
     assertEquals(List.of(QUEUED), answers);
-    assertTrue(linked.getFirst().asked.size() <= 5, "it is not asked all the time");
+    assertTrue(links.getFirst().calls.size() <= 5, "it is not asked all the time");
   }
 
   @Test
-  void aQuestionThatMetNoOwnerIsRefusedInTimeForItsCallerToComeBack() {
-    call(QUESTION);
-    pass(2800);
+  void aStatusCallWithoutAnOwnerIsRefusedBeforeItsDeadline() {
+    call(STATUS_CALL);
+    advanceMillis(2800);
     assertEquals(List.of(refused(RefusalCause.NO_OWNER)), answers);
   }
 
   @Test
-  void aCancelThatTheFormerOwnerLeftOpenReachesTheNext() {
+  void aCancelThatThePreviousOwnerDidNotAnswerIsSentToTheNext() {
     gateway.update(owner("vm-2", 7001));
-    call(CANCEL);
-    pass(1000);
+    call(CANCEL_CALL);
+    advanceMillis(1000);
     gateway.update(owner("vm-3", 7002));
-    pass(0);
-    assertEquals(1, linked.getLast().asked.size());
-    linked.getLast().answer(new CallAnswer.Cancelled());
+    advanceMillis(0);
+    assertEquals(1, links.getLast().calls.size());
+    links.getLast().answer(new CallAnswer.Cancelled());
     assertEquals(List.of(new CallAnswer.Cancelled()), answers);
-    assertEquals(Duration.ofMillis(1800), linked.getLast().patience);
+    assertEquals(Duration.ofMillis(1800), links.getLast().patience);
   }
 
   @Test
-  void aSubmissionThatMetNoOwnerIsRefusedAtOnce() {
-    call(SUBMISSION);
+  void aSubmissionWithoutAnOwnerIsRefusedAtOnce() {
+    call(SUBMIT_CALL);
     assertEquals(List.of(refused(RefusalCause.NO_OWNER)), answers);
   }
 
   @Test
   void aRefusalOfARepeatedSubmissionLeavesItUndecided() {
     gateway.update(owner("vm-2", 7001));
-    call(SUBMISSION);
-    linked.getFirst().always = Optional.of(refused(RefusalCause.STORE_AWAY));
-    linked.getFirst().answer(new CallAnswer.Undecided(UndecidedCause.OWNER_SILENT));
-    pass(2800);
+    call(SUBMIT_CALL);
+    links.getFirst().immediateAnswer = Optional.of(refused(RefusalCause.STORE_AWAY));
+    links.getFirst().answer(new CallAnswer.Undecided(UndecidedCause.OWNER_SILENT));
+    advanceMillis(2800);
     assertEquals(List.of(new CallAnswer.Undecided(UndecidedCause.OWNERSHIP_LOST)), answers);
   }
 
   @Test
-  void aVmThatEndsLeavesNoCallWithoutAnAnswer() {
-    call(QUESTION);
+  void aStoppingVmAnswersAllOpenCalls() {
+    call(STATUS_CALL);
     gateway.giveUpAll();
     assertEquals(List.of(new CallAnswer.Undecided(UndecidedCause.OWNER_SILENT)), answers);
   }
--- a/fescuehook/src/test/java/org/fescuehook/entry/scheduler/CountingLogAppenderTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/entry/scheduler/CountingLogAppenderTest.java
@@ -20,23 +20,23 @@
 
 class CountingLogAppenderTest {
 
-  private static final int QUEUE = 10;
-  private static final long PATIENCE_SECONDS = 20;
+  private static final int QUEUE_SIZE = 10;
+  private static final long TIMEOUT_SECONDS = 20;
 
   private final LoggerContext context = new LoggerContext();
   private final CountingLogAppender appender = new CountingLogAppender();
-  private final StandingOutput output = new StandingOutput();
+  private final BlockedOutput output = new BlockedOutput();
 
   /** Standard output whose reader stands still until it is let go. */
-  private static final class StandingOutput extends AppenderBase<ILoggingEvent> {
+  private static final class BlockedOutput extends AppenderBase<ILoggingEvent> {
     final CountDownLatch reached = new CountDownLatch(1);
-    final CountDownLatch letGo = new CountDownLatch(1);
+    final CountDownLatch released = new CountDownLatch(1);
 
     @Override
     protected void append(ILoggingEvent event) {
       reached.countDown();
       try {
-        letGo.await();
+        released.await();
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
@@ -44,11 +44,11 @@
   }
 
   /** Standard output whose first line finds no memory. */
-  private static final class PoorOutput extends AppenderBase<ILoggingEvent> {
+  private static final class OutOfMemoryOutput extends AppenderBase<ILoggingEvent> {
     private final Queue<String> written;
     private boolean failed;
 
-    PoorOutput(Queue<String> written) {
+    OutOfMemoryOutput(Queue<String> written) {
       this.written = written;
       start();
     }
@@ -69,16 +69,16 @@
     output.setContext(context);
     output.start();
     appender.setContext(context);
-    appender.setQueueSize(QUEUE);
+    appender.setQueueSize(QUEUE_SIZE);
     appender.addAppender(output);
     appender.start();
     log(Level.INFO);
-    assertTrue(output.reached.await(PATIENCE_SECONDS, TimeUnit.SECONDS), "nothing was logged");
+    assertTrue(output.reached.await(TIMEOUT_SECONDS, TimeUnit.SECONDS), "nothing was logged");
   }
 
   @AfterEach
   void stop() {
-    output.letGo.countDown();
+    output.released.countDown();
     appender.stop();
   }
 
@@ -91,34 +91,36 @@
   }
 
   @Test
-  void minorEventsAreDroppedFirstAndEachIsCounted() {
+  void eventsOfLowPriorityAreDroppedFirstAndCounted() {
     long before = CountingLogAppender.dropped();
-    for (int i = 0; i < QUEUE; i++) {
+    for (int i = 0; i < QUEUE_SIZE; i++) {
       log(Level.INFO);
     }
-    long minor = CountingLogAppender.dropped() - before;
-    assertTrue(minor > 0 && minor < QUEUE, () -> "dropped " + minor);
+    long droppedInfoEvents = CountingLogAppender.dropped() - before;
+    assertTrue(
+        droppedInfoEvents > 0 && droppedInfoEvents < QUEUE_SIZE,
+        () -> "dropped " + droppedInfoEvents);
 
-    for (int i = 0; i < QUEUE; i++) {
+    for (int i = 0; i < QUEUE_SIZE; i++) {
       log(Level.ERROR);
     }
-    assertEquals(QUEUE, CountingLogAppender.dropped() - before);
+    assertEquals(QUEUE_SIZE, CountingLogAppender.dropped() - before);
   }
 
   @Test
-  void aLineThatFindsNoMemoryIsCountedAndThoseAfterItAreWritten() throws InterruptedException {
+  void aLineLostToAnOutOfMemoryErrorIsCountedAndLaterLinesAreWritten() throws InterruptedException {
     long before = CountingLogAppender.dropped();
     BlockingQueue<String> written = new LinkedBlockingQueue<>();
-    CountingLogAppender poor = new CountingLogAppender();
-    poor.setContext(context);
-    poor.addAppender(new PoorOutput(written));
-    poor.start();
-    poor.doAppend(event(Level.INFO));
-    poor.doAppend(event(Level.INFO));
-    assertEquals("message", written.poll(PATIENCE_SECONDS, TimeUnit.SECONDS));
-    poor.stop();
+    CountingLogAppender failingAppender = new CountingLogAppender();
+    failingAppender.setContext(context);
+    failingAppender.addAppender(new OutOfMemoryOutput(written));
+    failingAppender.start();
+    failingAppender.doAppend(event(Level.INFO));
+    failingAppender.doAppend(event(Level.INFO));
+    assertEquals("message", written.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+    failingAppender.stop();
     assertEquals(1, CountingLogAppender.dropped() - before);
-    String told = written.poll();
-    assertTrue(told != null && told.startsWith("1 log lines dropped"), told);
+    String report = written.poll();
+    assertTrue(report != null && report.startsWith("1 log lines dropped"), report);
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/entry/scheduler/FaultyTurnTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/entry/scheduler/FailingCommandTest.java
@@ -35,15 +35,15 @@
  * command of a turn that fails takes all later ones with it: answers, appends, orders. What they
  * asked for counts as under way for good.
  */
-class FaultyTurnTest {
+class FailingCommandTest {
 
-  private static final BatchCall QUESTION = new BatchCall.Status("q", "key", "a1");
+  private static final BatchCall STATUS_CALL = new BatchCall.Status("q", "key", "a1");
 
   private final EventLoopGroup loops =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
   /** Can count nothing. */
-  private static final class FullRegistry extends SimpleMeterRegistry {
+  private static final class FailingRegistry extends SimpleMeterRegistry {
     @Override
     protected Counter newCounter(Meter.Id id) {
       throw new IllegalStateException("on purpose");
@@ -57,24 +57,24 @@
 
   private BatchDuty duty() {
     EventLoop loop = loops.next();
-    InetSocketAddress nowhere = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
-    Duration brief = Duration.ofMillis(200);
-    WorkPreferences work = new WorkPreferences(brief, brief, brief, brief);
+    InetSocketAddress closedPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
+    Duration shortTime = Duration.ofMillis(200);
+    WorkPreferences work = new WorkPreferences(shortTime, shortTime, shortTime, shortTime);
     BatchPreferences batch =
         new BatchPreferences(Duration.ofSeconds(6), Duration.ofSeconds(120), work, true);
     return new BatchDuty(
         new BatchCore(new OwnerIdentity(new VmId("vm-1"), "s", "10.0.0.1:7000", 1000), batch),
-        new PlatformStore(loop, nowhere, event -> {}, routes -> {}),
+        new PlatformStore(loop, closedPort, event -> {}, routes -> {}),
         new ExecutorClient(loop, (id, number, outcome) -> {}),
         new AdviceClient(loop, Optional.empty(), (number, outcome) -> {}),
-        new FullRegistry(),
+        new FailingRegistry(),
         view -> {});
   }
 
   @Test
-  void aCallIsAnsweredAlsoIfItCannotBeCounted() {
+  void aCallIsAnsweredThoughUpdatingACounterFails() {
     List<CallAnswer> answers = new ArrayList<>();
-    duty().accept(new BatchRing.Item.Asked(1, QUESTION, Duration.ofSeconds(1), answers::add));
+    duty().accept(new BatchRing.Item.CallItem(1, STATUS_CALL, Duration.ofSeconds(1), answers::add));
     assertEquals(1, answers.size());
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/entry/scheduler/LogUnderLoadTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/entry/scheduler/LogUnderLoadTest.java
@@ -35,11 +35,11 @@
 /** The log of a VM as it is configured, in front of a standard output that is taken slowly. */
 class LogUnderLoadTest {
 
-  private static final int FLOOD = 5000;
-  private static final int NOTICE = 8310;
-  private static final Pattern LOST =
+  private static final int MANY_LINES = 5000;
+  private static final int LOG_LINES_DROPPED = 8310;
+  private static final Pattern LOSS_REPORT =
       Pattern.compile("^(\\d+) log lines dropped, (\\d+) of them decisions");
-  private static final long PATIENCE_SECONDS = 20;
+  private static final long TIMEOUT_SECONDS = 20;
 
   private final LoggerContext context = new LoggerContext();
   private final LoggedEventParser parser = new LoggedEventParser();
@@ -48,12 +48,12 @@
 
   /** A pipe whose reader takes as many lines as it is let. */
   private static final class SlowPipe extends OutputStream {
-    private static final int ALL = 1 << 20;
+    private static final int UNLIMITED = 1 << 20;
 
     final CountDownLatch reached = new CountDownLatch(1);
-    final CountDownLatch told = new CountDownLatch(1);
-    final Semaphore taken = new Semaphore(0);
-    private final Semaphore let = new Semaphore(0);
+    final CountDownLatch reported = new CountDownLatch(1);
+    final Semaphore written = new Semaphore(0);
+    private final Semaphore permits = new Semaphore(0);
     private final List<String> lines = new ArrayList<>();
 
     @Override
@@ -64,23 +64,23 @@
     @Override
     public void write(byte[] bytes, int offset, int length) {
       reached.countDown();
-      let.acquireUninterruptibly();
+      permits.acquireUninterruptibly();
       String line = new String(bytes, offset, length, StandardCharsets.UTF_8);
       synchronized (lines) {
         lines.add(line);
       }
-      if (line.contains("\"" + NOTICE + "\"")) {
-        told.countDown();
+      if (line.contains("\"" + LOG_LINES_DROPPED + "\"")) {
+        reported.countDown();
       }
-      taken.release();
+      written.release();
     }
 
-    void let(int more) {
-      let.release(more);
+    void permits(int more) {
+      permits.release(more);
     }
 
-    void letAll() {
-      let.release(ALL);
+    void unblock() {
+      permits.release(UNLIMITED);
     }
 
     List<String> lines() {
@@ -104,12 +104,12 @@
     ((ConsoleAppender<ILoggingEvent>) queue.getAppender("stdout")).setOutputStream(pipe);
     logger = context.getLogger("test");
     callAnswered();
-    assertTrue(pipe.reached.await(PATIENCE_SECONDS, TimeUnit.SECONDS), "nothing was logged");
+    assertTrue(pipe.reached.await(TIMEOUT_SECONDS, TimeUnit.SECONDS), "nothing was logged");
   }
 
   @AfterEach
   void release() {
-    pipe.letAll();
+    pipe.unblock();
     context.stop();
   }
 
@@ -121,8 +121,8 @@
     EventLog.info(logger, BatchLogEvent.JOB_ENDED, job, "CANCELLED", 1);
   }
 
-  private void flood(Runnable line) {
-    for (int i = 0; i < FLOOD; i++) {
+  private void logMany(Runnable line) {
+    for (int i = 0; i < MANY_LINES; i++) {
       line.run();
     }
   }
@@ -135,11 +135,11 @@
     return events().stream().filter(event -> event.number() == number).toList();
   }
 
-  private long told(int group) {
-    return events(NOTICE).stream()
+  private long reported(int group) {
+    return events(LOG_LINES_DROPPED).stream()
         .mapToLong(
             event -> {
-              Matcher matcher = LOST.matcher(event.message());
+              Matcher matcher = LOSS_REPORT.matcher(event.message());
               assertTrue(matcher.find(), event.message());
               return Long.parseLong(matcher.group(group));
             })
@@ -155,90 +155,90 @@
     return numbers;
   }
 
-  private void letAllAndStop() {
-    pipe.letAll();
+  private void unblockAndStop() {
+    pipe.unblock();
     context.stop();
   }
 
   @Test
-  void aFloodOfAnsweredCallsPushesOutNoDecision() {
-    flood(this::callAnswered);
+  void manyAnsweredCallsDropNoDecision() {
+    logMany(this::callAnswered);
     jobEnded("a");
-    letAllAndStop();
+    unblockAndStop();
     assertEquals(1, events(BatchLogEvent.JOB_ENDED.number()).size());
-    assertEquals(0, told(2));
+    assertEquals(0, reported(2));
   }
 
   @Test
-  void linesAboutEachExecutorAfterATakeOverPushOutNoDecision() {
-    flood(() -> EventLog.info(logger, BatchLogEvent.EXECUTOR_REACHED, "e", 0));
+  void aLineForEachExecutorAfterATakeOverDropsNoDecision() {
+    logMany(() -> EventLog.info(logger, BatchLogEvent.EXECUTOR_REACHED, "e", 0));
     jobEnded("a");
-    letAllAndStop();
+    unblockAndStop();
     assertEquals(1, events(BatchLogEvent.JOB_ENDED.number()).size());
   }
 
   @Test
-  void aFloodOfDecisionsIsCutAndSaysHowManyAreMissing() {
-    flood(() -> jobEnded("a"));
-    letAllAndStop();
+  void droppedDecisionsAreCounted() {
+    logMany(() -> jobEnded("a"));
+    unblockAndStop();
     int kept = events(BatchLogEvent.JOB_ENDED.number()).size();
-    assertTrue(kept < FLOOD, () -> "kept " + kept);
-    assertEquals(FLOOD - kept, told(2));
+    assertTrue(kept < MANY_LINES, () -> "kept " + kept);
+    assertEquals(MANY_LINES - kept, reported(2));
   }
 
   @Test
-  void whatWasDroppedIsToldAsSoonAsThereIsRoom() throws InterruptedException {
-    flood(this::callAnswered);
-    pipe.letAll();
-    assertTrue(pipe.told.await(PATIENCE_SECONDS, TimeUnit.SECONDS), "no line tells of the loss");
+  void aLossIsReportedAsSoonAsTheQueueHasCapacity() throws InterruptedException {
+    logMany(this::callAnswered);
+    pipe.unblock();
+    assertTrue(pipe.reported.await(TIMEOUT_SECONDS, TimeUnit.SECONDS), "no line tells of the loss");
   }
 
   @Test
-  void numbersOfLinesShowTheSameLossAsTheLinesThatTellOfIt() throws JsonProcessingException {
-    flood(this::callAnswered);
-    letAllAndStop();
+  void gapsInSequenceNumbersMatchTheReportedLoss() throws JsonProcessingException {
+    logMany(this::callAnswered);
+    unblockAndStop();
     TreeSet<Long> numbers = numbers();
     assertEquals(1, numbers.first());
     assertEquals(pipe.lines().size(), numbers.size(), "a number came twice");
     long missing = numbers.last() - numbers.size();
     assertTrue(missing > 0, "nothing was dropped");
-    assertEquals(missing, told(1));
+    assertEquals(missing, reported(1));
   }
 
   @Test
-  void theLineThatTellsOfTheLossCountsAllOfIt() {
-    flood(this::callAnswered);
-    letAllAndStop();
+  void theReportCountsAllDroppedLines() {
+    logMany(this::callAnswered);
+    unblockAndStop();
     int kept = events(SchedulerEvent.CALL_ANSWERED.number()).size();
-    assertTrue(kept < FLOOD, () -> "kept " + kept);
-    assertEquals(1 + FLOOD - kept, told(1));
+    assertTrue(kept < MANY_LINES, () -> "kept " + kept);
+    assertEquals(1 + MANY_LINES - kept, reported(1));
   }
 
   @Test
-  void overloadThatLastsIsToldAgainAndAgainButRarely() throws InterruptedException {
-    flood(this::callAnswered);
-    for (int i = 0; i < FLOOD; i++) {
-      pipe.let(1);
-      assertTrue(pipe.taken.tryAcquire(PATIENCE_SECONDS, TimeUnit.SECONDS), "nothing is written");
+  void lossesDuringAPersistentOverloadAreReportedRepeatedlyButRarely() throws InterruptedException {
+    logMany(this::callAnswered);
+    for (int i = 0; i < MANY_LINES; i++) {
+      pipe.permits(1);
+      assertTrue(pipe.written.tryAcquire(TIMEOUT_SECONDS, TimeUnit.SECONDS), "nothing is written");
       callAnswered();
       callAnswered();
     }
-    int notices = events(NOTICE).size();
+    int notices = events(LOG_LINES_DROPPED).size();
     assertTrue(notices > 1, () -> "told " + notices + " times");
-    assertTrue(notices <= 1 + FLOOD / 500, () -> "told " + notices + " times");
+    assertTrue(notices <= 1 + MANY_LINES / 500, () -> "told " + notices + " times");
   }
 
   @Test
-  void eachLineIsWrittenWithoutWaitingForTheNext() throws InterruptedException {
-    pipe.let(1);
-    assertTrue(pipe.taken.tryAcquire(PATIENCE_SECONDS, TimeUnit.SECONDS), "the line waits");
+  void eachLineIsFlushedAtOnce() throws InterruptedException {
+    pipe.permits(1);
+    assertTrue(pipe.written.tryAcquire(TIMEOUT_SECONDS, TimeUnit.SECONDS), "the line waits");
   }
 
   @Test
-  void nothingIsToldOfALogThatIsWhole() throws JsonProcessingException {
+  void noLossIsReportedIfNothingWasDropped() throws JsonProcessingException {
     logger.atLevel(Level.WARN).log("without a number");
     jobEnded("a");
-    letAllAndStop();
+    unblockAndStop();
     assertEquals(3, pipe.lines().size());
     assertEquals(List.of(1L, 2L, 3L), List.copyOf(numbers()));
   }
--- a/fescuehook/src/test/java/org/fescuehook/entry/scheduler/OwnershipFirstTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/entry/scheduler/OwnershipFirstTest.java
@@ -20,17 +20,18 @@
  */
 class OwnershipFirstTest {
 
-  private static final int ANSWERS = 500;
-  private static final BatchEvent OWNERSHIP = new BatchEvent.OwnershipRead(Optional.empty(), 7);
+  private static final int QUEUED_EVENTS = 500;
+  private static final BatchEvent OWNERSHIP_EVENT =
+      new BatchEvent.OwnershipRead(Optional.empty(), 7);
 
   private final BatchRing ring = new BatchRing(Duration.ofSeconds(60), new SimpleMeterRegistry());
-  private final Recorder recorder = new Recorder();
+  private final BlockingRecorder recorder = new BlockingRecorder();
 
   /** Waits at the first item, and keeps all in order. */
-  private static final class Recorder implements DutyRing.Handler<BatchRing.Item> {
+  private static final class BlockingRecorder implements DutyRing.Handler<BatchRing.Item> {
     private final CountDownLatch entered = new CountDownLatch(1);
     private final CountDownLatch released = new CountDownLatch(1);
-    private final List<BatchEvent> taken = new ArrayList<>();
+    private final List<BatchEvent> received = new ArrayList<>();
 
     @Override
     public void accept(BatchRing.Item item) {
@@ -40,8 +41,8 @@
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
-      if (item instanceof BatchRing.Item.Happened(BatchEvent event)) {
-        taken.add(event);
+      if (item instanceof BatchRing.Item.EventItem(BatchEvent event)) {
+        received.add(event);
       }
     }
 
@@ -52,17 +53,17 @@
   }
 
   @Test
-  void whatKeepsOwnershipIsTakenBeforeTheWorkThatWaits() throws InterruptedException {
+  void ownershipEventsAreProcessedBeforeQueuedEvents() throws InterruptedException {
     ring.start(recorder);
     ring.publish(new BatchEvent.Tick());
     recorder.entered.await();
-    for (int i = 0; i < ANSWERS; i++) {
+    for (int i = 0; i < QUEUED_EVENTS; i++) {
       ring.publish(new BatchEvent.StateUnreadable(1));
     }
-    ring.publish(OWNERSHIP);
+    ring.publish(OWNERSHIP_EVENT);
     recorder.released.countDown();
     ring.stop(Duration.ofSeconds(20));
-    assertEquals(ANSWERS + 2, recorder.taken.size());
-    assertEquals(1, recorder.taken.indexOf(OWNERSHIP));
+    assertEquals(QUEUED_EVENTS + 2, recorder.received.size());
+    assertEquals(1, recorder.received.indexOf(OWNERSHIP_EVENT));
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/entry/scheduler/PlannedStopTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/entry/scheduler/PlannedStopTest.java
@@ -16,13 +16,13 @@
   }
 
   @Test
-  void theLogIsWrittenBetweenTheProgramsStopAndTheHalt() {
+  void theLogIsFlushedBetweenTheProgramStopAndTheHalt() {
     of(() -> steps.add("stop")).run();
     assertEquals(List.of("stop", "log", "halt 0"), steps);
   }
 
   @Test
-  void theLogIsWrittenAlsoWhenTheStopIsInterrupted() {
+  void theLogIsFlushedIfTheStopIsInterrupted() {
     of(() -> {
           throw new InterruptedException();
         })
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void theLogIsWrittenAlsoWhenTheStopMeetsAFault() {
+  void theLogIsFlushedIfTheStopThrows() {
     PlannedStop stop =
         of(
             () -> {
--- a/fescuehook/src/test/java/org/fescuehook/entry/scheduler/RingOverflowTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/entry/scheduler/RingOverflowTest.java
@@ -19,15 +19,15 @@
  */
 class RingOverflowTest {
 
-  private static final int EVENTS = 4200;
-  private static final long PATIENCE_SECONDS = 20;
+  private static final int OUTCOMES = 4200;
+  private static final long TIMEOUT_SECONDS = 20;
 
   private final BatchRing ring = new BatchRing(Duration.ofSeconds(60), new SimpleMeterRegistry());
 
   /** Waits at the first item, and counts all. */
-  private static final class SlowHandler implements DutyRing.Handler<BatchRing.Item> {
+  private static final class BlockingHandler implements DutyRing.Handler<BatchRing.Item> {
     private final CountDownLatch released = new CountDownLatch(1);
-    private final AtomicInteger taken = new AtomicInteger();
+    private final AtomicInteger count = new AtomicInteger();
 
     @Override
     public void accept(BatchRing.Item item) {
@@ -36,7 +36,7 @@
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
-      taken.incrementAndGet();
+      count.incrementAndGet();
     }
 
     @Override
@@ -52,13 +52,13 @@
 
   @Test
   void noOutcomeIsDroppedWhileDecisionsAreBehind() {
-    SlowHandler handler = new SlowHandler();
+    BlockingHandler handler = new BlockingHandler();
     ring.start(handler);
-    for (int i = 0; i < EVENTS; i++) {
+    for (int i = 0; i < OUTCOMES; i++) {
       ring.publish(new BatchEvent.StateUnreadable(1));
     }
     handler.released.countDown();
-    ring.stop(Duration.ofSeconds(PATIENCE_SECONDS));
-    assertEquals(EVENTS, handler.taken.get());
+    ring.stop(Duration.ofSeconds(TIMEOUT_SECONDS));
+    assertEquals(OUTCOMES, handler.count.get());
   }
 }
