--- a/fescuehook/src/main/java/org/fescuehook/entry/scheduler/BatchDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/scheduler/BatchDuty.java
@@ -21,21 +21,23 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The decision thread: applies events to the core and carries out its commands. */
+/**
+ * The duty of the decision thread: applies events to the core and executes the commands it returns.
+ */
 final class BatchDuty implements DutyRing.Handler<BatchRing.Item> {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(BatchDuty.class);
 
-  /** Buckets of durations: from an append's to that of a job that waited long. */
+  /** Histogram buckets, from the duration of an append to that of a long wait of a job. */
   private static final Duration[] HISTOGRAM_BUCKETS =
       Stream.of(10, 30, 100, 300, 1000, 3000, 10_000, 30_000)
           .map(Duration::ofMillis)
           .toArray(Duration[]::new);
 
   /**
-   * Longest time without a look at the clock: a doubt about the owner is told by an event, and what
-   * comes due meanwhile is late by this at most. On a VM that only stands by, 20 wake-ups a second
-   * become 4.
+   * Longest time between two ticks, and thus the longest delay of a deadline. A suspected failure
+   * of the owner arrives as an event and does not wait for a tick. On a standby VM this reduces the
+   * wake-ups from 20 to 4 per second.
    */
   private static final Duration MAX_IDLE_TIME = Duration.ofMillis(250);
 
@@ -72,7 +74,8 @@
   public void accept(BatchRing.Item item, boolean more) {
     switch (item) {
       case BatchRing.Item.EventItem(BatchEvent event) -> apply(event, more);
-      // Nothing of its own; the last item of a batch plans for those before.
+      // The ownership event itself has been applied already. A tick is applied instead, as planning
+      // for a batch of items is done with its last one.
       case BatchRing.Item.OwnershipPending pending -> apply(new BatchEvent.Tick(), more);
       case BatchRing.Item.CallItem(long ticket, var call, var patience, var sink) -> {
         pendingCalls.put(ticket, sink);
@@ -104,7 +107,10 @@
     publishView();
   }
 
-  /** A command that meets a fault takes none of the others of its turn with it. */
+  /**
+   * Executes a command and logs its exception, so that the other commands of the same event are
+   * still executed.
+   */
   private void executeSafely(BatchCommand command) {
     try {
       execute(command);
--- a/fescuehook/src/main/java/org/fescuehook/entry/scheduler/BatchRing.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/scheduler/BatchRing.java
@@ -18,29 +18,30 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The ring in front of the decision thread. What concerns ownership overtakes the rest: heartbeats
- * are due each 0.5 s and missed after 1 s, and work has waited for 1.3 s on a VM with a third of a
- * core. An owner that is late would be replaced by one that is late as well.
+ * The queue of the decision thread. Events of ownership are processed before all others: heartbeats
+ * are due every 0.5 s and count as missed after 1 s, while other events may wait for 1.3 s on a VM
+ * with a third of a core. Otherwise an overloaded owner would be replaced by another overloaded
+ * one.
  */
 final class BatchRing implements CallPort {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(BatchRing.class);
 
   /**
-   * A power of two. Outcomes of what the decisions have asked for are told only once, so they are
-   * to find room: an executor has four orders under way at a time, which are 3,240 with 810
-   * executors, and streams and clients some tens. {@link SchedulerEvent#RING_FULL} tells if more
-   * come while the decisions stand still.
+   * Capacity of the queue, a power of two. Outcomes of commands are reported only once and must not
+   * be dropped. Each executor has up to four orders in flight, which makes 3,240 for 810 executors,
+   * and the store and the advice service add some tens. {@link SchedulerEvent#RING_FULL} is logged
+   * if more arrive while the decision thread is stalled.
    */
   private static final int CAPACITY = 1 << 13;
 
-  /** Places that calls leave to outcomes; calls can be refused. */
+  /** Capacity reserved for outcomes. Calls may not use it, as they can be refused. */
   private static final int RESERVED_FOR_OUTCOMES = CAPACITY - (1 << 11);
 
-  /** When callers come back after the ring was full. */
+  /** Delay after which callers may retry a call that was refused because the queue was full. */
   private static final long RETRY_AFTER_MILLIS = 1000;
 
-  /** Outcomes and reads of the stream of ownership come some times a second, one at a time each. */
+  /** Capacity for events of ownership, of which a few arrive per second. */
   private static final int OWNERSHIP_CAPACITY = 64;
 
   private final Queue<BatchEvent> ownershipEvents = new ArrayBlockingQueue<>(OWNERSHIP_CAPACITY);
@@ -61,7 +62,7 @@
 
   void publish(BatchEvent event) {
     if (concernsOwnership(event) && ownershipEvents.offer(event)) {
-      // Wakes the thread; if the ring is full it does not sleep.
+      // Wakes the thread. If the ring is full the thread is awake already.
       ring.offer(new Item.OwnershipPending());
       return;
     }
@@ -87,7 +88,7 @@
     }
   }
 
-  /** Hands over what concerns ownership before each other item. */
+  /** Passes on the pending events of ownership before each other item. */
   private final class OwnershipFirst implements DutyRing.Handler<Item> {
     private final DutyRing.Handler<Item> handler;
 
@@ -124,16 +125,19 @@
     }
   }
 
-  /** What the ring holds. */
+  /** An element of the queue. */
   sealed interface Item {
 
-    /** Something happened. */
+    /** An event to apply. */
     record EventItem(BatchEvent event) implements Item {}
 
-    /** Something concerning ownership has come; it has been handed over before. */
+    /**
+     * A marker that an event of ownership was published; the event itself has been passed on
+     * before.
+     */
     record OwnershipPending() implements Item {}
 
-    /** Somebody asks. */
+    /** A call to answer through the sink. */
     record CallItem(long ticket, BatchCall call, Duration patience, Consumer<CallAnswer> sink)
         implements Item {}
   }
--- a/fescuehook/src/main/java/org/fescuehook/entry/scheduler/CallGateway.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/scheduler/CallGateway.java
@@ -27,23 +27,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Brings callers' calls to the owner: this VM, or another one over a link. A call is sent again, to
- * the next owner where there is one, while its caller waits and its fate is not known: every call
- * is idempotent by the id of its job, and callers may not repeat a call themselves after an
- * undecided answer. Questions and cancels wait for an owner in the same way: a caller has a few
- * attempts only, and a refusal tells nothing about the job.
+ * Forwards callers' calls to the owner, which is this VM or another one that is reached over a
+ * link. While the caller waits and the outcome is unknown, a call is sent again, to the next owner
+ * if there is one. Every call is idempotent by its job id, and callers may not repeat a call
+ * themselves after an undecided answer. Status calls and cancels are also retried while there is no
+ * owner, as callers have only a few attempts and a refusal says nothing about the job.
  */
 final class CallGateway implements CallPort, OwnerHints {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(CallGateway.class);
 
-  /** Pause before a call is sent again for the first time; each further one is twice as long. */
+  /** Delay before the first retry of a call; it doubles with each further retry. */
   private static final Duration INITIAL_RETRY_DELAY = Duration.ofMillis(100);
 
-  /** Longest pause; a change of the owner ends it sooner. */
+  /** Upper bound on the retry delay. A change of the owner triggers the retry at once. */
   private static final Duration MAX_RETRY_DELAY = Duration.ofMillis(400);
 
-  /** When callers come back while there is no owner; a take-over lasts some 3 s. */
+  /**
+   * Delay after which callers may retry a call that was refused as there is no owner. A take-over
+   * lasts about 3 s.
+   */
   private static final long RETRY_AFTER_MILLIS = 1000;
 
   private final EventLoop loop;
@@ -59,9 +62,9 @@
   /**
    * Creates a gateway that knows no owner.
    *
-   * @param local takes calls while this VM decides
-   * @param events takes what the calls show of the owner
-   * @param links makes the link to the owner at an address
+   * @param local receives the calls while this VM is the owner
+   * @param events receives what the answers to calls reveal about the owner
+   * @param links creates a link to the owner at an address
    */
   CallGateway(
       EventLoop loop,
@@ -80,7 +83,7 @@
     return view;
   }
 
-  /** Takes a newer view; called by the decision thread only. */
+  /** Updates the view of the owner. Called by the decision thread only. */
   void update(OwnerView newView) {
     boolean ownerChanged =
         !address(newView).equals(address(view)) || newView.deciding() != view.deciding();
@@ -127,7 +130,7 @@
     send(newCall, INITIAL_RETRY_DELAY, false);
   }
 
-  /** Answers all open calls, as this VM ends before their callers' patience does. */
+  /** Answers all open calls as undecided. Called as this VM stops before their deadlines. */
   void giveUpAll() {
     open.forEach(call -> call.answer(new CallAnswer.Undecided(timeoutCause())));
   }
@@ -154,7 +157,7 @@
       events.accept(new BatchEvent.OwnerDoubted());
     }
     boolean undecided = answer instanceof CallAnswer.Undecided;
-    // A refusal of a repeated call says nothing of the first one, which may have been taken.
+    // The refusal of a retry says nothing about the earlier sends, which may have been accepted.
     boolean outcomeUnknown = undecided || (mayBeAccepted && answer instanceof CallAnswer.Refused);
     if (!outcomeUnknown && !waitsForOwner(call.call(), answer)) {
       call.answer(answer);
@@ -175,7 +178,7 @@
     return doubled.compareTo(MAX_RETRY_DELAY) < 0 ? doubled : MAX_RETRY_DELAY;
   }
 
-  /** Tells whether the answer only says that there is no owner for a question or a cancel. */
+  /** Returns whether a status call or a cancel was refused only because no owner is ready. */
   private static boolean waitsForOwner(BatchCall call, CallAnswer answer) {
     if (call instanceof BatchCall.Submit || !(answer instanceof CallAnswer.Refused refused)) {
       return false;
@@ -184,14 +187,15 @@
   }
 
   /**
-   * Tells whether a refusal shows that the owner is cut off from the store or cannot be reached.
+   * Returns whether a refusal shows that the owner cannot reach the store or cannot be reached
+   * itself.
    */
   private boolean indicatesOwnerFailure(RefusalCause cause) {
     boolean forwarded = !view.deciding() && link.isPresent();
     return forwarded && (cause == RefusalCause.STORE_AWAY || cause == RefusalCause.NO_OWNER);
   }
 
-  /** Sends a call again, once: after its pause or when the owner changes. */
+  /** Sends a call again once, after the retry delay or when the owner changes. */
   private final class Retry implements Runnable {
     private final OpenCall call;
     private final Duration nextRetryDelay;
--- a/fescuehook/src/main/java/org/fescuehook/entry/scheduler/CountingLogAppender.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/scheduler/CountingLogAppender.java
@@ -18,19 +18,24 @@
 import org.slf4j.event.KeyValuePair;
 
 /**
- * The bounded queue in front of standard output. It never holds the caller up: the fuller it is,
- * the higher a line's {@link LinePriority} has to be. What it drops is counted, and {@link
- * SchedulerEvent#LOG_LINES_DROPPED} tells of it once the lines in front are written.
+ * Writes log lines to standard output through a bounded queue, without ever blocking the logging
+ * thread. The fuller the queue is, the higher the {@link LinePriority} of a line must be. Dropped
+ * lines are counted and reported by {@link SchedulerEvent#LOG_LINES_DROPPED}, usually once the
+ * queue has been written.
  *
- * <p>Logback's own asynchronous appender takes all waiting lines out at once before it writes them,
- * so that its queue looks empty while twice its size waits, and an error ends its thread.
+ * <p>Logback's own asynchronous appender removes all queued lines at once before it writes them, so
+ * its queue looks empty while up to twice its capacity is waiting, and an {@link Error} ends its
+ * thread.
  */
 public final class CountingLogAppender extends UnsynchronizedAppenderBase<ILoggingEvent>
     implements AppenderAttachable<ILoggingEvent> {
 
   private static final AtomicLong DROPPED = new AtomicLong();
 
-  /** A planned stop takes up to 5.2 s before it, and the platform kills 6 s after its begin. */
+  /**
+   * Longest time to write the queued lines at the end. The graceful stop takes up to 5.2 s before
+   * that, and the platform kills the process 6 s after the stop began.
+   */
   private static final long FLUSH_TIMEOUT_MILLIS = 300;
 
   private static final int DEFAULT_QUEUE_SIZE = 1024;
@@ -42,20 +47,20 @@
   private BlockingQueue<ILoggingEvent> queue = new ArrayBlockingQueue<>(1);
   private volatile boolean stopping;
 
-  /** Used by the writer alone. */
+  /** Confined to the writer thread. */
   private int writtenSinceReport;
 
-  /** Creates the appender; Logback sets its properties afterwards. */
+  /** Creates an appender whose properties Logback sets afterwards. */
   public CountingLogAppender() {
     writer.setDaemon(true);
   }
 
-  /** Returns the events dropped since the start of the process. */
+  /** Returns the number of lines dropped since the start of the process. */
   public static long dropped() {
     return DROPPED.get();
   }
 
-  /** Sets how many lines may wait; counts from the next start. */
+  /** Sets the capacity of the queue; takes effect at the next start. */
   public void setQueueSize(int queueSize) {
     this.queueSize = queueSize;
   }
@@ -70,7 +75,7 @@
     writer.start();
   }
 
-  /** Writes what waits, as far as standard output takes it in the time of a planned stop. */
+  /** Writes the queued lines, as far as standard output accepts them within the flush timeout. */
   @Override
   public void stop() {
     if (!isStarted()) {
@@ -113,7 +118,7 @@
         reportDroppedLines();
       }
     } catch (InterruptedException e) {
-      // The stop: what waits is written below, and the thread ends.
+      // Interrupted by stop(): the queued lines are written below, and the thread ends.
     }
     for (ILoggingEvent event = queue.poll(); event != null; event = queue.poll()) {
       write(event);
@@ -129,13 +134,17 @@
     try {
       outputs.appendLoopOnAppenders(event);
     } catch (OutOfMemoryError e) {
-      // Without this thread no line would be written any more; the lost one is told later.
+      // Keeps the thread alive, as no line would be written without it. The lost line is reported
+      // later.
       drop(event);
     }
     writtenSinceReport++;
   }
 
-  /** In an overload that lasts the queue is never empty, so its size bounds what stays untold. */
+  /**
+   * Queues a report of dropped lines when the queue is empty, or after as many lines as it holds:
+   * during a persistent overload it never becomes empty.
+   */
   private void reportDroppedLines() {
     boolean reportDue = queue.isEmpty() || writtenSinceReport >= queueSize;
     if (!reportDue || unreported.get().isEmpty()) {
--- a/fescuehook/src/main/java/org/fescuehook/entry/scheduler/DroppedLines.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/scheduler/DroppedLines.java
@@ -1,12 +1,12 @@
 package org.fescuehook.entry.scheduler;
 
 /**
- * Lines that the log had to drop.
+ * Summary of log lines that were dropped.
  *
- * @param count how many
- * @param decisions how many of them tell of decisions about requests
- * @param firstMillis when the oldest of them was logged, milliseconds since 1970
- * @param lastMillis when the newest of them was logged
+ * @param count number of dropped lines
+ * @param decisions number of dropped lines about decisions
+ * @param firstMillis time at which the oldest of them was logged, in milliseconds since 1970
+ * @param lastMillis time at which the newest of them was logged, in milliseconds since 1970
  */
 record DroppedLines(long count, long decisions, long firstMillis, long lastMillis) {
 
--- a/fescuehook/src/main/java/org/fescuehook/entry/scheduler/HangupSignal.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/scheduler/HangupSignal.java
@@ -3,17 +3,17 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Handles SIGHUP, on which the JVM would otherwise end. The JDK offers this only in {@code
- * sun.misc}, which the compiler warns of, so it is reached by reflection.
+ * Handles SIGHUP, which would otherwise terminate the JVM. The JDK has an API for this only in
+ * {@code sun.misc}, whose use causes compiler warnings, so it is called by reflection.
  */
 final class HangupSignal {
 
   private HangupSignal() {}
 
   /**
-   * Has an action run on each SIGHUP.
+   * Registers an action to run on each SIGHUP.
    *
-   * @throws IllegalStateException if this JDK has no such handler
+   * @throws IllegalStateException if this JDK has no such API
    */
   static void handle(Runnable action) {
     try {
--- a/fescuehook/src/main/java/org/fescuehook/entry/scheduler/LinePriority.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/scheduler/LinePriority.java
@@ -11,15 +11,15 @@
 import org.fescuehook.model.event.NumberedEvent;
 import org.slf4j.event.KeyValuePair;
 
-/** What a line of the log is worth while lines have to be dropped. */
+/** Priority of a log line, which decides what is dropped while the queue fills up. */
 enum LinePriority {
-  /** Normal operation: answered calls, connections, lines of libraries. */
+  /** Normal operation, such as answered calls, connections and lines of libraries. */
   ORDINARY(50),
-  /** The state of one executor; a take-over logs such a line for each executor of its fleet. */
+  /** The state of one executor. A take-over logs such a line for every executor. */
   EXECUTOR(75),
-  /** A decision that touches a request, or the ownership of decisions. */
+  /** A decision about a job or about ownership. */
   DECISION(100),
-  /** Above level INFO. */
+  /** Any line above level INFO. */
   TROUBLE(100);
 
   private static final int FIRST_BATCH_EVENT = 8000;
@@ -67,7 +67,7 @@
     return 0;
   }
 
-  /** Returns how many lines may wait in a queue when one of this priority is put behind them. */
+  /** Returns the number of queued lines from which on a line of this priority is dropped. */
   int limit(int capacity) {
     return (int) ((long) capacity * capacityPercent / 100);
   }
--- a/fescuehook/src/main/java/org/fescuehook/entry/scheduler/OpenCall.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/scheduler/OpenCall.java
@@ -15,7 +15,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A caller's call until its first answer, which is recorded; others are dropped. Any thread. */
+/**
+ * A caller's call until it is answered. The first answer is recorded and sent; later ones are
+ * ignored. Thread-safe.
+ */
 final class OpenCall {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(OpenCall.class);
@@ -33,8 +36,8 @@
   /**
    * Opens a call.
    *
-   * @param patience how long the caller waits from now on
-   * @param atEnd is told of this call once it is answered
+   * @param patience how long the caller waits from now
+   * @param atEnd called with this call once it is answered
    */
   OpenCall(
       BatchCall call,
@@ -52,7 +55,7 @@
     this.meters = meters;
   }
 
-  /** Has the answer cancel what would end the call at its deadline. */
+  /** Sets the timer that ends the call at its deadline; an earlier answer cancels it. */
   void setDeadlineTimer(Future<?> timer) {
     deadlineTimer = Optional.of(timer);
   }
@@ -65,12 +68,12 @@
     return answered.get();
   }
 
-  /** Returns how long the caller still waits. */
+  /** Returns the time until the caller's deadline. */
   Duration remaining() {
     return Duration.ofNanos(Math.max(0, deadlineNanos - ticker.nanoTime()));
   }
 
-  /** Answers the caller unless it has been answered. */
+  /** Answers the caller, unless the call has been answered already. */
   void answer(CallAnswer answer) {
     if (!answered.compareAndSet(false, true)) {
       return;
@@ -89,7 +92,7 @@
         .record(nanos, TimeUnit.NANOSECONDS);
     boolean unusual =
         answer instanceof CallAnswer.Refused || answer instanceof CallAnswer.Undecided;
-    // What callers were told of a cancel decides what may run afterwards.
+    // The answer to a cancel is always logged, as it determines which tasks may still run.
     if (unusual || call instanceof BatchCall.Cancel) {
       EventLog.info(
           LOGGER,
--- a/fescuehook/src/main/java/org/fescuehook/entry/scheduler/OwnerView.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/scheduler/OwnerView.java
@@ -4,14 +4,14 @@
 import org.fescuehook.logic.batch.ownership.OwnerHint;
 
 /**
- * What the other threads know of the owner.
+ * What the decision thread publishes about the owner to other threads.
  *
- * @param deciding whether this VM decides
- * @param owner the owner that this VM knows; absent while there is none
- * @param handedOver whether this VM has stopped deciding for good
+ * @param deciding whether this VM is the owner and makes decisions
+ * @param owner the known owner; absent while there is none
+ * @param handedOver whether this VM has handed over ownership and will not decide again
  */
 record OwnerView(boolean deciding, Optional<OwnerHint> owner, boolean handedOver) {
 
-  /** Nothing has been read yet. */
+  /** The view before any ownership record is read. */
   static final OwnerView NONE = new OwnerView(false, Optional.empty(), false);
 }
--- a/fescuehook/src/main/java/org/fescuehook/entry/scheduler/PlannedStop.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/scheduler/PlannedStop.java
@@ -2,9 +2,7 @@
 
 import java.util.function.IntConsumer;
 
-/**
- * What a process does when it is told to end: it stops its program, writes its log out and halts.
- */
+/** Stops the program, flushes the log and halts the process. Runs as a shutdown hook. */
 final class PlannedStop implements Runnable {
 
   private static final int EXIT_SUCCESS = 0;
@@ -13,7 +11,7 @@
   private final Runnable flushLog;
   private final IntConsumer halt;
 
-  /** Stops a program. */
+  /** A program that can be stopped. */
   @FunctionalInterface
   interface Stoppable {
     void stop() throws InterruptedException;
@@ -22,8 +20,8 @@
   /**
    * Creates a stop.
    *
-   * @param log writes what waits to be logged; nothing is logged afterwards
-   * @param halt ends the process without further hooks
+   * @param log writes the queued log lines; nothing is logged afterwards
+   * @param halt ends the process without running further shutdown hooks
    */
   PlannedStop(Stoppable program, Runnable flushLog, IntConsumer halt) {
     this.program = program;
@@ -31,13 +29,14 @@
     this.halt = halt;
   }
 
-  /** Without the halt the JVM would end a stop on SIGTERM with 143 in place of 0. */
+  /** Halts with exit status 0. Without the halt, the JVM would exit with 143 after SIGTERM. */
   @Override
   public void run() {
     try {
       program.stop();
     } catch (InterruptedException e) {
-      // The process ends here; with the flag set again the log would not be waited for.
+      // The interrupt flag stays cleared, as the log would otherwise not be flushed before the
+      // process ends.
     } finally {
       flushLog.run();
     }
--- a/fescuehook/src/main/java/org/fescuehook/entry/scheduler/SchedulerEvent.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/scheduler/SchedulerEvent.java
@@ -12,19 +12,21 @@
   STOP_BEGAN(8302, "graceful stop began: not ready from now on"),
   /** The process is about to end. */
   STOPPED(8303, "graceful stop ended after {} ms with {} calls unanswered"),
-  /** This VM takes calls. */
+  /** This VM accepts calls. */
   READY(8304, "ready"),
-  /** This VM takes no calls. */
+  /** This VM accepts no calls. */
   NOT_READY(8305, "not ready: {}"),
-  /** The settings file changed while the process runs. */
+  /**
+   * The operator asked by SIGHUP to reload the settings, which takes effect at the next start only.
+   */
   RELOAD_ASKED(8306, "settings changed: they are read at the next start"),
-  /** The decision core met a fault. */
-  DECISION_FAULT(8307, "decision core met a fault on {}"),
-  /** The ring in front of the decisions is full. */
-  RING_FULL(8308, "decisions are behind: {} dropped"),
+  /** The decision core or the execution of one of its commands threw an exception. */
+  DECISION_FAULT(8307, "exception while processing {}"),
+  /** The queue of the decision thread is full, and an event was dropped. */
+  RING_FULL(8308, "queue of the decision thread is full: {} dropped"),
   /** A call was answered. */
   CALL_ANSWERED(8309, "Call {} of {} answered {} after {} ms"),
-  /** Standard output took lines too slowly. */
+  /** Log lines were dropped as standard output accepted them too slowly. */
   LOG_LINES_DROPPED(8310, "{} log lines dropped, {} of them decisions, logged from {} to {}");
 
   private final int number;
--- a/fescuehook/src/main/java/org/fescuehook/entry/scheduler/SchedulerProcess.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/scheduler/SchedulerProcess.java
@@ -8,14 +8,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Runs a VM that schedules batch jobs as a process: stops gracefully on SIGTERM. */
+/** Runs a VM that schedules batch jobs as a process, which stops gracefully on SIGTERM. */
 public final class SchedulerProcess {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(SchedulerProcess.class);
 
   private final SchedulerProgram program;
 
-  /** Composes the VM; nothing is opened yet. */
+  /** Creates the VM without opening a port or starting a thread. */
   public SchedulerProcess(SchedulerPreferences preferences) {
     MachineId.use(preferences.identity().vm());
     this.program = new SchedulerProgram(preferences);
--- a/fescuehook/src/main/java/org/fescuehook/entry/scheduler/SchedulerProgram.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/scheduler/SchedulerProgram.java
@@ -32,21 +32,26 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A VM that schedules batch jobs: all its parts, their start and their graceful stop. */
+/**
+ * A VM that schedules batch jobs. Creates its components, starts them and stops them gracefully.
+ */
 public final class SchedulerProgram {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(SchedulerProgram.class);
 
-  /** Longest pause of the decisions; leases and heartbeats are given in steps of it. */
+  /**
+   * Interval of the decision thread's ticks while a deadline is near. The periods of leases and
+   * heartbeats are multiples of it.
+   */
   private static final Duration TICK = Duration.ofMillis(50);
 
   /**
-   * How long a stopping VM goes on taking connections: the balancer asks once a second and gives up
-   * after two misses.
+   * Time for which a stopping VM still accepts connections: the load balancer checks readiness once
+   * a second and stops using a VM after two failed checks.
    */
   private static final Duration BALANCER_DRAIN_TIME = Duration.ofMillis(2300);
 
-  /** Longest graceful stop; the platform kills after 6 s. */
+  /** Longest duration of the graceful stop. The platform kills the process after 6 s. */
   private static final Duration STOP_TIMEOUT = Duration.ofMillis(5000);
 
   private static final Duration STOP_POLL_INTERVAL = Duration.ofMillis(20);
@@ -71,7 +76,7 @@
   private final CountDownLatch stopped = new CountDownLatch(1);
   private volatile boolean configured;
 
-  /** Composes a VM; nothing is opened and no thread runs yet. */
+  /** Creates a VM without opening a port or starting a thread. */
   public SchedulerProgram(SchedulerPreferences preferences) {
     this.preferences = preferences;
     EventLoop loop = loops.next();
@@ -161,7 +166,7 @@
     return new StatusServer.Page(ownerKnown, ownerKnown ? "ready" : "no owner");
   }
 
-  /** Stops gracefully; blocks until all is done. A second call waits for the first. */
+  /** Stops gracefully and blocks until the stop has ended. A second call waits for the first. */
   public void stop() throws InterruptedException {
     if (!stopStarted.compareAndSet(false, true)) {
       stopped.await();
--- a/fescuehook/src/main/java/org/fescuehook/entry/scheduler/StatusServer.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/scheduler/StatusServer.java
@@ -23,7 +23,7 @@
 import java.util.function.Supplier;
 import org.fescuehook.net.listen.ServerPort;
 
-/** Serves a few short texts, such as readiness or metrics, by HTTP GET. */
+/** Serves short text pages, such as readiness or metrics, over HTTP. */
 final class StatusServer {
 
   private static final int MAX_REQUEST_BYTES = 8 << 10;
@@ -32,7 +32,7 @@
   private final Map<String, Supplier<Page>> pages;
   private final ServerPort listener;
 
-  /** A page and whether it is served with success. */
+  /** A page and whether it is served with a success status. */
   record Page(boolean success, String text) {}
 
   /**
@@ -93,7 +93,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      // An idle or broken connection of the balancer; it opens another one.
+      // The connection of the load balancer is idle or broken; the balancer opens another one.
       context.close();
     }
   }
--- a/fescuehook/src/main/java/org/fescuehook/entry/scheduler/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/scheduler/package-info.java
@@ -1,4 +1,4 @@
-/** Joins the parts into the process of a VM that schedules batch jobs. */
+/** Assembles the process of a VM that schedules batch jobs. */
 @NullMarked
 package org.fescuehook.entry.scheduler;
 
--- a/fescuehook/src/test/java/org/fescuehook/entry/scheduler/CallGatewayTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/entry/scheduler/CallGatewayTest.java
@@ -23,10 +23,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seen: at the end of a day, while one owner follows another, questions about accepted jobs are
- * refused within a millisecond, a few times a second apart, and their callers run out of attempts
- * before an owner decides; others are given up after 2.8 s although their callers wait longer.
- * Cause: a question that met no owner was refused at once, and each call had the same time.
+ * Guards against two failures during a take-over. Status calls were refused at once while there was
+ * no owner, so callers used up their attempts before the next owner was ready. And each call had
+ * the same timeout of 2.8 s, even if its caller was prepared to wait longer.
  */
 class CallGatewayTest {
 
@@ -60,7 +59,7 @@
     return links.getLast();
   }
 
-  /** Keeps what it is asked; a link that is closed leaves its calls undecided. */
+  /** Records its calls. When it is closed it answers them as undecided. */
   private static final class FakeOwner implements OwnerLink {
     private final List<Consumer<CallAnswer>> calls = new ArrayList<>();
     private Duration patience = Duration.ZERO;
@@ -142,7 +141,7 @@
     links.getFirst().immediateAnswer = Optional.of(QUEUED);
     advanceMillis(800);
     assertEquals(List.of(QUEUED), answers);
-    assertTrue(links.getFirst().calls.size() <= 5, "it is not asked all the time");
+    assertTrue(links.getFirst().calls.size() <= 5, "the owner is asked too often");
   }
 
   @Test
--- a/fescuehook/src/test/java/org/fescuehook/entry/scheduler/CountingLogAppenderTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/entry/scheduler/CountingLogAppenderTest.java
@@ -27,7 +27,7 @@
   private final CountingLogAppender appender = new CountingLogAppender();
   private final BlockedOutput output = new BlockedOutput();
 
-  /** Standard output whose reader stands still until it is let go. */
+  /** Standard output that blocks until it is released. */
   private static final class BlockedOutput extends AppenderBase<ILoggingEvent> {
     final CountDownLatch reached = new CountDownLatch(1);
     final CountDownLatch released = new CountDownLatch(1);
@@ -43,7 +43,7 @@
     }
   }
 
-  /** Standard output whose first line finds no memory. */
+  /** Standard output that throws an {@link OutOfMemoryError} for the first line. */
   private static final class OutOfMemoryOutput extends AppenderBase<ILoggingEvent> {
     private final Queue<String> written;
     private boolean failed;
--- a/fescuehook/src/test/java/org/fescuehook/entry/scheduler/FailingCommandTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/entry/scheduler/FailingCommandTest.java
@@ -30,10 +30,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seen: a call has no answer until its time is over, although the decision was made. Something
- * small that the same turn wanted done before, such as counting, met a fault. Cause: the first
- * command of a turn that fails takes all later ones with it: answers, appends, orders. What they
- * asked for counts as under way for good.
+ * Guards against losing the commands that follow one that throws an exception, such as updating a
+ * counter. The answers, appends and orders of the same event were then never executed but stayed
+ * pending, so a call had no answer until its deadline although it had been decided.
  */
 class FailingCommandTest {
 
@@ -42,7 +41,7 @@
   private final EventLoopGroup loops =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
-  /** Can count nothing. */
+  /** Throws an exception for every counter. */
   private static final class FailingRegistry extends SimpleMeterRegistry {
     @Override
     protected Counter newCounter(Meter.Id id) {
--- a/fescuehook/src/test/java/org/fescuehook/entry/scheduler/LogUnderLoadTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/entry/scheduler/LogUnderLoadTest.java
@@ -32,7 +32,7 @@
 import org.junit.jupiter.api.Test;
 import org.slf4j.event.Level;
 
-/** The log of a VM as it is configured, in front of a standard output that is taken slowly. */
+/** Tests the log configuration of a VM with a standard output that is read slowly. */
 class LogUnderLoadTest {
 
   private static final int MANY_LINES = 5000;
@@ -46,7 +46,7 @@
   private final SlowPipe pipe = new SlowPipe();
   private Logger logger = context.getLogger("test");
 
-  /** A pipe whose reader takes as many lines as it is let. */
+  /** A pipe that accepts a line for each permit and blocks without one. */
   private static final class SlowPipe extends OutputStream {
     private static final int UNLIMITED = 1 << 20;
 
@@ -58,7 +58,7 @@
 
     @Override
     public void write(int one) {
-      throw new AssertionError("lines are written whole");
+      throw new AssertionError("a line was not written in one call");
     }
 
     @Override
@@ -190,7 +190,8 @@
   void aLossIsReportedAsSoonAsTheQueueHasCapacity() throws InterruptedException {
     logMany(this::callAnswered);
     pipe.unblock();
-    assertTrue(pipe.reported.await(TIMEOUT_SECONDS, TimeUnit.SECONDS), "no line tells of the loss");
+    assertTrue(
+        pipe.reported.await(TIMEOUT_SECONDS, TimeUnit.SECONDS), "no report of dropped lines");
   }
 
   @Test
@@ -199,7 +200,7 @@
     unblockAndStop();
     TreeSet<Long> numbers = numbers();
     assertEquals(1, numbers.first());
-    assertEquals(pipe.lines().size(), numbers.size(), "a number came twice");
+    assertEquals(pipe.lines().size(), numbers.size(), "a sequence number was used twice");
     long missing = numbers.last() - numbers.size();
     assertTrue(missing > 0, "nothing was dropped");
     assertEquals(missing, reported(1));
@@ -231,7 +232,8 @@
   @Test
   void eachLineIsFlushedAtOnce() throws InterruptedException {
     pipe.permits(1);
-    assertTrue(pipe.written.tryAcquire(TIMEOUT_SECONDS, TimeUnit.SECONDS), "the line waits");
+    assertTrue(
+        pipe.written.tryAcquire(TIMEOUT_SECONDS, TimeUnit.SECONDS), "the line was not flushed");
   }
 
   @Test
--- a/fescuehook/src/test/java/org/fescuehook/entry/scheduler/OwnershipFirstTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/entry/scheduler/OwnershipFirstTest.java
@@ -13,10 +13,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seen: an owner whose decisions were a second behind was replaced, and so was the next one. Its
- * heartbeat had been stored at once, and the outcome waited behind some hundred answers of
- * executors; the next heartbeat goes out only after it. Cause: what keeps an owner an owner waits
- * in the same line as its work, so that load looks like death.
+ * Guards against replacing an owner that is only overloaded. Its heartbeat was stored at once, but
+ * the outcome waited in the queue behind hundreds of executors' answers, and the next heartbeat is
+ * sent only after that outcome. The owner was replaced, and so was the next one, for the same
+ * reason.
  */
 class OwnershipFirstTest {
 
@@ -27,7 +27,7 @@
   private final BatchRing ring = new BatchRing(Duration.ofSeconds(60), new SimpleMeterRegistry());
   private final BlockingRecorder recorder = new BlockingRecorder();
 
-  /** Waits at the first item, and keeps all in order. */
+  /** Blocks at the first item until released, and records all events in order. */
   private static final class BlockingRecorder implements DutyRing.Handler<BatchRing.Item> {
     private final CountDownLatch entered = new CountDownLatch(1);
     private final CountDownLatch released = new CountDownLatch(1);
@@ -48,7 +48,7 @@
 
     @Override
     public void idle() {
-      // Only items count.
+      // This test checks the items only.
     }
   }
 
--- a/fescuehook/src/test/java/org/fescuehook/entry/scheduler/RingOverflowTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/entry/scheduler/RingOverflowTest.java
@@ -12,10 +12,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seen: an owner whose decisions were behind for some seconds stores nothing more, polls some
- * executors no more, or never ends its take-over, long after it has caught up. Outcomes that came
- * while the ring was full were dropped, and each of them is told only once. Cause: the ring treats
- * what the decisions have asked for like calls, which can be refused.
+ * Guards against dropping outcomes of commands while the queue is full. Calls can be refused, but
+ * each outcome is reported only once: without it, an owner whose decisions had been late for some
+ * seconds no longer appended, no longer polled some executors or never finished its take-over.
  */
 class RingOverflowTest {
 
@@ -24,7 +23,7 @@
 
   private final BatchRing ring = new BatchRing(Duration.ofSeconds(60), new SimpleMeterRegistry());
 
-  /** Waits at the first item, and counts all. */
+  /** Blocks at the first item until released, and counts all items. */
   private static final class BlockingHandler implements DutyRing.Handler<BatchRing.Item> {
     private final CountDownLatch released = new CountDownLatch(1);
     private final AtomicInteger count = new AtomicInteger();
@@ -41,7 +40,7 @@
 
     @Override
     public void idle() {
-      // Only items count.
+      // This test checks the items only.
     }
   }
 
