--- a/fescuehook/src/main/java/org/fescuehook/entry/ConfigurationKeeper.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/ConfigurationKeeper.java
@@ -19,11 +19,11 @@
 final class ConfigurationKeeper {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(ConfigurationKeeper.class);
-  private static final int TEXTS_KEPT = 8;
-  private static final int PUBLICATIONS_KEPT = 256;
+  private static final int MAX_CONFIGURATIONS = 8;
+  private static final int MAX_PUBLICATIONS = 256;
 
-  private final Consumer<Configuration> users;
-  private final Deque<Configuration> newest = new ArrayDeque<>();
+  private final Consumer<Configuration> listener;
+  private final Deque<Configuration> configurations = new ArrayDeque<>();
   private final Deque<Publication> publications = new ArrayDeque<>();
 
   /**
@@ -31,8 +31,8 @@
    *
    * @param users told of each configuration that comes into force, in the order of revisions
    */
-  ConfigurationKeeper(Consumer<Configuration> users) {
-    this.users = users;
+  ConfigurationKeeper(Consumer<Configuration> listener) {
+    this.listener = listener;
   }
 
   /**
@@ -44,22 +44,22 @@
     if (configuration.revision() <= revision()) {
       return;
     }
-    newest.push(configuration);
+    configurations.push(configuration);
     publications.push(publication(configuration));
-    trim(newest, TEXTS_KEPT);
-    trim(publications, PUBLICATIONS_KEPT);
+    trim(configurations, MAX_CONFIGURATIONS);
+    trim(publications, MAX_PUBLICATIONS);
     EventLog.info(
         LOGGER,
         EntryEvent.CONFIGURATION_IN_FORCE,
         configuration.revision(),
         configuration.author(),
         source);
-    users.accept(configuration);
+    listener.accept(configuration);
   }
 
   /** Returns the configuration in force. */
   synchronized Optional<Configuration> current() {
-    return Optional.ofNullable(newest.peek());
+    return Optional.ofNullable(configurations.peek());
   }
 
   /** Returns the revision in force. */
@@ -69,7 +69,7 @@
 
   /** Returns a configuration that is or was in force, if it is kept. */
   synchronized Optional<Configuration> find(long revision) {
-    return newest.stream().filter(known -> known.revision() == revision).findFirst();
+    return configurations.stream().filter(known -> known.revision() == revision).findFirst();
   }
 
   /** Returns what is known of the configurations that are or were in force, newest first. */
@@ -85,8 +85,8 @@
         configuration.reason());
   }
 
-  private static void trim(Deque<?> deque, int most) {
-    while (deque.size() > most) {
+  private static void trim(Deque<?> deque, int maxSize) {
+    while (deque.size() > maxSize) {
       deque.removeLast();
     }
   }
--- a/fescuehook/src/main/java/org/fescuehook/entry/ControlSink.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/ControlSink.java
@@ -19,7 +19,7 @@
 
   @Override
   public void reachable(boolean reachable) {
-    state.logAnswered(reachable);
+    state.recordLogRead(reachable);
     if (!reachable) {
       decisions.publish(new ControlEvent.LogUnreachable());
     }
--- a/fescuehook/src/main/java/org/fescuehook/entry/DecisionDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/DecisionDuty.java
@@ -42,7 +42,7 @@
   private final VmState state;
   private final MeterRegistry meters;
   private final long tickNanos;
-  private final Map<Long, Consumer<Answer>> askers = new HashMap<>();
+  private final Map<Long, Consumer<Answer>> pendingRequests = new HashMap<>();
   private final Deque<ControlEvent> followUps = new ArrayDeque<>();
   private long lastTickNanos = System.nanoTime();
   private boolean halted;
@@ -71,8 +71,8 @@
   @Override
   public void accept(DecisionRing.Item item) {
     switch (item) {
-      case DecisionRing.Item.Event event -> decide(event.event());
-      case DecisionRing.Item.Question question -> ask(question);
+      case DecisionRing.Item.EventItem eventItem -> decide(eventItem.event());
+      case DecisionRing.Item.RequestItem requestItem -> handleRequest(requestItem);
     }
     tickIfDue();
   }
@@ -82,13 +82,13 @@
     tickIfDue();
   }
 
-  private void ask(DecisionRing.Item.Question question) {
+  private void handleRequest(DecisionRing.Item.RequestItem requestItem) {
     if (halted) {
-      question.sink().accept(notReady("decisions are halted"));
+      requestItem.sink().accept(notReady("decisions are halted"));
       return;
     }
-    askers.put(question.ticket(), question.sink());
-    decide(new ControlEvent.Asked(question.ticket(), question.request()));
+    pendingRequests.put(requestItem.ticket(), requestItem.sink());
+    decide(new ControlEvent.Asked(requestItem.ticket(), requestItem.request()));
   }
 
   private void tickIfDue() {
@@ -112,10 +112,10 @@
       return;
     }
     long start = System.nanoTime();
-    commandsFor(event, start).forEach(this::carryOut);
-    state.folded(core.nextOffset());
+    commandsFor(event, start).forEach(this::executeSafely);
+    state.setControlNext(core.nextOffset());
     if (event instanceof ControlEvent.CaughtUp) {
-      state.reachedEnd();
+      state.setCaughtUp();
     }
     meters
         .timer("fescuehook.decision", "event", event.getClass().getSimpleName())
@@ -126,12 +126,12 @@
     try {
       return core.apply(event, nowNanos, System.currentTimeMillis());
     } catch (RuntimeException e) {
-      fault(event, e);
+      handleFault(event, e);
       return List.of();
     }
   }
 
-  private void fault(ControlEvent event, RuntimeException fault) {
+  private void handleFault(ControlEvent event, RuntimeException fault) {
     meters.counter("fescuehook.decision.fault").increment();
     if (event instanceof ControlEvent.RecordRead read) {
       // A record folded in part would make this VM's state differ from the others'.
@@ -146,10 +146,10 @@
 
   private void halt(long offset, RuntimeException fault) {
     halted = true;
-    state.halt();
+    state.setHalted();
     EventLog.error(LOGGER, EntryEvent.DECISIONS_HALTED, offset, fault);
-    askers.values().forEach(sink -> sink.accept(notReady("decisions are halted")));
-    askers.clear();
+    pendingRequests.values().forEach(sink -> sink.accept(notReady("decisions are halted")));
+    pendingRequests.clear();
   }
 
   private static Answer notReady(String detail) {
@@ -157,37 +157,38 @@
   }
 
   /** A command that fails leaves the others to be carried out. */
-  private void carryOut(ControlCommand command) {
+  private void executeSafely(ControlCommand command) {
     try {
-      perform(command);
+      execute(command);
     } catch (RuntimeException e) {
       meters.counter("fescuehook.decision.fault").increment();
       EventLog.error(LOGGER, EntryEvent.COMMAND_FAULT, command.getClass().getSimpleName(), e);
     }
   }
 
-  private void perform(ControlCommand command) {
+  private void execute(ControlCommand command) {
     switch (command) {
       case ControlCommand.Append append -> append(append.record());
       case ControlCommand.Send send -> workers.send(send.worker(), send.command());
       case ControlCommand.Reply reply -> answer(reply.ticket(), reply.answer());
       case ControlCommand.ConfigurationInForce inForce ->
           configuration.offer(inForce.configuration(), "log");
-      case ControlCommand.SharesInForce inForce -> share(inForce.shares());
+      case ControlCommand.SharesInForce inForce -> updateShares(inForce.shares());
       case ControlCommand.Note note -> EventLog.info(LOGGER, note.event(), note.arguments());
       case ControlCommand.Count count -> meters.counter(count.name(), count.tags()).increment();
     }
   }
 
-  private void share(SlotShares shares) {
+  private void updateShares(SlotShares shares) {
     requests.sharesInForce(shares);
-    state.shared(shares);
+    state.setShares(shares);
   }
 
   private void append(ControlRecord record) {
     long sequence = record.getSequence();
-    boolean taken = log.offer(STREAM, record.toByteArray(), result -> appended(sequence, result));
-    if (!taken) {
+    boolean accepted =
+        log.offer(STREAM, record.toByteArray(), result -> appended(sequence, result));
+    if (!accepted) {
       followUps.add(new ControlEvent.AppendFailed(sequence, true));
     }
   }
@@ -203,6 +204,6 @@
   }
 
   private void answer(long ticket, Answer answer) {
-    Optional.ofNullable(askers.remove(ticket)).ifPresent(sink -> sink.accept(answer));
+    Optional.ofNullable(pendingRequests.remove(ticket)).ifPresent(sink -> sink.accept(answer));
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/entry/DecisionRing.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/DecisionRing.java
@@ -12,14 +12,14 @@
 final class DecisionRing implements ControlPort {
 
   private static final String NAME = "decisions";
-  private static final int SIZE = 1 << 14;
+  private static final int CAPACITY = 1 << 14;
 
   private final DutyRing<Item> ring;
   private final AtomicLong tickets = new AtomicLong();
 
   /** Creates a ring whose thread has not started. */
   DecisionRing(Duration tick, MeterRegistry meters) {
-    this.ring = new DutyRing<>(NAME, SIZE, tick, meters);
+    this.ring = new DutyRing<>(NAME, CAPACITY, tick, meters);
   }
 
   /** Starts the decision thread. */
@@ -34,21 +34,21 @@
 
   /** Hands an event over; false if the ring is full. */
   boolean publish(ControlEvent event) {
-    return ring.offer(new Item.Event(event));
+    return ring.offer(new Item.EventItem(event));
   }
 
   @Override
   public boolean offer(Request request, Consumer<Answer> sink) {
-    return ring.offer(new Item.Question(tickets.incrementAndGet(), request, sink));
+    return ring.offer(new Item.RequestItem(tickets.incrementAndGet(), request, sink));
   }
 
   /** What the ring holds. */
   sealed interface Item {
 
     /** Something happened. */
-    record Event(ControlEvent event) implements Item {}
+    record EventItem(ControlEvent event) implements Item {}
 
     /** Somebody asks. */
-    record Question(long ticket, Request request, Consumer<Answer> sink) implements Item {}
+    record RequestItem(long ticket, Request request, Consumer<Answer> sink) implements Item {}
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/entry/EntryProgram.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/EntryProgram.java
@@ -52,7 +52,7 @@
   private static final Logger LOGGER = LoggerFactory.getLogger(EntryProgram.class);
   private static final Duration PLATFORM_TIMEOUT = Duration.ofSeconds(2);
   private static final Duration WORKER_TIMEOUT = Duration.ofSeconds(2);
-  private static final Duration DUTY_END_LIMIT = Duration.ofSeconds(2);
+  private static final Duration DUTY_STOP_TIMEOUT = Duration.ofSeconds(2);
   private static final int APPEND_RING_SIZE = 4096;
   private static final int MAX_REQUEST_LOOPS = 4;
 
@@ -60,7 +60,7 @@
   private final String incarnation = UUID.randomUUID().toString();
   private final PrometheusMeterRegistry meters =
       new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-  private final JvmGcMetrics collections = new JvmGcMetrics();
+  private final JvmGcMetrics gcMetrics = new JvmGcMetrics();
   private final EventLoopGroup requestLoops = loops("requests", requestLoops());
   private final EventLoopGroup controlLoops = loops("control", 1);
   private final DecisionRing decisions;
@@ -76,7 +76,7 @@
   private final RepeatingDuty peerDuty;
   private final List<RepeatingDuty> duties;
   private final GracefulStop gracefulStop;
-  private final AtomicBoolean stopBegun = new AtomicBoolean();
+  private final AtomicBoolean stopStarted = new AtomicBoolean();
   private final CountDownLatch stopped = new CountDownLatch(1);
 
   /** Composes a VM; nothing is opened and no thread runs yet. */
@@ -152,7 +152,7 @@
 
   /** Stops gracefully; blocks until all is done. A second call waits for the first. */
   public void stop() {
-    if (stopBegun.compareAndSet(false, true)) {
+    if (stopStarted.compareAndSet(false, true)) {
       long start = System.nanoTime();
       stopOnce();
       long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
@@ -178,9 +178,9 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    appends.stop(DUTY_END_LIMIT);
+    appends.stop(DUTY_STOP_TIMEOUT);
     duties.forEach(RepeatingDuty::stop);
-    decisions.stop(DUTY_END_LIMIT);
+    decisions.stop(DUTY_STOP_TIMEOUT);
     close();
   }
 
@@ -192,19 +192,20 @@
     workers.close();
     controlLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     requestLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
-    collections.close();
+    gcMetrics.close();
   }
 
   private EntryAddresses openPorts() throws EntryStartException {
-    AddressPreferences wanted = preferences.addresses();
+    AddressPreferences configured = preferences.addresses();
     InetSocketAddress peer =
-        open("bind peer port", wanted.peer(), () -> peerServer.start(wanted.peer()));
+        open("bind peer port", configured.peer(), () -> peerServer.start(configured.peer()));
     InetSocketAddress operator =
         open(
             "bind operators' port",
-            wanted.operator(),
-            () -> operatorServer.start(wanted.operator()));
-    InetSocketAddress service = open("bind service port", wanted.service(), this::startRequests);
+            configured.operator(),
+            () -> operatorServer.start(configured.operator()));
+    InetSocketAddress service =
+        open("bind service port", configured.service(), this::startRequests);
     return new EntryAddresses(service, peer, operator);
   }
 
@@ -216,7 +217,7 @@
     }
   }
 
-  private static InetSocketAddress open(String step, InetSocketAddress address, Opening opening)
+  private static InetSocketAddress open(String step, InetSocketAddress address, PortOpener opening)
       throws EntryStartException {
     try {
       return opening.open();
@@ -327,7 +328,7 @@
     new JvmThreadMetrics().bindTo(meters);
     new ProcessorMetrics().bindTo(meters);
     new UptimeMetrics().bindTo(meters);
-    collections.bindTo(meters);
+    gcMetrics.bindTo(meters);
   }
 
   private static EventLoopGroup loops(String name, int threads) {
@@ -340,7 +341,7 @@
   }
 
   @FunctionalInterface
-  private interface Opening {
+  private interface PortOpener {
     InetSocketAddress open() throws IOException;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/entry/GracefulStop.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/GracefulStop.java
@@ -18,15 +18,15 @@
 final class GracefulStop {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(GracefulStop.class);
-  private static final Duration IN_FLIGHT_CHECK = Duration.ofMillis(10);
-  private static final Duration QUIET = Duration.ofMillis(1500);
-  private static final Duration HAND_OVER_LIMIT = Duration.ofSeconds(5);
+  private static final Duration IN_FLIGHT_POLL_INTERVAL = Duration.ofMillis(10);
+  private static final Duration QUIET_PERIOD = Duration.ofMillis(1500);
+  private static final Duration HAND_OVER_TIMEOUT = Duration.ofSeconds(5);
 
   private final MembershipPreferences preferences;
   private final VmState state;
   private final RequestPath requests;
   private final ControlPort control;
-  private final CountDownLatch cut = new CountDownLatch(1);
+  private final CountDownLatch neverReleased = new CountDownLatch(1);
 
   GracefulStop(
       MembershipPreferences preferences, VmState state, RequestPath requests, ControlPort control) {
@@ -39,8 +39,8 @@
   /** Does all steps; blocks the calling thread up to the declared limits. */
   void run() throws InterruptedException {
     EventLog.info(LOGGER, EntryEvent.STOP_BEGAN);
-    state.beginDraining();
-    pause(preferences.drainDelay());
+    state.setDraining();
+    sleep(preferences.drainDelay());
     requests.ready(false, RefusalReason.DRAINING);
     requests.drain();
     EventLog.info(LOGGER, EntryEvent.DRAINING, requests.inFlight());
@@ -55,7 +55,7 @@
   private void awaitAnswers() throws InterruptedException {
     long deadline = System.nanoTime() + preferences.drainLimit().toNanos();
     long quietSince = System.nanoTime();
-    while (System.nanoTime() - quietSince < QUIET.toNanos()) {
+    while (System.nanoTime() - quietSince < QUIET_PERIOD.toNanos()) {
       int inFlight = requests.inFlight();
       if (System.nanoTime() - deadline >= 0) {
         warnOfLimit(inFlight);
@@ -64,7 +64,7 @@
       if (inFlight > 0) {
         quietSince = System.nanoTime();
       }
-      pause(IN_FLIGHT_CHECK);
+      sleep(IN_FLIGHT_POLL_INTERVAL);
     }
   }
 
@@ -81,14 +81,14 @@
       return;
     }
     try {
-      ControlPort.Answer answer = done.get(HAND_OVER_LIMIT.toMillis(), TimeUnit.MILLISECONDS);
+      ControlPort.Answer answer = done.get(HAND_OVER_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
       EventLog.info(LOGGER, EntryEvent.HANDED_OVER, answer);
     } catch (TimeoutException | ExecutionException e) {
       EventLog.warn(LOGGER, EntryEvent.HANDED_OVER, "no answer");
     }
   }
 
-  private void pause(Duration duration) throws InterruptedException {
-    cut.await(duration.toNanos(), TimeUnit.NANOSECONDS);
+  private void sleep(Duration duration) throws InterruptedException {
+    neverReleased.await(duration.toNanos(), TimeUnit.NANOSECONDS);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/entry/ListDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/ListDuty.java
@@ -69,7 +69,7 @@
       EventLog.info(LOGGER, PlatformEvent.LIST_REACHABLE);
     }
     failing = false;
-    tell(members);
+    publish(members);
     return interval;
   }
 
@@ -86,7 +86,7 @@
     failing = true;
   }
 
-  private void tell(List<Member> members) {
+  private void publish(List<Member> members) {
     decisions.publish(new ControlEvent.MembersListed(List.copyOf(members)));
     requests.executorsLeaving(leavingExecutors(members));
     links.retain(peers(members));
--- a/fescuehook/src/main/java/org/fescuehook/entry/PeerAnswers.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/PeerAnswers.java
@@ -38,7 +38,7 @@
 
   @Override
   public void heard(PeerReport report) {
-    state.heard(report);
+    state.recordHeartbeat(report);
   }
 
   @Override
--- a/fescuehook/src/main/java/org/fescuehook/entry/PeerDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/PeerDuty.java
@@ -24,8 +24,8 @@
   private final DecisionRing decisions;
   private final RequestPath requests;
   private final Duration interval;
-  private Optional<String> lastVerdict = Optional.of("starting");
-  private Optional<VmId> lastAhead = Optional.empty();
+  private Optional<String> lastReason = Optional.of("starting");
+  private Optional<VmId> previousPeerAhead = Optional.empty();
 
   PeerDuty(
       PeerLinks links,
@@ -45,41 +45,41 @@
   /** Does one round and returns the pause before the next. */
   Duration step() {
     links.heartbeat();
-    state.reviewPeers();
+    state.updatePeers();
     Set<VmId> alive = state.alivePeers();
     Set<VmId> reachingLog = state.peersReachingLog();
     Set<VmId> draining = state.peersDraining();
     decisions.publish(new ControlEvent.PeersHeard(alive, reachingLog, draining));
-    decisions.publish(new ControlEvent.PeersFolded(state.foldedByPeers()));
+    decisions.publish(new ControlEvent.PeersFolded(state.controlNextByPeer()));
     fetchConfiguration();
-    reviewReadiness();
+    updateReadiness();
     return interval;
   }
 
   /** Asks a peer that has been ahead for two rounds; the log is usually faster. */
   private void fetchConfiguration() {
-    Optional<VmId> ahead = state.ahead().map(PeerReport::vm);
-    if (ahead.isPresent() && lastAhead.isPresent()) {
-      links.askConfiguration(ahead.get(), configuration.revision() + 1);
+    Optional<VmId> peerAhead = state.peerWithNewerConfiguration().map(PeerReport::vm);
+    if (peerAhead.isPresent() && previousPeerAhead.isPresent()) {
+      links.askConfiguration(peerAhead.get(), configuration.revision() + 1);
     }
-    lastAhead = ahead;
+    previousPeerAhead = peerAhead;
   }
 
-  private void reviewReadiness() {
-    Optional<String> verdict = state.unfit();
-    if (verdict.equals(lastVerdict)) {
+  private void updateReadiness() {
+    Optional<String> reason = state.unfitReason();
+    if (reason.equals(lastReason)) {
       return;
     }
-    lastVerdict = verdict;
-    if (verdict.isPresent()) {
-      EventLog.info(LOGGER, EntryEvent.NOT_READY, verdict.get());
-      state.opened(false);
+    lastReason = reason;
+    if (reason.isPresent()) {
+      EventLog.info(LOGGER, EntryEvent.NOT_READY, reason.get());
+      state.setOpen(false);
       requests.ready(false, RefusalReason.NOT_READY);
       return;
     }
     EventLog.info(LOGGER, EntryEvent.READY);
     requests.ready(true, RefusalReason.NOT_READY);
     // Only now: a balancer that sees readiness may send at once.
-    state.opened(true);
+    state.setOpen(true);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/entry/VmState.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/VmState.java
@@ -44,26 +44,26 @@
   }
 
   /** Takes the result of a read of the control stream. */
-  void logAnswered(boolean answered) {
-    if (answered) {
+  void recordLogRead(boolean succeeded) {
+    if (succeeded) {
       logContactNanos = OptionalLong.of(System.nanoTime());
     }
-    logReachable = answered;
+    logReachable = succeeded;
   }
 
   /** Takes a heartbeat. */
-  void heard(PeerReport report) {
+  void recordHeartbeat(PeerReport report) {
     long now = System.nanoTime();
     peers.updateAndGet(table -> table.heard(report, now));
     peerContactNanos = OptionalLong.of(now);
   }
 
   /** Forgets peers that were silent for long and notes whether one has a newer configuration. */
-  void reviewPeers() {
+  void updatePeers() {
     long now = System.nanoTime();
     Duration keep = preferences.peerTimeout().multipliedBy(10);
     peers.updateAndGet(table -> table.withoutSilent(keep, now));
-    if (ahead().isEmpty()) {
+    if (peerWithNewerConfiguration().isEmpty()) {
       behindSinceNanos = OptionalLong.empty();
     } else if (behindSinceNanos.isEmpty()) {
       behindSinceNanos = OptionalLong.of(now);
@@ -71,39 +71,39 @@
   }
 
   /** Takes the offset after the last folded record of the control stream. */
-  void folded(long next) {
+  void setControlNext(long next) {
     controlNext = next;
   }
 
   /** Takes the shares of executors' slots in force. */
-  void shared(SlotShares shares) {
+  void setShares(SlotShares shares) {
     hasSlots =
         shares.getSharesList().stream()
             .anyMatch(share -> share.getVm().equals(self.value()) && share.getSlots() > 0);
   }
 
   /** Notes that the end of the control stream was reached. */
-  void reachedEnd() {
+  void setCaughtUp() {
     caughtUp = true;
   }
 
   /** Notes that the graceful stop began. */
-  void beginDraining() {
+  void setDraining() {
     draining = true;
   }
 
   /** Notes whether the service port takes requests and jobs. */
-  void opened(boolean opened) {
+  void setOpen(boolean opened) {
     open = opened;
   }
 
   /** Notes that this VM decides nothing any more. */
-  void halt() {
+  void setHalted() {
     halted = true;
   }
 
   /** Returns a peer that has a newer configuration. */
-  Optional<PeerReport> ahead() {
+  Optional<PeerReport> peerWithNewerConfiguration() {
     return peers
         .get()
         .ahead(configuration.revision(), preferences.peerTimeout(), System.nanoTime());
@@ -125,7 +125,7 @@
   }
 
   /** Returns how far the peers heard within their timeout have folded the control stream. */
-  Map<VmId, Long> foldedByPeers() {
+  Map<VmId, Long> controlNextByPeer() {
     return peers.get().folded(preferences.peerTimeout(), System.nanoTime());
   }
 
@@ -149,19 +149,19 @@
     if (draining) {
       return Optional.of(NotReady.DRAINING.slug());
     }
-    Optional<String> unfit = unfit();
-    return unfit.isEmpty() && !open ? Optional.of(NotReady.OPENING.slug()) : unfit;
+    Optional<String> unfitReason = unfitReason();
+    return unfitReason.isEmpty() && !open ? Optional.of(NotReady.OPENING.slug()) : unfitReason;
   }
 
   /**
    * Returns why this VM cannot do work that it receives. A VM that began its graceful stop still
    * can, until its service port is closed.
    */
-  Optional<String> unfit() {
+  Optional<String> unfitReason() {
     if (halted) {
       return Optional.of(NotReady.DECISIONS_HALTED.slug());
     }
-    Readiness.Inputs facts =
+    Readiness.Inputs inputs =
         new Readiness.Inputs(
             configuration.current().isPresent(),
             hasSlots || !executorsDeclared(),
@@ -169,7 +169,7 @@
             logContactNanos,
             peerContactNanos,
             behindSinceNanos);
-    return readiness.judge(facts, System.nanoTime()).map(NotReady::slug);
+    return readiness.judge(inputs, System.nanoTime()).map(NotReady::slug);
   }
 
   private boolean executorsDeclared() {
--- a/fescuehook/src/test/java/org/fescuehook/entry/ParsedDeclarationsTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/entry/ParsedDeclarationsTest.java
@@ -9,7 +9,7 @@
 
 class ParsedDeclarationsTest {
 
-  private static final String BEYOND_THE_FLEET =
+  private static final String UNSATISFIABLE_GUARANTEE =
       """
       [organisation surveys]
       quota-accelerators = 64
@@ -32,15 +32,16 @@
   private final ParsedDeclarations reader = new ParsedDeclarations();
 
   @Test
-  void publicationThatCannotBeHonouredIsRefused() {
-    InvalidDeclarationsException refused =
-        assertThrows(InvalidDeclarationsException.class, () -> reader.check(BEYOND_THE_FLEET));
+  void anUnsatisfiableGuaranteeIsRejectedOnPublication() {
+    InvalidDeclarationsException rejection =
+        assertThrows(
+            InvalidDeclarationsException.class, () -> reader.check(UNSATISFIABLE_GUARANTEE));
 
-    assertTrue(refused.getMessage().contains("needs 2 members at once"), refused.getMessage());
+    assertTrue(rejection.getMessage().contains("needs 2 members at once"), rejection.getMessage());
   }
 
   @Test
-  void whatWasPublishedStaysReadable() throws InvalidDeclarationsException {
-    assertEquals(1, reader.parse(BEYOND_THE_FLEET).guarantees().size());
+  void publishedDeclarationsStayReadable() throws InvalidDeclarationsException {
+    assertEquals(1, reader.parse(UNSATISFIABLE_GUARANTEE).guarantees().size());
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/entry/PeerAnswersTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/entry/PeerAnswersTest.java
@@ -23,7 +23,7 @@
       new PeerAnswers(state, keeper, new FakeReader(), key -> Optional.empty());
 
   @Test
-  void aVmTakesANewerConfigurationOfAPeer() {
+  void aNewerConfigurationOfAPeerIsPutInForce() {
     answers.configurationReceived(reply(7, "ok"));
 
     answers.configurationReceived(reply(5, "ok"));
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void aConfigurationThatCannotBeReadLeavesTheOneInForce() {
+  void anUnreadableConfigurationIsIgnored() {
     answers.configurationReceived(reply(7, "ok"));
 
     answers.configurationReceived(reply(9, "not to be read"));
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void aPeerGetsOnlyWhatIsNewerThanItsOwn() {
+  void aPeerIsSentOnlyANewerConfiguration() {
     answers.configurationReceived(reply(7, "ok"));
 
     assertEquals(
--- a/fescuehook/src/test/java/org/fescuehook/entry/VmStateTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/entry/VmStateTest.java
@@ -19,28 +19,28 @@
       new VmState(new VmId("entry-1"), MembershipPreferences.DEFAULT, keeper);
 
   @Test
-  void aVmThatBeganItsStopIsUnreadyAtOnceAndStillDoesItsWork() {
+  void aStoppingVmIsNotReadyButStillDoesItsWork() {
     keeper.offer(configuration(7), "log");
-    state.logAnswered(true);
-    state.reachedEnd();
-    state.opened(true);
+    state.recordLogRead(true);
+    state.setCaughtUp();
+    state.setOpen(true);
     assertEquals(Optional.empty(), state.notReady());
 
-    state.beginDraining();
+    state.setDraining();
 
     assertEquals(Optional.of("draining"), state.notReady());
-    assertEquals(Optional.empty(), state.unfit());
+    assertEquals(Optional.empty(), state.unfitReason());
   }
 
   @Test
   void aVmIsNotReadyBeforeItsServicePortTakesRequests() {
     keeper.offer(configuration(7), "log");
-    state.logAnswered(true);
-    state.reachedEnd();
+    state.recordLogRead(true);
+    state.setCaughtUp();
 
     assertEquals(Optional.of("opening"), state.notReady());
 
-    state.opened(true);
+    state.setOpen(true);
     assertEquals(Optional.empty(), state.notReady());
   }
 
