--- a/fescuehook/src/main/java/org/fescuehook/entry/ConfigurationKeeper.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/ConfigurationKeeper.java
@@ -13,8 +13,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The configuration in force on this VM, whichever way it came, and the last ones before it. A
- * lower revision never replaces a higher one.
+ * Keeps the configuration in force on this VM, whether it was read from the log or received from a
+ * peer, and the most recent ones before it. A lower revision never replaces a higher one.
  */
 final class ConfigurationKeeper {
 
@@ -29,16 +29,16 @@
   /**
    * Creates a keeper without a configuration.
    *
-   * @param users told of each configuration that comes into force, in the order of revisions
+   * @param users called for each configuration that comes into force, in the order of revisions
    */
   ConfigurationKeeper(Consumer<Configuration> listener) {
     this.listener = listener;
   }
 
   /**
-   * Puts a configuration in force unless one at least as new is.
+   * Puts a configuration in force, unless the current one has the same or a higher revision.
    *
-   * @param source where it came from, for the log
+   * @param source where the configuration came from, for the log message
    */
   synchronized void offer(Configuration configuration, String source) {
     if (configuration.revision() <= revision()) {
@@ -67,12 +67,14 @@
     return current().map(Configuration::revision).orElse(Configuration.NO_REVISION);
   }
 
-  /** Returns a configuration that is or was in force, if it is kept. */
+  /** Returns the current or an earlier configuration; absent if it is not kept any more. */
   synchronized Optional<Configuration> find(long revision) {
     return configurations.stream().filter(known -> known.revision() == revision).findFirst();
   }
 
-  /** Returns what is known of the configurations that are or were in force, newest first. */
+  /**
+   * Returns revision, author and reason of the current and earlier configurations, newest first.
+   */
   synchronized List<Publication> history() {
     return new ArrayList<>(publications);
   }
--- a/fescuehook/src/main/java/org/fescuehook/entry/ControlSink.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/ControlSink.java
@@ -4,7 +4,7 @@
 import org.fescuehook.model.log.LogRecord;
 import org.fescuehook.net.platform.LogTail;
 
-/** Hands the control stream to the decision thread. */
+/** Passes the control stream of the log on to the decision thread. */
 record ControlSink(DecisionRing decisions, VmState state) implements LogTail.Sink {
 
   @Override
--- a/fescuehook/src/main/java/org/fescuehook/entry/DecisionDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/DecisionDuty.java
@@ -26,7 +26,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Work of the decision thread: feeds the decision core and carries out its commands. */
+/**
+ * The duty of the decision thread: applies events to the decision core and executes the commands it
+ * returns.
+ */
 final class DecisionDuty implements DutyRing.Handler<DecisionRing.Item> {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(DecisionDuty.class);
@@ -134,7 +137,8 @@
   private void handleFault(ControlEvent event, RuntimeException fault) {
     meters.counter("fescuehook.decision.fault").increment();
     if (event instanceof ControlEvent.RecordRead read) {
-      // A record folded in part would make this VM's state differ from the others'.
+      // Halts, as a partly applied record would make this VM's state differ from that of the
+      // others.
       halt(read.record().offset(), fault);
       return;
     }
@@ -156,7 +160,7 @@
     return new Answer.Refused(RefusalReason.NOT_READY, detail, RETRY_AFTER_SECONDS);
   }
 
-  /** A command that fails leaves the others to be carried out. */
+  /** Executes a command and logs its exception, so that the other commands are still executed. */
   private void executeSafely(ControlCommand command) {
     try {
       execute(command);
--- a/fescuehook/src/main/java/org/fescuehook/entry/DecisionRing.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/DecisionRing.java
@@ -8,7 +8,7 @@
 import org.fescuehook.logic.control.ControlPort;
 import org.fescuehook.net.duty.DutyRing;
 
-/** The ring in front of the decision thread. */
+/** The queue of the decision thread. */
 final class DecisionRing implements ControlPort {
 
   private static final String NAME = "decisions";
@@ -17,7 +17,7 @@
   private final DutyRing<Item> ring;
   private final AtomicLong tickets = new AtomicLong();
 
-  /** Creates a ring whose thread has not started. */
+  /** Creates a queue whose thread is not started. */
   DecisionRing(Duration tick, MeterRegistry meters) {
     this.ring = new DutyRing<>(NAME, CAPACITY, tick, meters);
   }
@@ -27,12 +27,12 @@
     ring.start(handler);
   }
 
-  /** Ends the decision thread. */
+  /** Stops the decision thread. */
   void stop(Duration limit) {
     ring.stop(limit);
   }
 
-  /** Hands an event over; false if the ring is full. */
+  /** Queues an event; returns false if the queue is full. */
   boolean publish(ControlEvent event) {
     return ring.offer(new Item.EventItem(event));
   }
@@ -42,13 +42,13 @@
     return ring.offer(new Item.RequestItem(tickets.incrementAndGet(), request, sink));
   }
 
-  /** What the ring holds. */
+  /** An element of the queue. */
   sealed interface Item {
 
-    /** Something happened. */
+    /** An event to apply. */
     record EventItem(ControlEvent event) implements Item {}
 
-    /** Somebody asks. */
+    /** A request to answer through the sink. */
     record RequestItem(long ticket, Request request, Consumer<Answer> sink) implements Item {}
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/entry/EntryAddresses.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/EntryAddresses.java
@@ -3,11 +3,11 @@
 import java.net.InetSocketAddress;
 
 /**
- * Where an entry VM listens.
+ * The addresses on which an entry VM listens.
  *
- * @param service towards callers
- * @param peer towards other entry VMs
- * @param operator towards operators
+ * @param service address for callers
+ * @param peer address for other entry VMs
+ * @param operator address for operators
  */
 public record EntryAddresses(
     InetSocketAddress service, InetSocketAddress peer, InetSocketAddress operator) {}
--- a/fescuehook/src/main/java/org/fescuehook/entry/EntryEvent.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/EntryEvent.java
@@ -10,28 +10,28 @@
   START_FAILED(7002, "start failed at step {} at {}: {}"),
   /** The graceful stop began. */
   STOP_BEGAN(7003, "graceful stop began; this VM is not ready from now on"),
-  /** The service port accepts nothing new. */
+  /** The service port accepts no new requests. */
   DRAINING(7004, "service port accepts nothing new; {} requests in flight"),
-  /** Requests were still in flight when the drain limit passed. */
+  /** The drain limit passed while requests were still in flight. */
   DRAIN_LIMIT(7005, "drain limit of {} ms passed with {} requests in flight"),
-  /** Ownership was handed over, or the hand-over had no answer. */
+  /** Ownership was handed over, or the hand-over was not answered. */
   HANDED_OVER(7006, "hand-over of ownership: {}"),
   /** The process is about to end. */
   STOPPED(7007, "graceful stop ended after {} ms"),
-  /** This VM takes work. */
+  /** This VM accepts requests and jobs. */
   READY(7008, "ready"),
-  /** This VM takes no work. */
+  /** This VM accepts no requests or jobs. */
   NOT_READY(7009, "not ready: {}"),
-  /** The decision core met a fault while folding a record. */
+  /** The decision core threw an exception while applying a record. */
   DECISIONS_HALTED(7010, "decisions halted at offset {}; this VM decides nothing until restarted"),
-  /** The decision core met a fault while handling another event. */
-  DECISION_FAULT(7011, "decision core met a fault on {} and goes on"),
+  /** The decision core threw an exception while applying an event other than a record. */
+  DECISION_FAULT(7011, "exception while processing {}; the decision core continues"),
   /** A configuration came into force. */
   CONFIGURATION_IN_FORCE(7012, "configuration {} of {} is in force, from the {}"),
   /** A configuration sent by a peer cannot be read. */
   PEER_CONFIGURATION_REFUSED(7013, "configuration {} sent by a peer cannot be read: {}"),
-  /** A command of the decision core could not be carried out. */
-  COMMAND_FAULT(7014, "command {} of the decision core met a fault");
+  /** The execution of a command of the decision core threw an exception. */
+  COMMAND_FAULT(7014, "exception while executing command {}");
 
   private final int number;
   private final String format;
--- a/fescuehook/src/main/java/org/fescuehook/entry/EntryProcess.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/EntryProcess.java
@@ -7,20 +7,20 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Runs an entry VM as a process: stops gracefully on SIGTERM and ends with an exit code. */
+/** Runs an entry VM as a process, which stops gracefully on SIGTERM and exits with a status. */
 public final class EntryProcess {
 
   /** Exit code after a graceful stop. */
   public static final int EXIT_STOPPED = 0;
 
-  /** Exit code after a fault at the start. */
+  /** Exit code after a failed start. */
   public static final int EXIT_START_FAULT = 70;
 
   private static final Logger LOGGER = LoggerFactory.getLogger(EntryProcess.class);
 
   private final EntryProgram program;
 
-  /** Composes the VM; nothing is opened yet. */
+  /** Creates the VM without opening a port or starting a thread. */
   public EntryProcess(
       EntryPreferences preferences, Scheduler scheduler, DeclarationsReader reader) {
     this.program = new EntryProgram(preferences, scheduler, reader);
@@ -44,7 +44,10 @@
     return EXIT_STOPPED;
   }
 
-  /** Without the halt the JVM would end a stop on SIGTERM with 143 in place of 0. */
+  /**
+   * Stops the VM and halts with exit code 0. Without the halt, the JVM would exit with 143 after
+   * SIGTERM.
+   */
   private void stopAndHalt() {
     program.stop();
     Runtime.getRuntime().halt(EXIT_STOPPED);
--- a/fescuehook/src/main/java/org/fescuehook/entry/EntryProgram.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/EntryProgram.java
@@ -46,7 +46,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One entry VM: all its parts, their threads, its start and its graceful stop. */
+/** An entry VM. Creates its components and threads, starts them and stops them gracefully. */
 public final class EntryProgram {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(EntryProgram.class);
@@ -79,7 +79,7 @@
   private final AtomicBoolean stopStarted = new AtomicBoolean();
   private final CountDownLatch stopped = new CountDownLatch(1);
 
-  /** Composes a VM; nothing is opened and no thread runs yet. */
+  /** Creates a VM without opening a port or starting a thread. */
   public EntryProgram(
       EntryPreferences preferences, Scheduler scheduler, DeclarationsReader reader) {
     this.preferences = preferences;
@@ -118,8 +118,8 @@
   /**
    * Opens the ports and starts the threads.
    *
-   * @return where the ports listen
-   * @throws EntryStartException if a port cannot be opened; nothing is left running then
+   * @return the addresses on which the VM listens
+   * @throws EntryStartException if a port cannot be opened; everything is closed then
    */
   public EntryAddresses start() throws EntryStartException {
     bindProcessMetrics();
@@ -144,13 +144,13 @@
     return addresses;
   }
 
-  /** Begins the graceful stop on a thread of its own; idempotent. */
+  /** Starts the graceful stop on a separate thread. Idempotent. */
   public void beginStop() {
     Thread thread = new Thread(this::stop, "stop");
     thread.start();
   }
 
-  /** Stops gracefully; blocks until all is done. A second call waits for the first. */
+  /** Stops gracefully and blocks until the stop has ended. A second call waits for the first. */
   public void stop() {
     if (stopStarted.compareAndSet(false, true)) {
       long start = System.nanoTime();
--- a/fescuehook/src/main/java/org/fescuehook/entry/EntryStartException.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/EntryStartException.java
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress;
 
-/** The process could not start. */
+/** Thrown if an entry VM cannot be started. */
 public final class EntryStartException extends Exception {
   private static final long serialVersionUID = 1L;
 
@@ -12,8 +12,8 @@
   /**
    * Creates the exception.
    *
-   * @param step what was being done, as {@code bind peer port}
-   * @param address where
+   * @param step the step that failed, such as {@code bind peer port}
+   * @param address the address that the step used
    */
   public EntryStartException(String step, InetSocketAddress address, Throwable cause) {
     super(step + " at " + address + ": " + cause.getMessage(), cause);
@@ -21,12 +21,12 @@
     this.address = address;
   }
 
-  /** Returns what was being done. */
+  /** Returns the step that failed. */
   public String step() {
     return step;
   }
 
-  /** Returns where it was done. */
+  /** Returns the address that the failed step used. */
   public InetSocketAddress address() {
     return address;
   }
--- a/fescuehook/src/main/java/org/fescuehook/entry/GracefulStop.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/GracefulStop.java
@@ -14,7 +14,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The steps of a planned stop, up to the point where nothing of callers is left in this VM. */
+/**
+ * Performs the graceful stop: drains the VM, waits until all requests are answered and hands over
+ * ownership.
+ */
 final class GracefulStop {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(GracefulStop.class);
@@ -36,7 +39,7 @@
     this.control = control;
   }
 
-  /** Does all steps; blocks the calling thread up to the declared limits. */
+  /** Performs all steps. Blocks the calling thread, at most up to the configured limits. */
   void run() throws InterruptedException {
     EventLog.info(LOGGER, EntryEvent.STOP_BEGAN);
     state.setDraining();
@@ -49,8 +52,9 @@
   }
 
   /**
-   * Waits until nothing has been in flight for a while: a kept-alive connection between two
-   * requests is told to close by its next answer, or is closed once it is idle.
+   * Waits until no request has been in flight for the quiet period, or the drain limit has passed.
+   * During the quiet period, a kept-alive connection either gets the answer that tells it to close,
+   * or is closed as idle.
    */
   private void awaitAnswers() throws InterruptedException {
     long deadline = System.nanoTime() + preferences.drainLimit().toNanos();
--- a/fescuehook/src/main/java/org/fescuehook/entry/ListDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/ListDuty.java
@@ -24,7 +24,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Work of the thread {@code list}: fetches the list of VMs and tells whom it concerns. */
+/**
+ * The duty of the thread {@code list}: fetches the list of VMs and backend servers and publishes it
+ * to the components that need it.
+ */
 final class ListDuty {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(ListDuty.class);
@@ -56,7 +59,7 @@
     this.interval = interval;
   }
 
-  /** Fetches once and returns the pause before the next fetch. */
+  /** Fetches the list once and returns the delay before the next fetch. */
   Duration step() {
     List<Member> members;
     try {
--- a/fescuehook/src/main/java/org/fescuehook/entry/ParsedDeclarations.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/ParsedDeclarations.java
@@ -7,7 +7,7 @@
 import org.fescuehook.logic.ini.IniSource;
 import org.fescuehook.model.configuration.Declarations;
 
-/** Reads published declarations with the parser that checks an operator's files. */
+/** Reads published declarations with the parser that also checks operators' files. */
 public final class ParsedDeclarations implements DeclarationsReader {
 
   private static final String SOURCE = "published declarations";
--- a/fescuehook/src/main/java/org/fescuehook/entry/PeerAnswers.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/PeerAnswers.java
@@ -15,7 +15,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What this VM tells its peers and learns from them. */
+/** Answers the peers' questions and processes their messages. */
 final class PeerAnswers implements PeerListener {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(PeerAnswers.class);
--- a/fescuehook/src/main/java/org/fescuehook/entry/PeerDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/PeerDuty.java
@@ -13,7 +13,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Work of the thread {@code peers}: heartbeats, contact with peers, readiness. */
+/**
+ * The duty of the thread {@code peers}: sends heartbeats, tracks the peers and updates the
+ * readiness of this VM.
+ */
 final class PeerDuty {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(PeerDuty.class);
@@ -42,7 +45,7 @@
     this.interval = interval;
   }
 
-  /** Does one round and returns the pause before the next. */
+  /** Performs one round and returns the delay before the next one. */
   Duration step() {
     links.heartbeat();
     state.updatePeers();
@@ -56,7 +59,10 @@
     return interval;
   }
 
-  /** Asks a peer that has been ahead for two rounds; the log is usually faster. */
+  /**
+   * Requests the configuration of a peer if a newer one was known in the previous round too.
+   * Usually the log delivers it sooner.
+   */
   private void fetchConfiguration() {
     Optional<VmId> peerAhead = state.peerWithNewerConfiguration().map(PeerReport::vm);
     if (peerAhead.isPresent() && previousPeerAhead.isPresent()) {
@@ -79,7 +85,7 @@
     }
     EventLog.info(LOGGER, EntryEvent.READY);
     requests.ready(true, RefusalReason.NOT_READY);
-    // Only now: a balancer that sees readiness may send at once.
+    // Set last, as a load balancer may send requests as soon as it sees that this VM is ready.
     state.setOpen(true);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/entry/RequestSink.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/RequestSink.java
@@ -4,7 +4,7 @@
 import org.fescuehook.net.caller.RequestPath;
 import org.fescuehook.net.platform.LogTail;
 
-/** Hands the stream of requests to the request path. */
+/** Passes the request stream of the log on to the request path. */
 record RequestSink(RequestPath requests) implements LogTail.Sink {
 
   @Override
--- a/fescuehook/src/main/java/org/fescuehook/entry/VmBackend.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/VmBackend.java
@@ -11,7 +11,7 @@
 import org.fescuehook.net.operator.OperatorBackend;
 import org.fescuehook.net.operator.VmStatus;
 
-/** What the operators' port of this VM shows and does. */
+/** Provides the data and actions of this VM's port for operators. */
 record VmBackend(
     IdentityPreferences identity,
     String incarnation,
--- a/fescuehook/src/main/java/org/fescuehook/entry/VmState.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/VmState.java
@@ -15,8 +15,8 @@
 import org.fescuehook.wire.SlotShares;
 
 /**
- * What the threads of this VM know of its contact to the log and to peers. Each field has one
- * writing thread, but for the table of peers.
+ * State of this VM that its threads share, such as its contact to the log and to peers. Each field
+ * is written by one thread only, except for the table of peers.
  */
 final class VmState {
 
@@ -43,7 +43,7 @@
     this.configuration = configuration;
   }
 
-  /** Takes the result of a read of the control stream. */
+  /** Records whether a read of the control stream succeeded. */
   void recordLogRead(boolean succeeded) {
     if (succeeded) {
       logContactNanos = OptionalLong.of(System.nanoTime());
@@ -51,14 +51,17 @@
     logReachable = succeeded;
   }
 
-  /** Takes a heartbeat. */
+  /** Records a peer's heartbeat. */
   void recordHeartbeat(PeerReport report) {
     long now = System.nanoTime();
     peers.updateAndGet(table -> table.heard(report, now));
     peerContactNanos = OptionalLong.of(now);
   }
 
-  /** Forgets peers that were silent for long and notes whether one has a newer configuration. */
+  /**
+   * Removes peers that have been silent for ten timeouts, and records since when a peer has had a
+   * newer configuration.
+   */
   void updatePeers() {
     long now = System.nanoTime();
     Duration keep = preferences.peerTimeout().multipliedBy(10);
@@ -70,81 +73,87 @@
     }
   }
 
-  /** Takes the offset after the last folded record of the control stream. */
+  /** Sets the offset after the last applied record of the control stream. */
   void setControlNext(long next) {
     controlNext = next;
   }
 
-  /** Takes the shares of executors' slots in force. */
+  /** Records whether the current shares assign slots of executors to this VM. */
   void setShares(SlotShares shares) {
     hasSlots =
         shares.getSharesList().stream()
             .anyMatch(share -> share.getVm().equals(self.value()) && share.getSlots() > 0);
   }
 
-  /** Notes that the end of the control stream was reached. */
+  /** Records that the end of the control stream has been reached. */
   void setCaughtUp() {
     caughtUp = true;
   }
 
-  /** Notes that the graceful stop began. */
+  /** Records that the graceful stop has begun. */
   void setDraining() {
     draining = true;
   }
 
-  /** Notes whether the service port takes requests and jobs. */
+  /** Sets whether the service port accepts requests and jobs. */
   void setOpen(boolean opened) {
     open = opened;
   }
 
-  /** Notes that this VM decides nothing any more. */
+  /** Records that this VM makes no decisions until it is restarted. */
   void setHalted() {
     halted = true;
   }
 
-  /** Returns a peer that has a newer configuration. */
+  /** Returns a peer that has a newer configuration, if any. */
   Optional<PeerReport> peerWithNewerConfiguration() {
     return peers
         .get()
         .ahead(configuration.revision(), preferences.peerTimeout(), System.nanoTime());
   }
 
-  /** Returns the peers heard within their timeout. */
+  /** Returns the peers whose last heartbeat is within the timeout. */
   Set<VmId> alivePeers() {
     return peers.get().alive(preferences.peerTimeout(), System.nanoTime());
   }
 
-  /** Returns the peers heard within their timeout that reach the log. */
+  /** Returns the alive peers that can reach the log. */
   Set<VmId> peersReachingLog() {
     return peers.get().reachingLog(preferences.peerTimeout(), System.nanoTime());
   }
 
-  /** Returns the peers heard within their timeout that are stopping. */
+  /** Returns the alive peers that are stopping. */
   Set<VmId> peersDraining() {
     return peers.get().draining(preferences.peerTimeout(), System.nanoTime());
   }
 
-  /** Returns how far the peers heard within their timeout have folded the control stream. */
+  /**
+   * Returns for each alive peer the offset after the last record of the control stream that it has
+   * applied.
+   */
   Map<VmId, Long> controlNextByPeer() {
     return peers.get().folded(preferences.peerTimeout(), System.nanoTime());
   }
 
-  /** Tells whether the last read of the control stream succeeded. */
+  /** Returns whether the last read of the control stream succeeded. */
   boolean logReachable() {
     return logReachable;
   }
 
-  /** Tells whether the graceful stop began. */
+  /** Returns whether the graceful stop has begun. */
   boolean draining() {
     return draining;
   }
 
-  /** Returns the offset after the last folded record of the control stream. */
+  /** Returns the offset after the last applied record of the control stream. */
   long controlNext() {
     return controlNext;
   }
 
-  /** Returns why a balancer should send nothing here, as the word used on the wire. */
+  /**
+   * Returns why a load balancer should not send requests to this VM, as the word used on the wire;
+   * absent if this VM is ready.
+   */
   Optional<String> notReady() {
     if (draining) {
       return Optional.of(NotReady.DRAINING.slug());
@@ -154,8 +163,8 @@
   }
 
   /**
-   * Returns why this VM cannot do work that it receives. A VM that began its graceful stop still
-   * can, until its service port is closed.
+   * Returns why this VM cannot process the work it receives; absent if it can. A VM that has begun
+   * its graceful stop still can, until its service port is closed.
    */
   Optional<String> unfitReason() {
     if (halted) {
--- a/fescuehook/src/main/java/org/fescuehook/entry/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/package-info.java
@@ -1,4 +1,4 @@
-/** The program of an entry VM: composition, threads, start and graceful stop. */
+/** Assembles the process of an entry VM: its components, threads, start and graceful stop. */
 @NullMarked
 package org.fescuehook.entry;
 
--- a/fescuehook/src/test/java/org/fescuehook/entry/EntryProgramTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/entry/EntryProgramTest.java
@@ -30,7 +30,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The whole program over loopback, with the platform and the backend servers in this process. */
+/**
+ * Tests whole entry VMs over loopback, with fakes of the platform and the backend servers in the
+ * test's process.
+ */
 @Timeout(120)
 class EntryProgramTest {
 
@@ -77,7 +80,7 @@
   }
 
   @Test
-  void aConfigurationARequestAndAGangJobGoThroughOneVm() throws Exception {
+  void oneVmServesAConfigurationARequestAndAGangJob() throws Exception {
     EntryAddresses vm = start("entry-1");
     publish(vm);
     awaitReady(vm);
@@ -91,7 +94,7 @@
   }
 
   @Test
-  void anotherVmCarriesOnWhenTheFirstStopsGracefully() throws Exception {
+  void anotherVmTakesOverWhenTheOwnerStopsGracefully() throws Exception {
     EntryAddresses first = start("entry-1");
     publish(first);
     awaitReady(first);
@@ -107,7 +110,7 @@
   }
 
   @Test
-  void aPortInUseIsNamedAndNothingIsLeftListening() throws Exception {
+  void aFailedStartNamesThePortInUse() throws Exception {
     try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       InetSocketAddress address = (InetSocketAddress) taken.getLocalSocketAddress();
       EntryProgram program = program("entry-1", address);
@@ -161,7 +164,7 @@
     return awaitStatus(200, () -> get(vm.service(), "/jobs/" + job + "?wait-ms=20000")).body();
   }
 
-  /** Asks again while the VM is not ready; the time limit of the test is the guard. */
+  /** Repeats a call while the VM is not ready. The timeout of the test class bounds the retries. */
   private static HttpResponse<String> awaitStatus(int status, Call call) throws Exception {
     HttpResponse<String> answer = call.make();
     while (answer.statusCode() == NOT_READY) {
--- a/fescuehook/src/test/java/org/fescuehook/entry/FakePlatform.java
+++ b/fescuehook/src/test/java/org/fescuehook/entry/FakePlatform.java
@@ -19,7 +19,10 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Log, list of VMs and one executor behind one address, and one worker behind another. */
+/**
+ * A fake of the log, the list of VMs and one executor behind one address, and of one worker behind
+ * another address.
+ */
 final class FakePlatform implements AutoCloseable {
 
   private final ObjectMapper mapper = new ObjectMapper();
@@ -55,17 +58,17 @@
     return worker.getAddress();
   }
 
-  /** Puts an entry VM on the list. */
+  /** Adds an entry VM to the list of VMs. */
   void list(String vm, InetSocketAddress peerPort) {
     entries.put(vm, peerPort);
   }
 
-  /** Returns how many tasks were started. */
+  /** Returns the number of started tasks. */
   int starts() {
     return starts.get();
   }
 
-  /** Returns how many short requests were run. */
+  /** Returns the number of requests that the executor has run. */
   int runs() {
     return runs.get();
   }
