--- a/fescuehook/src/main/java/org/fescuehook/entry/ConfigurationKeeper.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/ConfigurationKeeper.java
@@ -13,53 +13,53 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The configuration in force on this VM, whichever way it came, and the last ones before it. A
- * lower revision never replaces a higher one.
+ * Keeps the configuration in force on this VM, whether it was read from the log or received from a
+ * peer, and the most recent ones before it. A lower revision never replaces a higher one.
  */
 final class ConfigurationKeeper {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(ConfigurationKeeper.class);
-  private static final int TEXTS_KEPT = 8;
-  private static final int PUBLICATIONS_KEPT = 256;
+  private static final int MAX_CONFIGURATIONS = 8;
+  private static final int MAX_PUBLICATIONS = 256;
 
-  private final Consumer<Configuration> users;
-  private final Deque<Configuration> newest = new ArrayDeque<>();
+  private final Consumer<Configuration> listener;
+  private final Deque<Configuration> configurations = new ArrayDeque<>();
   private final Deque<Publication> publications = new ArrayDeque<>();
 
   /**
    * Creates a keeper without a configuration.
    *
-   * @param users told of each configuration that comes into force, in the order of revisions
+   * @param users called for each configuration that comes into force, in the order of revisions
    */
-  ConfigurationKeeper(Consumer<Configuration> users) {
-    this.users = users;
+  ConfigurationKeeper(Consumer<Configuration> listener) {
+    this.listener = listener;
   }
 
   /**
-   * Puts a configuration in force unless one at least as new is.
+   * Puts a configuration in force, unless the current one has the same or a higher revision.
    *
-   * @param source where it came from, for the log
+   * @param source where the configuration came from, for the log message
    */
   synchronized void offer(Configuration configuration, String source) {
     if (configuration.revision() <= revision()) {
       return;
     }
-    newest.push(configuration);
+    configurations.push(configuration);
     publications.push(publication(configuration));
-    trim(newest, TEXTS_KEPT);
-    trim(publications, PUBLICATIONS_KEPT);
+    trim(configurations, MAX_CONFIGURATIONS);
+    trim(publications, MAX_PUBLICATIONS);
     EventLog.info(
         LOGGER,
         EntryEvent.CONFIGURATION_IN_FORCE,
         configuration.revision(),
         configuration.author(),
         source);
-    users.accept(configuration);
+    listener.accept(configuration);
   }
 
   /** Returns the configuration in force. */
   synchronized Optional<Configuration> current() {
-    return Optional.ofNullable(newest.peek());
+    return Optional.ofNullable(configurations.peek());
   }
 
   /** Returns the revision in force. */
@@ -67,12 +67,14 @@
     return current().map(Configuration::revision).orElse(Configuration.NO_REVISION);
   }
 
-  /** Returns a configuration that is or was in force, if it is kept. */
+  /** Returns the current or an earlier configuration; absent if it is not kept any more. */
   synchronized Optional<Configuration> find(long revision) {
-    return newest.stream().filter(known -> known.revision() == revision).findFirst();
+    return configurations.stream().filter(known -> known.revision() == revision).findFirst();
   }
 
-  /** Returns what is known of the configurations that are or were in force, newest first. */
+  /**
+   * Returns revision, author and reason of the current and earlier configurations, newest first.
+   */
   synchronized List<Publication> history() {
     return new ArrayList<>(publications);
   }
@@ -85,8 +87,8 @@
         configuration.reason());
   }
 
-  private static void trim(Deque<?> deque, int most) {
-    while (deque.size() > most) {
+  private static void trim(Deque<?> deque, int maxSize) {
+    while (deque.size() > maxSize) {
       deque.removeLast();
     }
   }
--- a/fescuehook/src/main/java/org/fescuehook/entry/GracefulStop.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/GracefulStop.java
@@ -14,19 +14,22 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The steps of a planned stop, up to the point where nothing of callers is left in this VM. */
+/**
+ * Performs the graceful stop: drains the VM, waits until all requests are answered and hands over
+ * ownership.
+ */
 final class GracefulStop {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(GracefulStop.class);
-  private static final Duration IN_FLIGHT_CHECK = Duration.ofMillis(10);
-  private static final Duration QUIET = Duration.ofMillis(1500);
-  private static final Duration HAND_OVER_LIMIT = Duration.ofSeconds(5);
+  private static final Duration IN_FLIGHT_POLL_INTERVAL = Duration.ofMillis(10);
+  private static final Duration QUIET_PERIOD = Duration.ofMillis(1500);
+  private static final Duration HAND_OVER_TIMEOUT = Duration.ofSeconds(5);
 
   private final MembershipPreferences preferences;
   private final VmState state;
   private final RequestPath requests;
   private final ControlPort control;
-  private final CountDownLatch cut = new CountDownLatch(1);
+  private final CountDownLatch neverReleased = new CountDownLatch(1);
 
   GracefulStop(
       MembershipPreferences preferences, VmState state, RequestPath requests, ControlPort control) {
@@ -36,11 +39,11 @@
     this.control = control;
   }
 
-  /** Does all steps; blocks the calling thread up to the declared limits. */
+  /** Performs all steps. Blocks the calling thread, at most up to the configured limits. */
   void run() throws InterruptedException {
     EventLog.info(LOGGER, EntryEvent.STOP_BEGAN);
-    state.beginDraining();
-    pause(preferences.drainDelay());
+    state.setDraining();
+    sleep(preferences.drainDelay());
     requests.ready(false, RefusalReason.DRAINING);
     requests.drain();
     EventLog.info(LOGGER, EntryEvent.DRAINING, requests.inFlight());
@@ -49,13 +52,14 @@
   }
 
   /**
-   * Waits until nothing has been in flight for a while: a kept-alive connection between two
-   * requests is told to close by its next answer, or is closed once it is idle.
+   * Waits until no request has been in flight for the quiet period, or the drain limit has passed.
+   * During the quiet period, a kept-alive connection either gets the answer that tells it to close,
+   * or is closed as idle.
    */
   private void awaitAnswers() throws InterruptedException {
     long deadline = System.nanoTime() + preferences.drainLimit().toNanos();
     long quietSince = System.nanoTime();
-    while (System.nanoTime() - quietSince < QUIET.toNanos()) {
+    while (System.nanoTime() - quietSince < QUIET_PERIOD.toNanos()) {
       int inFlight = requests.inFlight();
       if (System.nanoTime() - deadline >= 0) {
         warnOfLimit(inFlight);
@@ -64,7 +68,7 @@
       if (inFlight > 0) {
         quietSince = System.nanoTime();
       }
-      pause(IN_FLIGHT_CHECK);
+      sleep(IN_FLIGHT_POLL_INTERVAL);
     }
   }
 
@@ -81,14 +85,14 @@
       return;
     }
     try {
-      ControlPort.Answer answer = done.get(HAND_OVER_LIMIT.toMillis(), TimeUnit.MILLISECONDS);
+      ControlPort.Answer answer = done.get(HAND_OVER_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
       EventLog.info(LOGGER, EntryEvent.HANDED_OVER, answer);
     } catch (TimeoutException | ExecutionException e) {
       EventLog.warn(LOGGER, EntryEvent.HANDED_OVER, "no answer");
     }
   }
 
-  private void pause(Duration duration) throws InterruptedException {
-    cut.await(duration.toNanos(), TimeUnit.NANOSECONDS);
+  private void sleep(Duration duration) throws InterruptedException {
+    neverReleased.await(duration.toNanos(), TimeUnit.NANOSECONDS);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/entry/PeerDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/PeerDuty.java
@@ -13,7 +13,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Work of the thread {@code peers}: heartbeats, contact with peers, readiness. */
+/**
+ * The duty of the thread {@code peers}: sends heartbeats, tracks the peers and updates the
+ * readiness of this VM.
+ */
 final class PeerDuty {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(PeerDuty.class);
@@ -24,8 +27,8 @@
   private final DecisionRing decisions;
   private final RequestPath requests;
   private final Duration interval;
-  private Optional<String> lastVerdict = Optional.of("starting");
-  private Optional<VmId> lastAhead = Optional.empty();
+  private Optional<String> lastReason = Optional.of("starting");
+  private Optional<VmId> previousPeerAhead = Optional.empty();
 
   PeerDuty(
       PeerLinks links,
@@ -42,44 +45,47 @@
     this.interval = interval;
   }
 
-  /** Does one round and returns the pause before the next. */
+  /** Performs one round and returns the delay before the next one. */
   Duration step() {
     links.heartbeat();
-    state.reviewPeers();
+    state.updatePeers();
     Set<VmId> alive = state.alivePeers();
     Set<VmId> reachingLog = state.peersReachingLog();
     Set<VmId> draining = state.peersDraining();
     decisions.publish(new ControlEvent.PeersHeard(alive, reachingLog, draining));
-    decisions.publish(new ControlEvent.PeersFolded(state.foldedByPeers()));
+    decisions.publish(new ControlEvent.PeersFolded(state.controlNextByPeer()));
     fetchConfiguration();
-    reviewReadiness();
+    updateReadiness();
     return interval;
   }
 
-  /** Asks a peer that has been ahead for two rounds; the log is usually faster. */
+  /**
+   * Requests the configuration of a peer if a newer one was known in the previous round too.
+   * Usually the log delivers it sooner.
+   */
   private void fetchConfiguration() {
-    Optional<VmId> ahead = state.ahead().map(PeerReport::vm);
-    if (ahead.isPresent() && lastAhead.isPresent()) {
-      links.askConfiguration(ahead.get(), configuration.revision() + 1);
+    Optional<VmId> peerAhead = state.peerWithNewerConfiguration().map(PeerReport::vm);
+    if (peerAhead.isPresent() && previousPeerAhead.isPresent()) {
+      links.askConfiguration(peerAhead.get(), configuration.revision() + 1);
     }
-    lastAhead = ahead;
+    previousPeerAhead = peerAhead;
   }
 
-  private void reviewReadiness() {
-    Optional<String> verdict = state.unfit();
-    if (verdict.equals(lastVerdict)) {
+  private void updateReadiness() {
+    Optional<String> reason = state.unfitReason();
+    if (reason.equals(lastReason)) {
       return;
     }
-    lastVerdict = verdict;
-    if (verdict.isPresent()) {
-      EventLog.info(LOGGER, EntryEvent.NOT_READY, verdict.get());
-      state.opened(false);
+    lastReason = reason;
+    if (reason.isPresent()) {
+      EventLog.info(LOGGER, EntryEvent.NOT_READY, reason.get());
+      state.setOpen(false);
       requests.ready(false, RefusalReason.NOT_READY);
       return;
     }
     EventLog.info(LOGGER, EntryEvent.READY);
     requests.ready(true, RefusalReason.NOT_READY);
-    // Only now: a balancer that sees readiness may send at once.
-    state.opened(true);
+    // Set last, as a load balancer may send requests as soon as it sees that this VM is ready.
+    state.setOpen(true);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/entry/scheduler/LinePriority.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/scheduler/LinePriority.java
@@ -11,21 +11,21 @@
 import org.fescuehook.model.event.NumberedEvent;
 import org.slf4j.event.KeyValuePair;
 
-/** What a line of the log is worth while lines have to be dropped. */
+/** Priority of a log line, which decides what is dropped while the queue fills up. */
 enum LinePriority {
-  /** Normal operation: answered calls, connections, lines of libraries. */
+  /** Normal operation, such as answered calls, connections and lines of libraries. */
   ORDINARY(50),
-  /** The state of one executor; a take-over logs such a line for each executor of its fleet. */
+  /** The state of one executor. A take-over logs such a line for every executor. */
   EXECUTOR(75),
-  /** A decision that touches a request, or the ownership of decisions. */
+  /** A decision about a job or about ownership. */
   DECISION(100),
-  /** Above level INFO. */
+  /** Any line above level INFO. */
   TROUBLE(100);
 
-  private static final int FIRST_DECISION = 8000;
-  private static final int LAST_DECISION = 8099;
+  private static final int FIRST_BATCH_EVENT = 8000;
+  private static final int LAST_BATCH_EVENT = 8099;
 
-  private static final Set<Integer> OF_EXECUTORS =
+  private static final Set<Integer> EXECUTOR_EVENTS =
       Stream.of(
               BatchLogEvent.EXECUTOR_REACHED,
               BatchLogEvent.EXECUTOR_SILENT,
@@ -37,10 +37,10 @@
           .map(NumberedEvent::number)
           .collect(Collectors.toUnmodifiableSet());
 
-  private final int percent;
+  private final int capacityPercent;
 
-  LinePriority(int percent) {
-    this.percent = percent;
+  LinePriority(int capacityPercent) {
+    this.capacityPercent = capacityPercent;
   }
 
   static LinePriority of(ILoggingEvent event) {
@@ -48,10 +48,10 @@
       return TROUBLE;
     }
     int number = number(event);
-    if (number < FIRST_DECISION || number > LAST_DECISION) {
+    if (number < FIRST_BATCH_EVENT || number > LAST_BATCH_EVENT) {
       return ORDINARY;
     }
-    return OF_EXECUTORS.contains(number) ? EXECUTOR : DECISION;
+    return EXECUTOR_EVENTS.contains(number) ? EXECUTOR : DECISION;
   }
 
   private static int number(ILoggingEvent event) {
@@ -67,8 +67,8 @@
     return 0;
   }
 
-  /** Returns how many lines may wait in a queue when one of this priority is put behind them. */
+  /** Returns the number of queued lines from which on a line of this priority is dropped. */
   int limit(int capacity) {
-    return (int) ((long) capacity * percent / 100);
+    return (int) ((long) capacity * capacityPercent / 100);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/entry/scheduler/StatusServer.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/scheduler/StatusServer.java
@@ -23,16 +23,16 @@
 import java.util.function.Supplier;
 import org.fescuehook.net.listen.ServerPort;
 
-/** Serves a few short texts, such as readiness or metrics, by HTTP GET. */
+/** Serves short text pages, such as readiness or metrics, over HTTP. */
 final class StatusServer {
 
   private static final int MAX_REQUEST_BYTES = 8 << 10;
-  private static final int IDLE_SECONDS = 30;
+  private static final int IDLE_TIMEOUT_SECONDS = 30;
 
   private final Map<String, Supplier<Page>> pages;
   private final ServerPort listener;
 
-  /** A page and whether it is served with success. */
+  /** A page and whether it is served with a success status. */
   record Page(boolean success, String text) {}
 
   /**
@@ -78,7 +78,7 @@
     protected void initChannel(SocketChannel opened) {
       opened
           .pipeline()
-          .addLast(new ReadTimeoutHandler(IDLE_SECONDS))
+          .addLast(new ReadTimeoutHandler(IDLE_TIMEOUT_SECONDS))
           .addLast(new HttpServerCodec())
           .addLast(new HttpObjectAggregator(MAX_REQUEST_BYTES))
           .addLast(new RequestHandler());
@@ -93,7 +93,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      // An idle or broken connection of the balancer; it opens another one.
+      // The connection of the load balancer is idle or broken; the balancer opens another one.
       context.close();
     }
   }
--- a/fescuehook/src/main/java/org/fescuehook/platform/ConfigurationParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/ConfigurationParser.java
@@ -11,23 +11,25 @@
 import org.fescuehook.model.batch.BatchOrganisation;
 import org.fescuehook.model.batch.JobQueue;
 
-/** Reads the operators' configuration as the platform holds it. */
+/** Parses the operators' configuration as the platform stores it. */
 final class ConfigurationParser {
 
   private ConfigurationParser() {}
 
   /**
-   * What the platform's configuration says.
+   * A parsed configuration.
    *
-   * @param configuration queues and organisations
-   * @param routes which calls belong to which queue
+   * @param configuration the queues and organisations
+   * @param routes the assignment of calls to queues
    */
   record Parsed(BatchConfiguration configuration, RouteTable routes) {}
 
   /**
-   * Parses a configuration. One with a fault is refused as a whole, so that the one in force stays.
+   * Parses a configuration. An invalid configuration is rejected as a whole, so that the current
+   * one stays in force.
    *
-   * @throws MalformedMessageException if it lacks a version or a name, or a field has another type
+   * @throws MalformedMessageException if the version or a name is missing, or a field has another
+   *     type
    */
   static Parsed parse(byte[] text) throws MalformedMessageException {
     WireFields body = new WireFields("configuration", WireJson.parse(text));
@@ -39,15 +41,18 @@
       queues.put(queue.name(), queue);
       routes.add(new RouteTable.Route(route.text("host"), route.text("pathPrefix"), queue));
     }
-    List<BatchOrganisation> holders = new ArrayList<>();
+    List<BatchOrganisation> organisations = new ArrayList<>();
     for (WireFields tenant : body.objects("tenants")) {
-      holders.add(holder(tenant));
+      organisations.add(organisation(tenant));
     }
-    BatchConfiguration configuration = new BatchConfiguration(version, queues, holders);
+    BatchConfiguration configuration = new BatchConfiguration(version, queues, organisations);
     return new Parsed(configuration, new RouteTable(configuration, routes));
   }
 
-  /** A route is a queue; its "service" names the pool of executors that runs its tasks. */
+  /**
+   * Returns the queue that a route describes. Its "service" names the pool of executors that run
+   * the tasks.
+   */
   private static JobQueue queue(WireFields route) throws MalformedMessageException {
     return new JobQueue(
         route.text("name"),
@@ -60,7 +65,8 @@
         route.has("recommendation"));
   }
 
-  private static BatchOrganisation holder(WireFields tenant) throws MalformedMessageException {
+  private static BatchOrganisation organisation(WireFields tenant)
+      throws MalformedMessageException {
     Set<String> keys = new HashSet<>(tenant.has("apiKeys") ? tenant.texts("apiKeys") : List.of());
     Optional<WireFields> guaranteed = tenant.innerIfPresent("guaranteed");
     int accelerators =
--- a/fescuehook/src/main/java/org/fescuehook/platform/ExecutorMessages.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/ExecutorMessages.java
@@ -17,12 +17,12 @@
 import org.fescuehook.net.http.HttpCall;
 import org.fescuehook.net.http.HttpResult;
 
-/** Orders to executors and their answers. */
+/** Encodes orders to executors and decodes the answers. */
 final class ExecutorMessages {
 
   private static final String INSTANCE_HEADER = "Expected-Instance";
 
-  /** Columns of a row of "active". */
+  /** Columns of a row of "active", the list of running tasks. */
   private static final int ACTIVE_TASK = 0;
 
   private static final int ACTIVE_RUN = 1;
@@ -30,17 +30,17 @@
   private static final int ACTIVE_PERCENT = 3;
   private static final int ACTIVE_LOAD = 4;
 
-  /** Columns of a row of "finished". */
+  /** Columns of a row of "finished", the list of ended runs. */
   private static final int FINISHED_NUMBER = 0;
 
   private static final int FINISHED_TASK = 1;
   private static final int FINISHED_RUN = 2;
-  private static final int FINISHED_HOW = 3;
+  private static final int FINISHED_RESULT = 3;
   private static final int FINISHED_CHECKPOINT = 4;
 
   private ExecutorMessages() {}
 
-  /** Encodes an order. */
+  /** Encodes an order as an HTTP request to the executor. */
   static HttpCall encode(ExecutorId executor, long fencingToken, ExecutorOrder order) {
     ObjectNode body = WireJson.object();
     String target =
@@ -83,7 +83,7 @@
     body.put("runId", run.number());
   }
 
-  /** Decodes what became of an order. */
+  /** Decodes the outcome of an order. */
   static OrderOutcome decode(ExecutorOrder order, HttpResult result) {
     return switch (result) {
       case HttpResult.Failed(Throwable cause, boolean maybeSent) ->
@@ -97,7 +97,7 @@
   private static OrderOutcome decode(ExecutorOrder order, HttpResult.Answered answer) {
     try {
       return switch (answer.status()) {
-        case 200 -> carriedOut(order, WireJson.parse(answer.body()));
+        case 200 -> decodeSuccess(order, WireJson.parse(answer.body()));
         case 409 -> new OrderOutcome.Rejected(rejection(WireJson.parse(answer.body())));
         case 421 -> new OrderOutcome.OtherIncarnation();
         case 429, 503 -> new OrderOutcome.Rejected(Rejection.UNHEALTHY);
@@ -109,7 +109,7 @@
     }
   }
 
-  private static OrderOutcome carriedOut(ExecutorOrder order, JsonNode body)
+  private static OrderOutcome decodeSuccess(ExecutorOrder order, JsonNode body)
       throws MalformedMessageException {
     WireFields answer = new WireFields("answer", body);
     long clock = answer.number("clockMs");
@@ -131,13 +131,13 @@
           new EndedRun(
               row.path(FINISHED_NUMBER).asLong(),
               run(row.path(FINISHED_TASK), row.path(FINISHED_RUN)),
-              end(row.path(FINISHED_HOW).asText()),
+              runEnd(row.path(FINISHED_RESULT).asText()),
               row.path(FINISHED_CHECKPOINT).asText()));
     }
     return new OrderOutcome.Polled(answer.numberIfPresent("born"), clock, active, ended);
   }
 
-  /** A task is named ID.OCCURRENCE.STEP.INDEX. */
+  /** Parses a task name of the form JOB.OCCURRENCE.STEP.INDEX. */
   private static TaskRun run(JsonNode task, JsonNode number) throws MalformedMessageException {
     String[] parts = task.asText().split("\\.");
     if (parts.length != 4) {
@@ -156,15 +156,15 @@
     }
   }
 
-  private static RunEnd end(String how) throws MalformedMessageException {
-    return switch (how) {
+  private static RunEnd runEnd(String result) throws MalformedMessageException {
+    return switch (result) {
       case "done" -> RunEnd.DONE;
       case "failed" -> RunEnd.FAILED;
       case "stopped" -> RunEnd.STOPPED;
       case "lapsed" -> RunEnd.LEASE_EXPIRED;
       case "broken" -> RunEnd.GANG_BROKEN;
       case "alone" -> RunEnd.GANG_INCOMPLETE;
-      default -> throw new MalformedMessageException("end '" + how + "'");
+      default -> throw new MalformedMessageException("end '" + result + "'");
     };
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/platform/StreamAppender.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/StreamAppender.java
@@ -19,29 +19,33 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Appends to one topic. While the store answers in time it uses one connection; an append whose
- * answer is late is sent again over another one. All state but the count belongs to one event loop.
+ * Appends to one topic. An append whose answer is late is sent again over another connection, so
+ * one connection is in use while the store answers in time. All state except the counter is
+ * confined to one event loop.
  */
 final class StreamAppender {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(StreamAppender.class);
 
-  /** As many as the appends that a slow store has under way need with all their open sends. */
-  private static final int MOST_CONNECTIONS = 24;
+  /**
+   * Enough for all appends that are pending while the store is slow, with all of their repeated
+   * sends.
+   */
+  private static final int MAX_CONNECTIONS = 24;
 
   private final EventLoop loop;
   private final InetSocketAddress address;
   private final Topic topic;
   private final ResponseTimeEstimator times;
   private final Deque<StoreClient> idle = new ArrayDeque<>();
-  private final SlowStoreDetector slowness = new SlowStoreDetector();
-  private final LongAdder repeated = new LongAdder();
-  private int busy;
+  private final SlowStoreDetector slowStoreDetector = new SlowStoreDetector();
+  private final LongAdder repeatedSends = new LongAdder();
+  private int busyConnections;
 
   /**
    * Creates an appender without a connection.
    *
-   * @param reads what is known of the store's answers to reads; an append takes up to twice as long
+   * @param reads the response times of reads; an append takes up to twice as long as a read
    */
   StreamAppender(
       EventLoop loop, InetSocketAddress address, Topic topic, ResponseTimeEstimator reads) {
@@ -51,9 +55,9 @@
     this.times = new ResponseTimeEstimator(RepeatedAppend.NEVER_LATE, reads);
   }
 
-  /** Returns how many sends were repeats of an append whose answer was late. */
-  long repeated() {
-    return repeated.sum();
+  /** Returns how many times an append was sent again because its answer was late. */
+  long repeatedSends() {
+    return repeatedSends.sum();
   }
 
   void append(BatchCommand.Append append, Consumer<AppendOutcome> sink) {
@@ -65,14 +69,14 @@
         body.length,
         outcome -> {
           if (outcome instanceof AppendOutcome.Stored) {
-            tellOfSlowness(Duration.ofNanos(System.nanoTime() - begunAt));
+            logSpeedChange(Duration.ofNanos(System.nanoTime() - begunAt));
           }
           sink.accept(outcome);
         });
   }
 
-  private void tellOfSlowness(Duration time) {
-    switch (slowness.stored(time)) {
+  private void logSpeedChange(Duration time) {
+    switch (slowStoreDetector.stored(time)) {
       case SLOWER -> EventLog.warn(LOGGER, PlatformEvent.STORE_SLOW, topic, time.toMillis());
       case QUICKER -> EventLog.info(LOGGER, PlatformEvent.STORE_QUICK, topic, time.toMillis());
       case NONE -> {}
@@ -96,14 +100,14 @@
 
     @Override
     public Optional<Sending> send(Duration limit, Consumer<AppendOutcome> sink) {
-      if (busy == MOST_CONNECTIONS) {
+      if (busyConnections == MAX_CONNECTIONS) {
         return Optional.empty();
       }
       if (sentBefore) {
-        repeated.increment();
+        repeatedSends.increment();
       }
       sentBefore = true;
-      // The connection that was used last is surely open.
+      // Prefers the connection used last, as it is the most likely to be open still.
       StoreClient client = idle.isEmpty() ? new StoreClient(loop, address) : idle.removeLast();
       Exchange exchange = new Exchange(client);
       client.append(
@@ -125,29 +129,29 @@
     }
   }
 
-  /** One send over a connection, which is used again if its answer came. */
+  /** One send over a connection. The connection is reused if its answer arrives. */
   private final class Exchange implements RepeatedAppend.Link.Sending {
     private final StoreClient client;
-    private boolean over;
+    private boolean released;
 
     Exchange(StoreClient client) {
       this.client = client;
-      busy++;
+      busyConnections++;
     }
 
     void end() {
-      if (!over) {
-        over = true;
-        busy--;
+      if (!released) {
+        released = true;
+        busyConnections--;
         idle.addLast(client);
       }
     }
 
     @Override
     public void giveUp() {
-      if (!over) {
-        over = true;
-        busy--;
+      if (!released) {
+        released = true;
+        busyConnections--;
         client.close();
       }
     }
--- a/fescuehook/src/test/java/org/fescuehook/entry/scheduler/OwnershipFirstTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/entry/scheduler/OwnershipFirstTest.java
@@ -13,24 +13,25 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seen: an owner whose decisions were a second behind was replaced, and so was the next one. Its
- * heartbeat had been stored at once, and the outcome waited behind some hundred answers of
- * executors; the next heartbeat goes out only after it. Cause: what keeps an owner an owner waits
- * in the same line as its work, so that load looks like death.
+ * Guards against replacing an owner that is only overloaded. Its heartbeat was stored at once, but
+ * the outcome waited in the queue behind hundreds of executors' answers, and the next heartbeat is
+ * sent only after that outcome. The owner was replaced, and so was the next one, for the same
+ * reason.
  */
 class OwnershipFirstTest {
 
-  private static final int ANSWERS = 500;
-  private static final BatchEvent OWNERSHIP = new BatchEvent.OwnershipRead(Optional.empty(), 7);
+  private static final int QUEUED_EVENTS = 500;
+  private static final BatchEvent OWNERSHIP_EVENT =
+      new BatchEvent.OwnershipRead(Optional.empty(), 7);
 
   private final BatchRing ring = new BatchRing(Duration.ofSeconds(60), new SimpleMeterRegistry());
-  private final Recorder recorder = new Recorder();
+  private final BlockingRecorder recorder = new BlockingRecorder();
 
-  /** Waits at the first item, and keeps all in order. */
-  private static final class Recorder implements DutyRing.Handler<BatchRing.Item> {
+  /** Blocks at the first item until released, and records all events in order. */
+  private static final class BlockingRecorder implements DutyRing.Handler<BatchRing.Item> {
     private final CountDownLatch entered = new CountDownLatch(1);
     private final CountDownLatch released = new CountDownLatch(1);
-    private final List<BatchEvent> taken = new ArrayList<>();
+    private final List<BatchEvent> received = new ArrayList<>();
 
     @Override
     public void accept(BatchRing.Item item) {
@@ -40,29 +41,29 @@
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
-      if (item instanceof BatchRing.Item.Happened(BatchEvent event)) {
-        taken.add(event);
+      if (item instanceof BatchRing.Item.EventItem(BatchEvent event)) {
+        received.add(event);
       }
     }
 
     @Override
     public void idle() {
-      // Only items count.
+      // This test checks the items only.
     }
   }
 
   @Test
-  void whatKeepsOwnershipIsTakenBeforeTheWorkThatWaits() throws InterruptedException {
+  void ownershipEventsAreProcessedBeforeQueuedEvents() throws InterruptedException {
     ring.start(recorder);
     ring.publish(new BatchEvent.Tick());
     recorder.entered.await();
-    for (int i = 0; i < ANSWERS; i++) {
+    for (int i = 0; i < QUEUED_EVENTS; i++) {
       ring.publish(new BatchEvent.StateUnreadable(1));
     }
-    ring.publish(OWNERSHIP);
+    ring.publish(OWNERSHIP_EVENT);
     recorder.released.countDown();
     ring.stop(Duration.ofSeconds(20));
-    assertEquals(ANSWERS + 2, recorder.taken.size());
-    assertEquals(1, recorder.taken.indexOf(OWNERSHIP));
+    assertEquals(QUEUED_EVENTS + 2, recorder.received.size());
+    assertEquals(1, recorder.received.indexOf(OWNERSHIP_EVENT));
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/platform/RecordFramingTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/RecordFramingTest.java
@@ -17,20 +17,20 @@
     return value.getBytes(StandardCharsets.UTF_8);
   }
 
-  /** An answer of a read: the end and the first kept offset, then the records. */
+  /** Returns an answer to a read: the end offset, the first retained offset and the records. */
   private static byte[] answer(long end, byte[] records) {
     return ByteBuffer.allocate(16 + records.length).putLong(end).putLong(0).put(records).array();
   }
 
   @Test
-  void aRecordIsItsLengthItsKeyLengthItsKeyAndItsValue() {
+  void aRecordIsEncodedAsLengthKeyLengthKeyAndValue() {
     byte[] framed = RecordFraming.encode(List.of(new KeyedRecord("ab", Optional.of(text("c")))));
 
     assertArrayEquals(new byte[] {0, 0, 0, 4, 2, 'a', 'b', 'c'}, framed);
   }
 
   @Test
-  void whatIsAppendedIsReadWithItsOffsets() throws MalformedMessageException {
+  void encodedRecordsAreDecodedWithTheirOffsets() throws MalformedMessageException {
     byte[] framed =
         RecordFraming.encode(
             List.of(
@@ -48,16 +48,17 @@
   }
 
   @Test
-  void anAnswerThatEndsWithinARecordIsRefused() {
+  void aTruncatedRecordIsRejected() {
     byte[] framed = RecordFraming.encode(List.of(new KeyedRecord("k", Optional.of(text("value")))));
     for (int kept = 1; kept < framed.length; kept++) {
-      byte[] cut = ByteBuffer.allocate(kept).put(framed, 0, kept).array();
-      assertThrows(MalformedMessageException.class, () -> RecordFraming.decode(answer(1, cut), 0));
+      byte[] truncated = ByteBuffer.allocate(kept).put(framed, 0, kept).array();
+      assertThrows(
+          MalformedMessageException.class, () -> RecordFraming.decode(answer(1, truncated), 0));
     }
   }
 
   @Test
-  void anAnswerShorterThanItsHeadIsRefused() {
+  void anAnswerShorterThanItsHeaderIsRejected() {
     assertThrows(MalformedMessageException.class, () -> RecordFraming.decode(new byte[15], 0));
   }
 }
