--- a/fescuehook/src/main/java/org/fescuehook/net/caller/AnswerEncoder.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/AnswerEncoder.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpResponseEncoder;
 import java.util.function.BooleanSupplier;
 
-/** Encodes answers; one to a HEAD request has no body. */
+/** Encodes answers, and omits the body of an answer to a HEAD request. */
 final class AnswerEncoder extends HttpResponseEncoder {
   private final BooleanSupplier headOnly;
 
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/Answers.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/Answers.java
@@ -7,7 +7,7 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
 
-/** Builds answers whose body is at hand. */
+/** Builds answers whose whole body is already in memory. */
 final class Answers {
   private Answers() {}
 
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/CallerConnection.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/CallerConnection.java
@@ -29,7 +29,10 @@
 import org.fescuehook.model.preferences.RequestPreferences;
 import org.fescuehook.model.request.RefusalReason;
 
-/** One connection of a caller: collects whole requests, one at a time, and keeps them in order. */
+/**
+ * Handles one connection of a caller. Reads one whole request at a time; parts of pipelined
+ * requests wait until the current request is answered, so that answers keep the order of requests.
+ */
 final class CallerConnection extends ChannelInboundHandlerAdapter {
   private enum Phase {
     IDLE,
@@ -75,7 +78,7 @@
     return channel;
   }
 
-  /** Tells whether the request being answered wants no body. */
+  /** Returns whether the current request is a HEAD request, whose answer has no body. */
   boolean headOnly() {
     return headOnly;
   }
@@ -93,7 +96,10 @@
     return preferences.idleTimeout().toMillis();
   }
 
-  /** Closes the connection if the caller is too slow or idle for too long. */
+  /**
+   * Closes the connection if it was idle for too long, and refuses a request that did not arrive
+   * whole within the header timeout.
+   */
   private void sweep() {
     long sinceMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - phaseSinceNanos);
     if (phase == Phase.IDLE) {
@@ -108,7 +114,7 @@
     }
   }
 
-  /** Notes that bytes came, before they are decoded. */
+  /** Records that bytes arrived. Called before they are decoded. */
   void bytesArrived() {
     if (phase == Phase.IDLE) {
       enter(Phase.RECEIVING);
@@ -202,7 +208,7 @@
     sink.accept(begun);
   }
 
-  /** Sets the headers of an answer that concern the connection. */
+  /** Sets the Connection header of an answer after which this connection is closed. */
   void prepare(HttpResponse answer) {
     keepAlive = keepAlive && !drain.draining();
     if (!keepAlive) {
@@ -210,7 +216,10 @@
     }
   }
 
-  /** Goes on to the next request, or closes. The last piece of the answer was written before. */
+  /**
+   * Continues with the next request, or closes the connection. Called after the last part of the
+   * answer was written.
+   */
   void answered() {
     exchange = Optional.empty();
     metrics.inFlight().decrementAndGet();
@@ -220,7 +229,7 @@
       return;
     }
     enter(bytesWhileAnswering ? Phase.RECEIVING : Phase.IDLE);
-    // Not in this call, so that a long row of held requests does not nest.
+    // Runs as a task of its own, so that many pipelined requests do not recurse.
     channel.eventLoop().execute(this::readHeld);
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/CallerExchange.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/CallerExchange.java
@@ -13,13 +13,15 @@
 import org.fescuehook.net.executor.AnswerListener.AnswerFlow;
 
 /**
- * One request of a caller and its answer. Methods may be called by any thread; the work is done on
- * the event loop of the caller's connection, in the order of the calls.
+ * Represents one request of a caller and its answer. Unless stated otherwise, methods may be called
+ * by any thread; they take effect on the event loop of the caller's connection, in the order of the
+ * calls.
  */
 final class CallerExchange {
-  /** Bytes of an answer on their way to a caller at which the executor is made to wait. */
+  /** Unwritten bytes of an answer above which reading from the executor is paused. */
   static final long HIGH_WATER_BYTES = 256 << 10;
 
+  /** Unwritten bytes of an answer below which reading from the executor resumes. */
   private static final long LOW_WATER_BYTES = 64 << 10;
 
   private final CallerConnection connection;
@@ -31,7 +33,7 @@
   private final AtomicLong unwritten = new AtomicLong();
   private volatile Optional<AnswerFlow> flow = Optional.empty();
   private volatile boolean gone;
-  // Touched by the event loop only.
+  // The fields below are accessed on the event loop only.
   private boolean answerBegun;
   private boolean finished;
   private Runnable whenGone = () -> {};
@@ -55,7 +57,7 @@
     return head;
   }
 
-  /** Returns the whole body; released by whoever ends the handling of the request. */
+  /** Returns the whole body. Whoever finishes handling the request must release it. */
   ByteBuf body() {
     return body;
   }
@@ -80,12 +82,15 @@
     loop().execute(work);
   }
 
-  /** Sets what to do when the caller leaves before its answer. Event loop only. */
+  /** Sets the action to run if the caller disconnects before it is answered. Event loop only. */
   void whenGone(Runnable action) {
     whenGone = action;
   }
 
-  /** Sets what to do when the answer is written or the caller is gone. Event loop only. */
+  /**
+   * Sets the action to run when the answer is written or the caller has disconnected; runs it at
+   * once if that has happened already. Event loop only.
+   */
   void whenFinished(Runnable action) {
     whenFinished = action;
     if (finished) {
@@ -93,7 +98,7 @@
     }
   }
 
-  /** Answers with a refusal. */
+  /** Answers with a refusal, unless an answer has begun or the caller has disconnected. */
   void refuse(Refusal refusal) {
     onLoop(
         () -> {
@@ -104,7 +109,7 @@
         });
   }
 
-  /** Answers with what is at hand. */
+  /** Sends a complete answer, unless an answer has begun or the caller has disconnected. */
   void answer(FullHttpResponse answer) {
     onLoop(
         () -> {
@@ -123,7 +128,7 @@
     finish();
   }
 
-  /** Begins a streamed answer. */
+  /** Sends the head of a streamed answer; {@code answerFlow} pauses and resumes the executor. */
   void begin(HttpResponse answer, AnswerFlow answerFlow) {
     flow = Optional.of(answerFlow);
     onLoop(
@@ -138,7 +143,7 @@
         });
   }
 
-  /** Passes on a piece of a streamed answer, and releases it. */
+  /** Forwards a part of a streamed answer to the caller, and releases it. */
   void pass(HttpContent content) {
     int size = content.content().readableBytes();
     if (unwritten.addAndGet(size) > HIGH_WATER_BYTES && !gone) {
@@ -165,7 +170,7 @@
     }
   }
 
-  /** Notes that a streamed answer ended whole. */
+  /** Records in the metrics that a streamed answer was forwarded completely. */
   void answered(long executorNanos) {
     onLoop(
         () -> {
@@ -175,7 +180,7 @@
         });
   }
 
-  /** Cuts the connection, since the rest of the answer will never come. */
+  /** Closes the connection, since the rest of a begun answer will never arrive. */
   void cut() {
     onLoop(
         () -> {
@@ -192,7 +197,7 @@
     connection.answered();
   }
 
-  /** Notes that the caller is gone. Event loop only. */
+  /** Handles the disconnection of the caller. Event loop only. */
   void callerGone() {
     gone = true;
     if (finished) {
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/CallerServer.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/CallerServer.java
@@ -20,7 +20,7 @@
 import org.fescuehook.model.preferences.RequestPreferences;
 import org.fescuehook.model.request.RefusalReason;
 
-/** The service port. */
+/** Listens on the service port, to which callers connect. */
 final class CallerServer {
   private static final int BACKLOG = 1024;
   private static final int MAX_LINE_BYTES = 8 << 10;
@@ -64,7 +64,10 @@
     return (InetSocketAddress) bound.channel().localAddress();
   }
 
-  /** Accepts no more connections; those that are open answer once more and close. */
+  /**
+   * Stops accepting connections. An open connection closes after its next answer, or once it has
+   * been idle for {@link DrainState#IDLE_MILLIS}.
+   */
   void drain() {
     drain.begin();
     listening.ifPresent(Channel::close);
@@ -103,7 +106,7 @@
     }
   }
 
-  /** Tells the connection of bytes that make no whole head yet. */
+  /** Notifies the connection of received bytes before the decoder has a whole request head. */
   private static final class ArrivalWatch extends ChannelInboundHandlerAdapter {
     private final CallerConnection connection;
 
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/CommandPerformer.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/CommandPerformer.java
@@ -16,14 +16,17 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Does what the dispatch core decides. Used by the dispatch thread but where said otherwise. */
+/**
+ * Executes the commands of the dispatch core. Called by the dispatch thread, except where a method
+ * says otherwise.
+ */
 final class CommandPerformer implements Consumer<DispatchCommand> {
   private static final Logger LOGGER = LoggerFactory.getLogger(CommandPerformer.class);
 
-  /** Stream of claims and outcomes. */
+  /** Stream of the log that holds the claims and outcomes of requests. */
   static final String STREAM = "requests";
 
-  /** Largest answer that is recorded whole. */
+  /** Size of the largest answer that is recorded together with the outcome. */
   static final int KEPT_BYTES = 4 << 10;
 
   private final ExecutorClient executors;
@@ -31,19 +34,19 @@
   private final OutcomeFetcher outcomes;
   private final RequestMetrics metrics;
   private final EventSink events;
-  // Filled by event loops, before the ring hears of the request.
+  // Event loops add a request here before they publish its event to the ring.
   private final Map<Long, OpenExchange> exchanges = new ConcurrentHashMap<>();
 
-  /** Where events go that the commands lead to. */
+  /** Receives the events that result from executed commands. */
   interface EventSink {
 
-    /** Delivers from an event loop. */
+    /** Delivers an event without blocking, from the given event loop. */
     void deliver(DispatchEvent event, EventLoop loop);
 
-    /** Delivers from a thread that may wait. */
+    /** Delivers an event from a thread that may block. */
     void put(DispatchEvent event);
 
-    /** Returns a loop for what belongs to no connection. */
+    /** Returns an event loop for events that belong to no connection. */
     EventLoop anyLoop();
   }
 
@@ -60,24 +63,26 @@
     this.events = events;
   }
 
-  /** Takes a request in, before the core hears of it. Any thread. */
+  /** Registers a request, before the core receives its event. Any thread. */
   void open(long ticket, OpenExchange exchange) {
     exchanges.put(ticket, exchange);
   }
 
-  /** Forgets a request of which the core will not hear. Any thread. */
+  /** Removes a request whose event could not be delivered to the core. Any thread. */
   void discard(long ticket) {
     exchanges.remove(ticket);
   }
 
-  /** Takes a connection back, before the core hears of the end. */
+  /**
+   * Returns the connection of a dispatch to its pool, before the core handles the dispatch's end.
+   */
   void dispatchEnded(long ticket) {
     Optional.ofNullable(exchanges.get(ticket))
         .flatMap(OpenExchange::takeSent)
         .ifPresent(executors::putBack);
   }
 
-  /** Returns the requests at the dispatch thread; any thread. */
+  /** Returns the number of requests that the dispatch thread has not finished. Any thread. */
   int openRequests() {
     return exchanges.size();
   }
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/DispatchThread.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/DispatchThread.java
@@ -16,11 +16,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The thread that decides on requests, fed by a bounded ring. */
+/** Runs the thread that decides on requests; events reach it through a bounded ring buffer. */
 final class DispatchThread {
   private static final Logger LOGGER = LoggerFactory.getLogger(DispatchThread.class);
 
-  /** Size of the ring. New requests use only half of it, so that the ends of others find room. */
+  /**
+   * Slots of the ring. New requests are accepted only while at least half of it is free, so that
+   * the ends of requests in flight can still be delivered.
+   */
   static final int RING_SIZE = 1 << 14;
 
   static final long TICK_MILLIS = 20;
@@ -42,7 +45,7 @@
   /**
    * Creates the thread.
    *
-   * @param handler takes each event, and a tick at least every few milliseconds
+   * @param handler handles each event, and a tick about every {@link #TICK_MILLIS} milliseconds
    */
   DispatchThread(
       String name, int ringSize, Consumer<DispatchEvent> handler, RequestMetrics metrics) {
@@ -69,7 +72,7 @@
     disruptor.halt();
   }
 
-  /** Offers a new request; false if the ring is more than half full. */
+  /** Publishes a new request; returns false if the ring is more than half full. */
   boolean offer(DispatchEvent event) {
     return ring.hasAvailableCapacity(ringSize / 2) && publish(event);
   }
@@ -78,7 +81,7 @@
     return ring.tryPublishEvent((slot, sequence) -> slot.event = Optional.of(event));
   }
 
-  /** Delivers the end of something from an event loop, later if the ring is full now. */
+  /** Publishes an event from an event loop; retries later on that loop if the ring is full. */
   void deliver(DispatchEvent event, EventLoop loop) {
     if (halted || publish(event)) {
       return;
@@ -87,7 +90,7 @@
     loop.schedule(() -> deliver(event, loop), AGAIN_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Delivers an event from a thread that may wait for room. */
+  /** Publishes an event, and blocks the calling thread while the ring is full. */
   void put(DispatchEvent event) {
     while (!halted && !publish(event)) {
       LockSupport.parkNanos(WAIT_NANOS);
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/DrainState.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/DrainState.java
@@ -1,6 +1,6 @@
 package org.fescuehook.net.caller;
 
-/** Whether the service port is draining; read by all connections. */
+/** Holds whether the service port is draining; all connections read it. */
 final class DrainState {
   /** Time for which a connection must have been idle before a drain closes it. */
   static final long IDLE_MILLIS = 500;
@@ -15,7 +15,7 @@
     return draining;
   }
 
-  /** Tells whether a connection that has been idle for so long is closed now. */
+  /** Returns whether the drain closes a connection that has been idle for the given time. */
   boolean closesIdle(long idleMillis) {
     return draining && idleMillis >= IDLE_MILLIS;
   }
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/JobSubmissionParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/JobSubmissionParser.java
@@ -11,7 +11,7 @@
 import org.fescuehook.model.job.Shape;
 import org.fescuehook.model.organisation.OrganisationId;
 
-/** Reads the document of a job's submission. */
+/** Parses the JSON document of a job submission, and rejects unknown fields. */
 final class JobSubmissionParser {
   private static final int MAX_TEXT_LENGTH = 4096;
   private static final Set<String> FIELDS =
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/JobsEndpoint.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/JobsEndpoint.java
@@ -8,7 +8,7 @@
 import org.fescuehook.model.preferences.RequestPreferences;
 import org.fescuehook.model.request.RefusalReason;
 
-/** Passes what callers ask about jobs to the control port, and its answers back. */
+/** Hands callers' requests about jobs to the control port, and sends its answers to the callers. */
 final class JobsEndpoint {
   private static final String JSON = "application/json";
 
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/MalformedRequestException.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/MalformedRequestException.java
@@ -2,7 +2,7 @@
 
 import org.fescuehook.model.request.RefusalReason;
 
-/** A caller's request is wrong; the message says what. */
+/** Thrown when a caller's request is invalid; the message is the detail sent to the caller. */
 final class MalformedRequestException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/OpenExchange.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/OpenExchange.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import org.fescuehook.net.executor.SentRequest;
 
-/** A request at the dispatch thread, with what is needed to send and answer it. */
+/** Holds what is needed to dispatch and answer a request that the dispatch thread handles. */
 final class OpenExchange {
   private final CallerExchange caller;
   private final ServiceRequest.Pass request;
@@ -26,7 +26,7 @@
     sent = Optional.of(newlySent);
   }
 
-  /** Takes the dispatch in progress out, if there is one. */
+  /** Removes and returns the dispatch in progress, if there is one. */
   Optional<SentRequest> takeSent() {
     Optional<SentRequest> taken = sent;
     sent = Optional.empty();
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/PassingListener.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/PassingListener.java
@@ -20,12 +20,12 @@
 import org.fescuehook.net.executor.HopByHopHeaders;
 
 /**
- * Passes the answer to one dispatch on to the caller. A small answer is held until it is whole: one
- * that the executor cuts is then no answer at all, and a repeatable request can be dispatched
- * again. All calls come from one event loop.
+ * Forwards the answer to one dispatch to the caller. A small answer is buffered until it is
+ * complete: if the executor breaks it off, the caller has received nothing, and a repeatable
+ * request can be dispatched again. All calls come from one event loop.
  */
 final class PassingListener implements AnswerListener {
-  /** Largest body that is held; a larger answer is passed on as it comes. */
+  /** Size up to which a body is buffered; a larger answer is streamed. */
   private static final int HELD_BYTES = 64 << 10;
 
   private final CallerExchange caller;
@@ -38,7 +38,7 @@
   /**
    * Creates the listener.
    *
-   * @param whenEnded takes the end and how long the executor took, in milliseconds
+   * @param whenEnded receives the result and the time that the executor took, in milliseconds
    */
   PassingListener(CallerExchange caller, BiConsumer<DispatchResult, Long> whenEnded) {
     this.caller = caller;
@@ -93,7 +93,7 @@
     whenEnded.accept(end, TimeUnit.NANOSECONDS.toMillis(executorNanos));
   }
 
-  /** Of an answer that was held and then cut, the caller has seen nothing. */
+  /** Returns the result as not started if the broken-off answer was still buffered. */
   private DispatchResult asTheCallerSees(DispatchResult end) {
     if (end instanceof DispatchResult.Failed(var kind, boolean started, boolean fresh)) {
       return new DispatchResult.Failed(kind, started && passing, fresh);
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/RequestHeadCheck.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/RequestHeadCheck.java
@@ -61,7 +61,7 @@
     }
   }
 
-  /** Returns the refusal for bytes that are no request. */
+  /** Returns the refusal for bytes that could not be decoded as a request. */
   static Refusal refusal(Throwable cause) {
     boolean tooLong =
         cause instanceof TooLongHttpHeaderException || cause instanceof TooLongHttpLineException;
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/RequestMetrics.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/RequestMetrics.java
@@ -11,7 +11,7 @@
 import org.fescuehook.logic.dispatch.RetryReason;
 import org.fescuehook.model.request.RefusalReason;
 
-/** Metrics of the request path. */
+/** Records the metrics of the request path. */
 final class RequestMetrics {
   private final MeterRegistry registry;
   private final Map<RefusalReason, Counter> refused = new EnumMap<>(RefusalReason.class);
@@ -53,10 +53,10 @@
   }
 
   /**
-   * Notes an answer that was passed on whole.
+   * Records an answer that was forwarded completely.
    *
-   * @param totalNanos from the whole request to the end of the answer
-   * @param executorNanos part of it that the executors took
+   * @param totalNanos time from the receipt of the whole request to the end of the answer
+   * @param executorNanos the part of it that the executors took
    */
   void answered(long totalNanos, long executorNanos) {
     answered.increment();
@@ -64,7 +64,7 @@
     added.record(Math.max(0, totalNanos - executorNanos), TimeUnit.NANOSECONDS);
   }
 
-  /** Notes a caller's connection that was cut because the executor's answer was. */
+  /** Counts a caller's connection that was closed because the executor broke off its answer. */
   void cut() {
     cut.increment();
   }
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/RequestPath.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/RequestPath.java
@@ -31,7 +31,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The request path of one entry VM: the service port, the dispatch of requests, the executors. */
+/**
+ * Connects the parts of an entry VM that serve requests: the service port, the dispatch thread and
+ * the client of the executors.
+ */
 public final class RequestPath implements AutoCloseable {
   private static final Logger LOGGER = LoggerFactory.getLogger(RequestPath.class);
 
@@ -88,7 +91,7 @@
    * Opens the service port.
    *
    * @return the address in use
-   * @throws ServicePortException if it cannot be opened
+   * @throws ServicePortException if the port cannot be opened
    */
   public InetSocketAddress start() throws ServicePortException {
     InetSocketAddress address = server.start(serviceAddress);
@@ -96,7 +99,10 @@
     return address;
   }
 
-  /** Handles an event on the dispatch thread. */
+  /**
+   * Handles an event on the dispatch thread. The connection of an ended dispatch is returned, and a
+   * new configuration applied to the executors, before the core handles the event.
+   */
   private void handle(DispatchEvent event) {
     switch (event) {
       case DispatchEvent.DispatchEnded ended -> performer.dispatchEnded(ended.ticket());
@@ -116,12 +122,12 @@
     }
   }
 
-  /** Takes that a connection to an executor gave no sign of life; called on event loops. */
+  /** Reports an executor that did not answer a probe to the core. Called on event loops. */
   private void suspect(ExecutorId executor) {
     thread.deliver(new DispatchEvent.PathSuspected(executor), loops.next());
   }
 
-  /** Takes a whole request of a caller, on its event loop. */
+  /** Handles a whole request of a caller, on the event loop of its connection. */
   private void received(CallerExchange exchange) {
     boolean handedOn = false;
     try {
@@ -137,7 +143,7 @@
     }
   }
 
-  /** Returns whether the body was handed on. */
+  /** Handles a parsed request; returns whether the dispatch thread will release the body. */
   private boolean handle(CallerExchange exchange, ServiceRequest request)
       throws MalformedRequestException {
     switch (request) {
@@ -174,59 +180,62 @@
     jobs.submit(exchange, submit);
   }
 
-  /** Puts a configuration in force. */
+  /** Applies a configuration to the dispatch of requests. */
   public void configurationInForce(Configuration configuration) {
     thread.put(new DispatchEvent.Configured(configuration));
   }
 
-  /** Puts shares of executors' slots in force. */
+  /** Applies this VM's shares of the executors' slots. */
   public void sharesInForce(SlotShares shares) {
     thread.put(new DispatchEvent.Shared(shares));
   }
 
-  /** Names all executors that are leaving; they get nothing new. */
+  /** Sets the executors that are leaving; they get no new requests. */
   public void executorsLeaving(Set<ExecutorId> leaving) {
     thread.put(new DispatchEvent.Leaving(Set.copyOf(leaving)));
   }
 
-  /** Takes a record of the stream {@code requests}; called by the thread that reads it. */
+  /** Handles a record of the stream {@code requests}. Called by the thread that reads it. */
   public void onRequestRecord(LogRecord record) {
     thread.put(new DispatchEvent.RecordRead(record));
   }
 
-  /** Tells that a read reached the end of the stream {@code requests}. */
+  /** Reports that a read reached the end of the stream {@code requests}. */
   public void onRequestsCaughtUp(long earliest, long next) {
     thread.put(new DispatchEvent.CaughtUp(earliest, next));
   }
 
-  /** Tells whether the log answers. */
+  /** Reports whether the log is reachable. */
   public void logReachable(boolean reachable) {
     thread.put(new DispatchEvent.LogReachable(reachable));
   }
 
-  /** Returns what this VM knows of a request id that it claimed; empty if it knows nothing. */
+  /** Returns the outcome of a request that this VM claimed; empty if it knows none. */
   public Optional<OutcomeReply> outcome(RequestKey key) {
     return own.find(key);
   }
 
-  /** Opens or closes the path for new requests; {@code why} is the reason told while closed. */
+  /**
+   * Sets whether new requests are accepted; while they are not, they are refused with the reason
+   * {@code why}.
+   */
   public void ready(boolean ready, RefusalReason why) {
     closedBecause = ready ? Optional.empty() : Optional.of(why);
     thread.put(new DispatchEvent.Ready(ready, why));
   }
 
-  /** Accepts nothing new, answers what is in flight, and asks callers to close. */
+  /** Stops accepting connections, answers the requests in flight and closes idle connections. */
   public void drain() {
     server.drain();
     EventLog.info(LOGGER, RequestEvent.SERVICE_PORT_DRAINING, inFlight());
   }
 
-  /** Returns the requests not yet answered, and the outcomes not yet known to be in the log. */
+  /** Returns the number of unanswered requests plus that of outcomes not yet known to be logged. */
   public int inFlight() {
     return Math.max(metrics.inFlight().get(), performer.openRequests()) + unrecorded;
   }
 
-  /** Closes all connections at once. */
+  /** Closes all connections without waiting for requests in flight. */
   @Override
   public void close() {
     server.close();
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/ServicePortException.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/ServicePortException.java
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress;
 
-/** The service port could not be opened. */
+/** Thrown when the service port cannot be opened. */
 public final class ServicePortException extends Exception {
   private static final long serialVersionUID = 1L;
 
@@ -12,8 +12,8 @@
   /**
    * Creates the exception.
    *
-   * @param step what was being done, as {@code bind service port}
-   * @param address address it was done at
+   * @param step the operation that failed, such as {@code bind service port}
+   * @param address the address of the service port
    */
   public ServicePortException(String step, InetSocketAddress address, Throwable cause) {
     super(step + " at " + address + ": " + cause.getMessage(), cause);
@@ -21,12 +21,12 @@
     this.address = address;
   }
 
-  /** Returns what was being done. */
+  /** Returns the operation that failed. */
   public String step() {
     return step;
   }
 
-  /** Returns the address it was done at. */
+  /** Returns the address of the service port. */
   public InetSocketAddress address() {
     return address;
   }
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/ServiceRequest.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/ServiceRequest.java
@@ -6,14 +6,14 @@
 import org.fescuehook.logic.dispatch.RequestAttributes;
 import org.fescuehook.model.job.JobId;
 
-/** What a caller asks, after its headers and path were checked. */
+/** A caller's request whose path and headers have been validated. */
 sealed interface ServiceRequest {
 
   /**
-   * A short request for an executor.
+   * A short request to forward to an executor.
    *
-   * @param uri path and query at the executor
-   * @param headers end-to-end headers to pass on
+   * @param uri path and query for the executor
+   * @param headers end-to-end headers to forward
    */
   record Pass(
       RequestAttributes facts, HttpMethod method, String uri, HttpHeaders headers, ByteBuf body)
@@ -22,7 +22,7 @@
   /** A submission of a job. */
   record Submit(byte[] json, java.util.Optional<String> requestId) implements ServiceRequest {}
 
-  /** A question for a job's state. */
+  /** A query for a job's state, answered after at most {@code waitMillis}. */
   record Show(JobId job, long waitMillis) implements ServiceRequest {}
 
   /** A cancellation of a job. */
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/ServiceRequestParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/ServiceRequestParser.java
@@ -23,7 +23,7 @@
 import org.fescuehook.net.executor.ExecutorHeaders;
 import org.fescuehook.net.executor.HopByHopHeaders;
 
-/** Reads what a caller asks from path, headers and body. */
+/** Parses a caller's request from its path, headers and body. */
 final class ServiceRequestParser {
   private static final String REQUESTS = "/requests";
   private static final String JOBS = "/jobs";
@@ -36,9 +36,9 @@
   }
 
   /**
-   * Reads a whole request.
+   * Parses a whole request.
    *
-   * @param nowNanos time of its arrival by {@link System#nanoTime()}
+   * @param nowNanos time of the request's arrival, as {@link System#nanoTime()} returns it
    */
   ServiceRequest parse(HttpRequest head, ByteBuf body, long nowNanos)
       throws MalformedRequestException {
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/StrictRequestDecoder.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/StrictRequestDecoder.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
-/** Decodes requests; one with both a length and chunked framing is malformed. */
+/** Decodes requests, and rejects one that has both a Content-Length and chunked framing. */
 final class StrictRequestDecoder extends HttpRequestDecoder {
 
   StrictRequestDecoder(HttpDecoderConfig config) {
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/package-info.java
@@ -1,4 +1,4 @@
-/** HTTP/1.1 server towards callers: short requests and jobs. */
+/** Serves callers over HTTP/1.1: short requests for backend servers, and jobs. */
 @NullMarked
 package org.fescuehook.net.caller;
 
--- a/fescuehook/src/test/java/org/fescuehook/net/caller/AtMostOnceTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/caller/AtMostOnceTest.java
@@ -18,12 +18,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Cuts the connection to the executor at each byte, and holds its journal against the answers. */
+/**
+ * Breaks the connection to an executor at each byte of a request or answer, and compares what the
+ * executor ran with the answers to the callers.
+ */
 class AtMostOnceTest {
   private static final String BODY = "charge=42";
   private static final int MOST_POSITIONS = 1_000;
 
-  /** Cuts the first exchange after so many bytes of the request; serves all later ones. */
+  /**
+   * Closes the connection after {@code cutAt} bytes of the next request once {@code cutNext} is
+   * set; serves all other requests.
+   */
   private static final class RequestCutter implements FakeExecutor.Behaviour {
     final AtomicInteger cutAt = new AtomicInteger(Integer.MAX_VALUE);
     final AtomicBoolean cutNext = new AtomicBoolean();
@@ -59,7 +65,7 @@
       return read.toByteArray();
     }
 
-    /** What was read whole counts as run. */
+    /** Counts the request as run only if it was read whole before the connection is closed. */
     private void cut(FakeExecutor executor, Socket socket, InputStream in) throws IOException {
       byte[] read = readUpTo(cutAt.get(), in);
       if (reset) {
@@ -68,7 +74,7 @@
       try {
         executor.journal.add(FakeExecutor.read(new ByteArrayInputStream(read)));
       } catch (IOException e) {
-        // Not whole, so not run.
+        // The request is incomplete, so the executor did not run it.
       }
     }
   }
@@ -84,7 +90,7 @@
       for (int runs = 0; runs == 0 && at < MOST_POSITIONS; at++) {
         String id = "cut-" + at;
         if (at % 2 == 0) {
-          // Every second position is tried on a connection that was used before.
+          // Every second position is tested on a connection from the pool.
           fixture.post("/requests/warm", "", "");
         } else {
           executor.cutConnections();
@@ -153,7 +159,7 @@
     }
   }
 
-  /** Cuts its first answer in the middle of the body; all later ones are whole. */
+  /** Breaks off the first answer three bytes before its end; all later answers are complete. */
   private static FakeExecutor.Behaviour cuttingTheFirstAnswer() {
     return (executor, socket, in) -> {
       FakeExecutor.Request request = FakeExecutor.read(in);
@@ -164,7 +170,10 @@
     };
   }
 
-  /** A caller once got the head of an answer and then a cut connection. */
+  /**
+   * Guards against forwarding the head of an answer that the executor then breaks off: the caller
+   * would get a closed connection instead of a whole answer.
+   */
   @Test
   void anAnswerThatTheExecutorCutsIsToldAsUnknown() throws Exception {
     try (FakeLog log = new FakeLog();
--- a/fescuehook/src/test/java/org/fescuehook/net/caller/BackPressureTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/caller/BackPressureTest.java
@@ -36,7 +36,7 @@
         RawCaller caller = new RawCaller(fixture.address)) {
       caller.send(RawCaller.request("GET", "/requests/x", PathFixture.ORGANISATION, ""));
       awaitStandstill(written);
-      // What lies in the sockets' buffers on both sides is far below the answer's 64 MiB.
+      // The sockets' buffers on both sides hold far less than the answer's 64 MiB.
       assertTrue(written.get() < ENOUGH_BYTES, "read ahead: " + written.get());
 
       RawCaller.Answer answer = caller.read();
@@ -45,7 +45,7 @@
     }
   }
 
-  /** Waits until the executor has written and then wrote nothing more for many looks. */
+  /** Waits until the executor has written something and 200 checks in a row see no progress. */
   private static void awaitStandstill(AtomicLong written) {
     long[] last = {0, 0};
     Await.until(
--- a/fescuehook/src/test/java/org/fescuehook/net/caller/CallerEdgeTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/caller/CallerEdgeTest.java
@@ -162,7 +162,7 @@
   }
 
   @Test
-  @SuppressWarnings("try") // the caller that leaves is closed before its block ends
+  @SuppressWarnings("try") // the leaving caller is closed before the end of the try block
   void doesNotDispatchAWaitingRequestWhoseCallerLeft() throws Exception {
     CountDownLatch free = new CountDownLatch(1);
     executor.behave(
--- a/fescuehook/src/test/java/org/fescuehook/net/caller/Concurrently.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/caller/Concurrently.java
@@ -5,9 +5,9 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 
-/** Runs numbered work on several threads and collects what failed. */
+/** Runs numbered tasks on several threads and collects their failures. */
 final class Concurrently {
-  /** One piece of work. */
+  /** A task that is run once for each number. */
   interface Work {
     void run(int number) throws Exception;
   }
--- a/fescuehook/src/test/java/org/fescuehook/net/caller/DrainTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/caller/DrainTest.java
@@ -54,7 +54,7 @@
 
   private static void drainUnderLoad() throws Exception {
     List<Throwable> faults = new CopyOnWriteArrayList<>();
-    // New connections are refused from the drain on, so each caller is connected before.
+    // A draining port refuses new connections, so each caller connects before the drain begins.
     CountDownLatch connected = new CountDownLatch(CALLERS);
     try (FakeLog log = new FakeLog();
         FakeExecutor executor = new FakeExecutor(FakeExecutor.echoing());
--- a/fescuehook/src/test/java/org/fescuehook/net/caller/FakeExecutor.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/caller/FakeExecutor.java
@@ -15,24 +15,26 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** An executor on loopback whose behaviour a test sets; keeps a journal of what it ran. */
+/**
+ * Executor on loopback with a configurable behaviour; its journal lists the requests that it ran.
+ */
 final class FakeExecutor implements AutoCloseable {
 
-  /** A whole request. */
+  /** A completely received request. */
   record Request(String method, String uri, Map<String, String> headers, byte[] body) {
     String token() {
       return headers.getOrDefault("request-token", "");
     }
   }
 
-  /** What to do with a connection. */
+  /** Serves the connections of the executor. */
   interface Behaviour {
-    /** Serves a connection; it is closed on return. */
+    /** Serves a connection, which is closed when this method returns. */
     void serve(FakeExecutor executor, Socket socket, InputStream in)
         throws IOException, InterruptedException;
   }
 
-  /** What to answer. */
+  /** Computes the answers to requests. */
   interface Answering {
     /** Returns the bytes of the answer. */
     byte[] answer(Request request) throws InterruptedException;
@@ -50,7 +52,7 @@
     Thread.ofVirtual().start(this::accept);
   }
 
-  /** Answers each request on kept-alive connections, after noting it in the journal. */
+  /** Adds each request to the journal, then answers it and keeps the connection open. */
   static Behaviour answering(Answering answering) {
     return (executor, socket, in) -> {
       while (true) {
@@ -61,7 +63,7 @@
     };
   }
 
-  /** Answers with the uri of the request. */
+  /** Answers each request with its URI. */
   static Behaviour echoing() {
     return answering(request -> ok(request, request.uri()));
   }
@@ -114,11 +116,11 @@
     try (socket) {
       behaviour.serve(this, socket, new BufferedInputStream(socket.getInputStream()));
     } catch (IOException | InterruptedException e) {
-      // The other side went away; the journal tells what was run.
+      // The other side closed the connection; the journal holds what was run.
     }
   }
 
-  /** Reads a whole request; an end of stream before its end is an exception. */
+  /** Reads a whole request; throws if the stream ends before the request does. */
   static Request read(InputStream in) throws IOException {
     String[] first = line(in).split(" ");
     Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
--- a/fescuehook/src/test/java/org/fescuehook/net/caller/FakeLog.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/caller/FakeLog.java
@@ -8,13 +8,15 @@
 import org.fescuehook.logic.platform.LogAppender;
 import org.fescuehook.model.log.LogRecord;
 
-/** A log shared by request paths; its thread appends, and hands each record to all readers. */
+/**
+ * In-memory log shared by request paths; its thread appends and delivers records to all of them.
+ */
 final class FakeLog implements LogAppender, AutoCloseable {
   enum Fault {
     NONE,
-    /** Records are not taken. */
+    /** Appends are refused. */
     REFUSING,
-    /** Records are taken, but the reply is lost. */
+    /** Records are appended, but the appender gets no reply. */
     LOSING_REPLIES
   }
 
@@ -23,7 +25,7 @@
   private final List<RequestPath> readers = new ArrayList<>();
   private volatile Fault fault = Fault.NONE;
 
-  /** Hands all records so far, and each later one, to a path. */
+  /** Delivers all records so far, and each later one, to a request path. */
   void join(RequestPath path) {
     thread.execute(
         () -> {
--- a/fescuehook/src/test/java/org/fescuehook/net/caller/ForeignAnswersTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/caller/ForeignAnswersTest.java
@@ -46,7 +46,7 @@
         PathFixture fixture = new PathFixture(log, 1, executor)) {
       RawCaller.Answer slow = fixture.get("/requests/slow", "Request-Timeout-Ms: 150\r\n");
       assertEquals("deadline-after-dispatch unknown", slow.reason() + " " + slow.ran());
-      // The executor is still busy with the first connection: the next request needs another.
+      // The executor still holds the first connection, so the next request needs a second one.
       assertEquals("/while-late", fixture.get("/requests/while-late", "").body());
       givenUp.countDown();
       for (int i = 0; i < 20; i++) {
--- a/fescuehook/src/test/java/org/fescuehook/net/caller/HostileInputProperties.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/caller/HostileInputProperties.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.lifecycle.AfterContainer;
 import net.jqwik.api.lifecycle.BeforeContainer;
 
-/** Wrong bytes on one connection never reach or disturb another. */
+/** Checks that malformed bytes on one connection never affect another connection. */
 class HostileInputProperties {
   private static FakeLog log;
   private static FakeExecutor executor;
@@ -50,7 +50,7 @@
     assertEquals(0, fixture.count("fescuehook.requests.unexpected"));
   }
 
-  /** A request, truncated, repeated, reordered or with random bytes in it. */
+  /** Returns a request that is truncated, duplicated, rotated or corrupted, or random bytes. */
   private static byte[] hostile(Random random) {
     String body = "x".repeat(random.nextInt(200));
     String fields = PathFixture.ORGANISATION + "Request-Id: r" + random.nextInt(5) + "\r\n";
@@ -91,7 +91,7 @@
         from = until;
       }
     } catch (IOException e) {
-      // Refused and closed before all was sent.
+      // The server refused the request and closed the connection before all bytes were sent.
     }
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/net/caller/PathFixture.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/caller/PathFixture.java
@@ -30,7 +30,7 @@
 import org.fescuehook.wire.SlotShare;
 import org.fescuehook.wire.SlotShares;
 
-/** A request path on loopback with its fakes; the path is ready when the fixture is made. */
+/** Request path on loopback with fake collaborators; it accepts requests once constructed. */
 final class PathFixture implements AutoCloseable {
   static final String ORGANISATION = "Organisation: alpha\r\n";
   static final FailureDomain DOMAIN = new FailureDomain("d1");
--- a/fescuehook/src/test/java/org/fescuehook/net/caller/RawCaller.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/caller/RawCaller.java
@@ -10,11 +10,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A caller that writes bytes of the test's choice and reads answers strictly. */
+/** Caller that sends arbitrary bytes and parses answers strictly. */
 final class RawCaller implements AutoCloseable {
   private static final int READ_LIMIT_MILLIS = 20_000;
 
-  /** An answer; {@code whole} tells whether its framing was complete. */
+  /** An answer; {@code whole} is true if it arrived up to the end that its framing announces. */
   record Answer(int status, Map<String, String> headers, String body, boolean whole) {
     String ran() {
       return field("ran");
@@ -44,7 +44,7 @@
     in = new BufferedInputStream(socket.getInputStream());
   }
 
-  /** Sends one request on a connection of its own and reads the answer. */
+  /** Sends one request on a new connection and reads the answer. */
   static Answer call(
       InetSocketAddress address, String method, String uri, String fields, String body)
       throws IOException {
@@ -88,7 +88,7 @@
     return new Answer(Integer.parseInt(first.split(" ")[1]), headers, "", true);
   }
 
-  /** Reads one answer; one without a head has status 0. */
+  /** Reads one answer; returns status 0 if the connection ends before a head arrives. */
   Answer read() throws IOException {
     Answer head = readHead();
     if (head.status() == 0) {
@@ -133,7 +133,9 @@
     return line.toString(StandardCharsets.UTF_8).stripTrailing();
   }
 
-  /** Tells whether the other side has closed; waits for it. */
+  /**
+   * Waits for more bytes or the end of the connection; returns whether the other side closed it.
+   */
   boolean closedByPeer() throws IOException {
     try {
       return in.read() < 0;
--- a/fescuehook/src/test/java/org/fescuehook/net/caller/SilentConnectionTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/caller/SilentConnectionTest.java
@@ -10,7 +10,10 @@
 
 class SilentConnectionTest {
 
-  /** Serves one request on a connection made before {@code silent}, and then reads without end. */
+  /**
+   * Serves each connection until {@code silent} is set; connections opened before that get no more
+   * answers, while those opened later are served.
+   */
   private static FakeExecutor.Behaviour silentAfterOne(AtomicBoolean silent) {
     return (executor, socket, in) -> {
       boolean old = !silent.get();
