--- a/fescuehook/src/main/java/org/fescuehook/net/caller/Answers.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/Answers.java
@@ -18,13 +18,13 @@
     if (!contentType.isEmpty()) {
       answer.headers().set(HttpHeaderNames.CONTENT_TYPE, contentType);
     }
-    if (!withoutLength(status)) {
+    if (!hasNoContentLength(status)) {
       answer.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.length);
     }
     return answer;
   }
 
-  private static boolean withoutLength(int status) {
+  private static boolean hasNoContentLength(int status) {
     return status == HttpResponseStatus.NO_CONTENT.code()
         || status == HttpResponseStatus.NOT_MODIFIED.code();
   }
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/CallerConnection.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/CallerConnection.java
@@ -48,7 +48,7 @@
   private final RequestHeadCheck check;
   private final DrainState drain;
   private final Consumer<CallerExchange> sink;
-  private final Deque<HttpObject> held = new ArrayDeque<>();
+  private final Deque<HttpObject> pipelined = new ArrayDeque<>();
   private Phase phase = Phase.IDLE;
   private long phaseSinceNanos = System.nanoTime();
   private boolean bytesWhileAnswering;
@@ -85,11 +85,14 @@
 
   @Override
   public void handlerAdded(ChannelHandlerContext context) {
-    long shorter = Math.min(preferences.headerTimeout().toMillis(), idleMillis());
-    long every = Math.max(1, shorter / 4);
-    var sweep =
-        channel.eventLoop().scheduleAtFixedRate(this::sweep, every, every, TimeUnit.MILLISECONDS);
-    channel.closeFuture().addListener(closed -> sweep.cancel(false));
+    long shorterMillis = Math.min(preferences.headerTimeout().toMillis(), idleMillis());
+    long intervalMillis = Math.max(1, shorterMillis / 4);
+    var timeoutCheck =
+        channel
+            .eventLoop()
+            .scheduleAtFixedRate(
+                this::checkTimeouts, intervalMillis, intervalMillis, TimeUnit.MILLISECONDS);
+    channel.closeFuture().addListener(closed -> timeoutCheck.cancel(false));
   }
 
   private long idleMillis() {
@@ -100,16 +103,16 @@
    * Closes the connection if it was idle for too long, and refuses a request that did not arrive
    * whole within the header timeout.
    */
-  private void sweep() {
-    long sinceMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - phaseSinceNanos);
+  private void checkTimeouts() {
+    long elapsedMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - phaseSinceNanos);
     if (phase == Phase.IDLE) {
-      boolean over = sinceMillis >= idleMillis();
-      if (over || drain.closesIdle(sinceMillis)) {
+      boolean idleTooLong = elapsedMillis >= idleMillis();
+      if (idleTooLong || drain.closesIdle(elapsedMillis)) {
         close();
       }
       return;
     }
-    if (phase == Phase.RECEIVING && sinceMillis >= preferences.headerTimeout().toMillis()) {
+    if (phase == Phase.RECEIVING && elapsedMillis >= preferences.headerTimeout().toMillis()) {
       refuseAndClose(RefusalReason.BAD_REQUEST, "the request did not arrive whole in time");
     }
   }
@@ -132,7 +135,7 @@
   public void channelRead(ChannelHandlerContext context, Object message) {
     HttpObject part = (HttpObject) message;
     if (phase == Phase.ANSWERING) {
-      held.addLast(part);
+      pipelined.addLast(part);
       channel.config().setAutoRead(false);
       return;
     }
@@ -202,10 +205,10 @@
     keepAlive = HttpUtil.isKeepAlive(request);
     bytesWhileAnswering = false;
     enter(Phase.ANSWERING);
-    CallerExchange begun = new CallerExchange(this, request, whole, metrics, problems);
-    exchange = Optional.of(begun);
+    CallerExchange started = new CallerExchange(this, request, whole, metrics, problems);
+    exchange = Optional.of(started);
     metrics.inFlight().incrementAndGet();
-    sink.accept(begun);
+    sink.accept(started);
   }
 
   /** Sets the Connection header of an answer after which this connection is closed. */
@@ -230,14 +233,14 @@
     }
     enter(bytesWhileAnswering ? Phase.RECEIVING : Phase.IDLE);
     // Runs as a task of its own, so that many pipelined requests do not recurse.
-    channel.eventLoop().execute(this::readHeld);
+    channel.eventLoop().execute(this::readPipelined);
   }
 
-  private void readHeld() {
-    while (!held.isEmpty() && phase != Phase.ANSWERING) {
-      read(held.removeFirst());
+  private void readPipelined() {
+    while (!pipelined.isEmpty() && phase != Phase.ANSWERING) {
+      read(pipelined.removeFirst());
     }
-    if (held.isEmpty() && phase != Phase.CLOSING) {
+    if (pipelined.isEmpty() && phase != Phase.CLOSING) {
       channel.config().setAutoRead(true);
     }
   }
@@ -258,13 +261,13 @@
   @Override
   public void channelInactive(ChannelHandlerContext context) {
     enter(Phase.CLOSING);
-    held.forEach(ReferenceCountUtil::release);
-    held.clear();
+    pipelined.forEach(ReferenceCountUtil::release);
+    pipelined.clear();
     body.release();
     exchange.ifPresent(
-        left -> {
+        pending -> {
           metrics.inFlight().decrementAndGet();
-          left.callerGone();
+          pending.callerGone();
         });
     exchange = Optional.empty();
     context.fireChannelInactive();
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/CallerExchange.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/CallerExchange.java
@@ -34,7 +34,7 @@
   private volatile Optional<AnswerFlow> flow = Optional.empty();
   private volatile boolean gone;
   // The fields below are accessed on the event loop only.
-  private boolean answerBegun;
+  private boolean answerStarted;
   private boolean finished;
   private Runnable whenGone = () -> {};
   private Runnable whenFinished = () -> {};
@@ -102,7 +102,7 @@
   void refuse(Refusal refusal) {
     onLoop(
         () -> {
-          if (!finished && !answerBegun) {
+          if (!finished && !answerStarted) {
             metrics.refused(refusal.reason());
             write(problems.write(refusal));
           }
@@ -113,7 +113,7 @@
   void answer(FullHttpResponse answer) {
     onLoop(
         () -> {
-          if (finished || answerBegun) {
+          if (finished || answerStarted) {
             answer.release();
             return;
           }
@@ -122,7 +122,7 @@
   }
 
   private void write(FullHttpResponse answer) {
-    answerBegun = true;
+    answerStarted = true;
     connection.prepare(answer);
     channel().writeAndFlush(answer);
     finish();
@@ -137,14 +137,14 @@
             answerFlow.reading(true);
             return;
           }
-          answerBegun = true;
+          answerStarted = true;
           connection.prepare(answer);
           channel().write(answer);
         });
   }
 
   /** Forwards a part of a streamed answer to the caller, and releases it. */
-  void pass(HttpContent content) {
+  void forward(HttpContent content) {
     int size = content.content().readableBytes();
     if (unwritten.addAndGet(size) > HIGH_WATER_BYTES && !gone) {
       flow.ifPresent(reading -> reading.reading(false));
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/CallerServer.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/CallerServer.java
@@ -99,7 +99,7 @@
               .setStrictLineParsing(true);
       channel
           .pipeline()
-          .addLast(new ArrivalWatch(connection))
+          .addLast(new ArrivalNotifier(connection))
           .addLast(new StrictRequestDecoder(decoding))
           .addLast(new AnswerEncoder(connection::headOnly))
           .addLast(connection);
@@ -107,10 +107,10 @@
   }
 
   /** Notifies the connection of received bytes before the decoder has a whole request head. */
-  private static final class ArrivalWatch extends ChannelInboundHandlerAdapter {
+  private static final class ArrivalNotifier extends ChannelInboundHandlerAdapter {
     private final CallerConnection connection;
 
-    ArrivalWatch(CallerConnection connection) {
+    ArrivalNotifier(CallerConnection connection) {
       this.connection = connection;
     }
 
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/CommandPerformer.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/CommandPerformer.java
@@ -27,7 +27,7 @@
   static final String STREAM = "requests";
 
   /** Size of the largest answer that is recorded together with the outcome. */
-  static final int KEPT_BYTES = 4 << 10;
+  static final int MAX_RECORDED_BYTES = 4 << 10;
 
   private final ExecutorClient executors;
   private final LogAppender log;
@@ -128,23 +128,23 @@
 
   private void send(DispatchCommand.Send send) {
     OpenExchange exchange = exchanges.get(send.ticket());
-    ServiceRequest.Pass pass = exchange.request();
+    ServiceRequest.Forward forward = exchange.request();
     EventLoop loop = exchange.caller().loop();
     ExecutorRequest request =
         new ExecutorRequest(
-            pass.method(),
-            pass.uri(),
-            pass.headers(),
-            pass.body(),
-            pass.facts().organisation(),
+            forward.method(),
+            forward.uri(),
+            forward.headers(),
+            forward.body(),
+            forward.attributes().organisation(),
             send.token(),
-            pass.facts().repeatable(),
-            TimeUnit.MILLISECONDS.toNanos(pass.facts().deadlineMillis()),
+            forward.attributes().repeatable(),
+            TimeUnit.MILLISECONDS.toNanos(forward.attributes().deadlineMillis()),
             send.progressMillis(),
             false,
-            pass.facts().claimed() ? KEPT_BYTES : 0);
-    PassingListener listener =
-        new PassingListener(
+            forward.attributes().claimed() ? MAX_RECORDED_BYTES : 0);
+    ForwardingListener listener =
+        new ForwardingListener(
             exchange.caller(),
             (end, tookMillis) ->
                 events.deliver(
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/DispatchThread.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/DispatchThread.java
@@ -28,8 +28,8 @@
 
   static final long TICK_MILLIS = 20;
 
-  private static final long AGAIN_MILLIS = 1;
-  private static final long WAIT_NANOS = 100_000;
+  private static final long RETRY_DELAY_MILLIS = 1;
+  private static final long PARK_NANOS = 100_000;
 
   private static final class Slot {
     private Optional<DispatchEvent> event = Optional.empty();
@@ -87,13 +87,13 @@
       return;
     }
     metrics.count("fescuehook.requests.ring.full");
-    loop.schedule(() -> deliver(event, loop), AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+    loop.schedule(() -> deliver(event, loop), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   /** Publishes an event, and blocks the calling thread while the ring is full. */
   void put(DispatchEvent event) {
     while (!halted && !publish(event)) {
-      LockSupport.parkNanos(WAIT_NANOS);
+      LockSupport.parkNanos(PARK_NANOS);
     }
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/PassingListener.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/ForwardingListener.java
@@ -24,23 +24,23 @@
  * complete: if the executor breaks it off, the caller has received nothing, and a repeatable
  * request can be dispatched again. All calls come from one event loop.
  */
-final class PassingListener implements AnswerListener {
+final class ForwardingListener implements AnswerListener {
   /** Size up to which a body is buffered; a larger answer is streamed. */
-  private static final int HELD_BYTES = 64 << 10;
+  private static final int MAX_BUFFERED_BYTES = 64 << 10;
 
   private final CallerExchange caller;
   private final BiConsumer<DispatchResult, Long> whenEnded;
-  private final List<HttpContent> held = new ArrayList<>();
-  private Optional<Runnable> heldHead = Optional.empty();
-  private int heldBytes;
-  private boolean passing;
+  private final List<HttpContent> buffered = new ArrayList<>();
+  private Optional<Runnable> bufferedHead = Optional.empty();
+  private int bufferedBytes;
+  private boolean forwarding;
 
   /**
    * Creates the listener.
    *
    * @param whenEnded receives the result and the time that the executor took, in milliseconds
    */
-  PassingListener(CallerExchange caller, BiConsumer<DispatchResult, Long> whenEnded) {
+  ForwardingListener(CallerExchange caller, BiConsumer<DispatchResult, Long> whenEnded) {
     this.caller = caller;
     this.whenEnded = whenEnded;
   }
@@ -55,35 +55,35 @@
       headers.remove(HttpHeaderNames.CONTENT_LENGTH);
       headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
     }
-    HttpResponse passed = new DefaultHttpResponse(HttpVersion.HTTP_1_1, head.status(), headers);
-    heldHead = Optional.of(() -> caller.begin(passed, flow));
+    HttpResponse forwarded = new DefaultHttpResponse(HttpVersion.HTTP_1_1, head.status(), headers);
+    bufferedHead = Optional.of(() -> caller.begin(forwarded, flow));
   }
 
   @Override
   public void onContent(HttpContent content) {
-    if (passing) {
-      caller.pass(content);
+    if (forwarding) {
+      caller.forward(content);
       return;
     }
-    held.add(content);
-    heldBytes += content.content().readableBytes();
-    if (content instanceof LastHttpContent || heldBytes > HELD_BYTES) {
-      passOn();
+    buffered.add(content);
+    bufferedBytes += content.content().readableBytes();
+    if (content instanceof LastHttpContent || bufferedBytes > MAX_BUFFERED_BYTES) {
+      forwardBuffered();
     }
   }
 
-  private void passOn() {
-    passing = true;
-    heldHead.ifPresent(Runnable::run);
-    held.forEach(caller::pass);
-    held.clear();
+  private void forwardBuffered() {
+    forwarding = true;
+    bufferedHead.ifPresent(Runnable::run);
+    buffered.forEach(caller::forward);
+    buffered.clear();
   }
 
   @Override
-  public void onEnd(DispatchResult how, long executorNanos) {
-    DispatchResult end = asTheCallerSees(how);
-    held.forEach(HttpContent::release);
-    held.clear();
+  public void onEnd(DispatchResult result, long executorNanos) {
+    DispatchResult end = asSeenByCaller(result);
+    buffered.forEach(HttpContent::release);
+    buffered.clear();
     if (end instanceof DispatchResult.Answered) {
       caller.answered(executorNanos);
     }
@@ -94,9 +94,9 @@
   }
 
   /** Returns the result as not started if the broken-off answer was still buffered. */
-  private DispatchResult asTheCallerSees(DispatchResult end) {
+  private DispatchResult asSeenByCaller(DispatchResult end) {
     if (end instanceof DispatchResult.Failed(var kind, boolean started, boolean fresh)) {
-      return new DispatchResult.Failed(kind, started && passing, fresh);
+      return new DispatchResult.Failed(kind, started && forwarding, fresh);
     }
     return end;
   }
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/JobsEndpoint.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/JobsEndpoint.java
@@ -40,18 +40,20 @@
       exchange.refuse(Refusal.of(RefusalReason.QUEUE_FULL, "too much waits for a decision"));
       return;
     }
-    long limitMillis = preferences.defaultTimeout().toMillis() + waitMillis;
-    var limit =
+    long timeoutMillis = preferences.defaultTimeout().toMillis() + waitMillis;
+    var timeout =
         exchange
             .loop()
-            .schedule(() -> giveUp(exchange, request), limitMillis, TimeUnit.MILLISECONDS);
-    exchange.whenFinished(() -> limit.cancel(false));
+            .schedule(() -> expire(exchange, request), timeoutMillis, TimeUnit.MILLISECONDS);
+    exchange.whenFinished(() -> timeout.cancel(false));
   }
 
-  private static void giveUp(CallerExchange exchange, ControlPort.Request request) {
-    boolean changes = !(request instanceof ControlPort.Request.Show);
+  private static void expire(CallerExchange exchange, ControlPort.Request request) {
+    boolean mayHaveTakenEffect = !(request instanceof ControlPort.Request.Show);
     RefusalReason reason =
-        changes ? RefusalReason.DEADLINE_AFTER_DISPATCH : RefusalReason.DEADLINE_BEFORE_DISPATCH;
+        mayHaveTakenEffect
+            ? RefusalReason.DEADLINE_AFTER_DISPATCH
+            : RefusalReason.DEADLINE_BEFORE_DISPATCH;
     exchange.refuse(Refusal.of(reason, "no decision came in time"));
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/OpenExchange.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/OpenExchange.java
@@ -6,10 +6,10 @@
 /** Holds what is needed to dispatch and answer a request that the dispatch thread handles. */
 final class OpenExchange {
   private final CallerExchange caller;
-  private final ServiceRequest.Pass request;
+  private final ServiceRequest.Forward request;
   private Optional<SentRequest> sent = Optional.empty();
 
-  OpenExchange(CallerExchange caller, ServiceRequest.Pass request) {
+  OpenExchange(CallerExchange caller, ServiceRequest.Forward request) {
     this.caller = caller;
     this.request = request;
   }
@@ -18,7 +18,7 @@
     return caller;
   }
 
-  ServiceRequest.Pass request() {
+  ServiceRequest.Forward request() {
     return request;
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/RequestPath.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/RequestPath.java
@@ -45,14 +45,14 @@
   private final JobsEndpoint jobs;
   private final CallerServer server;
   private final ExecutorClient executors;
-  private final LocalOutcomes own = new LocalOutcomes();
+  private final LocalOutcomes localOutcomes = new LocalOutcomes();
   private final CommandPerformer performer;
   private final DispatchCore core;
   private final DispatchThread thread;
   private final Duration probeInterval;
   private final AtomicLong tickets = new AtomicLong();
   private volatile int unrecorded;
-  private volatile Optional<RefusalReason> closedBecause = Optional.of(RefusalReason.NOT_READY);
+  private volatile Optional<RefusalReason> notReadyReason = Optional.of(RefusalReason.NOT_READY);
 
   /**
    * Creates the path and starts its dispatch thread; no port is opened before {@link #start()}.
@@ -81,9 +81,11 @@
     this.executors = new ExecutorClient(loops, metrics);
     this.thread =
         new DispatchThread("dispatch", DispatchThread.RING_SIZE, this::handle, this.metrics);
-    this.performer = new CommandPerformer(executors, log, outcomes, this.metrics, new RingSink());
+    this.performer =
+        new CommandPerformer(executors, log, outcomes, this.metrics, new RingEventSink());
     Random jitter = new Random(identity.hashCode() ^ incarnation.hashCode());
-    this.core = new DispatchCore(identity, incarnation, preferences, own, jitter, performer);
+    this.core =
+        new DispatchCore(identity, incarnation, preferences, localOutcomes, jitter, performer);
     thread.start();
   }
 
@@ -129,15 +131,15 @@
 
   /** Handles a whole request of a caller, on the event loop of its connection. */
   private void received(CallerExchange exchange) {
-    boolean handedOn = false;
+    boolean bodyTransferred = false;
     try {
       ServiceRequest request =
           parser.parse(exchange.head(), exchange.body(), exchange.receivedNanos());
-      handedOn = handle(exchange, request);
+      bodyTransferred = handle(exchange, request);
     } catch (MalformedRequestException e) {
       exchange.refuse(Refusal.of(e.reason(), e.getMessage()));
     } finally {
-      if (!handedOn) {
+      if (!bodyTransferred) {
         exchange.body().release();
       }
     }
@@ -147,8 +149,8 @@
   private boolean handle(CallerExchange exchange, ServiceRequest request)
       throws MalformedRequestException {
     switch (request) {
-      case ServiceRequest.Pass pass -> {
-        return pass(exchange, pass);
+      case ServiceRequest.Forward forward -> {
+        return forward(exchange, forward);
       }
       case ServiceRequest.Submit submit -> submit(exchange, submit);
       case ServiceRequest.Show show -> jobs.show(exchange, show);
@@ -157,10 +159,10 @@
     return false;
   }
 
-  private boolean pass(CallerExchange exchange, ServiceRequest.Pass pass) {
+  private boolean forward(CallerExchange exchange, ServiceRequest.Forward forward) {
     long ticket = tickets.incrementAndGet();
-    performer.open(ticket, new OpenExchange(exchange, pass));
-    boolean offered = thread.offer(new DispatchEvent.Arrived(ticket, pass.facts()));
+    performer.open(ticket, new OpenExchange(exchange, forward));
+    boolean offered = thread.offer(new DispatchEvent.Arrived(ticket, forward.attributes()));
     if (!offered) {
       performer.discard(ticket);
       exchange.refuse(Refusal.of(RefusalReason.QUEUE_FULL, "too many requests at once"));
@@ -172,7 +174,7 @@
 
   private void submit(CallerExchange exchange, ServiceRequest.Submit submit)
       throws MalformedRequestException {
-    Optional<RefusalReason> closed = closedBecause;
+    Optional<RefusalReason> closed = notReadyReason;
     if (closed.isPresent()) {
       exchange.refuse(Refusal.of(closed.get(), "this entry VM takes no jobs now"));
       return;
@@ -212,7 +214,7 @@
 
   /** Returns the outcome of a request that this VM claimed; empty if it knows none. */
   public Optional<OutcomeReply> outcome(RequestKey key) {
-    return own.find(key);
+    return localOutcomes.find(key);
   }
 
   /**
@@ -220,7 +222,7 @@
    * {@code why}.
    */
   public void ready(boolean ready, RefusalReason why) {
-    closedBecause = ready ? Optional.empty() : Optional.of(why);
+    notReadyReason = ready ? Optional.empty() : Optional.of(why);
     thread.put(new DispatchEvent.Ready(ready, why));
   }
 
@@ -243,7 +245,7 @@
     executors.close();
   }
 
-  private final class RingSink implements CommandPerformer.EventSink {
+  private final class RingEventSink implements CommandPerformer.EventSink {
     @Override
     public void deliver(DispatchEvent event, EventLoop loop) {
       thread.deliver(event, loop);
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/ServiceRequest.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/ServiceRequest.java
@@ -15,8 +15,12 @@
    * @param uri path and query for the executor
    * @param headers end-to-end headers to forward
    */
-  record Pass(
-      RequestAttributes facts, HttpMethod method, String uri, HttpHeaders headers, ByteBuf body)
+  record Forward(
+      RequestAttributes attributes,
+      HttpMethod method,
+      String uri,
+      HttpHeaders headers,
+      ByteBuf body)
       implements ServiceRequest {}
 
   /** A submission of a job. */
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/ServiceRequestParser.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/ServiceRequestParser.java
@@ -44,7 +44,7 @@
       throws MalformedRequestException {
     String uri = head.uri();
     if (isBelow(uri, REQUESTS)) {
-      return pass(head, body, nowNanos);
+      return forward(head, body, nowNanos);
     }
     if (isBelow(uri, JOBS)) {
       return job(head, body);
@@ -59,7 +59,7 @@
     return uri.length() == root.length() || "/?".indexOf(uri.charAt(root.length())) >= 0;
   }
 
-  private ServiceRequest pass(HttpRequest head, ByteBuf body, long nowNanos)
+  private ServiceRequest forward(HttpRequest head, ByteBuf body, long nowNanos)
       throws MalformedRequestException {
     HttpHeaders headers = head.headers();
     String rest = head.uri().substring(REQUESTS.length());
@@ -70,7 +70,7 @@
             .orElseThrow(() -> new MalformedRequestException("no Organisation header"));
     RequestDigest digest =
         requestId.isPresent() ? digest(head.method(), uri, body) : RequestDigest.NONE;
-    RequestAttributes facts =
+    RequestAttributes attributes =
         new RequestAttributes(
             new OrganisationId(organisation),
             requestId,
@@ -78,27 +78,28 @@
             flag(headers, CallerHeaders.URGENT),
             flag(headers, ExecutorHeaders.REPEATABLE),
             TimeUnit.NANOSECONDS.toMillis(nowNanos) + timeoutMillis(headers));
-    return new ServiceRequest.Pass(facts, head.method(), uri, passedOn(headers), body);
+    return new ServiceRequest.Forward(
+        attributes, head.method(), uri, forwardedHeaders(headers), body);
   }
 
-  private static HttpHeaders passedOn(HttpHeaders headers) {
-    HttpHeaders passed = headers.copy();
-    HopByHopHeaders.remove(passed);
-    passed
+  private static HttpHeaders forwardedHeaders(HttpHeaders headers) {
+    HttpHeaders forwarded = headers.copy();
+    HopByHopHeaders.remove(forwarded);
+    forwarded
         .remove(HttpHeaderNames.CONTENT_LENGTH)
         .remove(HttpHeaderNames.EXPECT)
         .remove(CallerHeaders.REQUEST_TIMEOUT)
         .remove(ExecutorHeaders.REQUEST_TOKEN)
         .remove(ExecutorHeaders.REQUEST_DEADLINE);
-    return passed;
+    return forwarded;
   }
 
   private long timeoutMillis(HttpHeaders headers) throws MalformedRequestException {
-    Optional<String> named = single(headers, CallerHeaders.REQUEST_TIMEOUT);
-    if (named.isEmpty()) {
+    Optional<String> given = single(headers, CallerHeaders.REQUEST_TIMEOUT);
+    if (given.isEmpty()) {
       return preferences.defaultTimeout().toMillis();
     }
-    long millis = number(named.get(), "Request-Timeout-Ms");
+    long millis = number(given.get(), "Request-Timeout-Ms");
     if (millis < 1 || millis > preferences.maxTimeout().toMillis()) {
       throw new MalformedRequestException(
           "Request-Timeout-Ms must be 1 to " + preferences.maxTimeout().toMillis());
--- a/fescuehook/src/test/java/org/fescuehook/net/caller/AtMostOnceTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/caller/AtMostOnceTest.java
@@ -24,7 +24,7 @@
  */
 class AtMostOnceTest {
   private static final String BODY = "charge=42";
-  private static final int MOST_POSITIONS = 1_000;
+  private static final int MAX_POSITIONS = 1_000;
 
   /**
    * Closes the connection after {@code cutAt} bytes of the next request once {@code cutNext} is
@@ -81,19 +81,19 @@
 
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void runsOnceAtMostWhenTheConnectionIsCutAtEachByteOfTheRequest(boolean reset) throws Exception {
+  void runsAtMostOnceWhenTheConnectionBreaksAtEachByteOfTheRequest(boolean reset) throws Exception {
     RequestCutter cutter = new RequestCutter(reset);
     try (FakeLog log = new FakeLog();
         FakeExecutor executor = new FakeExecutor(cutter);
-        PathFixture fixture = new PathFixture(log, 4, executor)) {
+        RequestPathFixture fixture = new RequestPathFixture(log, 4, executor)) {
       int at = 0;
-      for (int runs = 0; runs == 0 && at < MOST_POSITIONS; at++) {
+      for (int runs = 0; runs == 0 && at < MAX_POSITIONS; at++) {
         String id = "cut-" + at;
         if (at % 2 == 0) {
           // Every second position is tested on a connection from the pool.
           fixture.post("/requests/warm", "", "");
         } else {
-          executor.cutConnections();
+          executor.closeConnections();
         }
         cutter.cutAt.set(at);
         cutter.cutNext.set(true);
@@ -102,7 +102,7 @@
         cutter.cutNext.set(false);
         executor.journal.clear();
       }
-      assertTrue(at > BODY.length() && at < MOST_POSITIONS, "cut at " + at + " positions");
+      assertTrue(at > BODY.length() && at < MAX_POSITIONS, "cut at " + at + " positions");
     }
   }
 
@@ -122,7 +122,8 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"length", "chunked"})
-  void givesNoWholeLookingAnswerWhenItIsCutAtEachByte(String framing) throws Exception {
+  void reportsSuccessOnlyForACompleteAnswerWhenItIsBrokenOffAtEachByte(String framing)
+      throws Exception {
     AtomicInteger cutAt = new AtomicInteger();
     FakeExecutor.Behaviour behaviour =
         (executor, socket, in) -> {
@@ -138,10 +139,10 @@
         };
     try (FakeLog log = new FakeLog();
         FakeExecutor executor = new FakeExecutor(behaviour);
-        PathFixture fixture = new PathFixture(log, 4, executor)) {
+        RequestPathFixture fixture = new RequestPathFixture(log, 4, executor)) {
       int at = 0;
       boolean complete = false;
-      for (; !complete && at < MOST_POSITIONS; at++) {
+      for (; !complete && at < MAX_POSITIONS; at++) {
         cutAt.set(at);
         RawCaller.Answer answer = fixture.post("/requests/charge", "", BODY);
         assertEquals(1, executor.journal.size());
@@ -160,7 +161,7 @@
   }
 
   /** Breaks off the first answer three bytes before its end; all later answers are complete. */
-  private static FakeExecutor.Behaviour cuttingTheFirstAnswer() {
+  private static FakeExecutor.Behaviour breakingOffTheFirstAnswer() {
     return (executor, socket, in) -> {
       FakeExecutor.Request request = FakeExecutor.read(in);
       executor.journal.add(request);
@@ -175,10 +176,10 @@
    * would get a closed connection instead of a whole answer.
    */
   @Test
-  void anAnswerThatTheExecutorCutsIsToldAsUnknown() throws Exception {
+  void anAnswerBrokenOffByTheExecutorIsReportedAsUnknown() throws Exception {
     try (FakeLog log = new FakeLog();
-        FakeExecutor executor = new FakeExecutor(cuttingTheFirstAnswer());
-        PathFixture fixture = new PathFixture(log, 4, executor)) {
+        FakeExecutor executor = new FakeExecutor(breakingOffTheFirstAnswer());
+        RequestPathFixture fixture = new RequestPathFixture(log, 4, executor)) {
       RawCaller.Answer answer = fixture.post("/requests/charge", "", BODY);
 
       assertTrue(answer.whole(), answer::toString);
@@ -188,10 +189,10 @@
   }
 
   @Test
-  void aRepeatableRequestIsDispatchedAgainWhenItsAnswerIsCut() throws Exception {
+  void aRepeatableRequestIsRetriedWhenItsAnswerIsBrokenOff() throws Exception {
     try (FakeLog log = new FakeLog();
-        FakeExecutor executor = new FakeExecutor(cuttingTheFirstAnswer());
-        PathFixture fixture = new PathFixture(log, 4, executor)) {
+        FakeExecutor executor = new FakeExecutor(breakingOffTheFirstAnswer());
+        RequestPathFixture fixture = new RequestPathFixture(log, 4, executor)) {
       RawCaller.Answer answer = fixture.post("/requests/price", "Repeatable: true\r\n", BODY);
 
       assertEquals(200, answer.status());
@@ -212,7 +213,8 @@
   }
 
   @Test
-  void runsAnIdOnceWhenItIsSentThroughTwoVmsAtOnceAndAppendRepliesAreLost() throws Exception {
+  void runsARequestIdOnceWhenSentThroughTwoVmsConcurrentlyAndAppendRepliesAreLost()
+      throws Exception {
     for (FakeLog.Fault fault : List.of(FakeLog.Fault.NONE, FakeLog.Fault.LOSING_REPLIES)) {
       runsIdsOnceThroughTwoVms(fault);
     }
@@ -222,8 +224,8 @@
     Map<String, RequestPath> paths = new ConcurrentHashMap<>();
     try (FakeLog log = new FakeLog();
         FakeExecutor executor = new FakeExecutor(FakeExecutor.answering(AtMostOnceTest::receipt));
-        PathFixture one = peer("vm-1", log, paths, executor);
-        PathFixture two = peer("vm-2", log, paths, executor)) {
+        RequestPathFixture one = peer("vm-1", log, paths, executor);
+        RequestPathFixture two = peer("vm-2", log, paths, executor)) {
       log.fail(fault);
       Map<String, String> receipts = new ConcurrentHashMap<>();
       List<Throwable> faults = new java.util.concurrent.CopyOnWriteArrayList<>();
@@ -232,7 +234,7 @@
           8,
           i -> {
             String id = "sale-" + i / 4;
-            PathFixture fixture = i % 2 == 0 ? one : two;
+            RequestPathFixture fixture = i % 2 == 0 ? one : two;
             RawCaller.Answer answer =
                 fixture.post("/requests/sell", "Request-Id: " + id + "\r\n", id);
             assertEquals(200, answer.status(), answer::body);
@@ -249,19 +251,19 @@
     return FakeExecutor.ok(request, "receipt " + request.token());
   }
 
-  private static PathFixture peer(
+  private static RequestPathFixture peer(
       String vm, FakeLog log, Map<String, RequestPath> paths, FakeExecutor... executors)
       throws Exception {
-    PathFixture fixture =
-        new PathFixture(
+    RequestPathFixture fixture =
+        new RequestPathFixture(
             vm,
-            PathFixture.PREFERENCES,
+            RequestPathFixture.PREFERENCES,
             log,
             (claimant, key, sink) ->
                 sink.accept(
                     java.util.Optional.ofNullable(paths.get(claimant.value()))
                         .flatMap(path -> path.outcome(key))),
-            PathFixture.NO_CONTROL,
+            RequestPathFixture.NO_CONTROL,
             List.of(executors),
             4);
     paths.put(vm, fixture.path);
@@ -269,7 +271,7 @@
   }
 
   @Test
-  void saysUnknownWhenTheVmThatRanItIsGone() throws Exception {
+  void reportsUnknownWhenTheVmThatClaimedTheRequestIsGone() throws Exception {
     Map<String, RequestPath> paths = new ConcurrentHashMap<>();
     java.util.concurrent.CountDownLatch received = new java.util.concurrent.CountDownLatch(1);
     java.util.concurrent.CountDownLatch never = new java.util.concurrent.CountDownLatch(1);
@@ -281,12 +283,15 @@
         };
     try (FakeLog log = new FakeLog();
         FakeExecutor executor = new FakeExecutor(FakeExecutor.answering(hanging));
-        PathFixture two = peer("vm-2", log, paths, executor)) {
-      PathFixture one = peer("vm-1", log, paths, executor);
+        RequestPathFixture two = peer("vm-2", log, paths, executor)) {
+      RequestPathFixture one = peer("vm-1", log, paths, executor);
       try (RawCaller caller = new RawCaller(one.address)) {
         caller.send(
             RawCaller.request(
-                "POST", "/requests/sell", PathFixture.ORGANISATION + "Request-Id: s\r\n", "s"));
+                "POST",
+                "/requests/sell",
+                RequestPathFixture.ORGANISATION + "Request-Id: s\r\n",
+                "s"));
         received.await();
         paths.remove("vm-1");
         one.close();
@@ -299,10 +304,10 @@
   }
 
   @Test
-  void refusesIdsAsNotRunWhenTheLogTakesNoClaim() throws Exception {
+  void refusesRequestIdsAsNotRunWhenTheLogRefusesTheClaim() throws Exception {
     try (FakeLog log = new FakeLog();
         FakeExecutor executor = new FakeExecutor(FakeExecutor.echoing());
-        PathFixture fixture = new PathFixture(log, 4, executor)) {
+        RequestPathFixture fixture = new RequestPathFixture(log, 4, executor)) {
       log.fail(FakeLog.Fault.REFUSING);
       RawCaller.Answer answer = fixture.post("/requests/sell", "Request-Id: s\r\n", "s");
       assertEquals("log-unavailable no", answer.reason() + " " + answer.ran());
--- a/fescuehook/src/test/java/org/fescuehook/net/caller/BackPressureTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/caller/BackPressureTest.java
@@ -8,45 +8,45 @@
 import org.junit.jupiter.api.Test;
 
 class BackPressureTest {
-  private static final int BLOCK = 64 << 10;
+  private static final int BLOCK_BYTES = 64 << 10;
   private static final int BLOCKS = 1024;
-  private static final long ENOUGH_BYTES = 24L << 20;
+  private static final long MAX_READ_AHEAD_BYTES = 24L << 20;
 
   @Test
-  void makesAFastExecutorWaitForASlowCaller() throws Exception {
+  void pausesReadingFromAFastExecutorForASlowCaller() throws Exception {
     AtomicLong written = new AtomicLong();
     FakeExecutor.Behaviour large =
         (executor, socket, in) -> {
           FakeExecutor.Request request = FakeExecutor.read(in);
           String head =
               "HTTP/1.1 200 X\r\nContent-Length: "
-                  + (long) BLOCK * BLOCKS
+                  + (long) BLOCK_BYTES * BLOCKS
                   + "\r\nRequest-Token: "
                   + request.token()
                   + "\r\n\r\n";
           socket.getOutputStream().write(head.getBytes(StandardCharsets.UTF_8));
           for (int i = 0; i < BLOCKS; i++) {
-            socket.getOutputStream().write(new byte[BLOCK]);
-            written.addAndGet(BLOCK);
+            socket.getOutputStream().write(new byte[BLOCK_BYTES]);
+            written.addAndGet(BLOCK_BYTES);
           }
         };
     try (FakeLog log = new FakeLog();
         FakeExecutor executor = new FakeExecutor(large);
-        PathFixture fixture = new PathFixture(log, 1, executor);
+        RequestPathFixture fixture = new RequestPathFixture(log, 1, executor);
         RawCaller caller = new RawCaller(fixture.address)) {
-      caller.send(RawCaller.request("GET", "/requests/x", PathFixture.ORGANISATION, ""));
-      awaitStandstill(written);
+      caller.send(RawCaller.request("GET", "/requests/x", RequestPathFixture.ORGANISATION, ""));
+      awaitNoProgress(written);
       // The sockets' buffers on both sides hold far less than the answer's 64 MiB.
-      assertTrue(written.get() < ENOUGH_BYTES, "read ahead: " + written.get());
+      assertTrue(written.get() < MAX_READ_AHEAD_BYTES, "read ahead: " + written.get());
 
       RawCaller.Answer answer = caller.read();
       assertEquals("200 true", answer.status() + " " + answer.whole());
-      assertEquals(BLOCK * BLOCKS, answer.body().length());
+      assertEquals(BLOCK_BYTES * BLOCKS, answer.body().length());
     }
   }
 
   /** Waits until the executor has written something and 200 checks in a row see no progress. */
-  private static void awaitStandstill(AtomicLong written) {
+  private static void awaitNoProgress(AtomicLong written) {
     long[] last = {0, 0};
     Await.until(
         () -> {
--- a/fescuehook/src/test/java/org/fescuehook/net/caller/CallerEdgeTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/caller/CallerEdgeTest.java
@@ -24,13 +24,13 @@
 
   private FakeLog log;
   private FakeExecutor executor;
-  private PathFixture fixture;
+  private RequestPathFixture fixture;
 
   @BeforeEach
   void open() throws Exception {
     log = new FakeLog();
     executor = new FakeExecutor(FakeExecutor.echoing());
-    fixture = new PathFixture(log, 2, executor);
+    fixture = new RequestPathFixture(log, 2, executor);
   }
 
   @AfterEach
@@ -63,7 +63,7 @@
         "Bad Name: 1\r\n\r\n",
         "No-Colon\r\n\r\n",
       })
-  void refusesShapesThatTwoReadersMayReadDifferently(String rest) throws Exception {
+  void refusesAmbiguousFramingThatAllowsRequestSmuggling(String rest) throws Exception {
     try (RawCaller caller = new RawCaller(fixture.address)) {
       caller.send(HEAD + rest + SMUGGLED);
       RawCaller.Answer answer = caller.read();
@@ -85,7 +85,7 @@
         "GARBAGE\r\n\r\n",
         "PRI * HTTP/2.0\r\n\r\n",
       })
-  void refusesWhatIsNoRequestToItself(String request) throws Exception {
+  void refusesUnsupportedOrMalformedRequestHeads(String request) throws Exception {
     try (RawCaller caller = new RawCaller(fixture.address)) {
       caller.send(request);
       assertEquals(400, caller.read().status());
@@ -95,8 +95,9 @@
 
   @Test
   void refusesHeadersAndBodiesBeyondTheirBounds() throws Exception {
-    String large = "a".repeat(PathFixture.PREFERENCES.maxHeaderBytes());
-    String tooLong = "Content-Length: " + (PathFixture.PREFERENCES.maxBodyBytes() + 1) + "\r\n\r\n";
+    String large = "a".repeat(RequestPathFixture.PREFERENCES.maxHeaderBytes());
+    String tooLong =
+        "Content-Length: " + (RequestPathFixture.PREFERENCES.maxBodyBytes() + 1) + "\r\n\r\n";
     String chunks =
         "Transfer-Encoding: chunked\r\n\r\n" + ("4000\r\n" + "b".repeat(0x4000) + "\r\n").repeat(5);
     for (String rest : List.of("X: " + large + "\r\n\r\n", tooLong, chunks)) {
@@ -123,12 +124,12 @@
         "Request-Id: \r\n",
         "Request-Id: a\r\nRequest-Id: b\r\n",
       })
-  void refusesFieldsThatItCannotRead(String fields) throws Exception {
+  void refusesInvalidHeaderValues(String fields) throws Exception {
     assertEquals("400 bad-request no", describe(fixture.get("/requests/x", fields)));
   }
 
   @Test
-  void namesTheReasonForUnknownPathsAndOrganisations() throws Exception {
+  void reportsTheReasonForUnknownPathsAndOrganisations() throws Exception {
     assertEquals("404 not-found no", describe(fixture.get("/elsewhere", "")));
     RawCaller.Answer answer =
         RawCaller.call(fixture.address, "GET", "/requests/x", "Organisation: nobody\r\n", "");
@@ -152,7 +153,8 @@
     try (RawCaller caller = new RawCaller(fixture.address)) {
       StringBuilder all = new StringBuilder();
       for (int i = 0; i < 30; i++) {
-        all.append(RawCaller.request("POST", "/requests/p" + i, PathFixture.ORGANISATION, "b" + i));
+        all.append(
+            RawCaller.request("POST", "/requests/p" + i, RequestPathFixture.ORGANISATION, "b" + i));
       }
       caller.send(all.toString());
       for (int i = 0; i < 30; i++) {
@@ -176,10 +178,12 @@
     try (RawCaller busy = new RawCaller(fixture.address);
         RawCaller alsoBusy = new RawCaller(fixture.address);
         RawCaller leaving = new RawCaller(fixture.address)) {
-      busy.send(RawCaller.request("POST", "/requests/busy1", PathFixture.ORGANISATION, ""));
-      alsoBusy.send(RawCaller.request("POST", "/requests/busy2", PathFixture.ORGANISATION, ""));
+      busy.send(RawCaller.request("POST", "/requests/busy1", RequestPathFixture.ORGANISATION, ""));
+      alsoBusy.send(
+          RawCaller.request("POST", "/requests/busy2", RequestPathFixture.ORGANISATION, ""));
       Await.until(() -> executor.journal.size() == 2);
-      leaving.send(RawCaller.request("POST", "/requests/left", PathFixture.ORGANISATION, ""));
+      leaving.send(
+          RawCaller.request("POST", "/requests/left", RequestPathFixture.ORGANISATION, ""));
       Await.until(() -> fixture.path.inFlight() == 3);
       leaving.close();
       Await.until(() -> fixture.path.inFlight() == 2);
@@ -193,8 +197,8 @@
 
   @Test
   void refusesASlowSenderAndKeepsServingOthers() throws Exception {
-    RequestPreferences p = PathFixture.PREFERENCES;
-    RequestPreferences hasty =
+    RequestPreferences p = RequestPathFixture.PREFERENCES;
+    RequestPreferences shortTimeouts =
         new RequestPreferences(
             p.defaultTimeout(),
             p.maxTimeout(),
@@ -208,13 +212,13 @@
             Duration.ofMillis(400),
             p.probeInterval(),
             p.claimWindow());
-    try (PathFixture other =
-            new PathFixture(
+    try (RequestPathFixture other =
+            new RequestPathFixture(
                 "vm-2",
-                hasty,
+                shortTimeouts,
                 log,
-                PathFixture.NO_PEERS,
-                PathFixture.NO_CONTROL,
+                RequestPathFixture.NO_PEERS,
+                RequestPathFixture.NO_CONTROL,
                 List.of(executor),
                 2);
         RawCaller head = new RawCaller(other.address);
@@ -230,7 +234,7 @@
     }
   }
 
-  private static void refusesConnectionsBeyondTheBoundAndClosesIdleOnes(PathFixture other)
+  private static void refusesConnectionsBeyondTheBoundAndClosesIdleOnes(RequestPathFixture other)
       throws IOException {
     Await.until(() -> other.metrics.get("fescuehook.callers.connections").gauge().value() == 0);
     try (RawCaller one = new RawCaller(other.address);
--- a/fescuehook/src/test/java/org/fescuehook/net/caller/DispatchThreadTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/caller/DispatchThreadTest.java
@@ -18,7 +18,7 @@
   private static final int ENDS = 3 * RING;
 
   @Test
-  void refusesNewRequestsWhenHalfFullAndLosesNoEnd() throws Exception {
+  void refusesNewRequestsWhenHalfFullAndLosesNoEndOfARequest() throws Exception {
     CountDownLatch free = new CountDownLatch(1);
     AtomicInteger cancelled = new AtomicInteger();
     SimpleMeterRegistry metrics = new SimpleMeterRegistry();
--- a/fescuehook/src/test/java/org/fescuehook/net/caller/DrainTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/caller/DrainTest.java
@@ -14,7 +14,7 @@
   private static final int CALLERS = 8;
 
   @Test
-  void answersWhatIsInFlightAndTellsCallersToClose() throws Exception {
+  void answersRequestsInFlightAndAsksCallersToClose() throws Exception {
     CountDownLatch free = new CountDownLatch(1);
     FakeExecutor.Answering slow =
         request -> {
@@ -23,13 +23,13 @@
         };
     try (FakeLog log = new FakeLog();
         FakeExecutor executor = new FakeExecutor(FakeExecutor.answering(slow));
-        PathFixture fixture = new PathFixture(log, 1, executor);
+        RequestPathFixture fixture = new RequestPathFixture(log, 1, executor);
         RawCaller running = new RawCaller(fixture.address);
         RawCaller waiting = new RawCaller(fixture.address);
         RawCaller idle = new RawCaller(fixture.address)) {
-      running.send(RawCaller.request("POST", "/requests/1", PathFixture.ORGANISATION, ""));
+      running.send(RawCaller.request("POST", "/requests/1", RequestPathFixture.ORGANISATION, ""));
       Await.until(() -> executor.journal.size() == 1);
-      waiting.send(RawCaller.request("POST", "/requests/2", PathFixture.ORGANISATION, ""));
+      waiting.send(RawCaller.request("POST", "/requests/2", RequestPathFixture.ORGANISATION, ""));
       Await.until(() -> fixture.path.inFlight() == 2);
 
       fixture.path.drain();
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void cutsNoRequestWhenItDrainsUnderLoad() throws Exception {
+  void answersEveryRequestWhenItDrainsUnderLoad() throws Exception {
     for (int round = 0; round < 20; round++) {
       drainUnderLoad();
     }
@@ -58,7 +58,7 @@
     CountDownLatch connected = new CountDownLatch(CALLERS);
     try (FakeLog log = new FakeLog();
         FakeExecutor executor = new FakeExecutor(FakeExecutor.echoing());
-        PathFixture fixture = new PathFixture(log, 8, executor)) {
+        RequestPathFixture fixture = new RequestPathFixture(log, 8, executor)) {
       Thread drain =
           Thread.ofVirtual()
               .start(
@@ -66,18 +66,18 @@
                     Await.until(() -> connected.getCount() == 0);
                     fixture.path.drain();
                   });
-      Concurrently.run(CALLERS, CALLERS, i -> callUntilToldToClose(fixture, connected), faults);
+      Concurrently.run(CALLERS, CALLERS, i -> callUntilAskedToClose(fixture, connected), faults);
       drain.join();
       assertEquals(List.of(), faults);
       Await.until(() -> fixture.path.inFlight() == 0);
     }
   }
 
-  private static void callUntilToldToClose(PathFixture fixture, CountDownLatch connected)
+  private static void callUntilAskedToClose(RequestPathFixture fixture, CountDownLatch connected)
       throws IOException {
     try (RawCaller caller = new RawCaller(fixture.address)) {
       for (boolean first = true; ; first = false) {
-        caller.send(RawCaller.request("POST", "/requests/x", PathFixture.ORGANISATION, ""));
+        caller.send(RawCaller.request("POST", "/requests/x", RequestPathFixture.ORGANISATION, ""));
         RawCaller.Answer answer = caller.read();
         assertEquals("200 true", answer.status() + " " + answer.whole());
         if (first) {
--- a/fescuehook/src/test/java/org/fescuehook/net/caller/FakeExecutor.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/caller/FakeExecutor.java
@@ -148,7 +148,7 @@
   }
 
   /** Closes all connections; new ones are still accepted. */
-  void cutConnections() throws IOException {
+  void closeConnections() throws IOException {
     for (Socket socket : sockets) {
       socket.close();
     }
@@ -158,6 +158,6 @@
   @Override
   public void close() throws IOException {
     listening.close();
-    cutConnections();
+    closeConnections();
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/net/caller/HostileInputProperties.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/caller/HostileInputProperties.java
@@ -15,7 +15,7 @@
 class HostileInputProperties {
   private static FakeLog log;
   private static FakeExecutor executor;
-  private static PathFixture fixture;
+  private static RequestPathFixture fixture;
   private static RawCaller neighbour;
   private static int asked;
 
@@ -23,7 +23,7 @@
   static void open() throws Exception {
     log = new FakeLog();
     executor = new FakeExecutor(FakeExecutor.echoing());
-    fixture = new PathFixture(log, 4, executor);
+    fixture = new RequestPathFixture(log, 4, executor);
     neighbour = new RawCaller(fixture.address);
   }
 
@@ -36,12 +36,12 @@
   }
 
   @Property(tries = 400, seed = "20261202")
-  void hostileBytesDisturbNoNeighbour(@ForAll long seed) throws IOException {
+  void malformedBytesDoNotAffectOtherConnections(@ForAll long seed) throws IOException {
     Random random = new Random(seed);
     byte[] bytes = hostile(random);
     asked++;
     String uri = "/requests/n" + asked;
-    neighbour.send(RawCaller.request("POST", uri, PathFixture.ORGANISATION, ""));
+    neighbour.send(RawCaller.request("POST", uri, RequestPathFixture.ORGANISATION, ""));
     try (RawCaller caller = new RawCaller(fixture.address)) {
       sendInPieces(caller, bytes, random);
     }
@@ -53,7 +53,7 @@
   /** Returns a request that is truncated, duplicated, rotated or corrupted, or random bytes. */
   private static byte[] hostile(Random random) {
     String body = "x".repeat(random.nextInt(200));
-    String fields = PathFixture.ORGANISATION + "Request-Id: r" + random.nextInt(5) + "\r\n";
+    String fields = RequestPathFixture.ORGANISATION + "Request-Id: r" + random.nextInt(5) + "\r\n";
     byte[] request =
         RawCaller.request("POST", "/requests/hostile", fields, body)
             .getBytes(StandardCharsets.UTF_8);
--- a/fescuehook/src/test/java/org/fescuehook/net/caller/ForeignAnswersTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/caller/MismatchedAnswerTest.java
@@ -8,10 +8,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-class ForeignAnswersTest {
+class MismatchedAnswerTest {
 
   @Test
-  void neverPassesOnAnAnswerWithAnotherToken() throws Exception {
+  void neverForwardsAnAnswerWithAnotherToken() throws Exception {
     AtomicInteger asked = new AtomicInteger();
     FakeExecutor.Answering crossed =
         request ->
@@ -20,7 +20,7 @@
                 : FakeExecutor.ok(request, request.uri());
     try (FakeLog log = new FakeLog();
         FakeExecutor executor = new FakeExecutor(FakeExecutor.answering(crossed));
-        PathFixture fixture = new PathFixture(log, 1, executor)) {
+        RequestPathFixture fixture = new RequestPathFixture(log, 1, executor)) {
       RawCaller.Answer first = fixture.get("/requests/first", "");
       RawCaller.Answer second = fixture.get("/requests/second", "");
 
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void neverPassesOnAnAnswerThatComesAfterItsRequestWasGivenUp() throws Exception {
+  void neverForwardsAnAnswerThatArrivesAfterItsRequestTimedOut() throws Exception {
     CountDownLatch givenUp = new CountDownLatch(1);
     FakeExecutor.Answering late =
         request -> {
@@ -43,7 +43,7 @@
         };
     try (FakeLog log = new FakeLog();
         FakeExecutor executor = new FakeExecutor(FakeExecutor.answering(late));
-        PathFixture fixture = new PathFixture(log, 1, executor)) {
+        RequestPathFixture fixture = new RequestPathFixture(log, 1, executor)) {
       RawCaller.Answer slow = fixture.get("/requests/slow", "Request-Timeout-Ms: 150\r\n");
       assertEquals("deadline-after-dispatch unknown", slow.reason() + " " + slow.ran());
       // The executor still holds the first connection, so the next request needs a second one.
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void closesAConnectionOnWhichAnAnswerCameTwice() throws Exception {
+  void closesAConnectionThatReceivedADuplicateAnswer() throws Exception {
     FakeExecutor.Answering twice =
         request -> {
           byte[] answer = FakeExecutor.ok(request, request.uri());
@@ -66,7 +66,7 @@
         };
     try (FakeLog log = new FakeLog();
         FakeExecutor executor = new FakeExecutor(FakeExecutor.answering(twice));
-        PathFixture fixture = new PathFixture(log, 1, executor)) {
+        RequestPathFixture fixture = new RequestPathFixture(log, 1, executor)) {
       for (int i = 0; i < 20; i++) {
         RawCaller.Answer answer = fixture.get("/requests/n" + i, "Repeatable: true\r\n");
         assertEquals("/n" + i, answer.body());
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void refusesAnAnswerWhoseEndOnlyTheConnectionTells() throws Exception {
+  void refusesAnAnswerDelimitedOnlyByTheEndOfTheConnection() throws Exception {
     FakeExecutor.Behaviour unframed =
         (executor, socket, in) -> {
           FakeExecutor.Request request = FakeExecutor.read(in);
@@ -86,7 +86,7 @@
         };
     try (FakeLog log = new FakeLog();
         FakeExecutor executor = new FakeExecutor(unframed);
-        PathFixture fixture = new PathFixture(log, 1, executor)) {
+        RequestPathFixture fixture = new RequestPathFixture(log, 1, executor)) {
       assertEquals("bad-answer", fixture.get("/requests/x", "").reason());
     }
   }
@@ -101,10 +101,10 @@
                 .getBytes(StandardCharsets.UTF_8);
     try (FakeLog log = new FakeLog();
         FakeExecutor executor = new FakeExecutor(FakeExecutor.answering(head));
-        PathFixture fixture = new PathFixture(log, 1, executor);
+        RequestPathFixture fixture = new RequestPathFixture(log, 1, executor);
         RawCaller caller = new RawCaller(fixture.address)) {
       for (int i = 0; i < 3; i++) {
-        caller.send(RawCaller.request("HEAD", "/requests/x", PathFixture.ORGANISATION, ""));
+        caller.send(RawCaller.request("HEAD", "/requests/x", RequestPathFixture.ORGANISATION, ""));
         RawCaller.Answer answer = caller.readHead();
         assertEquals(200, answer.status());
       }
--- a/fescuehook/src/test/java/org/fescuehook/net/caller/PathFixture.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/caller/RequestPathFixture.java
@@ -31,7 +31,7 @@
 import org.fescuehook.wire.SlotShares;
 
 /** Request path on loopback with fake collaborators; it accepts requests once constructed. */
-final class PathFixture implements AutoCloseable {
+final class RequestPathFixture implements AutoCloseable {
   static final String ORGANISATION = "Organisation: alpha\r\n";
   static final FailureDomain DOMAIN = new FailureDomain("d1");
 
@@ -56,7 +56,7 @@
   private final EventLoopGroup loops =
       new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
 
-  PathFixture(
+  RequestPathFixture(
       String vm,
       RequestPreferences preferences,
       FakeLog log,
@@ -83,7 +83,8 @@
     address = path.start();
   }
 
-  PathFixture(FakeLog log, int slots, FakeExecutor... executors) throws ServicePortException {
+  RequestPathFixture(FakeLog log, int slots, FakeExecutor... executors)
+      throws ServicePortException {
     this("vm-1", PREFERENCES, log, NO_PEERS, NO_CONTROL, List.of(executors), slots);
   }
 
--- a/fescuehook/src/test/java/org/fescuehook/net/caller/RequestPathTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/caller/RequestPathTest.java
@@ -11,13 +11,13 @@
 class RequestPathTest {
 
   @Test
-  void passesARequestToAnExecutorAndItsAnswerBack() throws Exception {
+  void forwardsARequestToAnExecutorAndItsAnswerToTheCaller() throws Exception {
     try (FakeLog log = new FakeLog();
         FakeExecutor executor =
             new FakeExecutor(
                 FakeExecutor.answering(
                     request -> FakeExecutor.ok(request, new String(request.body(), UTF_8) + "!")));
-        PathFixture fixture = new PathFixture(log, 2, executor)) {
+        RequestPathFixture fixture = new RequestPathFixture(log, 2, executor)) {
       RawCaller.Answer answer =
           fixture.post("/requests/price?stop=7", "Connection: x-drop\r\nX-Drop: 1\r\n", "hello");
 
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void passesJobsToTheControlPort() throws Exception {
+  void forwardsJobRequestsToTheControlPort() throws Exception {
     ControlPort control =
         (request, sink) -> {
           sink.accept(
@@ -46,12 +46,12 @@
           return true;
         };
     try (FakeLog log = new FakeLog();
-        PathFixture fixture =
-            new PathFixture(
+        RequestPathFixture fixture =
+            new RequestPathFixture(
                 "vm-1",
-                PathFixture.PREFERENCES,
+                RequestPathFixture.PREFERENCES,
                 log,
-                PathFixture.NO_PEERS,
+                RequestPathFixture.NO_PEERS,
                 control,
                 java.util.List.of(),
                 1)) {
--- a/fescuehook/src/test/java/org/fescuehook/net/caller/SilentConnectionTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/caller/SilentConnectionTest.java
@@ -30,11 +30,11 @@
   }
 
   @Test
-  void sendsARepeatableRequestAgainWhenItsPooledConnectionIsSilent() throws Exception {
+  void retriesARepeatableRequestWhenItsPooledConnectionIsSilent() throws Exception {
     AtomicBoolean silent = new AtomicBoolean();
     try (FakeLog log = new FakeLog();
         FakeExecutor executor = new FakeExecutor(silentAfterOne(silent));
-        PathFixture fixture = new PathFixture(log, 2, executor)) {
+        RequestPathFixture fixture = new RequestPathFixture(log, 2, executor)) {
       fixture.get("/requests/warm", "");
       Await.until(() -> fixture.path.inFlight() == 0);
       silent.set(true);
@@ -48,9 +48,9 @@
   }
 
   @Test
-  void findsASilentIdleConnectionByAProbeAndKeepsTheExecutor() throws Exception {
+  void detectsASilentIdleConnectionByAProbeAndDoesNotEjectTheExecutor() throws Exception {
     AtomicBoolean silent = new AtomicBoolean();
-    RequestPreferences p = PathFixture.PREFERENCES;
+    RequestPreferences p = RequestPathFixture.PREFERENCES;
     RequestPreferences probing =
         new RequestPreferences(
             p.defaultTimeout(),
@@ -67,13 +67,13 @@
             p.claimWindow());
     try (FakeLog log = new FakeLog();
         FakeExecutor executor = new FakeExecutor(silentAfterOne(silent));
-        PathFixture fixture =
-            new PathFixture(
+        RequestPathFixture fixture =
+            new RequestPathFixture(
                 "vm-1",
                 probing,
                 log,
-                PathFixture.NO_PEERS,
-                PathFixture.NO_CONTROL,
+                RequestPathFixture.NO_PEERS,
+                RequestPathFixture.NO_CONTROL,
                 List.of(executor),
                 2)) {
       fixture.get("/requests/warm", "");
