--- a/fescuehook/src/main/java/org/fescuehook/net/batch/BatchNetEvent.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/batch/BatchNetEvent.java
@@ -2,17 +2,17 @@
 
 import org.fescuehook.model.event.NumberedEvent;
 
-/** Log events of the connections between entry VMs about batch jobs. */
+/** Log events of the connections over which entry VMs forward calls about batch jobs. */
 public enum BatchNetEvent implements NumberedEvent {
-  /** A peer's connection broke, or it sent what cannot be read. */
+  /** A peer's connection failed, or the peer sent a message that cannot be decoded. */
   PEER_FAULT(8100, "Connection of peer {} closed: {}"),
-  /** The owner can be reached. */
+  /** A connection to the owner was opened. */
   OWNER_CONNECTED(8101, "Connected to the owner at {}"),
-  /** The owner cannot be reached. */
+  /** No connection to the owner could be opened. */
   OWNER_UNREACHABLE(8102, "Owner at {} unreachable: {}"),
   /** The connection to the owner was closed. */
   OWNER_DISCONNECTED(8103, "Connection to the owner at {} closed: {}, {} calls open"),
-  /** The connection is silent: open calls are sent again over a new one. */
+  /** The owner answered no probe; open calls are sent again over a new connection. */
   OWNER_SILENT(8104, "Nothing from the owner at {} for {} ms, {} calls are sent again");
 
   private final int number;
--- a/fescuehook/src/main/java/org/fescuehook/net/batch/CallCodec.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/batch/CallCodec.java
@@ -14,10 +14,10 @@
 import org.fescuehook.wire.batch.ForwardedCall.Operation;
 import org.fescuehook.wire.batch.KnownOwner;
 
-/** Messages between entry VMs. */
+/** Encodes and decodes the calls about batch jobs, and their answers, between entry VMs. */
 final class CallCodec {
 
-  /** Number of a probe; calls begin with 1. */
+  /** Call number of a probe. The numbers of calls begin with 1. */
   private static final long PROBE = 0;
 
   private CallCodec() {}
@@ -39,8 +39,8 @@
   }
 
   /**
-   * Encodes the question whether a connection lives. A VM of an older version takes it for a call
-   * about no queue, and answers too.
+   * Encodes a probe, which checks whether the connection is alive. A VM of an older version reads
+   * it as a call for a queue that doesn't exist, and answers as well.
    */
   static ForwardedCall probe() {
     return ForwardedCall.newBuilder().setCall(PROBE).setOperation(Operation.PENDING).build();
@@ -50,12 +50,12 @@
     return message.getCall() == PROBE && message.getOperation() == Operation.PENDING;
   }
 
-  /** Encodes the answer to a probe; no call has its number. */
+  /** Encodes the answer to a probe. Its number is that of no call. */
   static ForwardedAnswer alive() {
     return ForwardedAnswer.newBuilder().setCall(PROBE).build();
   }
 
-  /** Decodes a call; an operation of a newer version is refused by an exception. */
+  /** Decodes a call; throws if the operation is unknown, as one of a newer version is. */
   static BatchCall decode(ForwardedCall message) {
     String queue = message.getQueue();
     String key = message.getApiKey();
@@ -95,7 +95,7 @@
     return message.build();
   }
 
-  /** Encodes the word that there is a newer owner. */
+  /** Encodes the notice that another VM has become the owner. */
   static ForwardedCall moved(OwnerHint owner) {
     return ForwardedCall.newBuilder()
         .setOperation(Operation.OWNER_MOVED)
@@ -125,7 +125,7 @@
     };
   }
 
-  /** Decodes an answer; an outcome of a newer version is refused by an exception. */
+  /** Decodes an answer; throws if the outcome is unknown, as one of a newer version is. */
   static CallAnswer decode(ForwardedAnswer message) {
     return switch (message.getOutcome()) {
       case ACCEPTED -> new CallAnswer.Accepted();
--- a/fescuehook/src/main/java/org/fescuehook/net/batch/CallLink.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/batch/CallLink.java
@@ -20,28 +20,30 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The way to one owner. A call waits for its answer as long as its caller does; a call that was
- * never sent is refused as not run.
+ * Forwards calls to one owner. A call waits for its answer as long as its caller does; a call that
+ * was never sent is refused as not run.
  *
- * <p>An owner whose store is slow answers late, and a connection that has gone silent never does.
- * They are told apart by probes, which the owner's VM answers without the store. A silent
- * connection is replaced by a new one, over which the open calls are sent again; what still comes
- * over the former one counts too, since calls are idempotent. All state belongs to one event loop.
+ * <p>An owner whose store is slow answers late, while a silent connection never delivers an answer.
+ * Probes, which the owner's VM answers without accessing the store, distinguish the two. A silent
+ * connection is replaced by a new one, over which the pending calls are sent again. Answers that
+ * still arrive over the previous connection are accepted too, since calls are idempotent. All state
+ * is confined to one event loop.
  */
 public final class CallLink implements OwnerLink {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(CallLink.class);
 
   /**
-   * Time between looks at the connection while calls are open; probes go out as often. A caller
-   * that waits for 1 s still has its answer over a new connection.
+   * Interval at which the connection is checked, and probed if it is silent, while calls are
+   * pending. It is short enough that a caller with a timeout of 1 s still gets its answer over a
+   * new connection.
    */
   private static final Duration WATCH = Duration.ofMillis(200);
 
-  /** Probes without an answer after which a connection counts as silent. */
+  /** Number of unanswered probes after which a connection is considered silent. */
   private static final int MOST_PROBES = 2;
 
-  /** When callers come back after the owner could not be reached. */
+  /** Delay after which callers are told to retry when the owner could not be reached. */
   private static final long COME_BACK_MILLIS = 1000;
 
   private final EventLoop loop;
@@ -56,7 +58,7 @@
   private boolean closed;
   private long lastNumber;
 
-  /** A call without an answer. */
+  /** A call that has not been answered. */
   private static final class Open {
     private final BatchCall call;
     private final Consumer<CallAnswer> sink;
@@ -68,7 +70,7 @@
     }
   }
 
-  /** The connection in use. */
+  /** The connection in use, and when the owner was last heard over it. */
   private static final class Live {
     private final PeerConnector.Connection connection;
     private boolean watched;
@@ -85,7 +87,7 @@
     }
   }
 
-  /** Creates a link that connects with its first call. */
+  /** Creates a link that opens its connection with its first call. */
   public CallLink(
       EventLoop loop, InetSocketAddress owner, PeerConnector connector, OwnerHints hints) {
     this.loop = loop;
@@ -230,11 +232,11 @@
   private void answered(ForwardedAnswer message) {
     Optional<Open> call = remove(message.getCall());
     if (call.isEmpty()) {
-      // A probe, or a call that the other connection has answered.
+      // The answer to a probe, or to a call that was already answered over the other connection.
       return;
     }
     CallAnswer answer = CallCodec.decode(message);
-    // A refusal answers one of the sends; another of them may have been taken.
+    // The refusal answers only one of the sends; another one may have been accepted.
     boolean unsure = answer instanceof CallAnswer.Refused && call.get().sends > 1;
     call.get().sink.accept(unsure ? silent() : answer);
   }
--- a/fescuehook/src/main/java/org/fescuehook/net/batch/CallPipeline.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/batch/CallPipeline.java
@@ -8,15 +8,15 @@
 import io.netty.handler.codec.protobuf.ProtobufVarint32FrameDecoder;
 import io.netty.handler.codec.protobuf.ProtobufVarint32LengthFieldPrepender;
 
-/** Codecs of the protocol between entry VMs. */
+/** Assembles the codecs of the protocol by which entry VMs forward calls. */
 final class CallPipeline {
 
-  /** Largest frame in bytes; a submission's body is at most a quarter of it. */
+  /** Size of the largest frame. The body of a submission takes at most a quarter of it. */
   private static final int MAX_FRAME_BYTES = 1 << 20;
 
   private CallPipeline() {}
 
-  /** Adds the codecs for one kind of received message, and its handler. */
+  /** Adds the codecs, which decode messages of the type of {@code received}, and the handler. */
   static void assemble(ChannelPipeline pipeline, MessageLite received, ChannelHandler handler) {
     pipeline
         .addLast(new ProtobufVarint32FrameDecoder(MAX_FRAME_BYTES))
--- a/fescuehook/src/main/java/org/fescuehook/net/batch/CallServer.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/batch/CallServer.java
@@ -19,14 +19,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Takes calls that other entry VMs pass on. */
+/** Serves the calls about batch jobs that other entry VMs forward to this one. */
 public final class CallServer {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(CallServer.class);
 
   /**
-   * The VM that passes a call on answers its caller in time, whatever comes; so an answer to it is
-   * of use as long as the most patient caller waits.
+   * Timeout of forwarded calls: the longest time for which a caller waits. The forwarding VM
+   * enforces the timeout of the actual caller itself.
    */
   private static final Duration PEERS_PATIENCE = Duration.ofSeconds(30);
 
@@ -42,9 +42,9 @@
   }
 
   /**
-   * Listens.
+   * Starts listening.
    *
-   * @return where it listens
+   * @return the address in use
    * @throws IOException if the address cannot be bound
    */
   public InetSocketAddress start(InetSocketAddress address) throws IOException {
@@ -80,7 +80,10 @@
           call, PEERS_PATIENCE, answer -> context.writeAndFlush(encode(message.getCall(), answer)));
     }
 
-    /** A refusal names the owner that this VM knows, for callers that cannot read it themselves. */
+    /**
+     * Encodes an answer. A refusal carries the owner that this VM knows, since the calling VM may
+     * be unable to read the current owner from the store.
+     */
     private ForwardedAnswer encode(long number, CallAnswer answer) {
       ForwardedAnswer message = CallCodec.encode(number, answer);
       Optional<OwnerHint> known = hints.known();
--- a/fescuehook/src/main/java/org/fescuehook/net/batch/NettyPeerConnector.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/batch/NettyPeerConnector.java
@@ -20,13 +20,13 @@
 /** Opens TCP connections to a VM on one event loop. */
 public final class NettyPeerConnector implements PeerConnector {
 
-  /** Longest time to connect; the way between failure domains takes about 1 ms. */
+  /** Longest time to connect. A round trip between failure domains takes about 1 ms. */
   private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(400);
 
   private final EventLoop loop;
   private final InetSocketAddress peer;
 
-  /** Creates a connector that has not connected. */
+  /** Creates a connector; it opens no connection yet. */
   public NettyPeerConnector(EventLoop loop, InetSocketAddress peer) {
     this.loop = loop;
     this.peer = peer;
@@ -52,7 +52,7 @@
     }
   }
 
-  /** Equal to others of the same channel. */
+  /** A connection over a channel; connections over the same channel are equal. */
   private record ChannelConnection(Channel channel) implements Connection {
     @Override
     public void send(ForwardedCall message) {
--- a/fescuehook/src/main/java/org/fescuehook/net/batch/OwnerHints.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/batch/OwnerHints.java
@@ -3,12 +3,15 @@
 import java.util.Optional;
 import org.fescuehook.logic.batch.ownership.OwnerHint;
 
-/** What VMs tell each other of the owner beside their calls. Any thread. */
+/**
+ * Exchanges with peers, along with calls, which VM is the current owner. Methods may be called by
+ * any thread.
+ */
 public interface OwnerHints {
 
-  /** Returns the owner that this VM knows. */
+  /** Returns the current owner as far as this VM knows it. */
   Optional<OwnerHint> known();
 
-  /** A peer knows an owner. */
+  /** Handles a peer's report of an owner, which may be older than the one that this VM knows. */
   void hinted(OwnerHint hint);
 }
--- a/fescuehook/src/main/java/org/fescuehook/net/batch/OwnerLink.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/batch/OwnerLink.java
@@ -3,13 +3,14 @@
 import java.util.Optional;
 import org.fescuehook.logic.batch.ownership.OwnerHint;
 
-/** Takes calls to one owner until there is a newer one. */
+/** Forwards calls to one owner until a newer one replaces it. */
 public interface OwnerLink extends CallPort {
 
   /**
-   * Ends the link; open calls become undecided.
+   * Closes the link. Pending calls that were sent are answered as undecided.
    *
-   * @param next the newer owner; the former one is told, as it may be cut off from the store
+   * @param next the newer owner, reported to the previous one, which may be unable to reach the
+   *     store and learn of it there
    */
   void close(Optional<OwnerHint> next);
 }
--- a/fescuehook/src/main/java/org/fescuehook/net/batch/PeerConnector.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/batch/PeerConnector.java
@@ -3,35 +3,38 @@
 import org.fescuehook.wire.batch.ForwardedAnswer;
 import org.fescuehook.wire.batch.ForwardedCall;
 
-/** Opens connections to one VM. */
+/** Opens connections to one peer VM. */
 public interface PeerConnector {
 
-  /** Begins to connect; the outcome and all that follows is told to the listener. */
+  /** Starts to connect; the listener receives the result and all later events. */
   void connect(Listener listener);
 
-  /** A connection that is open. */
+  /** An open connection. */
   interface Connection {
 
     /** Sends a message. */
     void send(ForwardedCall message);
 
-    /** Closes the connection once all that was sent has gone out. */
+    /** Closes the connection once all messages sent before are written. */
     void close();
   }
 
-  /** Is told on the event loop of the link. */
+  /** Receives the events of connections, on the event loop of the link. */
   interface Listener {
 
-    /** The connection is open. */
+    /** Handles the opening of a connection. */
     void opened(Connection connection);
 
-    /** No connection could be opened. */
+    /** Handles a failed attempt to connect. */
     void failed(String cause);
 
-    /** A message came. */
+    /** Handles a received message. */
     void received(Connection from, ForwardedAnswer message);
 
-    /** The connection has ended; told once or more, also after {@link Connection#close()}. */
+    /**
+     * Handles the end of a connection. Called once or more per connection, also after {@link
+     * Connection#close()}.
+     */
     void closed(Connection connection, String cause);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/net/batch/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/batch/package-info.java
@@ -1,4 +1,4 @@
-/** How entry VMs pass calls about batch jobs to the owner. */
+/** Forwards calls about batch jobs from any entry VM to the owner. */
 @NullMarked
 package org.fescuehook.net.batch;
 
--- a/fescuehook/src/main/java/org/fescuehook/net/executor/AnswerListener.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/executor/AnswerListener.java
@@ -7,23 +7,26 @@
 /** Receives the answer to one dispatch, on the event loop of the executor's connection. */
 public interface AnswerListener {
 
-  /** Takes status line and headers; they belong to this request. Called at most once. */
+  /**
+   * Handles the status line and the headers, once they are known to answer this request. Called at
+   * most once.
+   */
   void onHead(HttpResponse head, AnswerFlow flow);
 
-  /** Takes the next piece of the body, and with it the duty to release it. */
+  /** Handles the next part of the body, which the listener must release. */
   void onContent(HttpContent content);
 
   /**
-   * Takes the end. Called exactly once, last.
+   * Handles the end of the dispatch. Called exactly once, after all other calls.
    *
-   * @param executorNanos time from the write to the end; 0 if nothing was written
+   * @param executorNanos time from writing the request to the end; 0 if nothing was written
    */
   void onEnd(DispatchResult end, long executorNanos);
 
-  /** Lets the receiver slow the executor down. Any thread. */
+  /** Lets the receiver of an answer apply back-pressure to the executor. Any thread. */
   interface AnswerFlow {
 
-    /** Reads on, or stops reading. */
+    /** Resumes or pauses reading from the executor. */
     void reading(boolean on);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/net/executor/Exchange.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/executor/Exchange.java
@@ -23,7 +23,7 @@
 import org.fescuehook.logic.dispatch.DispatchResult;
 import org.fescuehook.logic.dispatch.DispatchResult.FailureKind;
 
-/** One request and its answer on one connection. Event loop only. */
+/** Performs one request and receives its answer on one connection. Event loop only. */
 final class Exchange {
   private final Channel channel;
   private final ExecutorRequest request;
@@ -44,7 +44,7 @@
     this.fresh = fresh;
   }
 
-  /** Writes the request; from here on the executor may run it. */
+  /** Writes the request. From this call on, the executor may run it. */
   void write(Consumer<DispatchResult> finish) {
     long leftNanos = request.deadlineNanos() - System.nanoTime();
     deadline = Optional.of(after(leftNanos, () -> finish.accept(failed(FailureKind.DEADLINE))));
@@ -98,7 +98,7 @@
         || method.equals(HttpMethod.PATCH);
   }
 
-  /** Takes the head of the answer; returns the end if it cannot be one to this request. */
+  /** Handles the head of the answer; returns a failure if it does not answer this request. */
   Optional<DispatchResult> head(HttpResponse answer) {
     progress.ifPresent(timer -> timer.cancel(false));
     boolean ours = request.token().equals(answer.headers().get(ExecutorHeaders.REQUEST_TOKEN));
@@ -115,7 +115,10 @@
     return Optional.empty();
   }
 
-  /** An answer that ends with the connection cannot be told from a cut one. */
+  /**
+   * Returns whether the answer's headers determine where it ends. An answer that is delimited by
+   * the end of the connection cannot be distinguished from one that was broken off.
+   */
   private boolean delimited(HttpResponse answer) {
     if (HttpUtil.isContentLengthSet(answer) || HttpUtil.isTransferEncodingChunked(answer)) {
       return true;
@@ -127,7 +130,7 @@
     return withoutBody;
   }
 
-  /** Takes a piece of the body; returns the end with the last piece. */
+  /** Handles a part of the body; returns the result of the dispatch with the last part. */
   Optional<DispatchResult> content(HttpContent content) {
     boolean last = content instanceof LastHttpContent;
     keep(content);
@@ -168,7 +171,7 @@
     return head.isPresent();
   }
 
-  /** Tells whether the executor keeps the connection open. */
+  /** Returns whether the executor keeps the connection open after this answer. */
   boolean keepAlive() {
     return head.isPresent()
         && !head.get()
@@ -177,7 +180,7 @@
         && head.get().protocolVersion().isKeepAliveDefault();
   }
 
-  /** Returns what a loss of the connection means at this point. */
+  /** Returns the kind of failure that a loss of the connection is at this point. */
   FailureKind kindOfLoss() {
     return head.isPresent() ? FailureKind.BAD_ANSWER : FailureKind.CONNECTION_LOST;
   }
--- a/fescuehook/src/main/java/org/fescuehook/net/executor/ExchangeCounters.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/executor/ExchangeCounters.java
@@ -4,12 +4,12 @@
 import io.micrometer.core.instrument.MeterRegistry;
 
 /**
- * Counters of the executors' connections.
+ * Holds the counters of the connections to executors.
  *
- * @param lateAnswer bytes that came on a connection without a request in progress
+ * @param lateAnswer messages received on a connection without a request in progress
  * @param opened connections opened
  * @param connectFailed connections that could not be opened
- * @param agedOut idle connections closed for their age or silence
+ * @param agedOut idle connections closed since they were open for too long
  * @param probeFailed idle connections that did not answer a probe
  */
 record ExchangeCounters(
--- a/fescuehook/src/main/java/org/fescuehook/net/executor/ExecutorClient.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/executor/ExecutorClient.java
@@ -30,10 +30,13 @@
   /** Longest time for opening a connection. */
   static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
-  /** Longest silence of a pooled connection that carries a request which cannot be retried. */
+  /**
+   * Longest silence after which a pooled connection may still carry a request that is not
+   * repeatable, as such a request is not retried when the connection turns out to be dead.
+   */
   static final long FRESH_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-  /** Longest time for the answer to a probe. */
+  /** Time within which a probe must be answered. */
   static final long PROBE_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private static final InetSocketAddress UNKNOWN_ADDRESS =
@@ -44,7 +47,8 @@
   private final ExchangeCounters counters;
   private final Map<ExecutorId, ExecutorPool> pools = new HashMap<>();
   private Map<ExecutorId, Integer> limits = Map.of();
-  // Filled by event loops, emptied by the dispatch thread.
+  // Answered probes, whose connections return to their pools. Event loops add to the queue, and the
+  // dispatch thread removes from it.
   private final Queue<SentRequest> alive = new ConcurrentLinkedQueue<>();
   private long probes;
 
@@ -61,7 +65,10 @@
             .handler(new PipelineInitializer());
   }
 
-  /** Takes the executors of a configuration; pools of others, or at another address, are closed. */
+  /**
+   * Applies the executors of a configuration. Closes the pools of executors that are no longer
+   * listed or have a new address.
+   */
   public void configure(Iterable<Executor> executors) {
     Map<ExecutorId, ExecutorPool> kept = new HashMap<>();
     for (Executor executor : executors) {
@@ -84,16 +91,16 @@
     return opened;
   }
 
-  /** Sets the most connections to each executor; others get none. */
+  /** Sets the maximum number of connections to each executor; executors not named get none. */
   public void limitConnections(Map<ExecutorId, Integer> connections) {
     limits = Map.copyOf(connections);
     pools.forEach((id, pool) -> pool.limit(limits.getOrDefault(id, 0)));
   }
 
   /**
-   * Sends a request.
+   * Sends a request over a pooled connection, or over a new one if none is usable.
    *
-   * @param loop event loop that is preferred
+   * @param loop event loop whose connections are preferred
    */
   public SentRequest send(
       ExecutorId executor, EventLoop loop, ExecutorRequest request, AnswerListener listener) {
@@ -149,10 +156,10 @@
   }
 
   /**
-   * Probes the connections that have been silent for so long. Those that answered the last time go
-   * back to their pools.
+   * Probes the idle connections that have been silent for at least the given time. Connections that
+   * answered their previous probe return to their pools.
    *
-   * @param dead hears, on an event loop, of an executor whose connection did not answer
+   * @param dead receives, on an event loop, an executor whose connection did not answer its probe
    */
   public void probe(Duration silence, Consumer<ExecutorId> dead) {
     for (SentRequest probe = alive.poll(); probe != null; probe = alive.poll()) {
@@ -180,12 +187,12 @@
     }
   }
 
-  /** Takes back the connection of a dispatch that ended. */
+  /** Returns the connection of an ended dispatch to its pool. */
   public void putBack(SentRequest sent) {
     sent.connection().ifPresent(connection -> sent.pool().putBack(connection));
   }
 
-  /** Opens a connection and closes it again; tells whether it could be opened. */
+  /** Opens a connection and closes it at once; the sink receives whether it could be opened. */
   public void checkPath(ExecutorId executor, Consumer<Boolean> sink) {
     ExecutorPool pool = pools.get(executor);
     if (pool == null) {
--- a/fescuehook/src/main/java/org/fescuehook/net/executor/ExecutorConnection.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/executor/ExecutorConnection.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import org.fescuehook.logic.dispatch.DispatchResult;
 
-/** One connection to an executor; carries one exchange at a time. */
+/** Handles one connection to an executor, which carries one exchange at a time. */
 final class ExecutorConnection extends ChannelInboundHandlerAdapter {
   private final Channel channel;
   private final ExchangeCounters counters;
@@ -19,7 +19,7 @@
   private volatile long lastReadNanos = openedNanos;
   private volatile boolean reusable = true;
   private volatile boolean used;
-  // Touched by the event loop only.
+  // Accessed on the event loop only.
   private Optional<Exchange> exchange = Optional.empty();
 
   ExecutorConnection(Channel channel, ExchangeCounters counters) {
@@ -27,7 +27,7 @@
     this.counters = counters;
   }
 
-  /** Sends a request; any thread. The listener hears the end exactly once. */
+  /** Sends a request. The listener receives the end exactly once. Any thread. */
   void send(ExecutorRequest request, AnswerListener listener) {
     boolean fresh = !used;
     used = true;
@@ -93,7 +93,7 @@
     context.close();
   }
 
-  /** Ends the exchange in progress; a connection whose exchange failed is never used again. */
+  /** Ends the exchange in progress, and closes the connection if the exchange failed. */
   private void finish(DispatchResult end) {
     if (exchange.isEmpty()) {
       return;
@@ -115,7 +115,7 @@
     return channel;
   }
 
-  /** Tells whether another request may be sent. */
+  /** Returns whether another request may be sent. */
   boolean reusable() {
     return reusable && channel.isActive();
   }
@@ -124,7 +124,7 @@
     return openedNanos;
   }
 
-  /** Returns when the executor last gave a sign of life on this connection. */
+  /** Returns when bytes were last received, or the connection was opened if none were. */
   long lastReadNanos() {
     return lastReadNanos;
   }
--- a/fescuehook/src/main/java/org/fescuehook/net/executor/ExecutorHeaders.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/executor/ExecutorHeaders.java
@@ -2,21 +2,21 @@
 
 import io.netty.util.AsciiString;
 
-/** Names of the headers between entry VM and executor. */
+/** Names the headers of requests and answers between entry VMs and executors. */
 public final class ExecutorHeaders {
-  /** Unique for one dispatch; the answer repeats it. */
+  /** Token unique to one dispatch; the executor repeats it in its answer. */
   public static final AsciiString REQUEST_TOKEN = AsciiString.cached("request-token");
 
-  /** Milliseconds left when the request was sent. */
+  /** Milliseconds that remained until the deadline when the request was sent. */
   public static final AsciiString REQUEST_DEADLINE = AsciiString.cached("request-deadline-ms");
 
-  /** Organisation that the request belongs to. */
+  /** Organisation to which the request belongs. */
   public static final AsciiString ORGANISATION = AsciiString.cached("organisation");
 
-  /** Whether running the request twice does no harm. */
+  /** Whether the request may safely be run more than once. */
   public static final AsciiString REPEATABLE = AsciiString.cached("repeatable");
 
-  /** Says that the executor has not run the request. */
+  /** Set by an executor that refuses a request without having run it. */
   public static final AsciiString NOT_RUN = AsciiString.cached("not-run");
 
   private ExecutorHeaders() {}
--- a/fescuehook/src/main/java/org/fescuehook/net/executor/HopByHopHeaders.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/executor/HopByHopHeaders.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.List;
 
-/** Removes the headers that concern one connection only (RFC 9110, section 7.6.1). */
+/** Removes the headers that apply to a single connection only (RFC 9110, section 7.6.1). */
 public final class HopByHopHeaders {
   private static final List<CharSequence> NAMES =
       List.of(
@@ -20,7 +20,7 @@
 
   private HopByHopHeaders() {}
 
-  /** Removes them, and those that the Connection header names. */
+  /** Removes the hop-by-hop headers, and those that the Connection header names. */
   public static void remove(HttpHeaders headers) {
     for (String value : headers.getAll(HttpHeaderNames.CONNECTION)) {
       removeNamed(headers, value);
--- a/fescuehook/src/main/java/org/fescuehook/net/executor/ProbeListener.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/executor/ProbeListener.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpResponse;
 import org.fescuehook.logic.dispatch.DispatchResult;
 
-/** Judges a connection by the answer to a probe. */
+/** Determines by the answer to a probe whether a connection is alive. */
 final class ProbeListener implements AnswerListener {
   private final Runnable alive;
   private final Runnable dead;
@@ -16,7 +16,7 @@
 
   @Override
   public void onHead(HttpResponse head, AnswerFlow flow) {
-    // Any whole answer will do.
+    // Any complete answer shows that the connection is alive.
   }
 
   @Override
@@ -30,7 +30,7 @@
       case DispatchResult.Answered _, DispatchResult.RefusedNotRun _ -> alive.run();
       case DispatchResult.Failed _ -> dead.run();
       case DispatchResult.NotSent _ -> {
-        // The executor closed it in the meantime; that is no silence.
+        // The executor has closed the connection in the meantime, so it is not silent.
       }
     }
   }
--- a/fescuehook/src/main/java/org/fescuehook/net/executor/SentRequest.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/executor/SentRequest.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** A dispatch in progress: remembers the connection it was written to. */
+/** Represents a dispatch in progress, with the connection to which the request was written. */
 public final class SentRequest {
   private final ExecutorPool pool;
   private volatile Optional<ExecutorConnection> connection = Optional.empty();
--- a/fescuehook/src/main/java/org/fescuehook/net/executor/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/executor/package-info.java
@@ -1,4 +1,4 @@
-/** Pooled HTTP/1.1 client towards executors. */
+/** Sends requests to executors over pooled HTTP/1.1 connections. */
 @NullMarked
 package org.fescuehook.net.executor;
 
--- a/fescuehook/src/test/java/org/fescuehook/net/batch/CallLinkTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/batch/CallLinkTest.java
@@ -37,7 +37,7 @@
   private CallServer server;
   private CallLink link;
 
-  /** Keeps what it is told. */
+  /** Keeps the received hints. */
   private static final class Hints implements OwnerHints {
     final BlockingQueue<OwnerHint> told = new LinkedBlockingQueue<>();
     volatile Optional<OwnerHint> known = Optional.empty();
--- a/fescuehook/src/test/java/org/fescuehook/net/batch/SlowOwnerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/batch/SlowOwnerTest.java
@@ -20,10 +20,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seen: a cancel that the owner acknowledges after 1 s, as its store is slow, is answered as
- * undecided by the VM that passed it on. Cause: the link gave an answer 0.9 s, closed the
- * connection if nothing had come over it meanwhile, and dropped what came later; the same call was
- * sent once more and given up again.
+ * Guards against answering a forwarded call as undecided although the owner is alive and only its
+ * store is slow. That happens if the link treats a connection as silent when an answer takes long
+ * (a cancel acknowledged after 1 s with a limit of 0.9 s), closes it and drops the late answer.
  */
 class SlowOwnerTest {
 
@@ -43,7 +42,7 @@
             clock.eventLoop(), InetSocketAddress.createUnresolved("owner", 1), peer, new NoHints());
   }
 
-  /** Tells nothing. */
+  /** Knows no owner and ignores hints. */
   private static final class NoHints implements OwnerHints {
     @Override
     public Optional<OwnerHint> known() {
@@ -52,11 +51,11 @@
 
     @Override
     public void hinted(OwnerHint hint) {
-      // Not looked at.
+      // These tests don't check hints.
     }
   }
 
-  /** The owner's VM: answers probes while it is alive, and calls when the test says so. */
+  /** Fake of the owner's VM: answers probes while alive, and calls only when the test says so. */
   private static final class FakePeer implements PeerConnector {
     private final List<FakeConnection> connections = new ArrayList<>();
     private Optional<Listener> listener = Optional.empty();
--- a/fescuehook/src/test/java/org/fescuehook/net/executor/ExecutorPoolTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/executor/ExecutorPoolTest.java
@@ -26,7 +26,7 @@
   void givesNoConnectionThatWasSilentForTooLong() {
     pool.limit(1);
     EmbeddedChannel channel = idle();
-    // Silent since before now, however short that is.
+    // With a negative limit, every connection has been silent for too long.
     assertTrue(pool.take(channel.eventLoop(), -1).isEmpty());
     assertTrue(pool.take(channel.eventLoop(), Long.MAX_VALUE).isPresent());
   }
