--- a/fescuehook/src/main/java/org/fescuehook/net/batch/CallCodec.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/batch/CallCodec.java
@@ -51,7 +51,7 @@
   }
 
   /** Encodes the answer to a probe. Its number is that of no call. */
-  static ForwardedAnswer alive() {
+  static ForwardedAnswer probeAnswer() {
     return ForwardedAnswer.newBuilder().setCall(PROBE).build();
   }
 
@@ -96,7 +96,7 @@
   }
 
   /** Encodes the notice that another VM has become the owner. */
-  static ForwardedCall moved(OwnerHint owner) {
+  static ForwardedCall ownerMoved(OwnerHint owner) {
     return ForwardedCall.newBuilder()
         .setOperation(Operation.OWNER_MOVED)
         .setOwner(encode(owner))
--- a/fescuehook/src/main/java/org/fescuehook/net/batch/CallLink.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/batch/CallLink.java
@@ -38,52 +38,52 @@
    * pending. It is short enough that a caller with a timeout of 1 s still gets its answer over a
    * new connection.
    */
-  private static final Duration WATCH = Duration.ofMillis(200);
+  private static final Duration PROBE_INTERVAL = Duration.ofMillis(200);
 
   /** Number of unanswered probes after which a connection is considered silent. */
-  private static final int MOST_PROBES = 2;
+  private static final int MAX_UNANSWERED_PROBES = 2;
 
   /** Delay after which callers are told to retry when the owner could not be reached. */
-  private static final long COME_BACK_MILLIS = 1000;
+  private static final long RETRY_AFTER_MILLIS = 1000;
 
   private final EventLoop loop;
   private final InetSocketAddress owner;
   private final PeerConnector connector;
   private final OwnerHints hints;
   private final PeerConnector.Listener listener = new Listener();
-  private final Map<Long, Open> open = new LinkedHashMap<>();
-  private Optional<Live> current = Optional.empty();
-  private Optional<PeerConnector.Connection> former = Optional.empty();
+  private final Map<Long, PendingCall> pending = new LinkedHashMap<>();
+  private Optional<ActiveConnection> current = Optional.empty();
+  private Optional<PeerConnector.Connection> previous = Optional.empty();
   private boolean connecting;
   private boolean closed;
   private long lastNumber;
 
   /** A call that has not been answered. */
-  private static final class Open {
+  private static final class PendingCall {
     private final BatchCall call;
     private final Consumer<CallAnswer> sink;
     private int sends;
 
-    Open(BatchCall call, Consumer<CallAnswer> sink) {
+    PendingCall(BatchCall call, Consumer<CallAnswer> sink) {
       this.call = call;
       this.sink = sink;
     }
   }
 
   /** The connection in use, and when the owner was last heard over it. */
-  private static final class Live {
+  private static final class ActiveConnection {
     private final PeerConnector.Connection connection;
-    private boolean watched;
-    private long heardAt;
-    private int unanswered;
+    private boolean monitored;
+    private long lastReceivedNanos;
+    private int unansweredProbes;
 
-    Live(PeerConnector.Connection connection) {
+    ActiveConnection(PeerConnector.Connection connection) {
       this.connection = connection;
     }
 
-    void heard(long now) {
-      heardAt = now;
-      unanswered = 0;
+    void markReceived(long now) {
+      lastReceivedNanos = now;
+      unansweredProbes = 0;
     }
   }
 
@@ -97,40 +97,40 @@
   }
 
   @Override
-  public void call(BatchCall call, Duration patience, Consumer<CallAnswer> sink) {
-    loop.execute(() -> take(new Open(call, sink), patience));
+  public void call(BatchCall call, Duration timeout, Consumer<CallAnswer> sink) {
+    loop.execute(() -> submit(new PendingCall(call, sink), timeout));
   }
 
   @Override
   public void close(Optional<OwnerHint> next) {
-    loop.execute(() -> leave(next));
+    loop.execute(() -> shutDown(next));
   }
 
-  private void leave(Optional<OwnerHint> next) {
+  private void shutDown(Optional<OwnerHint> next) {
     closed = true;
     current.ifPresent(
-        live -> {
-          next.ifPresent(newer -> live.connection.send(CallCodec.moved(newer)));
-          live.connection.close();
+        active -> {
+          next.ifPresent(newer -> active.connection.send(CallCodec.ownerMoved(newer)));
+          active.connection.close();
         });
     current = Optional.empty();
-    closeFormer();
-    giveUpAll();
+    closePrevious();
+    resolveAllUnanswered();
   }
 
   private long now() {
     return loop.ticker().nanoTime();
   }
 
-  private void take(Open call, Duration patience) {
+  private void submit(PendingCall call, Duration timeout) {
     if (closed) {
       call.sink.accept(unreachable());
       return;
     }
     lastNumber++;
     long number = lastNumber;
-    open.put(number, call);
-    loop.schedule(() -> expire(number), patience.toNanos(), TimeUnit.NANOSECONDS);
+    pending.put(number, call);
+    loop.schedule(() -> expire(number), timeout.toNanos(), TimeUnit.NANOSECONDS);
     if (current.isPresent()) {
       send(number, call, current.get());
     } else {
@@ -139,7 +139,7 @@
   }
 
   private static CallAnswer unreachable() {
-    return new CallAnswer.Refused(RefusalCause.NO_OWNER, COME_BACK_MILLIS);
+    return new CallAnswer.Refused(RefusalCause.NO_OWNER, RETRY_AFTER_MILLIS);
   }
 
   private static CallAnswer silent() {
@@ -153,76 +153,76 @@
     }
   }
 
-  private void send(long number, Open call, Live over) {
+  private void send(long number, PendingCall call, ActiveConnection active) {
     call.sends++;
-    over.connection.send(CallCodec.encode(number, call.call));
-    if (!over.watched) {
-      over.watched = true;
-      over.heard(now());
-      watchLater(over);
+    active.connection.send(CallCodec.encode(number, call.call));
+    if (!active.monitored) {
+      active.monitored = true;
+      active.markReceived(now());
+      scheduleCheck(active);
     }
   }
 
-  private void watchLater(Live live) {
-    loop.schedule(() -> watch(live), WATCH.toMillis(), TimeUnit.MILLISECONDS);
+  private void scheduleCheck(ActiveConnection active) {
+    loop.schedule(() -> check(active), PROBE_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
   }
 
-  private void watch(Live live) {
-    live.watched = !open.isEmpty() && current.filter(live::equals).isPresent();
-    if (!live.watched) {
+  private void check(ActiveConnection active) {
+    active.monitored = !pending.isEmpty() && current.filter(active::equals).isPresent();
+    if (!active.monitored) {
       return;
     }
-    long quiet = now() - live.heardAt;
-    if (live.unanswered == MOST_PROBES) {
-      replace(live, quiet);
+    long silentNanos = now() - active.lastReceivedNanos;
+    if (active.unansweredProbes == MAX_UNANSWERED_PROBES) {
+      replace(active, silentNanos);
       return;
     }
-    if (quiet >= WATCH.toNanos()) {
-      live.unanswered++;
-      live.connection.send(CallCodec.probe());
+    if (silentNanos >= PROBE_INTERVAL.toNanos()) {
+      active.unansweredProbes++;
+      active.connection.send(CallCodec.probe());
     }
-    watchLater(live);
+    scheduleCheck(active);
   }
 
-  private void replace(Live silent, long quietNanos) {
-    long millis = TimeUnit.NANOSECONDS.toMillis(quietNanos);
-    EventLog.warn(LOGGER, BatchNetEvent.OWNER_SILENT, owner, millis, open.size());
-    closeFormer();
-    former = Optional.of(silent.connection);
+  private void replace(ActiveConnection silentConnection, long silentNanos) {
+    long millis = TimeUnit.NANOSECONDS.toMillis(silentNanos);
+    EventLog.warn(LOGGER, BatchNetEvent.OWNER_SILENT, owner, millis, pending.size());
+    closePrevious();
+    previous = Optional.of(silentConnection.connection);
     current = Optional.empty();
     connect();
   }
 
-  private void closeFormer() {
-    former.ifPresent(PeerConnector.Connection::close);
-    former = Optional.empty();
+  private void closePrevious() {
+    previous.ifPresent(PeerConnector.Connection::close);
+    previous = Optional.empty();
   }
 
-  private Optional<Open> remove(long number) {
-    Optional<Open> removed = Optional.ofNullable(open.remove(number));
-    if (open.isEmpty()) {
-      closeFormer();
+  private Optional<PendingCall> remove(long number) {
+    Optional<PendingCall> removed = Optional.ofNullable(pending.remove(number));
+    if (pending.isEmpty()) {
+      closePrevious();
     }
     return removed;
   }
 
   private void expire(long number) {
-    remove(number).ifPresent(CallLink::giveUp);
+    remove(number).ifPresent(CallLink::resolveUnanswered);
   }
 
-  private static void giveUp(Open call) {
+  private static void resolveUnanswered(PendingCall call) {
     call.sink.accept(call.sends == 0 ? unreachable() : silent());
   }
 
-  private void giveUpAll() {
-    List<Open> given = List.copyOf(open.values());
-    open.clear();
-    given.forEach(CallLink::giveUp);
+  private void resolveAllUnanswered() {
+    List<PendingCall> unanswered = List.copyOf(pending.values());
+    pending.clear();
+    unanswered.forEach(CallLink::resolveUnanswered);
   }
 
   private void refuseUnsent() {
     List<Long> unsent =
-        open.entrySet().stream()
+        pending.entrySet().stream()
             .filter(entry -> entry.getValue().sends == 0)
             .map(Map.Entry::getKey)
             .toList();
@@ -230,15 +230,15 @@
   }
 
   private void answered(ForwardedAnswer message) {
-    Optional<Open> call = remove(message.getCall());
+    Optional<PendingCall> call = remove(message.getCall());
     if (call.isEmpty()) {
       // The answer to a probe, or to a call that was already answered over the other connection.
       return;
     }
     CallAnswer answer = CallCodec.decode(message);
     // The refusal answers only one of the sends; another one may have been accepted.
-    boolean unsure = answer instanceof CallAnswer.Refused && call.get().sends > 1;
-    call.get().sink.accept(unsure ? silent() : answer);
+    boolean mayHaveBeenAccepted = answer instanceof CallAnswer.Refused && call.get().sends > 1;
+    call.get().sink.accept(mayHaveBeenAccepted ? silent() : answer);
   }
 
   private final class Listener implements PeerConnector.Listener {
@@ -250,9 +250,9 @@
         return;
       }
       EventLog.info(LOGGER, BatchNetEvent.OWNER_CONNECTED, owner);
-      Live live = new Live(connection);
-      current = Optional.of(live);
-      List.copyOf(open.keySet()).forEach(number -> send(number, open.get(number), live));
+      ActiveConnection active = new ActiveConnection(connection);
+      current = Optional.of(active);
+      List.copyOf(pending.keySet()).forEach(number -> send(number, pending.get(number), active));
     }
 
     @Override
@@ -260,22 +260,24 @@
       connecting = false;
       EventLog.warn(LOGGER, BatchNetEvent.OWNER_UNREACHABLE, owner, cause);
       refuseUnsent();
-      if (former.isEmpty()) {
-        giveUpAll();
+      if (previous.isEmpty()) {
+        resolveAllUnanswered();
       } else {
-        loop.schedule(this::connectAgain, WATCH.toMillis(), TimeUnit.MILLISECONDS);
+        loop.schedule(this::reconnect, PROBE_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
       }
     }
 
-    private void connectAgain() {
-      if (!closed && !open.isEmpty() && current.isEmpty()) {
+    private void reconnect() {
+      if (!closed && !pending.isEmpty() && current.isEmpty()) {
         connect();
       }
     }
 
     @Override
     public void received(PeerConnector.Connection from, ForwardedAnswer message) {
-      current.filter(live -> live.connection.equals(from)).ifPresent(live -> live.heard(now()));
+      current
+          .filter(active -> active.connection.equals(from))
+          .ifPresent(active -> active.markReceived(now()));
       if (message.hasOwner()) {
         hints.hinted(CallCodec.decode(message.getOwner()));
       }
@@ -284,15 +286,15 @@
 
     @Override
     public void closed(PeerConnector.Connection connection, String cause) {
-      if (former.filter(connection::equals).isPresent()) {
-        former = Optional.empty();
-      } else if (current.filter(live -> live.connection.equals(connection)).isPresent()) {
-        EventLog.warn(LOGGER, BatchNetEvent.OWNER_DISCONNECTED, owner, cause, open.size());
+      if (previous.filter(connection::equals).isPresent()) {
+        previous = Optional.empty();
+      } else if (current.filter(active -> active.connection.equals(connection)).isPresent()) {
+        EventLog.warn(LOGGER, BatchNetEvent.OWNER_DISCONNECTED, owner, cause, pending.size());
         current = Optional.empty();
-        giveUpAll();
+        resolveAllUnanswered();
       }
-      if (current.isEmpty() && former.isEmpty() && !connecting) {
-        giveUpAll();
+      if (current.isEmpty() && previous.isEmpty() && !connecting) {
+        resolveAllUnanswered();
       }
     }
   }
--- a/fescuehook/src/main/java/org/fescuehook/net/batch/CallPort.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/batch/CallPort.java
@@ -5,15 +5,15 @@
 import org.fescuehook.logic.batch.call.BatchCall;
 import org.fescuehook.logic.batch.call.CallAnswer;
 
-/** Takes calls about batch jobs. */
+/** Accepts calls about batch jobs. */
 @FunctionalInterface
 public interface CallPort {
 
   /**
-   * Takes a call and never waits.
+   * Submits a call without blocking.
    *
-   * @param patience how long an answer is of use, from now on
-   * @param sink called once, on any thread
+   * @param timeout time from now after which an answer is no longer of use to the caller
+   * @param sink receives the answer; called exactly once, on any thread
    */
-  void call(BatchCall call, Duration patience, Consumer<CallAnswer> sink);
+  void call(BatchCall call, Duration timeout, Consumer<CallAnswer> sink);
 }
--- a/fescuehook/src/main/java/org/fescuehook/net/batch/CallServer.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/batch/CallServer.java
@@ -28,7 +28,7 @@
    * Timeout of forwarded calls: the longest time for which a caller waits. The forwarding VM
    * enforces the timeout of the actual caller itself.
    */
-  private static final Duration PEERS_PATIENCE = Duration.ofSeconds(30);
+  private static final Duration FORWARDED_CALL_TIMEOUT = Duration.ofSeconds(30);
 
   private final CallPort port;
   private final OwnerHints hints;
@@ -72,12 +72,14 @@
         return;
       }
       if (CallCodec.isProbe(message)) {
-        context.writeAndFlush(CallCodec.alive());
+        context.writeAndFlush(CallCodec.probeAnswer());
         return;
       }
       BatchCall call = CallCodec.decode(message);
       port.call(
-          call, PEERS_PATIENCE, answer -> context.writeAndFlush(encode(message.getCall(), answer)));
+          call,
+          FORWARDED_CALL_TIMEOUT,
+          answer -> context.writeAndFlush(encode(message.getCall(), answer)));
     }
 
     /**
--- a/fescuehook/src/main/java/org/fescuehook/net/batch/NettyPeerConnector.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/batch/NettyPeerConnector.java
@@ -41,10 +41,10 @@
         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) CONNECT_TIMEOUT.toMillis())
         .handler(new Initializer(listener))
         .connect(peer)
-        .addListener((ChannelFuture opened) -> tell(opened, listener));
+        .addListener((ChannelFuture opened) -> notifyListener(opened, listener));
   }
 
-  private static void tell(ChannelFuture opened, Listener listener) {
+  private static void notifyListener(ChannelFuture opened, Listener listener) {
     if (opened.isSuccess()) {
       listener.opened(new ChannelConnection(opened.channel()));
     } else {
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/CallerExchange.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/CallerExchange.java
@@ -134,7 +134,7 @@
     onLoop(
         () -> {
           if (finished) {
-            answerFlow.reading(true);
+            answerFlow.setReading(true);
             return;
           }
           answerStarted = true;
@@ -147,7 +147,7 @@
   void forward(HttpContent content) {
     int size = content.content().readableBytes();
     if (unwritten.addAndGet(size) > HIGH_WATER_BYTES && !gone) {
-      flow.ifPresent(reading -> reading.reading(false));
+      flow.ifPresent(flowControl -> flowControl.setReading(false));
     }
     onLoop(() -> write(content, size));
   }
@@ -166,7 +166,7 @@
 
   private void written(int size) {
     if (unwritten.addAndGet(-size) < LOW_WATER_BYTES) {
-      flow.ifPresent(reading -> reading.reading(true));
+      flow.ifPresent(flowControl -> flowControl.setReading(true));
     }
   }
 
@@ -204,7 +204,7 @@
       return;
     }
     finished = true;
-    flow.ifPresent(reading -> reading.reading(true));
+    flow.ifPresent(flowControl -> flowControl.setReading(true));
     whenGone.run();
     whenFinished.run();
   }
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/CommandPerformer.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/CommandPerformer.java
@@ -79,7 +79,7 @@
   void dispatchEnded(long ticket) {
     Optional.ofNullable(exchanges.get(ticket))
         .flatMap(OpenExchange::takeSent)
-        .ifPresent(executors::putBack);
+        .ifPresent(executors::release);
   }
 
   /** Returns the number of requests that the dispatch thread has not finished. Any thread. */
--- a/fescuehook/src/main/java/org/fescuehook/net/executor/AnswerListener.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/executor/AnswerListener.java
@@ -27,6 +27,6 @@
   interface AnswerFlow {
 
     /** Resumes or pauses reading from the executor. */
-    void reading(boolean on);
+    void setReading(boolean on);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/net/executor/Exchange.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/executor/Exchange.java
@@ -29,13 +29,13 @@
   private final ExecutorRequest request;
   private final AnswerListener listener;
   private final boolean fresh;
-  private final ByteArrayOutputStream kept = new ByteArrayOutputStream(0);
+  private final ByteArrayOutputStream recorded = new ByteArrayOutputStream(0);
   private Optional<Future<?>> deadline = Optional.empty();
   private Optional<Future<?>> progress = Optional.empty();
   private Optional<HttpResponse> head = Optional.empty();
-  private final long begunNanos = System.nanoTime();
+  private final long startNanos = System.nanoTime();
   private boolean notRun;
-  private boolean keptWhole = true;
+  private boolean recordedWhole = true;
 
   Exchange(Channel channel, ExecutorRequest request, AnswerListener listener, boolean fresh) {
     this.channel = channel;
@@ -46,27 +46,29 @@
 
   /** Writes the request. From this call on, the executor may run it. */
   void write(Consumer<DispatchResult> finish) {
-    long leftNanos = request.deadlineNanos() - System.nanoTime();
-    deadline = Optional.of(after(leftNanos, () -> finish.accept(failed(FailureKind.DEADLINE))));
+    long remainingNanos = request.deadlineNanos() - System.nanoTime();
+    deadline =
+        Optional.of(schedule(remainingNanos, () -> finish.accept(failed(FailureKind.DEADLINE))));
     if (!fresh && request.progressMillis() > 0) {
-      long silentNanos = TimeUnit.MILLISECONDS.toNanos(request.progressMillis());
+      long progressNanos = TimeUnit.MILLISECONDS.toNanos(request.progressMillis());
       progress =
-          Optional.of(after(silentNanos, () -> finish.accept(failed(FailureKind.NO_PROGRESS))));
+          Optional.of(
+              schedule(progressNanos, () -> finish.accept(failed(FailureKind.NO_PROGRESS))));
     }
-    channel.writeAndFlush(message(leftNanos)).addListener(written -> closeUnless(written));
+    channel.writeAndFlush(message(remainingNanos)).addListener(written -> closeOnFailure(written));
   }
 
-  private void closeUnless(Future<?> written) {
+  private void closeOnFailure(Future<?> written) {
     if (!written.isSuccess()) {
       channel.close();
     }
   }
 
-  private Future<?> after(long nanos, Runnable task) {
+  private Future<?> schedule(long nanos, Runnable task) {
     return channel.eventLoop().schedule(task, Math.max(0, nanos), TimeUnit.NANOSECONDS);
   }
 
-  private FullHttpRequest message(long leftNanos) {
+  private FullHttpRequest message(long remainingNanos) {
     FullHttpRequest message =
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1,
@@ -78,21 +80,21 @@
     message
         .headers()
         .set(ExecutorHeaders.REQUEST_TOKEN, request.token())
-        .set(ExecutorHeaders.REQUEST_DEADLINE, statedMillis(leftNanos))
+        .set(ExecutorHeaders.REQUEST_DEADLINE, deadlineHeaderMillis(remainingNanos))
         .set(ExecutorHeaders.ORGANISATION, request.organisation().value())
         .set(ExecutorHeaders.REPEATABLE, request.repeatable());
-    boolean bodyExpected = request.body().isReadable() || takesBody(request.method());
+    boolean bodyExpected = request.body().isReadable() || methodHasBody(request.method());
     if (bodyExpected) {
       message.headers().set(HttpHeaderNames.CONTENT_LENGTH, request.body().readableBytes());
     }
     return message;
   }
 
-  private long statedMillis(long leftNanos) {
-    return request.probe() ? 0 : TimeUnit.NANOSECONDS.toMillis(leftNanos);
+  private long deadlineHeaderMillis(long remainingNanos) {
+    return request.probe() ? 0 : TimeUnit.NANOSECONDS.toMillis(remainingNanos);
   }
 
-  private static boolean takesBody(HttpMethod method) {
+  private static boolean methodHasBody(HttpMethod method) {
     return method.equals(HttpMethod.POST)
         || method.equals(HttpMethod.PUT)
         || method.equals(HttpMethod.PATCH);
@@ -101,8 +103,9 @@
   /** Handles the head of the answer; returns a failure if it does not answer this request. */
   Optional<DispatchResult> head(HttpResponse answer) {
     progress.ifPresent(timer -> timer.cancel(false));
-    boolean ours = request.token().equals(answer.headers().get(ExecutorHeaders.REQUEST_TOKEN));
-    if (!ours || head.isPresent() || !delimited(answer)) {
+    boolean tokenMatches =
+        request.token().equals(answer.headers().get(ExecutorHeaders.REQUEST_TOKEN));
+    if (!tokenMatches || head.isPresent() || !isSelfDelimiting(answer)) {
       return Optional.of(failed(FailureKind.BAD_ANSWER));
     }
     notRun =
@@ -119,7 +122,7 @@
    * Returns whether the answer's headers determine where it ends. An answer that is delimited by
    * the end of the connection cannot be distinguished from one that was broken off.
    */
-  private boolean delimited(HttpResponse answer) {
+  private boolean isSelfDelimiting(HttpResponse answer) {
     if (HttpUtil.isContentLengthSet(answer) || HttpUtil.isTransferEncodingChunked(answer)) {
       return true;
     }
@@ -133,7 +136,7 @@
   /** Handles a part of the body; returns the result of the dispatch with the last part. */
   Optional<DispatchResult> content(HttpContent content) {
     boolean last = content instanceof LastHttpContent;
-    keep(content);
+    record(content);
     if (notRun) {
       content.release();
     } else {
@@ -142,29 +145,30 @@
     if (!last) {
       return Optional.empty();
     }
-    return Optional.of(whole());
+    return Optional.of(completeResult());
   }
 
-  private void keep(HttpContent content) {
+  private void record(HttpContent content) {
     int size = content.content().readableBytes();
-    if (!keptWhole || size == 0) {
+    if (!recordedWhole || size == 0) {
       return;
     }
-    if (kept.size() + size > request.keepBytes()) {
-      keptWhole = false;
-      kept.reset();
+    if (recorded.size() + size > request.maxRecordedBytes()) {
+      recordedWhole = false;
+      recorded.reset();
       return;
     }
-    kept.writeBytes(ByteBufUtil.getBytes(content.content()));
+    recorded.writeBytes(ByteBufUtil.getBytes(content.content()));
   }
 
-  private DispatchResult whole() {
+  private DispatchResult completeResult() {
     if (notRun) {
       return new DispatchResult.RefusedNotRun();
     }
     HttpResponse answer = head.orElseThrow();
     String type = answer.headers().get(HttpHeaderNames.CONTENT_TYPE, "");
-    return new DispatchResult.Answered(answer.status().code(), type, kept.toByteArray(), keptWhole);
+    return new DispatchResult.Answered(
+        answer.status().code(), type, recorded.toByteArray(), recordedWhole);
   }
 
   boolean hasHead() {
@@ -181,18 +185,18 @@
   }
 
   /** Returns the kind of failure that a loss of the connection is at this point. */
-  FailureKind kindOfLoss() {
+  FailureKind connectionLossKind() {
     return head.isPresent() ? FailureKind.BAD_ANSWER : FailureKind.CONNECTION_LOST;
   }
 
   DispatchResult failed(FailureKind kind) {
-    boolean passedOn = head.isPresent() && !notRun;
-    return new DispatchResult.Failed(kind, passedOn, fresh);
+    boolean answerStarted = head.isPresent() && !notRun;
+    return new DispatchResult.Failed(kind, answerStarted, fresh);
   }
 
   void end(DispatchResult end) {
     deadline.ifPresent(timer -> timer.cancel(false));
     progress.ifPresent(timer -> timer.cancel(false));
-    listener.onEnd(end, System.nanoTime() - begunNanos);
+    listener.onEnd(end, System.nanoTime() - startNanos);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/net/executor/ExecutorClient.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/executor/ExecutorClient.java
@@ -34,10 +34,10 @@
    * Longest silence after which a pooled connection may still carry a request that is not
    * repeatable, as such a request is not retried when the connection turns out to be dead.
    */
-  static final long FRESH_NANOS = TimeUnit.SECONDS.toNanos(1);
+  static final long NON_REPEATABLE_MAX_SILENCE_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   /** Time within which a probe must be answered. */
-  static final long PROBE_NANOS = TimeUnit.SECONDS.toNanos(1);
+  static final long PROBE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private static final InetSocketAddress UNKNOWN_ADDRESS =
       InetSocketAddress.createUnresolved("unknown", 0);
@@ -49,8 +49,8 @@
   private Map<ExecutorId, Integer> limits = Map.of();
   // Answered probes, whose connections return to their pools. Event loops add to the queue, and the
   // dispatch thread removes from it.
-  private final Queue<SentRequest> alive = new ConcurrentLinkedQueue<>();
-  private long probes;
+  private final Queue<SentRequest> answeredProbes = new ConcurrentLinkedQueue<>();
+  private long probeCount;
 
   /** Creates the client; connections are opened when needed. */
   public ExecutorClient(EventLoopGroup loops, MeterRegistry metrics) {
@@ -70,15 +70,15 @@
    * listed or have a new address.
    */
   public void configure(Iterable<Executor> executors) {
-    Map<ExecutorId, ExecutorPool> kept = new HashMap<>();
+    Map<ExecutorId, ExecutorPool> configured = new HashMap<>();
     for (Executor executor : executors) {
-      kept.put(executor.id(), poolFor(executor));
+      configured.put(executor.id(), poolFor(executor));
     }
-    HashSet<ExecutorPool> gone = new HashSet<>(pools.values());
-    gone.removeAll(kept.values());
-    gone.forEach(ExecutorPool::retire);
+    HashSet<ExecutorPool> obsolete = new HashSet<>(pools.values());
+    obsolete.removeAll(configured.values());
+    obsolete.forEach(ExecutorPool::retire);
     pools.clear();
-    pools.putAll(kept);
+    pools.putAll(configured);
   }
 
   private ExecutorPool poolFor(Executor executor) {
@@ -87,14 +87,14 @@
       return pool;
     }
     ExecutorPool opened = new ExecutorPool(executor.address(), counters);
-    opened.limit(limits.getOrDefault(executor.id(), 0));
+    opened.setLimit(limits.getOrDefault(executor.id(), 0));
     return opened;
   }
 
   /** Sets the maximum number of connections to each executor; executors not named get none. */
   public void limitConnections(Map<ExecutorId, Integer> connections) {
     limits = Map.copyOf(connections);
-    pools.forEach((id, pool) -> pool.limit(limits.getOrDefault(id, 0)));
+    pools.forEach((id, pool) -> pool.setLimit(limits.getOrDefault(id, 0)));
   }
 
   /**
@@ -106,12 +106,12 @@
       ExecutorId executor, EventLoop loop, ExecutorRequest request, AnswerListener listener) {
     ExecutorPool pool = pools.get(executor);
     if (pool == null) {
-      ExecutorPool none = new ExecutorPool(UNKNOWN_ADDRESS, counters);
-      return notSent(new SentRequest(none), loop, listener);
+      ExecutorPool unknown = new ExecutorPool(UNKNOWN_ADDRESS, counters);
+      return notSent(new SentRequest(unknown), loop, listener);
     }
     SentRequest sent = new SentRequest(pool);
-    long freshNanos = request.repeatable() ? Long.MAX_VALUE : FRESH_NANOS;
-    Optional<ExecutorConnection> pooled = pool.take(loop, freshNanos);
+    long maxSilenceNanos = request.repeatable() ? Long.MAX_VALUE : NON_REPEATABLE_MAX_SILENCE_NANOS;
+    Optional<ExecutorConnection> pooled = pool.acquire(loop, maxSilenceNanos);
     if (pooled.isPresent()) {
       sent.writtenTo(pooled.get());
       pooled.get().send(request, listener);
@@ -142,7 +142,7 @@
 
   private ChannelFuture connect(ExecutorPool pool, EventLoop loop) {
     ChannelFuture opening = bootstrap.clone(loop).connect(pool.address());
-    opening.channel().closeFuture().addListener(closed -> pool.released());
+    opening.channel().closeFuture().addListener(closed -> pool.connectionClosed());
     opening.addListener(opened -> count(opened.isSuccess()));
     return opening;
   }
@@ -162,24 +162,24 @@
    * @param dead receives, on an event loop, an executor whose connection did not answer its probe
    */
   public void probe(Duration silence, Consumer<ExecutorId> dead) {
-    for (SentRequest probe = alive.poll(); probe != null; probe = alive.poll()) {
-      putBack(probe);
+    for (SentRequest probe = answeredProbes.poll(); probe != null; probe = answeredProbes.poll()) {
+      release(probe);
     }
     pools.forEach((id, pool) -> probe(id, pool, silence.toNanos(), dead));
   }
 
   private void probe(
       ExecutorId executor, ExecutorPool pool, long silentNanos, Consumer<ExecutorId> dead) {
-    for (ExecutorConnection connection : pool.takeSilent(silentNanos)) {
+    for (ExecutorConnection connection : pool.removeSilent(silentNanos)) {
       SentRequest sent = new SentRequest(pool);
       sent.writtenTo(connection);
-      probes++;
+      probeCount++;
       ExecutorRequest request =
-          ExecutorRequest.probe("probe-" + probes, System.nanoTime() + PROBE_NANOS);
+          ExecutorRequest.probe("probe-" + probeCount, System.nanoTime() + PROBE_TIMEOUT_NANOS);
       connection.send(
           request,
           new ProbeListener(
-              () -> alive.add(sent),
+              () -> answeredProbes.add(sent),
               () -> {
                 counters.probeFailed().increment();
                 dead.accept(executor);
@@ -188,8 +188,8 @@
   }
 
   /** Returns the connection of an ended dispatch to its pool. */
-  public void putBack(SentRequest sent) {
-    sent.connection().ifPresent(connection -> sent.pool().putBack(connection));
+  public void release(SentRequest sent) {
+    sent.connection().ifPresent(connection -> sent.pool().release(connection));
   }
 
   /** Opens a connection and closes it at once; the sink receives whether it could be opened. */
--- a/fescuehook/src/main/java/org/fescuehook/net/executor/ExecutorConnection.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/executor/ExecutorConnection.java
@@ -43,9 +43,9 @@
       listener.onEnd(new DispatchResult.NotSent(DispatchResult.NotSentCause.DEADLINE), 0);
       return;
     }
-    Exchange begun = new Exchange(channel, request, listener, fresh);
-    exchange = Optional.of(begun);
-    begun.write(this::finish);
+    Exchange started = new Exchange(channel, request, listener, fresh);
+    exchange = Optional.of(started);
+    started.write(this::finish);
   }
 
   @Override
@@ -84,7 +84,7 @@
   @Override
   public void channelInactive(ChannelHandlerContext context) {
     reusable = false;
-    exchange.ifPresent(running -> finish(running.failed(running.kindOfLoss())));
+    exchange.ifPresent(running -> finish(running.failed(running.connectionLossKind())));
     context.fireChannelInactive();
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/net/executor/ExecutorPool.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/executor/ExecutorPool.java
@@ -10,9 +10,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Connections to one executor. Used by the dispatch thread only, but for the count. */
+/**
+ * Pools the connections to one executor. Used by the dispatch thread only, except for the number of
+ * open connections, which event loops decrement.
+ */
 final class ExecutorPool {
-  /** Age at which a connection is not used again. */
+  /** Age beyond which a connection is closed instead of being used again. */
   static final long MAX_AGE_NANOS = TimeUnit.MINUTES.toNanos(5);
 
   private final InetSocketAddress address;
@@ -32,23 +35,23 @@
   }
 
   /**
-   * Takes an idle connection, if there is one that may be used.
+   * Removes and returns an idle connection, if one is usable.
    *
-   * @param loop event loop that is preferred
-   * @param freshNanos longest time since the last sign of life
+   * @param loop event loop whose connections are preferred
+   * @param maxSilenceNanos longest time since bytes were last received on the connection
    */
   @SuppressWarnings("ReferenceEquality") // event loops have identity, not value
-  Optional<ExecutorConnection> take(EventLoop loop, long freshNanos) {
+  Optional<ExecutorConnection> acquire(EventLoop loop, long maxSilenceNanos) {
     long now = System.nanoTime();
     Optional<ExecutorConnection> found = Optional.empty();
     Iterator<ExecutorConnection> connections = idle.iterator();
     while (connections.hasNext()) {
       ExecutorConnection connection = connections.next();
-      if (!usable(connection, now)) {
+      if (!isUsable(connection, now)) {
         connections.remove();
         continue;
       }
-      if (now - connection.lastReadNanos() > freshNanos) {
+      if (now - connection.lastReadNanos() > maxSilenceNanos) {
         continue;
       }
       if (connection.channel().eventLoop().equals(loop)) {
@@ -63,7 +66,7 @@
     return found;
   }
 
-  private boolean usable(ExecutorConnection connection, long now) {
+  private boolean isUsable(ExecutorConnection connection, long now) {
     if (!connection.reusable()) {
       return false;
     }
@@ -75,42 +78,45 @@
     return false;
   }
 
-  /** Takes back a connection whose exchange ended. */
-  void putBack(ExecutorConnection connection) {
+  /** Returns a connection whose exchange ended to the pool, or closes it if it is not needed. */
+  void release(ExecutorConnection connection) {
     if (retired || open.get() > limit) {
       connection.channel().close();
       return;
     }
-    if (usable(connection, System.nanoTime())) {
+    if (isUsable(connection, System.nanoTime())) {
       idle.addFirst(connection);
     }
   }
 
-  /** Closes the idle connections now, and the others when they are taken back. */
+  /** Closes the idle connections now, and the others when they are released. */
   void retire() {
     retired = true;
     closeIdle();
   }
 
-  /** Sets the most connections; idle ones beyond it are closed, others when they are taken back. */
-  void limit(int most) {
-    limit = most;
-    int surplus = open.get() - most;
-    while (surplus > 0 && closeLeastRecent()) {
+  /**
+   * Sets the maximum number of connections. Surplus connections are closed now if they are idle,
+   * and when they are released otherwise.
+   */
+  void setLimit(int maximum) {
+    limit = maximum;
+    int surplus = open.get() - maximum;
+    while (surplus > 0 && closeLeastRecentlyUsed()) {
       surplus--;
     }
   }
 
-  /** Reserves room for one more connection, closing an idle one if need be. */
+  /** Reserves capacity for a new connection, closing an idle one if the limit is reached. */
   boolean reserve() {
-    if (open.get() >= limit && !closeLeastRecent()) {
+    if (open.get() >= limit && !closeLeastRecentlyUsed()) {
       return false;
     }
     open.incrementAndGet();
     return true;
   }
 
-  private boolean closeLeastRecent() {
+  private boolean closeLeastRecentlyUsed() {
     while (!idle.isEmpty()) {
       ExecutorConnection last = idle.removeLast();
       if (last.channel().isActive()) {
@@ -121,19 +127,19 @@
     return false;
   }
 
-  /** Gives back room that was reserved. */
-  void released() {
+  /** Frees the reserved capacity of a connection that was closed or could not be opened. */
+  void connectionClosed() {
     open.decrementAndGet();
   }
 
-  /** Returns the connections that have been idle for at least so long, and takes them out. */
-  Deque<ExecutorConnection> takeSilent(long silentNanos) {
+  /** Removes and returns the idle connections that have been silent for at least the given time. */
+  Deque<ExecutorConnection> removeSilent(long silentNanos) {
     long now = System.nanoTime();
     Deque<ExecutorConnection> silent = new ArrayDeque<>();
     Iterator<ExecutorConnection> connections = idle.iterator();
     while (connections.hasNext()) {
       ExecutorConnection connection = connections.next();
-      if (!usable(connection, now)) {
+      if (!isUsable(connection, now)) {
         connections.remove();
       } else if (now - connection.lastReadNanos() >= silentNanos) {
         connections.remove();
--- a/fescuehook/src/main/java/org/fescuehook/net/executor/ExecutorRequest.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/executor/ExecutorRequest.java
@@ -8,18 +8,20 @@
 import org.fescuehook.model.organisation.OrganisationId;
 
 /**
- * A request as it goes to an executor.
+ * A request as it is sent to an executor.
  *
- * @param uri path and query at the executor
- * @param headers end-to-end headers of the caller, without a length
- * @param body whole body; each dispatch writes a duplicate, the owner releases it
- * @param token unique for this dispatch
- * @param repeatable whether running it twice does no harm
- * @param deadlineNanos time by {@link System#nanoTime()} until which an answer is awaited
- * @param progressMillis longest time without a sign of life on a pooled connection; 0 for none
- * @param probe whether it only asks for a sign of life: it states a passed deadline, so that the
- *     executor refuses it as not run
- * @param keepBytes largest body of an answer to hand back with the end; 0 to hand back none
+ * @param uri path and query for the executor
+ * @param headers end-to-end headers of the caller, without Content-Length
+ * @param body whole body; each dispatch writes a duplicate, and the owner of the body releases it
+ * @param token unique to this dispatch
+ * @param repeatable whether the request may safely be run more than once
+ * @param deadlineNanos time until which an answer is awaited, on the scale of {@link
+ *     System#nanoTime()}
+ * @param progressMillis time within which the answer must begin on a pooled connection; 0 for no
+ *     limit
+ * @param probe whether the request only checks that the connection is alive; it states a deadline
+ *     that has passed, so that the executor refuses it as not run
+ * @param maxRecordedBytes size of the largest answer body to include in the result; 0 for none
  */
 public record ExecutorRequest(
     HttpMethod method,
@@ -32,11 +34,11 @@
     long deadlineNanos,
     long progressMillis,
     boolean probe,
-    int keepBytes) {
+    int maxRecordedBytes) {
 
   private static final OrganisationId PROBES = new OrganisationId("probe");
 
-  /** Returns a request that an executor answers without running anything. */
+  /** Returns a probe, which an executor answers without running anything. */
   static ExecutorRequest probe(String token, long deadlineNanos) {
     return new ExecutorRequest(
         HttpMethod.OPTIONS,
--- a/fescuehook/src/main/java/org/fescuehook/net/executor/ProbeListener.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/executor/ProbeListener.java
@@ -6,12 +6,12 @@
 
 /** Determines by the answer to a probe whether a connection is alive. */
 final class ProbeListener implements AnswerListener {
-  private final Runnable alive;
-  private final Runnable dead;
+  private final Runnable onAlive;
+  private final Runnable onDead;
 
-  ProbeListener(Runnable alive, Runnable dead) {
-    this.alive = alive;
-    this.dead = dead;
+  ProbeListener(Runnable onAlive, Runnable onDead) {
+    this.onAlive = onAlive;
+    this.onDead = onDead;
   }
 
   @Override
@@ -27,8 +27,8 @@
   @Override
   public void onEnd(DispatchResult end, long executorNanos) {
     switch (end) {
-      case DispatchResult.Answered _, DispatchResult.RefusedNotRun _ -> alive.run();
-      case DispatchResult.Failed _ -> dead.run();
+      case DispatchResult.Answered _, DispatchResult.RefusedNotRun _ -> onAlive.run();
+      case DispatchResult.Failed _ -> onDead.run();
       case DispatchResult.NotSent _ -> {
         // The executor has closed the connection in the meantime, so it is not silent.
       }
--- a/fescuehook/src/test/java/org/fescuehook/net/batch/CallLinkTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/batch/CallLinkTest.java
@@ -24,22 +24,22 @@
 
 class CallLinkTest {
 
-  private static final long PATIENCE_SECONDS = 20;
+  private static final long TIMEOUT_SECONDS = 20;
   private static final BatchCall CALL = new BatchCall.Status("q", "key", "a1");
   private static final OwnerHint NEWER = new OwnerHint(new VmId("vm-3"), 9, "10.0.0.3:7000");
 
   private final EventLoopGroup loops =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final Hints serversHints = new Hints();
-  private final Hints linksHints = new Hints();
+  private final RecordingHints serverHints = new RecordingHints();
+  private final RecordingHints linkHints = new RecordingHints();
   private final BlockingQueue<CallAnswer> answers = new LinkedBlockingQueue<>();
-  private volatile CallAnswer served = new CallAnswer.Accepted();
+  private volatile CallAnswer serverAnswer = new CallAnswer.Accepted();
   private CallServer server;
   private CallLink link;
 
   /** Keeps the received hints. */
-  private static final class Hints implements OwnerHints {
-    final BlockingQueue<OwnerHint> told = new LinkedBlockingQueue<>();
+  private static final class RecordingHints implements OwnerHints {
+    final BlockingQueue<OwnerHint> received = new LinkedBlockingQueue<>();
     volatile Optional<OwnerHint> known = Optional.empty();
 
     @Override
@@ -49,17 +49,17 @@
 
     @Override
     public void hinted(OwnerHint hint) {
-      told.add(hint);
+      received.add(hint);
     }
   }
 
   @BeforeEach
   void start() throws Exception {
-    server = new CallServer(loops, (call, patience, sink) -> sink.accept(served), serversHints);
+    server = new CallServer(loops, (call, timeout, sink) -> sink.accept(serverAnswer), serverHints);
     InetSocketAddress address =
         server.start(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     EventLoop loop = (EventLoop) loops.next();
-    link = new CallLink(loop, address, new NettyPeerConnector(loop, address), linksHints);
+    link = new CallLink(loop, address, new NettyPeerConnector(loop, address), linkHints);
   }
 
   @AfterEach
@@ -70,28 +70,28 @@
   }
 
   private CallAnswer call() throws InterruptedException {
-    link.call(CALL, Duration.ofSeconds(PATIENCE_SECONDS), answers::add);
-    return answers.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    link.call(CALL, Duration.ofSeconds(TIMEOUT_SECONDS), answers::add);
+    return answers.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
   @Test
-  void anAnswerComesBackToItsCall() throws Exception {
+  void returnsTheAnswerToItsCall() throws Exception {
     assertEquals(new CallAnswer.Accepted(), call());
   }
 
   @Test
-  void aRefusalNamesTheOwnerThatTheRefusingVmKnows() throws Exception {
-    serversHints.known = Optional.of(NEWER);
-    served = new CallAnswer.Refused(RefusalCause.NOT_OWNER, 1000);
+  void aRefusalCarriesTheOwnerThatTheRefusingVmKnows() throws Exception {
+    serverHints.known = Optional.of(NEWER);
+    serverAnswer = new CallAnswer.Refused(RefusalCause.NOT_OWNER, 1000);
 
-    assertEquals(served, call());
-    assertEquals(NEWER, linksHints.told.poll(PATIENCE_SECONDS, TimeUnit.SECONDS));
+    assertEquals(serverAnswer, call());
+    assertEquals(NEWER, linkHints.received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
   }
 
   @Test
-  void theFormerOwnerIsToldOfTheNewerOneBeforeTheLinkCloses() throws Exception {
+  void reportsTheNewerOwnerToThePreviousOneBeforeTheLinkCloses() throws Exception {
     call();
     link.close(Optional.of(NEWER));
-    assertEquals(NEWER, serversHints.told.poll(PATIENCE_SECONDS, TimeUnit.SECONDS));
+    assertEquals(NEWER, serverHints.received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/net/batch/SlowOwnerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/batch/SlowOwnerTest.java
@@ -27,7 +27,7 @@
 class SlowOwnerTest {
 
   private static final BatchCall CALL = new BatchCall.Cancel("q", "key", "a1");
-  private static final Duration PATIENCE = Duration.ofMillis(2800);
+  private static final Duration TIMEOUT = Duration.ofMillis(2800);
   private static final CallAnswer SILENT = new CallAnswer.Undecided(UndecidedCause.OWNER_SILENT);
 
   private final EmbeddedChannel clock = new EmbeddedChannel();
@@ -71,7 +71,7 @@
         if (!CallCodec.isProbe(message)) {
           calls.add(message);
         } else if (alive) {
-          tell(this, CallCodec.alive());
+          deliver(this, CallCodec.probeAnswer());
         }
       }
 
@@ -82,17 +82,17 @@
     }
 
     @Override
-    public void connect(Listener to) {
-      listener = Optional.of(to);
+    public void connect(Listener target) {
+      listener = Optional.of(target);
       if (!reachable) {
-        to.failed("refused");
+        target.failed("refused");
         return;
       }
       connections.add(new FakeConnection());
-      to.opened(connections.getLast());
+      target.opened(connections.getLast());
     }
 
-    private void tell(FakeConnection over, ForwardedAnswer message) {
+    private void deliver(FakeConnection over, ForwardedAnswer message) {
       if (!over.closed) {
         listener.orElseThrow().received(over, message);
       }
@@ -100,34 +100,34 @@
 
     private void answer(int connection, CallAnswer answer) {
       FakeConnection over = connections.get(connection);
-      tell(over, CallCodec.encode(over.calls.getFirst().getCall(), answer));
+      deliver(over, CallCodec.encode(over.calls.getFirst().getCall(), answer));
     }
 
-    private void breakOff(int connection) {
+    private void breakConnection(int connection) {
       listener.orElseThrow().closed(connections.get(connection), "reset");
     }
   }
 
   private void call() {
-    link.call(CALL, PATIENCE, answers::add);
-    pass(0);
+    link.call(CALL, TIMEOUT, answers::add);
+    advance(0);
   }
 
-  private void pass(long millis) {
-    long left = millis;
-    while (left > 0) {
-      long step = Math.min(50, left);
+  private void advance(long millis) {
+    long remaining = millis;
+    while (remaining > 0) {
+      long step = Math.min(50, remaining);
       clock.advanceTimeBy(step, TimeUnit.MILLISECONDS);
       clock.runPendingTasks();
-      left -= step;
+      remaining -= step;
     }
     clock.runPendingTasks();
   }
 
   @Test
-  void anAnswerThatASlowStoreDelaysReachesItsCaller() {
+  void anAnswerDelayedByASlowStoreReachesItsCaller() {
     call();
-    pass(2500);
+    advance(2500);
     peer.answer(0, new CallAnswer.Cancelled());
     assertEquals(List.of(new CallAnswer.Cancelled()), answers);
     assertEquals(1, peer.connections.size(), "an owner that lives keeps its connection");
@@ -135,72 +135,72 @@
   }
 
   @Test
-  void callsOfASilentConnectionAreSentAgainOverANewOne() {
+  void resendsCallsOfASilentConnectionOverANewOne() {
     call();
     peer.alive = false;
-    pass(1000);
+    advance(1000);
     assertEquals(2, peer.connections.size());
     peer.answer(1, new CallAnswer.Cancelled());
     assertEquals(List.of(new CallAnswer.Cancelled()), answers);
   }
 
   @Test
-  void aConnectionThatFallsSilentLaterIsReplacedAsWell() {
+  void replacesAConnectionThatFallsSilentAfterAnsweringProbes() {
     call();
-    pass(1500);
+    advance(1500);
     assertEquals(1, peer.connections.size());
     peer.alive = false;
-    pass(1000);
+    advance(1000);
     assertEquals(2, peer.connections.size());
   }
 
   @Test
-  void whatComesLateOverTheFormerConnectionCountsToo() {
+  void acceptsALateAnswerOverThePreviousConnection() {
     call();
     peer.alive = false;
-    pass(1000);
+    advance(1000);
     peer.answer(0, new CallAnswer.Cancelled());
     assertEquals(List.of(new CallAnswer.Cancelled()), answers);
     assertTrue(peer.connections.getFirst().closed, "nothing more is awaited over it");
   }
 
   @Test
-  void aRefusalOfOneOfTwoSendsLeavesTheCallUndecided() {
+  void answersUndecidedWhenOnlyOneOfTwoSendsIsRefused() {
     call();
     peer.alive = false;
-    pass(1000);
+    advance(1000);
     peer.answer(1, new CallAnswer.Refused(RefusalCause.STORE_AWAY, 1000));
     assertEquals(List.of(SILENT), answers);
   }
 
   @Test
-  void aCallIsGivenUpWhenItsAnswerIsOfNoUseAnyMore() {
+  void answersUndecidedWhenTheCallTimesOut() {
     call();
-    pass(2750);
+    advance(2750);
     assertEquals(List.of(), answers);
-    pass(50);
+    advance(50);
     assertEquals(List.of(SILENT), answers);
   }
 
   @Test
-  void aCallThatWasNeverSentIsRefused() {
+  void refusesACallThatWasNeverSent() {
     peer.reachable = false;
     call();
     assertEquals(List.of(new CallAnswer.Refused(RefusalCause.NO_OWNER, 1000)), answers);
   }
 
   @Test
-  void aCallWhoseConnectionBreaksIsUndecidedAtOnce() {
+  void answersUndecidedAtOnceWhenTheConnectionBreaks() {
     call();
-    peer.breakOff(0);
+    peer.breakConnection(0);
     assertEquals(List.of(SILENT), answers);
   }
 
   @Test
-  void aNewerOwnerEndsTheCallsOfTheFormerOne() {
+  void answersUndecidedWhenTheLinkClosesForANewerOwner() {
     call();
     link.close(Optional.empty());
-    pass(0);
+    advance(0);
     assertEquals(List.of(SILENT), answers);
     assertTrue(peer.connections.getFirst().closed);
   }
--- a/fescuehook/src/test/java/org/fescuehook/net/executor/ExecutorPoolTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/executor/ExecutorPoolTest.java
@@ -17,39 +17,39 @@
   private EmbeddedChannel idle() {
     assertTrue(pool.reserve());
     EmbeddedChannel channel = new EmbeddedChannel();
-    channel.closeFuture().addListener(closed -> pool.released());
-    pool.putBack(new ExecutorConnection(channel, counters));
+    channel.closeFuture().addListener(closed -> pool.connectionClosed());
+    pool.release(new ExecutorConnection(channel, counters));
     return channel;
   }
 
   @Test
-  void givesNoConnectionThatWasSilentForTooLong() {
-    pool.limit(1);
+  void acquiresNoConnectionThatWasSilentForTooLong() {
+    pool.setLimit(1);
     EmbeddedChannel channel = idle();
     // With a negative limit, every connection has been silent for too long.
-    assertTrue(pool.take(channel.eventLoop(), -1).isEmpty());
-    assertTrue(pool.take(channel.eventLoop(), Long.MAX_VALUE).isPresent());
+    assertTrue(pool.acquire(channel.eventLoop(), -1).isEmpty());
+    assertTrue(pool.acquire(channel.eventLoop(), Long.MAX_VALUE).isPresent());
   }
 
   @Test
-  void closesIdleConnectionsBeyondALoweredLimitAndTakesBackNoOther() {
-    pool.limit(3);
+  void closesIdleConnectionsBeyondALoweredLimitAndOthersWhenReleased() {
+    pool.setLimit(3);
     EmbeddedChannel first = idle();
     EmbeddedChannel second = idle();
     EmbeddedChannel third = idle();
-    ExecutorConnection busy = pool.take(third.eventLoop(), Long.MAX_VALUE).orElseThrow();
-    pool.limit(1);
+    ExecutorConnection busy = pool.acquire(third.eventLoop(), Long.MAX_VALUE).orElseThrow();
+    pool.setLimit(1);
     assertEquals(1, pool.openConnections());
     assertFalse(first.isActive() || second.isActive());
 
-    pool.limit(0);
-    pool.putBack(busy);
+    pool.setLimit(0);
+    pool.release(busy);
     assertEquals(0, pool.openConnections());
   }
 
   @Test
   void opensNoConnectionBeyondItsLimitButReplacesAnIdleOne() {
-    pool.limit(1);
+    pool.setLimit(1);
     EmbeddedChannel only = idle();
     assertTrue(pool.reserve());
     assertFalse(only.isActive());
