--- a/fescuehook/src/main/java/org/fescuehook/net/batch/BatchNetEvent.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/batch/BatchNetEvent.java
@@ -13,7 +13,7 @@
   /** The connection to the owner was closed. */
   OWNER_DISCONNECTED(8103, "Connection to the owner at {} closed: {}, {} calls open"),
   /** The owner answered no probe; open calls are sent again over a new connection. */
-  OWNER_SILENT(8104, "Nothing from the owner at {} for {} ms, {} calls are sent again");
+  OWNER_SILENT(8104, "Owner at {} silent for {} ms, resending {} calls");
 
   private final int number;
   private final String format;
--- a/fescuehook/src/main/java/org/fescuehook/net/duty/RepeatingDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/duty/RepeatingDuty.java
@@ -7,7 +7,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A thread that repeats one step, pausing between as long as the step says. */
+/** Runs a step repeatedly on its own thread, with a pause after each run as the step returns it. */
 public final class RepeatingDuty {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(RepeatingDuty.class);
@@ -32,7 +32,7 @@
     thread.start();
   }
 
-  /** Asks the thread to stop: a pause ends, a step under way is interrupted. */
+  /** Asks the thread to stop: ends a pause and interrupts a step in progress. */
   public void stop() {
     lock.lock();
     try {
@@ -44,7 +44,7 @@
     thread.interrupt();
   }
 
-  /** Ends the pause under way, or the next one. */
+  /** Ends the current pause, or the next one if a step is in progress. */
   public void wake() {
     lock.lock();
     try {
@@ -88,7 +88,7 @@
       }
       woken = false;
     } catch (InterruptedException e) {
-      // Only stop() interrupts; the loop sees its flag.
+      // Only stop() interrupts this thread, and the loop checks the flag that it sets.
       Thread.currentThread().interrupt();
     } finally {
       lock.unlock();
@@ -99,7 +99,7 @@
   @FunctionalInterface
   public interface Step {
 
-    /** Does the step and returns the pause after it. */
+    /** Runs the step and returns the pause before the next one. */
     Duration run();
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/net/duty/VaryingTimeoutWait.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/duty/VaryingTimeoutWait.java
@@ -10,9 +10,9 @@
 import java.util.function.Supplier;
 
 /**
- * Blocks until an item comes, or for as long as the duty has nothing to do by itself. The library's
- * own strategy has one timeout for good, so that a thread that waits for nothing wakes as often as
- * one that keeps leases.
+ * Blocks until an item arrives or a timeout expires that can differ from wait to wait. The
+ * Disruptor library's own strategy has a fixed timeout, with which a duty that has nothing
+ * scheduled would wake as often as one that must renew leases.
  */
 final class VaryingTimeoutWait implements WaitStrategy {
 
@@ -22,7 +22,7 @@
   /**
    * Creates a strategy.
    *
-   * @param timeout asked by the duty's thread before each wait
+   * @param timeout returns the next timeout; called by the duty's thread before each wait
    */
   VaryingTimeoutWait(Supplier<Duration> timeout) {
     this.timeout = timeout;
--- a/fescuehook/src/main/java/org/fescuehook/net/duty/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/duty/package-info.java
@@ -1,4 +1,4 @@
-/** Threads with one duty each. */
+/** Runs threads that have one duty each, and the rings that feed them. */
 @NullMarked
 package org.fescuehook.net.duty;
 
--- a/fescuehook/src/main/java/org/fescuehook/net/http/BlockingHttpClient.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/http/BlockingHttpClient.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
 
-/** Calls over one kept-alive connection that block the calling duty thread up to a deadline. */
+/** Sends requests over one persistent connection, and blocks the calling thread for each answer. */
 public final class BlockingHttpClient {
 
   private final HttpClientConnection connection;
@@ -19,7 +19,7 @@
   /**
    * Sends a request and waits for its answer.
    *
-   * @throws HttpCallException if no whole answer came within the timeout
+   * @throws HttpCallException if no complete answer arrives within the timeout
    */
   public HttpResult.Answered call(HttpCall call, Duration timeout) throws HttpCallException {
     CompletableFuture<HttpResult> future = new CompletableFuture<>();
@@ -32,7 +32,7 @@
     };
   }
 
-  /** Closes the connection; a call under way fails. */
+  /** Closes the connection; a call in progress fails. */
   public void close() {
     connection.close();
   }
--- a/fescuehook/src/main/java/org/fescuehook/net/http/HttpCall.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/http/HttpCall.java
@@ -5,13 +5,13 @@
 import java.util.Map;
 
 /**
- * A request of a client.
+ * A request to send to a server.
  *
  * @param method the method
  * @param target path and query
  * @param contentType type of the body
  * @param body the body, empty for none
- * @param headers further headers
+ * @param headers additional headers
  */
 public record HttpCall(
     HttpMethod method,
@@ -28,7 +28,7 @@
     headers = Map.copyOf(headers);
   }
 
-  /** Creates a request without further headers. */
+  /** Creates a request without additional headers. */
   public HttpCall(HttpMethod method, String target, String contentType, byte[] body) {
     this(method, target, contentType, body, Map.of());
   }
@@ -43,7 +43,7 @@
     return new HttpCall(method, target, JSON, body);
   }
 
-  /** Returns the same request with a further header. */
+  /** Returns a copy of this request with an additional header. */
   public HttpCall with(String name, String value) {
     Map<String, String> more = new HashMap<>(headers);
     more.put(name, value);
--- a/fescuehook/src/main/java/org/fescuehook/net/http/HttpCallException.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/http/HttpCallException.java
@@ -1,6 +1,6 @@
 package org.fescuehook.net.http;
 
-/** A call had no answer, or one that refuses it. */
+/** Thrown when a call gets no complete answer. */
 public final class HttpCallException extends Exception {
   private static final long serialVersionUID = 1L;
 
@@ -9,14 +9,14 @@
   /**
    * Creates the exception.
    *
-   * @param mayHaveTakenEffect whether the peer may have done what was asked
+   * @param mayHaveTakenEffect whether the peer may have executed the request
    */
   public HttpCallException(String message, boolean mayHaveTakenEffect, Throwable cause) {
     super(message, cause);
     this.mayHaveTakenEffect = mayHaveTakenEffect;
   }
 
-  /** Tells whether the peer may have done what was asked. */
+  /** Returns whether the peer may have executed the request. */
   public boolean mayHaveTakenEffect() {
     return mayHaveTakenEffect;
   }
--- a/fescuehook/src/main/java/org/fescuehook/net/http/HttpClientConnection.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/http/HttpClientConnection.java
@@ -33,9 +33,9 @@
 import java.util.function.Consumer;
 
 /**
- * One kept-alive connection with one request at a time. A connection on which a request had no
- * whole answer in time is closed, so a late answer never meets the next request; the next request
- * opens a new one. All state belongs to one event loop.
+ * A persistent connection that carries one request at a time. If a request gets no complete answer
+ * in time, the connection is closed, so that its late answer is never taken for that of the next
+ * request, which opens a new connection. All state is confined to one event loop.
  */
 public final class HttpClientConnection {
 
@@ -47,15 +47,15 @@
   private Optional<Channel> channel = Optional.empty();
   private Optional<Exchange> current = Optional.empty();
 
-  /** When the last request was begun. */
+  /** Time at which the last request was started. */
   private long begunAt;
 
-  /** When parts of the answer to it came; absent if none has. */
+  /** Time at which the first part of its answer arrived; empty if none has. */
   private OptionalLong firstPartAt = OptionalLong.empty();
 
   private long lastPartAt;
 
-  /** Creates a connection that is opened by the first request. */
+  /** Creates a connection that is opened with the first request. */
   public HttpClientConnection(EventLoop loop, InetSocketAddress peer, Duration connectTimeout) {
     this.loop = loop;
     this.peer = peer;
@@ -63,28 +63,28 @@
   }
 
   /**
-   * Sends a request. No other request may be under way.
+   * Sends a request. No other request may be in progress.
    *
-   * @param timeout longest time from now to the whole answer
-   * @param sink called once, on the event loop
+   * @param timeout time from now within which the complete answer must arrive
+   * @param sink receives the result; called once, on the event loop
    */
   public void send(HttpCall call, Duration timeout, Consumer<HttpResult> sink) {
     loop.execute(() -> start(new Exchange(call, sink), timeout));
   }
 
-  /** Tells whether a part of the answer under way has come within a time until now. */
+  /** Returns whether a part of the current answer has arrived within the given time until now. */
   public boolean heardWithin(Duration time) {
     return current.isPresent()
         && firstPartAt.isPresent()
         && System.nanoTime() - lastPartAt <= time.toNanos();
   }
 
-  /** Returns how long the first part of the last answer took; zero if none has come. */
+  /** Returns the time until the first part of the last answer arrived; zero if none has. */
   public long firstPartNanos() {
     return firstPartAt.isPresent() ? firstPartAt.getAsLong() - begunAt : 0;
   }
 
-  /** Closes the connection, also one that is being opened; a request under way fails. */
+  /** Closes the connection, even while it is being opened; a request in progress fails. */
   public void close() {
     loop.execute(
         () -> {
@@ -203,7 +203,7 @@
     current.ifPresent(exchange -> fail(exchange, cause));
   }
 
-  /** One request and where its result goes. */
+  /** A request in progress and the receiver of its result. */
   private static final class Exchange {
     private final HttpCall call;
     private final Consumer<HttpResult> sink;
--- a/fescuehook/src/main/java/org/fescuehook/net/http/HttpResult.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/http/HttpResult.java
@@ -1,19 +1,19 @@
 package org.fescuehook.net.http;
 
-/** What became of a {@link HttpCall}. */
+/** The result of an {@link HttpCall}. */
 public sealed interface HttpResult {
 
-  /** A whole answer came. */
+  /** A complete answer, whatever its status. */
   record Answered(int status, byte[] body) implements HttpResult {
 
-    /** Tells whether the status says success. */
+    /** Returns whether the status is one of success (2xx). */
     public boolean succeeded() {
       return status >= 200 && status < 300;
     }
   }
 
   /**
-   * No whole answer came.
+   * A failure to get a complete answer.
    *
    * @param maybeSent whether a byte of the request may have reached the peer
    */
--- a/fescuehook/src/main/java/org/fescuehook/net/http/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/http/package-info.java
@@ -1,4 +1,4 @@
-/** A small HTTP/1.1 client over Netty's codec, shared by the adapters. */
+/** Provides a small HTTP/1.1 client, based on Netty's codec, for the platform and the workers. */
 @NullMarked
 package org.fescuehook.net.http;
 
--- a/fescuehook/src/main/java/org/fescuehook/net/listen/MachineId.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/listen/MachineId.java
@@ -6,20 +6,20 @@
 import org.fescuehook.model.fleet.VmId;
 
 /**
- * The id of the machine that Netty puts into the names of its channels. Without one it looks for a
- * hardware address, which small VMs hide, and warns at each start.
+ * Sets the machine id that Netty includes in the ids of its channels. If none is set, Netty looks
+ * for a hardware address, which small VMs hide, and logs a warning at each start.
  */
 public final class MachineId {
 
-  /** Netty's own setting. */
+  /** System property from which Netty reads the machine id. */
   private static final String PROPERTY = "io.netty.machineId";
 
-  /** Length of the id that Netty takes. */
+  /** Length of the machine id. */
   private static final int BYTES = 8;
 
   private MachineId() {}
 
-  /** Has Netty name this VM by its id; to be called before anything of Netty is used. */
+  /** Sets the machine id to one derived from the VM's id. Must be called before Netty is used. */
   public static void use(VmId vm) {
     System.setProperty(PROPERTY, of(vm));
   }
--- a/fescuehook/src/main/java/org/fescuehook/net/listen/ServerPort.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/listen/ServerPort.java
@@ -12,7 +12,7 @@
 import java.net.InetSocketAddress;
 import java.util.Optional;
 
-/** A port that takes connections, closed until it is opened. */
+/** A TCP port that accepts connections once it is opened. */
 public final class ServerPort {
 
   private final EventLoopGroup loops;
@@ -22,7 +22,7 @@
   /**
    * Creates a closed port.
    *
-   * @param initializer sets each connection up
+   * @param initializer sets up the pipeline of each accepted connection
    */
   public ServerPort(EventLoopGroup loops, ChannelInitializer<SocketChannel> initializer) {
     this.loops = loops;
@@ -32,7 +32,7 @@
   /**
    * Opens the port.
    *
-   * @return where it listens
+   * @return the address in use
    * @throws IOException if the address cannot be bound
    */
   public InetSocketAddress open(InetSocketAddress address) throws IOException {
@@ -51,7 +51,7 @@
     return (InetSocketAddress) bound.channel().localAddress();
   }
 
-  /** Takes no further connection; those that are open stay open. */
+  /** Stops accepting connections; open connections stay open. */
   public void close() {
     listening.ifPresent(Channel::close);
   }
--- a/fescuehook/src/main/java/org/fescuehook/net/listen/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/listen/package-info.java
@@ -1,4 +1,4 @@
-/** Opening of ports. */
+/** Opens ports and prepares Netty for them. */
 @NullMarked
 package org.fescuehook.net.listen;
 
--- a/fescuehook/src/main/java/org/fescuehook/net/operator/OperatorAnswer.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/operator/OperatorAnswer.java
@@ -6,7 +6,7 @@
 /**
  * An answer of the operators' port.
  *
- * @param retryAfterSeconds when to come back; 0 for no advice
+ * @param retryAfterSeconds delay after which to retry; 0 sends no Retry-After header
  */
 record OperatorAnswer(int status, String contentType, String body, int retryAfterSeconds) {
 
@@ -25,13 +25,13 @@
     return json(status, body.toString());
   }
 
-  /** Creates an error. */
+  /** Creates an answer that reports an error. */
   static OperatorAnswer error(int status, String error, String detail) {
     return json(
         status, JsonNodeFactory.instance.objectNode().put("error", error).put("detail", detail));
   }
 
-  /** Returns this answer with advice when to come back. */
+  /** Returns a copy of this answer that advises a delay before a retry. */
   OperatorAnswer retryAfter(int seconds) {
     return new OperatorAnswer(status, contentType, body, seconds);
   }
--- a/fescuehook/src/main/java/org/fescuehook/net/operator/OperatorBackend.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/operator/OperatorBackend.java
@@ -4,10 +4,10 @@
 import java.util.Optional;
 import org.fescuehook.model.configuration.Configuration;
 
-/** What the operators' port shows and does. Called on Netty's loops; must not block. */
+/** Provides the operators' port with data and actions. Called on event loops; must not block. */
 public interface OperatorBackend {
 
-  /** Returns why this VM takes no work; empty if it does. */
+  /** Returns why this VM accepts no work; empty if it does. */
   Optional<String> notReady();
 
   /** Returns all metrics in the Prometheus text format. */
@@ -19,7 +19,7 @@
   /** Returns the configuration in force. */
   Optional<Configuration> configuration();
 
-  /** Returns a configuration that is or was in force; empty if it is not kept. */
+  /** Returns a configuration that is or was in force; empty if it is no longer stored. */
   Optional<Configuration> configuration(long revision);
 
   /** Returns the configurations that are or were in force, newest first. */
--- a/fescuehook/src/main/java/org/fescuehook/net/operator/OperatorHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/operator/OperatorHandler.java
@@ -25,7 +25,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One connection of an operator; calls are answered in their order, one at a time. */
+/** Handles one connection of an operator; answers its calls in order, one at a time. */
 final class OperatorHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(OperatorHandler.class);
@@ -159,7 +159,7 @@
     context.close();
   }
 
-  /** A call, copied out of Netty's buffers. */
+  /** A call, copied from Netty's buffers. */
   private record Call(
       HttpMethod method,
       QueryStringDecoder target,
--- a/fescuehook/src/main/java/org/fescuehook/net/operator/OperatorRouter.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/operator/OperatorRouter.java
@@ -17,7 +17,7 @@
 import org.fescuehook.model.configuration.Configuration;
 import org.fescuehook.model.job.JobId;
 
-/** Finds the answer to a call of an operator. */
+/** Routes the calls of operators to the backend or the control port, and builds their answers. */
 final class OperatorRouter {
 
   private static final String EXPLAIN = "/explain/";
@@ -38,7 +38,9 @@
     this.control = control;
   }
 
-  /** Tells whether a call needs no token: a balancer's probes carry none. */
+  /**
+   * Returns whether a path is served without a token, since a load balancer's probes carry none.
+   */
   static boolean open(String path) {
     return path.equals("/livez") || path.equals("/readyz");
   }
@@ -46,7 +48,7 @@
   /**
    * Answers a call.
    *
-   * @param sink called once, on any thread
+   * @param sink receives the answer; called once, on any thread
    */
   void route(
       HttpMethod method, QueryStringDecoder target, String body, Consumer<OperatorAnswer> sink) {
--- a/fescuehook/src/main/java/org/fescuehook/net/operator/OperatorServer.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/operator/OperatorServer.java
@@ -19,7 +19,7 @@
 import java.util.Optional;
 import org.fescuehook.logic.control.ControlPort;
 
-/** The operators' HTTP port. Without a token it binds loopback only. */
+/** Listens on the operators' HTTP port. Without a token it binds to loopback addresses only. */
 public final class OperatorServer {
 
   private static final int MAX_CONNECTIONS = 128;
@@ -51,7 +51,8 @@
    * Opens the port.
    *
    * @return the address in use
-   * @throws IOException if the port cannot be opened, or is beyond loopback without a token
+   * @throws IOException if the port cannot be opened, or no token is set and the address is not a
+   *     loopback address
    */
   public InetSocketAddress start(InetSocketAddress address) throws IOException {
     if (!tokenSet && !address.getAddress().isLoopbackAddress()) {
--- a/fescuehook/src/main/java/org/fescuehook/net/operator/OperatorToken.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/operator/OperatorToken.java
@@ -5,7 +5,7 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.Optional;
 
-/** The bearer token that operators present, if one is set. */
+/** Checks the bearer token of operators, if one is set. */
 final class OperatorToken {
 
   private static final String SCHEME = "Bearer ";
@@ -17,8 +17,8 @@
   }
 
   /**
-   * Tells whether an {@code Authorization} header gives access. Takes the same time wherever a
-   * wrong token differs, and whatever its length.
+   * Returns whether an {@code Authorization} header gives access. Compares digests in constant
+   * time, so that the time reveals neither the length of the token nor where a wrong one differs.
    */
   boolean admits(Optional<String> authorization) {
     if (digest.isEmpty()) {
--- a/fescuehook/src/main/java/org/fescuehook/net/operator/VmStatus.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/operator/VmStatus.java
@@ -4,18 +4,18 @@
 import java.util.Optional;
 
 /**
- * State of one entry VM, apart from what the control stream says.
+ * The local state of one entry VM, as opposed to the state that the control stream holds.
  *
- * @param vm its name
- * @param domain its failure domain
+ * @param vm name of the VM
+ * @param domain failure domain of the VM
  * @param incarnation distinguishes starts of the same VM
- * @param notReady why it takes no work; empty if it does
- * @param revision configuration revision in force here; -1 for none
- * @param logReachable whether the log answered within its limit
- * @param inFlight requests accepted and not yet answered
- * @param peers other entry VMs heard within their timeout
- * @param peersReachingLog those of them that reach the log
- * @param leaving backend servers that the list shows as leaving
+ * @param notReady why the VM accepts no work; empty if it does
+ * @param revision revision of the configuration in force on this VM; -1 for none
+ * @param logReachable whether the log last answered within its timeout
+ * @param inFlight number of accepted requests that are not yet answered
+ * @param peers other entry VMs from which a heartbeat arrived within the timeout
+ * @param peersReachingLog the peers that report the log as reachable
+ * @param leaving backend servers that the list of VMs marks as leaving
  */
 public record VmStatus(
     String vm,
--- a/fescuehook/src/main/java/org/fescuehook/net/operator/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/operator/package-info.java
@@ -1,4 +1,4 @@
-/** The operators' HTTP port. */
+/** Serves operators over HTTP: health, metrics, status, configuration and drain. */
 @NullMarked
 package org.fescuehook.net.operator;
 
--- a/fescuehook/src/main/java/org/fescuehook/net/peer/PeerEvent.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/peer/PeerEvent.java
@@ -4,9 +4,9 @@
 
 /** Log events of the protocol between entry VMs. */
 public enum PeerEvent implements NumberedEvent {
-  /** A peer was refused. */
+  /** This VM refused a connection of a peer. */
   REFUSED(5001, "refused peer connection from {}: {} ({})"),
-  /** A peer refused this VM. */
+  /** A peer refused the connection of this VM. */
   REFUSED_BY_PEER(5002, "peer {} at {} refused this VM: {}"),
   /** A link to a peer came up. */
   LINK_UP(5003, "link to peer {} at {} is up"),
--- a/fescuehook/src/main/java/org/fescuehook/net/peer/PeerLink.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/peer/PeerLink.java
@@ -30,8 +30,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The connection that this VM opened to one peer. It is closed when the peer has not answered a
- * heartbeat within the timeout, and opened again. All state belongs to one event loop.
+ * Maintains the connection that this VM opens to one peer. The connection is closed and opened
+ * again if the peer does not answer a heartbeat within the timeout. All state is confined to one
+ * event loop.
  */
 final class PeerLink {
 
@@ -75,24 +76,30 @@
     return address;
   }
 
-  /** Sends a heartbeat, or opens the connection. */
+  /** Sends a heartbeat, or opens the connection if it is down or the peer has timed out. */
   void heartbeat() {
     loop.execute(this::beat);
   }
 
-  /** Asks for a configuration above a revision plus one; does nothing while the link is down. */
+  /**
+   * Requests the peer's configuration if its revision plus one is greater than the given number.
+   * Does nothing while the link is down.
+   */
   void askConfiguration(long aboveRevisionPlusOne) {
     ConfigurationQuery query =
         ConfigurationQuery.newBuilder().setAboveRevisionPlusOne(aboveRevisionPlusOne).build();
     loop.execute(() -> send(PeerMessage.newBuilder().setConfigurationQuery(query).build()));
   }
 
-  /** Asks for an outcome; the sink is called once. */
+  /**
+   * Requests the outcome of a request. The sink is called once; it receives empty if the peer does
+   * not reply within the timeout.
+   */
   void askOutcome(RequestKey key, Consumer<Optional<OutcomeReply>> sink) {
     loop.execute(() -> ask(key, sink));
   }
 
-  /** Closes the connection for good. */
+  /** Closes the connection; it is not opened again. */
   void close() {
     loop.execute(
         () -> {
--- a/fescuehook/src/main/java/org/fescuehook/net/peer/PeerLinks.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/peer/PeerLinks.java
@@ -14,7 +14,7 @@
 import org.fescuehook.wire.PeerMessage;
 import org.fescuehook.wire.RequestKey;
 
-/** Links to all entry VMs on the list but this one. */
+/** Maintains the links to all other entry VMs on the list of VMs. */
 public final class PeerLinks implements OutcomeFetcher {
 
   private final EventLoopGroup loops;
@@ -26,8 +26,7 @@
   /**
    * Creates the links; none is open yet.
    *
-   * @param timeout time without an answer after which a link is opened anew and a question is given
-   *     up
+   * @param timeout time without an answer after which a link is reopened and a query expires
    */
   public PeerLinks(
       EventLoopGroup loops,
@@ -41,7 +40,7 @@
     this.listener = listener;
   }
 
-  /** Keeps links to exactly these peers. */
+  /** Opens links to the given peers and closes the links to all others. */
   public void retain(Map<VmId, InetSocketAddress> peers) {
     peers.forEach(this::retain);
     for (VmId known : links.keySet()) {
@@ -51,12 +50,12 @@
     }
   }
 
-  /** Sends a heartbeat to each peer; opens links that are down. */
+  /** Sends a heartbeat to each peer, and opens the links that are down. */
   public void heartbeat() {
     links.values().forEach(PeerLink::heartbeat);
   }
 
-  /** Asks a peer for a configuration above a revision plus one. */
+  /** Requests a peer's configuration if its revision plus one is greater than the given number. */
   public void askConfiguration(VmId peer, long aboveRevisionPlusOne) {
     Optional.ofNullable(links.get(peer))
         .ifPresent(link -> link.askConfiguration(aboveRevisionPlusOne));
--- a/fescuehook/src/main/java/org/fescuehook/net/peer/PeerListener.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/peer/PeerListener.java
@@ -7,21 +7,23 @@
 import org.fescuehook.wire.OutcomeReply;
 import org.fescuehook.wire.RequestKey;
 
-/** What the program does with messages of peers. Called on Netty's loops; must not block. */
+/** Handles the messages of peers. Called on Netty's event loops; must not block. */
 public interface PeerListener {
 
-  /** Takes a heartbeat of a peer. */
+  /** Handles a heartbeat of a peer. */
   void heard(PeerReport report);
 
-  /** Takes a configuration that this VM asked a peer for. */
+  /** Handles a configuration that this VM requested from a peer. */
   void configurationReceived(ConfigurationReply reply);
 
-  /** Returns this VM's own heartbeat as of now. */
+  /** Returns this VM's current heartbeat. */
   Heartbeat heartbeat();
 
-  /** Returns what this VM knows of a request that it claimed. */
+  /** Returns the outcome of a request that this VM claimed; empty if it knows none. */
   Optional<OutcomeReply> outcome(RequestKey key);
 
-  /** Returns the configuration in force, if it is above a revision plus one. */
+  /**
+   * Returns the configuration in force if its revision plus one is greater than the given number.
+   */
   Optional<ConfigurationReply> configurationAbove(long revisionPlusOne);
 }
--- a/fescuehook/src/main/java/org/fescuehook/net/peer/PeerPipeline.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/peer/PeerPipeline.java
@@ -10,13 +10,13 @@
 import org.fescuehook.wire.Hello;
 import org.fescuehook.wire.PeerMessage;
 
-/** Codecs of the protocol between entry VMs. */
+/** Assembles the codecs of the protocol between entry VMs. */
 final class PeerPipeline {
 
   /** Version of the protocol; a peer of another version is refused. */
   static final int VERSION = 1;
 
-  /** Largest frame, in bytes: a record of the log, and room for its envelope. */
+  /** Size of the largest frame: a record of the log and its envelope. */
   static final int MAX_FRAME_BYTES = (1 << 20) + (64 << 10);
 
   private PeerPipeline() {}
@@ -31,7 +31,7 @@
         .addLast(handler);
   }
 
-  /** Returns the first message of this VM. */
+  /** Returns the hello, which is the first message of this VM on a connection. */
   static PeerMessage hello(IdentityPreferences identity, String incarnation) {
     Hello hello =
         Hello.newBuilder()
--- a/fescuehook/src/main/java/org/fescuehook/net/peer/PeerRefusal.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/peer/PeerRefusal.java
@@ -2,24 +2,24 @@
 
 import java.util.Locale;
 
-/** Why a connection of a peer is refused. Each has a counter. */
+/** The reasons to refuse a connection of a peer. Refusals are counted by reason. */
 enum PeerRefusal {
-  /** Another protocol version. */
+  /** The peer uses another protocol version. */
   VERSION,
-  /** A frame that is no message. */
+  /** A frame or a hello cannot be decoded or is invalid. */
   MALFORMED,
-  /** A frame beyond the size limit. */
+  /** A frame exceeds the size limit. */
   OVERSIZED,
-  /** A message that has no place at this point. */
+  /** A message is not allowed in the current state of the connection. */
   UNEXPECTED,
-  /** No hello within its time, or silence after it. */
+  /** No message arrived within the silence timeout, be it a hello or a later one. */
   SILENT,
-  /** More connections than the limit. */
+  /** The limit of open connections is exceeded. */
   TOO_MANY,
-  /** The peer says it has the name of this VM. */
+  /** The peer claims to have the name of this VM. */
   SAME_NAME;
 
-  /** Returns the word used on the wire and as metric tag. */
+  /** Returns the reason as it is written on the wire and in the metric's tag. */
   String slug() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
--- a/fescuehook/src/main/java/org/fescuehook/net/peer/PeerReports.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/peer/PeerReports.java
@@ -5,12 +5,12 @@
 import org.fescuehook.wire.Heartbeat;
 import org.fescuehook.wire.Hello;
 
-/** Turns messages of peers into reports. */
+/** Converts messages of peers to reports. */
 final class PeerReports {
 
   private PeerReports() {}
 
-  /** Returns the report of a heartbeat on the connection that a hello opened. */
+  /** Returns the report of a heartbeat on a connection that began with the given hello. */
   static PeerReport of(Hello hello, Heartbeat heartbeat) {
     return new PeerReport(
         new VmId(hello.getVm()),
--- a/fescuehook/src/main/java/org/fescuehook/net/peer/PeerServerHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/peer/PeerServerHandler.java
@@ -19,7 +19,7 @@
 import org.fescuehook.wire.PeerMessage;
 import org.fescuehook.wire.Refused;
 
-/** One accepted connection: a hello first, then heartbeats and questions. */
+/** Handles one accepted connection: expects a hello, then answers heartbeats and queries. */
 final class PeerServerHandler extends SimpleChannelInboundHandler<PeerMessage> {
 
   private static final int MAX_NAME_LENGTH = 255;
@@ -104,7 +104,7 @@
       case HEARTBEAT -> heard(context, hello, message.getHeartbeat());
       case OUTCOME_QUERY -> outcome(context, message.getOutcomeQuery());
       case CONFIGURATION_QUERY -> configuration(context, message.getConfigurationQuery());
-      // A message that a newer peer added within this protocol version.
+      // Ignores a message type that a newer peer has added within this protocol version.
       case BODY_NOT_SET -> {}
       case HELLO, OUTCOME_REPLY, CONFIGURATION_REPLY, REFUSED ->
           refuse(context, PeerRefusal.UNEXPECTED, message.getBodyCase().name());
--- a/fescuehook/src/main/java/org/fescuehook/net/peer/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/peer/package-info.java
@@ -1,4 +1,4 @@
-/** The protocol between entry VMs: heartbeats, outcomes of requests, configuration. */
+/** Exchanges heartbeats, outcomes of requests and configurations between entry VMs. */
 @NullMarked
 package org.fescuehook.net.peer;
 
--- a/fescuehook/src/main/java/org/fescuehook/net/platform/HttpLogService.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/platform/HttpLogService.java
@@ -18,7 +18,7 @@
 import org.fescuehook.net.http.HttpCallException;
 import org.fescuehook.net.http.HttpResult;
 
-/** The log service over HTTP, one connection for each instance; one duty thread uses it. */
+/** Accesses the log service over one HTTP connection. An instance is used by one duty thread. */
 public final class HttpLogService implements LogService {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -29,9 +29,9 @@
   private final BlockingHttpClient client;
 
   /**
-   * Creates the adapter; nothing is opened yet.
+   * Creates the adapter; the connection is opened by the first call.
    *
-   * @param timeout longest time for an answer, beyond the wait that a read asks for
+   * @param timeout time within which an answer must arrive, added to the wait of a read
    */
   public HttpLogService(EventLoop loop, InetSocketAddress address, Duration timeout) {
     this.address = address;
--- a/fescuehook/src/main/java/org/fescuehook/net/platform/HttpMemberList.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/platform/HttpMemberList.java
@@ -16,7 +16,7 @@
 import org.fescuehook.net.http.HttpCallException;
 import org.fescuehook.net.http.HttpResult;
 
-/** The list of VMs over HTTP, over one connection; one duty thread uses it. */
+/** Fetches the list of VMs over one HTTP connection. An instance is used by one duty thread. */
 public final class HttpMemberList implements MemberList {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -27,7 +27,7 @@
   private final Duration timeout;
   private final BlockingHttpClient client;
 
-  /** Creates the adapter; nothing is opened yet. */
+  /** Creates the adapter; the connection is opened by the first call. */
   public HttpMemberList(EventLoop loop, InetSocketAddress address, Duration timeout) {
     this.address = address;
     this.timeout = timeout;
--- a/fescuehook/src/main/java/org/fescuehook/net/platform/LogTail.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/platform/LogTail.java
@@ -12,7 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Follows one stream from its earliest kept record on. One duty thread calls {@link #step()}. */
+/** Reads one stream from its earliest retained record on. One duty thread calls {@link #step()}. */
 public final class LogTail {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(LogTail.class);
@@ -83,7 +83,7 @@
   private Duration wentBack(LogPage page) {
     meters.counter("fescuehook.log.went.back", "stream", stream).increment();
     EventLog.warn(LOGGER, PlatformEvent.LOG_WENT_BACK, stream, page.next(), next);
-    // What a lagging replica says is no knowledge of the log as it is now.
+    // The answer is that of a lagging replica and says nothing about the current end of the log.
     sink.reachable(false);
     return LONGEST_BACK_OFF;
   }
@@ -100,7 +100,7 @@
 
   private Duration failed(LogUnavailableException cause) {
     if (Thread.currentThread().isInterrupted()) {
-      // The duty is being stopped; this says nothing about the log.
+      // The duty is being stopped, so the failure does not mean that the log is unreachable.
       return Duration.ZERO;
     }
     meters.counter("fescuehook.log.read.failed", "stream", stream).increment();
@@ -109,7 +109,7 @@
       EventLog.warn(LOGGER, PlatformEvent.LOG_UNREACHABLE, stream, cause.getMessage());
     }
     failures++;
-    // A page of large records may be too large for one answer.
+    // The read may have failed because a page of large records exceeds the largest answer.
     most = Math.max(1, most / 2);
     sink.reachable(false);
     return backOff();
@@ -121,16 +121,16 @@
     return Duration.ofMillis(1 + ThreadLocalRandom.current().nextLong(bounded));
   }
 
-  /** Takes what is read. Called by the duty thread. */
+  /** Receives the records of a stream. Called by the duty thread. */
   public interface Sink {
 
-    /** Takes a record; false if it has no room, and the record is read again. */
+    /** Handles a record; returns false if it has no capacity for it, so that it is read again. */
     boolean record(LogRecord record);
 
-    /** Tells that the end was reached. */
+    /** Called when the end of the stream was reached. */
     void caughtUp(long earliest, long next);
 
-    /** Tells whether the last read succeeded. */
+    /** Reports whether the last read succeeded. */
     void reachable(boolean reachable);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/net/platform/PlatformEvent.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/platform/PlatformEvent.java
@@ -4,15 +4,15 @@
 
 /** Log events of the log service and the list of VMs. */
 public enum PlatformEvent implements NumberedEvent {
-  /** Reads of a stream began to fail. */
+  /** A read of a stream failed after earlier ones succeeded. */
   LOG_UNREACHABLE(3001, "cannot read stream {}: {}"),
   /** Reads of a stream succeed again. */
   LOG_REACHABLE(3002, "stream {} is read again after {} ms"),
   /** The log answered with an older end than before. */
   LOG_WENT_BACK(3003, "stream {} ends at {} although {} was read before; waiting for it"),
-  /** Records were lost to retention before this VM read them. */
+  /** Records expired by retention before this VM read them. */
   RECORDS_EXPIRED(3004, "stream {} starts at {}, {} records before it were not read"),
-  /** An append had no answer. */
+  /** An append got no answer, so its effect is unknown. */
   APPEND_UNKNOWN(3005, "an append to {} may or may not be in the log: {}"),
   /** The list cannot be fetched. */
   LIST_UNREACHABLE(3006, "cannot fetch the list of VMs: {}"),
--- a/fescuehook/src/main/java/org/fescuehook/net/platform/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/platform/package-info.java
@@ -1,4 +1,4 @@
-/** The platform's log service and list of VMs over HTTP. */
+/** Accesses the platform's log service and its list of VMs over HTTP. */
 @NullMarked
 package org.fescuehook.net.platform;
 
--- a/fescuehook/src/main/java/org/fescuehook/net/worker/HttpWorkerPort.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/worker/HttpWorkerPort.java
@@ -20,8 +20,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Commands to workers over HTTP. A command without a usable answer in time is reported as {@link
- * WorkerPort.WorkerReply.Silent}; it is never repeated here.
+ * Sends commands to workers over HTTP. A command without a usable answer in time is reported as
+ * {@link WorkerPort.WorkerReply.Silent} and never retried by this class.
  */
 public final class HttpWorkerPort implements WorkerPort {
 
@@ -37,8 +37,8 @@
   /**
    * Creates the adapter without any worker.
    *
-   * @param timeout longest time from a command to its answer
-   * @param sink where replies go; called on Netty's loops
+   * @param timeout time within which a command must be answered
+   * @param sink receives the replies; called on Netty's event loops
    */
   public HttpWorkerPort(
       EventLoopGroup loops, Duration timeout, Consumer<WorkerReply> sink, MeterRegistry meters) {
@@ -48,7 +48,7 @@
     this.meters = meters;
   }
 
-  /** Takes over the workers of a configuration; connections to others are closed. */
+  /** Applies the workers of a configuration; closes the connections to all others. */
   public void configurationInForce(Configuration configuration) {
     Map<WorkerId, Worker> declared =
         configuration.declarations().fleet().workers().stream()
--- a/fescuehook/src/main/java/org/fescuehook/net/worker/WorkerCodec.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/worker/WorkerCodec.java
@@ -18,14 +18,14 @@
 import org.fescuehook.net.http.HttpCall;
 import org.fescuehook.net.http.HttpResult;
 
-/** Turns commands into HTTP requests and answers into replies. */
+/** Encodes commands to workers as HTTP requests, and decodes the answers to replies. */
 final class WorkerCodec {
 
   private static final int BAD_REQUEST = 400;
   private static final int NOT_FOUND = 404;
   private static final int CONFLICT = 409;
 
-  /** Exit code of a shell whose command cannot be executed. */
+  /** Exit code of a shell for a command that cannot be executed. */
   private static final int CANNOT_EXECUTE = 126;
 
   private final ObjectMapper mapper = new ObjectMapper();
@@ -48,9 +48,9 @@
   }
 
   /**
-   * Returns the reply that an answer stands for.
+   * Decodes the answer to a command.
    *
-   * @throws IOException if the answer fits no reply
+   * @throws IOException if the answer is not a valid answer to the command
    */
   WorkerReply decode(WorkerId worker, WorkerCommand command, HttpResult.Answered answer)
       throws IOException {
@@ -108,7 +108,7 @@
     }
   }
 
-  /** A command that the worker cannot run is a failed task by the worker's word. */
+  /** Decodes the answer to a start. A worker that cannot run the command reports a failed task. */
   private static WorkerReply started(
       WorkerId worker, WorkerCommand.Start start, HttpResult.Answered answer) throws IOException {
     if (answer.status() == BAD_REQUEST) {
--- a/fescuehook/src/main/java/org/fescuehook/net/worker/WorkerConnections.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/worker/WorkerConnections.java
@@ -13,8 +13,8 @@
 import org.fescuehook.net.http.HttpResult;
 
 /**
- * Kept-alive connections to one worker, and the requests that wait for one. All state belongs to
- * one event loop.
+ * Pools persistent connections to one worker, and queues requests while all of them are busy. All
+ * state is confined to one event loop.
  */
 final class WorkerConnections {
 
@@ -34,18 +34,18 @@
     this.timeout = timeout;
   }
 
-  /** Returns the address that the connections lead to. */
+  /** Returns the address of the worker. */
   InetSocketAddress address() {
     return address;
   }
 
-  /** Sends a request when a connection is free; the time limit runs from now. */
+  /** Sends a request once a connection is free. The timeout starts now and includes that wait. */
   void send(HttpCall call, Consumer<HttpResult> sink) {
     long deadline = System.nanoTime() + timeout.toNanos();
     loop.execute(() -> accept(new Waiting(call, deadline, sink)));
   }
 
-  /** Closes all connections; requests under way fail. */
+  /** Closes the idle connections. */
   void close() {
     loop.execute(() -> idle.forEach(HttpClientConnection::close));
   }
--- a/fescuehook/src/main/java/org/fescuehook/net/worker/WorkerEvent.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/worker/WorkerEvent.java
@@ -2,11 +2,11 @@
 
 import org.fescuehook.model.event.NumberedEvent;
 
-/** Log events of the workers' adapter. */
+/** Log events of the communication with workers. */
 public enum WorkerEvent implements NumberedEvent {
-  /** A command had no answer in time. */
+  /** A command got no usable answer in time. */
   SILENT(4001, "no answer to {} from worker {}: {}"),
-  /** An answer fits no reply. */
+  /** A worker sent an answer that is not valid for the command. */
   BAD_ANSWER(4002, "unusable answer to {} from worker {}: {}");
 
   private final int number;
--- a/fescuehook/src/main/java/org/fescuehook/net/worker/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/worker/package-info.java
@@ -1,4 +1,4 @@
-/** Commands to workers over HTTP. */
+/** Sends commands to workers over HTTP. */
 @NullMarked
 package org.fescuehook.net.worker;
 
--- a/fescuehook/src/test/java/org/fescuehook/net/duty/DutyRingTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/duty/DutyRingTest.java
@@ -41,7 +41,7 @@
     ring.stop(Duration.ofSeconds(1));
   }
 
-  /** A duty that has nothing to do by itself is woken by an item alone. */
+  /** Guards against a duty with a long idle time that doesn't wake when an item arrives. */
   @Test
   void aDutyThatWantsToSleepIsWokenByAnItem() throws InterruptedException {
     CountDownLatch taken = new CountDownLatch(1);
@@ -54,8 +54,8 @@
   }
 
   /**
-   * A ring that is stopped right after its start: its thread may not have run yet, and then what
-   * the ring held was dropped.
+   * Guards against the loss of items when a ring is stopped right after its start, before its
+   * thread runs.
    */
   @Test
   void whatTheRingHoldsIsWorkedOffAlsoIfItIsStoppedBeforeItsThreadRuns() {
@@ -71,7 +71,8 @@
   }
 
   /**
-   * Wants to be left alone for a day, and fails the test by its silence if it is told of nothing.
+   * Requests an idle time of one day. If it is called as idle, it throws, and the test then gets no
+   * item.
    */
   private record Sleeper(CountDownLatch taken, CountDownLatch asked)
       implements DutyRing.Handler<String> {
@@ -102,7 +103,7 @@
     public void idle() {}
   }
 
-  /** Takes nothing before it is released. */
+  /** Blocks in the first item until it is released. */
   private record Blocked(CountDownLatch released) implements DutyRing.Handler<String> {
     @Override
     public void accept(String item) {
--- a/fescuehook/src/test/java/org/fescuehook/net/http/ScriptedServer.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/http/ScriptedServer.java
@@ -19,7 +19,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** An HTTP server that answers requests by a script, whichever connection they come on. */
+/** HTTP server that handles the requests of all connections by one script, in order of arrival. */
 public final class ScriptedServer implements Closeable {
 
   private static final Pattern LENGTH =
@@ -36,12 +36,12 @@
     start(this::acceptAll);
   }
 
-  /** What to do on a request. */
+  /** The reaction to a request. */
   public sealed interface Act {
-    /** Answers. */
+    /** Answers at once. */
     record Answer(int status, String body) implements Act {}
 
-    /** Answers some time after the request has come, and takes nothing else meanwhile. */
+    /** Answers after a delay, and reads nothing else from the connection meanwhile. */
     record LateAnswer(Duration delay, int status, String body) implements Act {}
 
     /** Never answers. */
@@ -56,17 +56,17 @@
     script.addAll(List.of(acts));
   }
 
-  /** Returns where it listens. */
+  /** Returns the address on which the server listens. */
   public InetSocketAddress address() {
     return (InetSocketAddress) server.getLocalSocketAddress();
   }
 
-  /** Returns the requests so far: request line, a space and the body. */
+  /** Returns the received requests, each as method and target, a space and the body. */
   public Queue<String> requests() {
     return requests;
   }
 
-  /** Returns the connections accepted so far. */
+  /** Returns the number of connections accepted so far. */
   public int accepted() {
     return accepted.get();
   }
@@ -88,7 +88,7 @@
         start(() -> serve(connection));
       }
     } catch (IOException e) {
-      // Closed.
+      // The server was closed.
     }
   }
 
@@ -101,7 +101,7 @@
         }
       }
     } catch (IOException e) {
-      // Closed by either end.
+      // The connection was closed by either side.
     }
   }
 
@@ -128,7 +128,7 @@
     connection.getOutputStream().write(bytes);
   }
 
-  /** Lets time pass on the connection's own thread; nothing in a test waits for it. */
+  /** Delays the connection's own thread; no thread of a test waits here. */
   private static void pass(Duration delay) throws IOException {
     try {
       new CountDownLatch(1).await(delay.toNanos(), TimeUnit.NANOSECONDS);
--- a/fescuehook/src/test/java/org/fescuehook/net/listen/MachineIdTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/listen/MachineIdTest.java
@@ -9,7 +9,7 @@
 
 class MachineIdTest {
 
-  /** Netty takes 6 or 8 bytes in this notation, and warns of any other. */
+  /** Netty accepts 6 or 8 bytes in this notation, and logs a warning for any other id. */
   @Test
   void anIdIsEightBytesAsNettyReadsThem() {
     String id = MachineId.of(new VmId("vm-1"));
--- a/fescuehook/src/test/java/org/fescuehook/net/peer/PeerLinkTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/peer/PeerLinkTest.java
@@ -47,7 +47,9 @@
       try (Socket silent = peer.accept()) {
         assertEquals("entry-2", hello(silent));
 
-        // The peer accepted and never answers, as on a path that lost track of the connection.
+        // The peer accepts the connection and never answers, as when a firewall or a NAT on the
+        // path
+        // drops the connection's state.
         try (Socket next = beatUntilAccepted(peer)) {
           assertEquals("entry-2", hello(next));
         }
@@ -62,7 +64,7 @@
       try {
         return peer.accept();
       } catch (SocketTimeoutException e) {
-        // Not opened yet; the next heartbeat looks again.
+        // The link is not opened yet; the next heartbeat checks again.
       }
     }
     throw new AssertionError("the link was not opened anew");
--- a/fescuehook/src/test/java/org/fescuehook/net/peer/PeerProtocolTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/peer/PeerProtocolTest.java
@@ -170,14 +170,14 @@
     }
   }
 
-  /** Closes the sending half, so that a noise that waits for more bytes ends as well. */
+  /** Sends bytes and closes the sending side, so that an incomplete frame ends as well. */
   private void sendAndAwaitEnd(byte[] bytes) throws IOException {
     try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
       socket.getOutputStream().write(bytes);
       socket.shutdownOutput();
       socket.getInputStream().readAllBytes();
     } catch (IOException e) {
-      // A reset: the server closed with bytes unread.
+      // The connection was reset, as the server closed it before reading all bytes.
     }
   }
 
@@ -190,7 +190,7 @@
   private static <T> T take(BlockingQueue<T> queue) throws InterruptedException {
     T taken = queue.poll(20, TimeUnit.SECONDS);
     if (taken == null) {
-      throw new AssertionError("nothing came");
+      throw new AssertionError("nothing was received in time");
     }
     return taken;
   }
--- a/fescuehook/src/test/java/org/fescuehook/net/peer/RecordingListener.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/peer/RecordingListener.java
@@ -9,7 +9,7 @@
 import org.fescuehook.wire.OutcomeReply;
 import org.fescuehook.wire.RequestKey;
 
-/** Keeps what peers said; knows one request and one configuration. */
+/** Records the messages of peers; knows the outcome of one request and one configuration. */
 final class RecordingListener implements PeerListener {
 
   static final RequestKey KNOWN =
--- a/fescuehook/src/test/java/org/fescuehook/net/worker/DrippedAnswerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/worker/DrippedAnswerTest.java
@@ -25,8 +25,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Pattern: a worker's answer comes in drips. A request to a worker has a time limit that runs from
- * its sending, whatever comes meanwhile; its client waits no longer.
+ * Guards against a request that never times out because the worker's answer trickles in byte by
+ * byte. The timeout must run from the sending of the request, whatever has arrived since.
  */
 class DrippedAnswerTest {
 
@@ -34,7 +34,7 @@
   private static final int MANY = 1000;
   private static final long DRIP_MILLIS = 200;
 
-  /** Ten times the limit; an answer that is waited for as long as it drips takes longer. */
+  /** Ten times the timeout; the complete answer takes far longer. */
   private static final long PATIENCE_MILLIS = 5000;
 
   private final EventLoopGroup loops =
@@ -68,7 +68,7 @@
     try {
       out.write('x');
     } catch (IOException e) {
-      // The client gave up.
+      // The client closed the connection.
     }
   }
 
