--- a/fescuehook/src/main/java/org/fescuehook/net/duty/WaitWatch.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/duty/BacklogLogThrottle.java
@@ -7,15 +7,15 @@
  * Decides when to log that items of a ring wait for too long, and limits the rate of these log
  * events under load.
  */
-final class WaitWatch {
+final class BacklogLogThrottle {
 
   /** Wait of an item above which the duty is considered behind: ten ticks of the decision duty. */
-  private static final long BEHIND_NANOS = Duration.ofMillis(500).toNanos();
+  private static final long BACKLOG_THRESHOLD_NANOS = Duration.ofMillis(500).toNanos();
 
   /** Minimum time between two log events of one ring. */
-  private static final long PAUSE_NANOS = Duration.ofSeconds(1).toNanos();
+  private static final long MIN_LOG_INTERVAL_NANOS = Duration.ofSeconds(1).toNanos();
 
-  private OptionalLong toldAt = OptionalLong.empty();
+  private OptionalLong lastLoggedNanos = OptionalLong.empty();
 
   /**
    * Returns whether to log the wait of an item.
@@ -23,12 +23,14 @@
    * @param waitNanos time for which the item has waited
    * @param nowNanos current monotonic time
    */
-  boolean tells(long waitNanos, long nowNanos) {
-    boolean justTold = toldAt.isPresent() && nowNanos - toldAt.getAsLong() < PAUSE_NANOS;
-    if (waitNanos <= BEHIND_NANOS || justTold) {
+  boolean shouldLog(long waitNanos, long nowNanos) {
+    boolean loggedRecently =
+        lastLoggedNanos.isPresent()
+            && nowNanos - lastLoggedNanos.getAsLong() < MIN_LOG_INTERVAL_NANOS;
+    if (waitNanos <= BACKLOG_THRESHOLD_NANOS || loggedRecently) {
       return false;
     }
-    toldAt = OptionalLong.of(nowNanos);
+    lastLoggedNanos = OptionalLong.of(nowNanos);
     return true;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/net/duty/DutyRing.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/duty/DutyRing.java
@@ -19,9 +19,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A bounded ring in front of one duty thread. A full ring refuses and counts it; nobody waits.
+ * Bounded ring buffer that hands items over to one duty thread. If the ring is full, an offer is
+ * refused and counted, and never blocks.
  *
- * @param <T> what is handed over
+ * @param <T> type of the items
  */
 public final class DutyRing<T> {
 
@@ -34,13 +35,14 @@
   private final Counter refused;
   private final Timer waited;
   private final CountDownLatch running = new CountDownLatch(1);
-  private volatile Optional<Handler<T>> started = Optional.empty();
+  private volatile Optional<Handler<T>> activeHandler = Optional.empty();
 
   /**
    * Creates a ring whose thread has not started.
    *
    * @param size number of slots, a power of two
-   * @param idle time without an item after which the handler is told, unless it wants more
+   * @param idle time without an item after which {@link Handler#idle()} is called, unless {@link
+   *     Handler#longestIdle} returns another time
    */
   public DutyRing(String name, int size, Duration idle, MeterRegistry meters) {
     this.name = name;
@@ -51,7 +53,7 @@
             size,
             task -> daemon(task, name),
             ProducerType.MULTI,
-            new VaryingTimeoutWait(this::longestIdle));
+            new VariableTimeoutWaitStrategy(this::longestIdle));
     this.ring = disruptor.getRingBuffer();
     this.refused = meters.counter("fescuehook.ring.refused", "ring", name);
     this.waited = Timer.builder("fescuehook.ring.waited").tag("ring", name).register(meters);
@@ -62,39 +64,42 @@
 
   /** Starts the thread. */
   public void start(Handler<T> handler) {
-    started = Optional.of(handler);
+    activeHandler = Optional.of(handler);
     disruptor.setDefaultExceptionHandler(new FaultLogger<>(name));
     disruptor.handleEventsWith(new SlotHandler(handler));
     disruptor.start();
   }
 
   private Duration longestIdle() {
-    return started.map(handler -> handler.longestIdle(idle)).orElse(idle);
+    return activeHandler.map(handler -> handler.longestIdle(idle)).orElse(idle);
   }
 
-  /** Hands an item over; false if the ring is full. */
+  /** Publishes an item; returns false if the ring is full. */
   public boolean offer(T item) {
-    boolean taken = ring.tryPublishEvent((slot, sequence, given) -> slot.fill(given), item);
-    if (!taken) {
+    boolean accepted = ring.tryPublishEvent((slot, sequence, offered) -> slot.fill(offered), item);
+    if (!accepted) {
       refused.increment();
     }
-    return taken;
+    return accepted;
   }
 
   /**
-   * Hands an item over that leaves some places free for others; false if it would not.
+   * Publishes an item unless that leaves fewer slots free than are reserved for other items;
+   * returns false if it does.
    *
-   * @param kept places that have to stay free
+   * @param reserved number of slots that must stay free
    */
-  public boolean offer(T item, int kept) {
-    if (ring.remainingCapacity() <= kept) {
+  public boolean offer(T item, int reserved) {
+    if (ring.remainingCapacity() <= reserved) {
       refused.increment();
       return false;
     }
     return offer(item);
   }
 
-  /** Lets the thread finish what the ring holds, up to a limit, and ends it. */
+  /**
+   * Waits up to a limit until the thread has handled all items in the ring, and ends the thread.
+   */
   public void stop(Duration limit) {
     long deadline = System.nanoTime() + limit.toNanos();
     try {
@@ -108,9 +113,12 @@
     }
   }
 
-  /** The library ends a ring whose thread does not run yet without working off what it holds. */
+  /**
+   * Waits until the thread runs. The Disruptor library drops the items of a ring that is shut down
+   * before its thread has started.
+   */
   private void awaitThread(Duration limit) throws InterruptedException {
-    if (started.isPresent() && !running.await(limit.toNanos(), TimeUnit.NANOSECONDS)) {
+    if (activeHandler.isPresent() && !running.await(limit.toNanos(), TimeUnit.NANOSECONDS)) {
       EventLog.warn(LOGGER, DutyEvent.RING_NOT_RUNNING, name, limit.toMillis());
     }
   }
@@ -122,32 +130,32 @@
   }
 
   /**
-   * Works on the items.
+   * Handles the items of a ring, on its thread.
    *
-   * @param <T> what is handed over
+   * @param <T> type of the items
    */
   public interface Handler<T> {
 
-    /** Takes an item. */
+    /** Handles an item. */
     void accept(T item);
 
     /**
-     * Takes an item.
+     * Handles an item.
      *
-     * @param more whether further items wait already
+     * @param more whether further items are already in the ring
      */
     default void accept(T item, boolean more) {
       accept(item);
     }
 
-    /** Tells that nothing came for a while. */
+    /** Called when no item has arrived for the time of {@link #longestIdle}. */
     void idle();
 
     /**
-     * Returns after which time without an item to call {@link #idle()} next; asked by the duty's
-     * thread.
+     * Returns the time without an item after which {@link #idle()} is called next. Called by the
+     * duty's thread before each wait.
      *
-     * @param usual the ring's own time
+     * @param usual the default of the ring
      */
     default Duration longestIdle(Duration usual) {
       return usual;
@@ -156,15 +164,15 @@
 
   private static final class Slot<T> {
     private Optional<T> item = Optional.empty();
-    private long offeredAt;
+    private long offeredAtNanos;
 
-    void fill(T given) {
-      item = Optional.of(given);
-      offeredAt = System.nanoTime();
+    void fill(T offered) {
+      item = Optional.of(offered);
+      offeredAtNanos = System.nanoTime();
     }
 
-    long offeredAt() {
-      return offeredAt;
+    long offeredAtNanos() {
+      return offeredAtNanos;
     }
 
     Optional<T> take() {
@@ -176,7 +184,7 @@
 
   private final class SlotHandler implements EventHandler<Slot<T>> {
     private final Handler<T> handler;
-    private final WaitWatch watch = new WaitWatch();
+    private final BacklogLogThrottle throttle = new BacklogLogThrottle();
 
     SlotHandler(Handler<T> handler) {
       this.handler = handler;
@@ -189,17 +197,17 @@
 
     @Override
     public void onEvent(Slot<T> slot, long sequence, boolean endOfBatch) {
-      noteWait(slot.offeredAt(), sequence);
+      recordWait(slot.offeredAtNanos(), sequence);
       boolean more = ring.getCursor() > sequence;
       slot.take().ifPresent(item -> handler.accept(item, more));
     }
 
-    private void noteWait(long offeredAt, long sequence) {
+    private void recordWait(long offeredAtNanos, long sequence) {
       long now = System.nanoTime();
-      long wait = now - offeredAt;
-      waited.record(wait, TimeUnit.NANOSECONDS);
-      if (watch.tells(wait, now)) {
-        long millis = Duration.ofNanos(wait).toMillis();
+      long waitNanos = now - offeredAtNanos;
+      waited.record(waitNanos, TimeUnit.NANOSECONDS);
+      if (throttle.shouldLog(waitNanos, now)) {
+        long millis = Duration.ofNanos(waitNanos).toMillis();
         EventLog.warn(LOGGER, DutyEvent.RING_BEHIND, name, millis, ring.getCursor() - sequence);
       }
     }
--- a/fescuehook/src/main/java/org/fescuehook/net/duty/RepeatingDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/duty/RepeatingDuty.java
@@ -80,11 +80,11 @@
   }
 
   private void pause(Duration duration) {
-    long left = duration.toNanos();
+    long remainingNanos = duration.toNanos();
     lock.lock();
     try {
-      while (!stopping && !woken && left > 0) {
-        left = changed.awaitNanos(left);
+      while (!stopping && !woken && remainingNanos > 0) {
+        remainingNanos = changed.awaitNanos(remainingNanos);
       }
       woken = false;
     } catch (InterruptedException e) {
--- a/fescuehook/src/main/java/org/fescuehook/net/duty/VaryingTimeoutWait.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/duty/VariableTimeoutWaitStrategy.java
@@ -14,7 +14,7 @@
  * Disruptor library's own strategy has a fixed timeout, with which a duty that has nothing
  * scheduled would wake as often as one that must renew leases.
  */
-final class VaryingTimeoutWait implements WaitStrategy {
+final class VariableTimeoutWaitStrategy implements WaitStrategy {
 
   private final Object mutex = new Object();
   private final Supplier<Duration> timeout;
@@ -24,19 +24,19 @@
    *
    * @param timeout returns the next timeout; called by the duty's thread before each wait
    */
-  VaryingTimeoutWait(Supplier<Duration> timeout) {
+  VariableTimeoutWaitStrategy(Supplier<Duration> timeout) {
     this.timeout = timeout;
   }
 
   @Override
   public long waitFor(long sequence, Sequence cursor, Sequence dependent, SequenceBarrier barrier)
       throws AlertException, InterruptedException, TimeoutException {
-    long left = timeout.get().toNanos();
+    long remainingNanos = timeout.get().toNanos();
     synchronized (mutex) {
       while (cursor.get() < sequence) {
         barrier.checkAlert();
-        left = Util.awaitNanos(mutex, left);
-        if (left <= 0) {
+        remainingNanos = Util.awaitNanos(mutex, remainingNanos);
+        if (remainingNanos <= 0) {
           throw TimeoutException.INSTANCE;
         }
       }
--- a/fescuehook/src/main/java/org/fescuehook/net/http/HttpClientConnection.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/http/HttpClientConnection.java
@@ -48,12 +48,12 @@
   private Optional<Exchange> current = Optional.empty();
 
   /** Time at which the last request was started. */
-  private long begunAt;
+  private long startedAtNanos;
 
   /** Time at which the first part of its answer arrived; empty if none has. */
-  private OptionalLong firstPartAt = OptionalLong.empty();
+  private OptionalLong firstPartAtNanos = OptionalLong.empty();
 
-  private long lastPartAt;
+  private long lastPartAtNanos;
 
   /** Creates a connection that is opened with the first request. */
   public HttpClientConnection(EventLoop loop, InetSocketAddress peer, Duration connectTimeout) {
@@ -75,13 +75,13 @@
   /** Returns whether a part of the current answer has arrived within the given time until now. */
   public boolean heardWithin(Duration time) {
     return current.isPresent()
-        && firstPartAt.isPresent()
-        && System.nanoTime() - lastPartAt <= time.toNanos();
+        && firstPartAtNanos.isPresent()
+        && System.nanoTime() - lastPartAtNanos <= time.toNanos();
   }
 
   /** Returns the time until the first part of the last answer arrived; zero if none has. */
   public long firstPartNanos() {
-    return firstPartAt.isPresent() ? firstPartAt.getAsLong() - begunAt : 0;
+    return firstPartAtNanos.isPresent() ? firstPartAtNanos.getAsLong() - startedAtNanos : 0;
   }
 
   /** Closes the connection, even while it is being opened; a request in progress fails. */
@@ -89,7 +89,7 @@
     loop.execute(
         () -> {
           current.ifPresent(exchange -> fail(exchange, new IOException("closed by this side")));
-          drop();
+          closeChannel();
         });
   }
 
@@ -100,8 +100,8 @@
       return;
     }
     current = Optional.of(exchange);
-    begunAt = System.nanoTime();
-    firstPartAt = OptionalLong.empty();
+    startedAtNanos = System.nanoTime();
+    firstPartAtNanos = OptionalLong.empty();
     exchange.deadline =
         Optional.of(
             loop.schedule(
@@ -169,14 +169,14 @@
       return;
     }
     current = Optional.empty();
-    drop();
+    closeChannel();
     exchange.end(new HttpResult.Failed(cause, exchange.maybeSent));
   }
 
-  private void drop() {
-    Optional<Channel> dropped = channel;
+  private void closeChannel() {
+    Optional<Channel> closing = channel;
     channel = Optional.empty();
-    dropped.ifPresent(Channel::close);
+    closing.ifPresent(Channel::close);
   }
 
   private void answered(Channel from, FullHttpResponse response) {
@@ -187,7 +187,7 @@
     Exchange exchange = current.get();
     current = Optional.empty();
     if (!HttpUtil.isKeepAlive(response)) {
-      drop();
+      closeChannel();
     }
     exchange.end(
         new HttpResult.Answered(
@@ -237,8 +237,9 @@
     @Override
     public void channelRead(ChannelHandlerContext context, Object part) {
       if (channel.filter(context.channel()::equals).isPresent()) {
-        lastPartAt = System.nanoTime();
-        firstPartAt = firstPartAt.isPresent() ? firstPartAt : OptionalLong.of(lastPartAt);
+        lastPartAtNanos = System.nanoTime();
+        firstPartAtNanos =
+            firstPartAtNanos.isPresent() ? firstPartAtNanos : OptionalLong.of(lastPartAtNanos);
       }
       context.fireChannelRead(part);
     }
--- a/fescuehook/src/main/java/org/fescuehook/net/listen/MachineId.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/listen/MachineId.java
@@ -15,7 +15,7 @@
   private static final String PROPERTY = "io.netty.machineId";
 
   /** Length of the machine id. */
-  private static final int BYTES = 8;
+  private static final int ID_BYTES = 8;
 
   private MachineId() {}
 
@@ -30,7 +30,7 @@
         UUID.nameUUIDFromBytes(vm.value().getBytes(StandardCharsets.UTF_8))
             .toString()
             .replace("-", "");
-    byte[] bytes = HexFormat.of().parseHex(digest, 0, 2 * BYTES);
+    byte[] bytes = HexFormat.of().parseHex(digest, 0, 2 * ID_BYTES);
     return HexFormat.ofDelimiter(":").formatHex(bytes);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/net/operator/OperatorHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/operator/OperatorHandler.java
@@ -30,14 +30,14 @@
 
   private static final Logger LOGGER = LoggerFactory.getLogger(OperatorHandler.class);
   private static final int MAX_PIPELINED = 16;
-  private static final int ANSWER_LIMIT_SECONDS = 20;
+  private static final int ANSWER_TIMEOUT_SECONDS = 20;
 
   private final OperatorToken token;
   private final OperatorRouter router;
   private final MeterRegistry meters;
   private final Deque<Call> waiting = new ArrayDeque<>();
   private boolean busy;
-  private long current;
+  private long currentNumber;
 
   OperatorHandler(OperatorToken token, OperatorRouter router, MeterRegistry meters) {
     this.token = token;
@@ -66,7 +66,8 @@
     }
     busy = true;
     Call call = waiting.poll();
-    if (!OperatorRouter.open(call.target.path()) && !token.admits(call.authorization)) {
+    if (!OperatorRouter.isServedWithoutToken(call.target.path())
+        && !token.admits(call.authorization)) {
       count("token");
       EventLog.warn(
           LOGGER,
@@ -80,10 +81,10 @@
     if (call.target.path().equals("/drain")) {
       EventLog.info(LOGGER, OperatorEvent.DRAIN_ASKED, context.channel().remoteAddress());
     }
-    long number = ++current;
+    long number = ++currentNumber;
     context
         .executor()
-        .schedule(() -> giveUp(context, call, number), ANSWER_LIMIT_SECONDS, TimeUnit.SECONDS);
+        .schedule(() -> expire(context, call, number), ANSWER_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     router.route(
         call.method,
         call.target,
@@ -93,13 +94,13 @@
 
   private void answerOnce(
       ChannelHandlerContext context, Call call, long number, OperatorAnswer answer) {
-    if (busy && number == current) {
+    if (busy && number == currentNumber) {
       answer(context, call, answer);
     }
   }
 
-  private void giveUp(ChannelHandlerContext context, Call call, long number) {
-    if (!busy || number != current) {
+  private void expire(ChannelHandlerContext context, Call call, long number) {
+    if (!busy || number != currentNumber) {
       return;
     }
     count("no-answer");
@@ -125,7 +126,7 @@
     if (!call.keepAlive) {
       response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     }
-    current++;
+    currentNumber++;
     ChannelFuture written = context.writeAndFlush(response);
     if (!call.keepAlive) {
       written.addListener(ChannelFutureListener.CLOSE);
--- a/fescuehook/src/main/java/org/fescuehook/net/operator/OperatorRouter.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/operator/OperatorRouter.java
@@ -41,7 +41,7 @@
   /**
    * Returns whether a path is served without a token, since a load balancer's probes carry none.
    */
-  static boolean open(String path) {
+  static boolean isServedWithoutToken(String path) {
     return path.equals("/livez") || path.equals("/readyz");
   }
 
@@ -107,15 +107,15 @@
   private ObjectNode statusBody(String controlDocument) {
     VmStatus vm = backend.status();
     ObjectNode body = mapper.createObjectNode();
-    ObjectNode own = body.putObject("vm");
-    own.put("name", vm.vm()).put("domain", vm.domain()).put("incarnation", vm.incarnation());
-    own.put("ready", vm.notReady().isEmpty());
-    vm.notReady().ifPresent(why -> own.put("notReady", why));
-    own.put("revision", vm.revision()).put("logReachable", vm.logReachable());
-    own.put("inFlight", vm.inFlight());
-    putAll(own.putArray("peers"), vm.peers());
-    putAll(own.putArray("peersReachingLog"), vm.peersReachingLog());
-    putAll(own.putArray("leaving"), vm.leaving());
+    ObjectNode vmNode = body.putObject("vm");
+    vmNode.put("name", vm.vm()).put("domain", vm.domain()).put("incarnation", vm.incarnation());
+    vmNode.put("ready", vm.notReady().isEmpty());
+    vm.notReady().ifPresent(why -> vmNode.put("notReady", why));
+    vmNode.put("revision", vm.revision()).put("logReachable", vm.logReachable());
+    vmNode.put("inFlight", vm.inFlight());
+    putAll(vmNode.putArray("peers"), vm.peers());
+    putAll(vmNode.putArray("peersReachingLog"), vm.peersReachingLog());
+    putAll(vmNode.putArray("leaving"), vm.leaving());
     try {
       body.set("control", mapper.readTree(controlDocument));
     } catch (JsonProcessingException e) {
@@ -156,10 +156,10 @@
     }
   }
 
-  private OperatorAnswer found(Optional<Configuration> configuration, String otherwise) {
+  private OperatorAnswer found(Optional<Configuration> configuration, String notFoundDetail) {
     return configuration
         .map(present -> OperatorAnswer.json(OK, document(present)))
-        .orElseGet(() -> OperatorAnswer.error(NOT_FOUND, "not-found", otherwise));
+        .orElseGet(() -> OperatorAnswer.error(NOT_FOUND, "not-found", notFoundDetail));
   }
 
   private ObjectNode document(Configuration configuration) {
@@ -233,8 +233,8 @@
 
   private void ask(
       Request request, Function<Answer, OperatorAnswer> onAnswer, Consumer<OperatorAnswer> sink) {
-    boolean taken = control.offer(request, answer -> sink.accept(onAnswer.apply(answer)));
-    if (!taken) {
+    boolean accepted = control.offer(request, answer -> sink.accept(onAnswer.apply(answer)));
+    if (!accepted) {
       sink.accept(
           OperatorAnswer.error(UNAVAILABLE, "queue-full", "the decision ring is full")
               .retryAfter(1));
--- a/fescuehook/src/main/java/org/fescuehook/net/peer/PeerLink.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/peer/PeerLink.java
@@ -38,7 +38,7 @@
 
   private static final Logger LOGGER = LoggerFactory.getLogger(PeerLink.class);
   private static final int MAX_QUERIES = 4096;
-  private static final Duration LONGEST_BACK_OFF = Duration.ofSeconds(5);
+  private static final Duration MAX_BACKOFF = Duration.ofSeconds(5);
 
   private final EventLoop loop;
   private final VmId peer;
@@ -48,7 +48,7 @@
   private final PeerListener listener;
   private final Map<Long, Consumer<Optional<OutcomeReply>>> queries = new HashMap<>();
   private Optional<Channel> channel = Optional.empty();
-  private Optional<Hello> greeted = Optional.empty();
+  private Optional<Hello> peerHello = Optional.empty();
   private boolean connecting;
   private boolean closed;
   private int failures;
@@ -78,7 +78,7 @@
 
   /** Sends a heartbeat, or opens the connection if it is down or the peer has timed out. */
   void heartbeat() {
-    loop.execute(this::beat);
+    loop.execute(this::sendHeartbeatOrConnect);
   }
 
   /**
@@ -96,7 +96,7 @@
    * not reply within the timeout.
    */
   void askOutcome(RequestKey key, Consumer<Optional<OutcomeReply>> sink) {
-    loop.execute(() -> ask(key, sink));
+    loop.execute(() -> sendOutcomeQuery(key, sink));
   }
 
   /** Closes the connection; it is not opened again. */
@@ -104,21 +104,21 @@
     loop.execute(
         () -> {
           closed = true;
-          down("closed");
+          disconnect("closed");
         });
   }
 
-  private void beat() {
+  private void sendHeartbeatOrConnect() {
     if (channel.isEmpty()) {
       connect();
       return;
     }
     if (System.nanoTime() - lastHeardNanos > timeout.toNanos()) {
-      down("no answer within " + timeout.toMillis() + " ms");
+      disconnect("no answer within " + timeout.toMillis() + " ms");
       connect();
       return;
     }
-    if (greeted.isPresent()) {
+    if (peerHello.isPresent()) {
       send(PeerMessage.newBuilder().setHeartbeat(listener.heartbeat()).build());
     }
   }
@@ -141,7 +141,7 @@
   private void connected(ChannelFuture opened) {
     connecting = false;
     if (!opened.isSuccess()) {
-      backOff();
+      scheduleReconnect();
       return;
     }
     if (closed) {
@@ -153,30 +153,29 @@
     opened.channel().writeAndFlush(hello);
   }
 
-  private void backOff() {
+  private void scheduleReconnect() {
     failures = Math.min(failures + 1, 10);
-    long ceiling =
-        Math.min(LONGEST_BACK_OFF.toNanos(), TimeUnit.MILLISECONDS.toNanos(100L << failures));
+    long ceiling = Math.min(MAX_BACKOFF.toNanos(), TimeUnit.MILLISECONDS.toNanos(100L << failures));
     nextConnectNanos = System.nanoTime() + ThreadLocalRandom.current().nextLong(ceiling);
   }
 
-  private void down(String cause) {
+  private void disconnect(String cause) {
     if (channel.isEmpty()) {
       return;
     }
-    Channel lost = channel.get();
+    Channel closing = channel.get();
     channel = Optional.empty();
-    greeted = Optional.empty();
-    lost.close();
-    backOff();
+    peerHello = Optional.empty();
+    closing.close();
+    scheduleReconnect();
     Map<Long, Consumer<Optional<OutcomeReply>>> unanswered = Map.copyOf(queries);
     queries.clear();
     unanswered.values().forEach(sink -> sink.accept(Optional.empty()));
     EventLog.info(LOGGER, PeerEvent.LINK_DOWN, peer, address, cause);
   }
 
-  private void ask(RequestKey key, Consumer<Optional<OutcomeReply>> sink) {
-    if (greeted.isEmpty() || queries.size() >= MAX_QUERIES) {
+  private void sendOutcomeQuery(RequestKey key, Consumer<Optional<OutcomeReply>> sink) {
+    if (peerHello.isEmpty() || queries.size() >= MAX_QUERIES) {
       sink.accept(Optional.empty());
       return;
     }
@@ -195,7 +194,7 @@
   }
 
   private void send(PeerMessage message) {
-    if (greeted.isPresent()) {
+    if (peerHello.isPresent()) {
       channel.ifPresent(open -> open.writeAndFlush(message));
     }
   }
@@ -205,44 +204,45 @@
       return;
     }
     lastHeardNanos = System.nanoTime();
-    if (greeted.isEmpty()) {
-      greet(message);
+    if (peerHello.isEmpty()) {
+      handleHello(message);
       return;
     }
     switch (message.getBodyCase()) {
-      case HEARTBEAT -> listener.heard(PeerReports.of(greeted.get(), message.getHeartbeat()));
+      case HEARTBEAT -> listener.heard(PeerReports.of(peerHello.get(), message.getHeartbeat()));
       case OUTCOME_REPLY ->
           resolve(message.getOutcomeReply().getQuery(), Optional.of(message.getOutcomeReply()));
       case CONFIGURATION_REPLY -> listener.configurationReceived(message.getConfigurationReply());
       case REFUSED -> refusedBy(message.getRefused().getReason());
       case BODY_NOT_SET -> {}
-      case HELLO, OUTCOME_QUERY, CONFIGURATION_QUERY -> down("unexpected " + message.getBodyCase());
+      case HELLO, OUTCOME_QUERY, CONFIGURATION_QUERY ->
+          disconnect("unexpected " + message.getBodyCase());
     }
   }
 
-  private void greet(PeerMessage message) {
+  private void handleHello(PeerMessage message) {
     if (message.hasRefused()) {
       refusedBy(message.getRefused().getReason());
       return;
     }
     Hello answer = message.getHello();
     if (!message.hasHello() || answer.getProtocolVersion() != PeerPipeline.VERSION) {
-      down("no hello of version " + PeerPipeline.VERSION);
+      disconnect("no hello of version " + PeerPipeline.VERSION);
       return;
     }
     if (!answer.getVm().equals(peer.value())) {
-      down("answered as " + answer.getVm());
+      disconnect("answered as " + answer.getVm());
       return;
     }
-    greeted = Optional.of(answer);
+    peerHello = Optional.of(answer);
     failures = 0;
     EventLog.info(LOGGER, PeerEvent.LINK_UP, peer, address);
-    beat();
+    sendHeartbeatOrConnect();
   }
 
   private void refusedBy(String reason) {
     EventLog.warn(LOGGER, PeerEvent.REFUSED_BY_PEER, peer, address, reason);
-    down("refused: " + reason);
+    disconnect("refused: " + reason);
   }
 
   private final class Initializer extends ChannelInitializer<SocketChannel> {
@@ -271,7 +271,7 @@
     private void lost(ChannelHandlerContext context, String cause) {
       context.close();
       if (channel.filter(context.channel()::equals).isPresent()) {
-        down(cause);
+        disconnect(cause);
       }
     }
   }
--- a/fescuehook/src/main/java/org/fescuehook/net/peer/PeerServer.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/peer/PeerServer.java
@@ -29,7 +29,7 @@
   private final EventLoopGroup loops;
   private final IdentityPreferences identity;
   private final String incarnation;
-  private final Duration silence;
+  private final Duration silenceTimeout;
   private final PeerListener listener;
   private final MeterRegistry meters;
   private final ChannelGroup channels = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
@@ -37,19 +37,19 @@
   /**
    * Creates a server that is not open yet.
    *
-   * @param silence time without a message after which a connection is closed
+   * @param silenceTimeout time without a message after which a connection is closed
    */
   public PeerServer(
       EventLoopGroup loops,
       IdentityPreferences identity,
       String incarnation,
-      Duration silence,
+      Duration silenceTimeout,
       PeerListener listener,
       MeterRegistry meters) {
     this.loops = loops;
     this.identity = identity;
     this.incarnation = incarnation;
-    this.silence = silence;
+    this.silenceTimeout = silenceTimeout;
     this.listener = listener;
     this.meters = meters;
   }
@@ -99,7 +99,7 @@
       channels.add(channel);
       PeerPipeline.assemble(
           channel.pipeline(),
-          new PeerServerHandler(PeerServer.this, identity, incarnation, silence, listener));
+          new PeerServerHandler(PeerServer.this, identity, incarnation, silenceTimeout, listener));
     }
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/net/peer/PeerServerHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/peer/PeerServerHandler.java
@@ -27,7 +27,7 @@
   private final PeerServer server;
   private final IdentityPreferences identity;
   private final String incarnation;
-  private final Duration silence;
+  private final Duration silenceTimeout;
   private final PeerListener listener;
   private Optional<Hello> peer = Optional.empty();
   private Optional<Future<?>> silenceCheck = Optional.empty();
@@ -38,25 +38,28 @@
       PeerServer server,
       IdentityPreferences identity,
       String incarnation,
-      Duration silence,
+      Duration silenceTimeout,
       PeerListener listener) {
     this.server = server;
     this.identity = identity;
     this.incarnation = incarnation;
-    this.silence = silence;
+    this.silenceTimeout = silenceTimeout;
     this.listener = listener;
   }
 
   @Override
   public void channelActive(ChannelHandlerContext context) {
     lastMessageNanos = System.nanoTime();
-    long period = silence.toMillis();
+    long periodMillis = silenceTimeout.toMillis();
     silenceCheck =
         Optional.of(
             context
                 .executor()
                 .scheduleAtFixedRate(
-                    () -> closeIfSilent(context), period, period, TimeUnit.MILLISECONDS));
+                    () -> closeIfSilent(context),
+                    periodMillis,
+                    periodMillis,
+                    TimeUnit.MILLISECONDS));
   }
 
   @Override
@@ -71,13 +74,13 @@
     }
     lastMessageNanos = System.nanoTime();
     if (peer.isEmpty()) {
-      greet(context, message);
+      handleHello(context, message);
       return;
     }
     answer(context, peer.get(), message);
   }
 
-  private void greet(ChannelHandlerContext context, PeerMessage message) {
+  private void handleHello(ChannelHandlerContext context, PeerMessage message) {
     if (!message.hasHello()) {
       refuse(context, PeerRefusal.UNEXPECTED, message.getBodyCase() + " before hello");
       return;
@@ -101,7 +104,7 @@
 
   private void answer(ChannelHandlerContext context, Hello hello, PeerMessage message) {
     switch (message.getBodyCase()) {
-      case HEARTBEAT -> heard(context, hello, message.getHeartbeat());
+      case HEARTBEAT -> heartbeat(context, hello, message.getHeartbeat());
       case OUTCOME_QUERY -> outcome(context, message.getOutcomeQuery());
       case CONFIGURATION_QUERY -> configuration(context, message.getConfigurationQuery());
       // Ignores a message type that a newer peer has added within this protocol version.
@@ -111,7 +114,7 @@
     }
   }
 
-  private void heard(ChannelHandlerContext context, Hello hello, Heartbeat heartbeat) {
+  private void heartbeat(ChannelHandlerContext context, Hello hello, Heartbeat heartbeat) {
     listener.heard(PeerReports.of(hello, heartbeat));
     context.writeAndFlush(PeerMessage.newBuilder().setHeartbeat(listener.heartbeat()).build());
   }
@@ -133,8 +136,8 @@
   }
 
   private void closeIfSilent(ChannelHandlerContext context) {
-    if (System.nanoTime() - lastMessageNanos >= silence.toNanos()) {
-      refuse(context, PeerRefusal.SILENT, "no message within " + silence.toMillis() + " ms");
+    if (System.nanoTime() - lastMessageNanos >= silenceTimeout.toNanos()) {
+      refuse(context, PeerRefusal.SILENT, "no message within " + silenceTimeout.toMillis() + " ms");
     }
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/net/platform/HttpLogService.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/platform/HttpLogService.java
@@ -76,8 +76,8 @@
     if (answer.succeeded()) {
       return answer.body();
     }
-    boolean refusedBefore = answer.status() < 500 || answer.status() == 503;
-    throw unavailable(step, !refusedBefore, new IOException("status " + answer.status()));
+    boolean refusedWithoutEffect = answer.status() < 500 || answer.status() == 503;
+    throw unavailable(step, !refusedWithoutEffect, new IOException("status " + answer.status()));
   }
 
   private JsonNode parse(String step, byte[] body, boolean mayHaveTakenEffect)
--- a/fescuehook/src/main/java/org/fescuehook/net/platform/LogAppendRing.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/platform/LogAppendRing.java
@@ -13,8 +13,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Appends records one after the other in the order in which they were offered. A record without an
- * answer is reported as unknown and never appended again; one that waited too long is not sent.
+ * Appends records one at a time, in the order in which they were offered. A record whose append
+ * gets no answer is reported as unknown and never retried; one that has waited too long is not
+ * sent.
  */
 public final class LogAppendRing implements LogAppender {
 
@@ -22,20 +23,20 @@
   private static final Duration IDLE = Duration.ofSeconds(1);
 
   private final LogService log;
-  private final Duration longestWait;
-  private final DutyRing<Pending> ring;
+  private final Duration maxWait;
+  private final DutyRing<PendingAppend> ring;
   private final MeterRegistry meters;
 
   /**
    * Creates the ring; its thread has not started.
    *
    * @param name name of the thread
-   * @param longestWait time in the ring after which a record is reported as not appended
+   * @param maxWait time in the ring after which a record is reported as not appended
    */
   public LogAppendRing(
-      String name, int size, LogService log, Duration longestWait, MeterRegistry meters) {
+      String name, int size, LogService log, Duration maxWait, MeterRegistry meters) {
     this.log = log;
-    this.longestWait = longestWait;
+    this.maxWait = maxWait;
     this.ring = new DutyRing<>(name, size, IDLE, meters);
     this.meters = meters;
   }
@@ -45,18 +46,18 @@
     ring.start(new Appender());
   }
 
-  /** Appends what is in the ring, up to a limit, and ends the thread. */
+  /** Appends the records in the ring, for at most the given time, and ends the thread. */
   public void stop(Duration limit) {
     ring.stop(limit);
   }
 
   @Override
   public boolean offer(String stream, byte[] data, Consumer<AppendResult> sink) {
-    return ring.offer(new Pending(stream, data, sink, System.nanoTime()));
+    return ring.offer(new PendingAppend(stream, data, sink, System.nanoTime()));
   }
 
-  private AppendResult append(Pending pending) {
-    if (System.nanoTime() - pending.offeredNanos > longestWait.toNanos()) {
+  private AppendResult append(PendingAppend pending) {
+    if (System.nanoTime() - pending.offeredNanos > maxWait.toNanos()) {
       return new AppendResult.NotAppended("waited too long in the ring");
     }
     try {
@@ -70,7 +71,7 @@
     }
   }
 
-  private void count(Pending pending, AppendResult result) {
+  private void count(PendingAppend pending, AppendResult result) {
     String outcome =
         switch (result) {
           case AppendResult.Appended appended -> "appended";
@@ -82,12 +83,12 @@
         .record(System.nanoTime() - pending.offeredNanos, TimeUnit.NANOSECONDS);
   }
 
-  private record Pending(
+  private record PendingAppend(
       String stream, byte[] data, Consumer<AppendResult> sink, long offeredNanos) {}
 
-  private final class Appender implements DutyRing.Handler<Pending> {
+  private final class Appender implements DutyRing.Handler<PendingAppend> {
     @Override
-    public void accept(Pending pending) {
+    public void accept(PendingAppend pending) {
       AppendResult result = append(pending);
       count(pending, result);
       pending.sink.accept(result);
--- a/fescuehook/src/main/java/org/fescuehook/net/platform/LogTail.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/platform/LogTail.java
@@ -16,18 +16,18 @@
 public final class LogTail {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(LogTail.class);
-  private static final int MOST_RECORDS = 256;
-  private static final Duration POLL = Duration.ofSeconds(1);
+  private static final int MAX_PAGE_RECORDS = 256;
+  private static final Duration MAX_READ_WAIT = Duration.ofSeconds(1);
   private static final Duration FULL_RING_PAUSE = Duration.ofMillis(5);
-  private static final Duration SHORTEST_BACK_OFF = Duration.ofMillis(50);
-  private static final Duration LONGEST_BACK_OFF = Duration.ofSeconds(1);
+  private static final Duration MIN_BACKOFF = Duration.ofMillis(50);
+  private static final Duration MAX_BACKOFF = Duration.ofSeconds(1);
 
   private final LogService log;
   private final String stream;
   private final Sink sink;
   private final MeterRegistry meters;
   private long next;
-  private int most = MOST_RECORDS;
+  private int pageRecords = MAX_PAGE_RECORDS;
   private int failures;
   private long failingSinceNanos;
 
@@ -43,7 +43,7 @@
   public Duration step() {
     LogPage page;
     try {
-      page = log.read(stream, next, most, POLL);
+      page = log.read(stream, next, pageRecords, MAX_READ_WAIT);
     } catch (LogUnavailableException e) {
       return failed(e);
     }
@@ -51,10 +51,10 @@
       return wentBack(page);
     }
     succeeded();
-    return take(page);
+    return deliver(page);
   }
 
-  private Duration take(LogPage page) {
+  private Duration deliver(LogPage page) {
     skipExpired(page);
     for (LogRecord record : page.records()) {
       if (record.offset() < next) {
@@ -85,7 +85,7 @@
     EventLog.warn(LOGGER, PlatformEvent.LOG_WENT_BACK, stream, page.next(), next);
     // The answer is that of a lagging replica and says nothing about the current end of the log.
     sink.reachable(false);
-    return LONGEST_BACK_OFF;
+    return MAX_BACKOFF;
   }
 
   private void succeeded() {
@@ -94,7 +94,7 @@
       EventLog.info(LOGGER, PlatformEvent.LOG_REACHABLE, stream, millis);
     }
     failures = 0;
-    most = Math.min(MOST_RECORDS, most * 2);
+    pageRecords = Math.min(MAX_PAGE_RECORDS, pageRecords * 2);
     sink.reachable(true);
   }
 
@@ -110,14 +110,14 @@
     }
     failures++;
     // The read may have failed because a page of large records exceeds the largest answer.
-    most = Math.max(1, most / 2);
+    pageRecords = Math.max(1, pageRecords / 2);
     sink.reachable(false);
-    return backOff();
+    return backoff();
   }
 
-  private Duration backOff() {
-    long ceiling = SHORTEST_BACK_OFF.toMillis() << Math.min(failures, 10);
-    long bounded = Math.min(LONGEST_BACK_OFF.toMillis(), ceiling);
+  private Duration backoff() {
+    long ceiling = MIN_BACKOFF.toMillis() << Math.min(failures, 10);
+    long bounded = Math.min(MAX_BACKOFF.toMillis(), ceiling);
     return Duration.ofMillis(1 + ThreadLocalRandom.current().nextLong(bounded));
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/net/worker/HttpWorkerPort.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/worker/HttpWorkerPort.java
@@ -54,9 +54,9 @@
         configuration.declarations().fleet().workers().stream()
             .collect(Collectors.toMap(Worker::id, worker -> worker));
     declared.values().forEach(worker -> retain(worker.id(), worker.address()));
-    for (WorkerId known : workers.keySet()) {
-      if (!declared.containsKey(known)) {
-        Optional.ofNullable(workers.remove(known)).ifPresent(WorkerConnections::close);
+    for (WorkerId existing : workers.keySet()) {
+      if (!declared.containsKey(existing)) {
+        Optional.ofNullable(workers.remove(existing)).ifPresent(WorkerConnections::close);
       }
     }
   }
@@ -77,13 +77,13 @@
   }
 
   private void retain(WorkerId worker, InetSocketAddress address) {
-    WorkerConnections known = workers.get(worker);
-    if (known != null && known.address().equals(address)) {
+    WorkerConnections existing = workers.get(worker);
+    if (existing != null && existing.address().equals(address)) {
       return;
     }
     workers.put(worker, new WorkerConnections(loops.next(), address, timeout));
-    if (known != null) {
-      known.close();
+    if (existing != null) {
+      existing.close();
     }
   }
 
@@ -100,7 +100,7 @@
     try {
       reply = codec.decode(worker, command, answer);
     } catch (IOException e) {
-      EventLog.warn(LOGGER, WorkerEvent.BAD_ANSWER, stepOf(command), worker, e.getMessage());
+      EventLog.warn(LOGGER, WorkerEvent.BAD_ANSWER, commandName(command), worker, e.getMessage());
       silent(worker, command, String.valueOf(e.getMessage()));
       return;
     }
@@ -108,13 +108,13 @@
   }
 
   private void silent(WorkerId worker, WorkerCommand command, String cause) {
-    String step = stepOf(command);
-    meters.counter("fescuehook.worker.silent", "command", step).increment();
-    EventLog.info(LOGGER, WorkerEvent.SILENT, step, worker, cause);
-    sink.accept(new WorkerReply.Silent(worker, command, step + ": " + cause));
+    String name = commandName(command);
+    meters.counter("fescuehook.worker.silent", "command", name).increment();
+    EventLog.info(LOGGER, WorkerEvent.SILENT, name, worker, cause);
+    sink.accept(new WorkerReply.Silent(worker, command, name + ": " + cause));
   }
 
-  private static String stepOf(WorkerCommand command) {
+  private static String commandName(WorkerCommand command) {
     return switch (command) {
       case WorkerCommand.Grant grant -> "grant";
       case WorkerCommand.Start start -> "start";
--- a/fescuehook/src/main/java/org/fescuehook/net/worker/WorkerConnections.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/worker/WorkerConnections.java
@@ -19,14 +19,14 @@
 final class WorkerConnections {
 
   private static final int MAX_CONNECTIONS = 4;
-  private static final int MAX_WAITING = 512;
+  private static final int MAX_QUEUED_CALLS = 512;
 
   private final EventLoop loop;
   private final InetSocketAddress address;
   private final Duration timeout;
   private final Deque<HttpClientConnection> idle = new ArrayDeque<>();
-  private final Deque<Waiting> waiting = new ArrayDeque<>();
-  private int opened;
+  private final Deque<QueuedCall> queue = new ArrayDeque<>();
+  private int connectionCount;
 
   WorkerConnections(EventLoop loop, InetSocketAddress address, Duration timeout) {
     this.loop = loop;
@@ -42,7 +42,7 @@
   /** Sends a request once a connection is free. The timeout starts now and includes that wait. */
   void send(HttpCall call, Consumer<HttpResult> sink) {
     long deadline = System.nanoTime() + timeout.toNanos();
-    loop.execute(() -> accept(new Waiting(call, deadline, sink)));
+    loop.execute(() -> accept(new QueuedCall(call, deadline, sink)));
   }
 
   /** Closes the idle connections. */
@@ -50,33 +50,33 @@
     loop.execute(() -> idle.forEach(HttpClientConnection::close));
   }
 
-  private void accept(Waiting call) {
+  private void accept(QueuedCall call) {
     if (!idle.isEmpty()) {
       dispatch(idle.pop(), call);
       return;
     }
-    if (opened < MAX_CONNECTIONS) {
-      opened++;
+    if (connectionCount < MAX_CONNECTIONS) {
+      connectionCount++;
       dispatch(new HttpClientConnection(loop, address, timeout), call);
       return;
     }
-    if (waiting.size() >= MAX_WAITING) {
+    if (queue.size() >= MAX_QUEUED_CALLS) {
       call.sink.accept(new HttpResult.Failed(new TimeoutException("queue is full"), false));
       return;
     }
-    waiting.add(call);
+    queue.add(call);
   }
 
-  private void dispatch(HttpClientConnection connection, Waiting call) {
-    long leftMillis = TimeUnit.NANOSECONDS.toMillis(call.deadlineNanos - System.nanoTime());
-    if (leftMillis <= 0) {
+  private void dispatch(HttpClientConnection connection, QueuedCall call) {
+    long remainingMillis = TimeUnit.NANOSECONDS.toMillis(call.deadlineNanos - System.nanoTime());
+    if (remainingMillis <= 0) {
       call.sink.accept(new HttpResult.Failed(new TimeoutException("waited too long"), false));
       release(connection);
       return;
     }
     connection.send(
         call.call,
-        Duration.ofMillis(leftMillis),
+        Duration.ofMillis(remainingMillis),
         result -> {
           call.sink.accept(result);
           release(connection);
@@ -84,13 +84,13 @@
   }
 
   private void release(HttpClientConnection connection) {
-    if (waiting.isEmpty()) {
+    if (queue.isEmpty()) {
       idle.push(connection);
       return;
     }
-    Waiting next = waiting.poll();
+    QueuedCall next = queue.poll();
     loop.execute(() -> dispatch(connection, next));
   }
 
-  private record Waiting(HttpCall call, long deadlineNanos, Consumer<HttpResult> sink) {}
+  private record QueuedCall(HttpCall call, long deadlineNanos, Consumer<HttpResult> sink) {}
 }
--- a/fescuehook/src/test/java/org/fescuehook/net/duty/DutyRingTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/duty/DutyRingTest.java
@@ -18,9 +18,9 @@
   private final DutyRing<String> ring = new DutyRing<>("test", SIZE, Duration.ofMillis(50), meters);
 
   @Test
-  void theWaitOfEachItemIsMeasured() throws InterruptedException {
+  void recordsTheWaitOfEachItem() throws InterruptedException {
     CountDownLatch taken = new CountDownLatch(2);
-    ring.start(new Counting(taken));
+    ring.start(new CountingHandler(taken));
     ring.offer("first");
     ring.offer("second");
     taken.await();
@@ -29,9 +29,9 @@
   }
 
   @Test
-  void aFullRingRefusesAndCountsIt() {
+  void aFullRingRefusesAndCountsOffers() {
     CountDownLatch released = new CountDownLatch(1);
-    ring.start(new Blocked(released));
+    ring.start(new BlockingHandler(released));
     for (int i = 0; i < SIZE; i++) {
       assertTrue(ring.offer("item"));
     }
@@ -43,11 +43,11 @@
 
   /** Guards against a duty with a long idle time that doesn't wake when an item arrives. */
   @Test
-  void aDutyThatWantsToSleepIsWokenByAnItem() throws InterruptedException {
+  void anItemWakesADutyWithALongIdleTime() throws InterruptedException {
     CountDownLatch taken = new CountDownLatch(1);
-    Sleeper sleeper = new Sleeper(taken, new CountDownLatch(1));
-    ring.start(sleeper);
-    sleeper.asked().await();
+    LongIdleHandler handler = new LongIdleHandler(taken, new CountDownLatch(1));
+    ring.start(handler);
+    handler.asked().await();
     assertTrue(ring.offer("item"));
     taken.await();
     ring.stop(Duration.ofSeconds(1));
@@ -58,14 +58,14 @@
    * thread runs.
    */
   @Test
-  void whatTheRingHoldsIsWorkedOffAlsoIfItIsStoppedBeforeItsThreadRuns() {
+  void handlesAllItemsEvenIfStoppedBeforeItsThreadRuns() {
     for (int i = 0; i < RESTARTS; i++) {
       CountDownLatch taken = new CountDownLatch(1);
-      DutyRing<String> young =
+      DutyRing<String> newRing =
           new DutyRing<>("young", SIZE, Duration.ofMillis(50), new SimpleMeterRegistry());
-      young.start(new Counting(taken));
-      young.offer("item");
-      young.stop(Duration.ofSeconds(20));
+      newRing.start(new CountingHandler(taken));
+      newRing.offer("item");
+      newRing.stop(Duration.ofSeconds(20));
       assertEquals(0, taken.getCount(), "not taken by ring " + i);
     }
   }
@@ -74,7 +74,7 @@
    * Requests an idle time of one day. If it is called as idle, it throws, and the test then gets no
    * item.
    */
-  private record Sleeper(CountDownLatch taken, CountDownLatch asked)
+  private record LongIdleHandler(CountDownLatch taken, CountDownLatch asked)
       implements DutyRing.Handler<String> {
     @Override
     public void accept(String item) {
@@ -93,7 +93,7 @@
     }
   }
 
-  private record Counting(CountDownLatch taken) implements DutyRing.Handler<String> {
+  private record CountingHandler(CountDownLatch taken) implements DutyRing.Handler<String> {
     @Override
     public void accept(String item) {
       taken.countDown();
@@ -104,7 +104,7 @@
   }
 
   /** Blocks in the first item until it is released. */
-  private record Blocked(CountDownLatch released) implements DutyRing.Handler<String> {
+  private record BlockingHandler(CountDownLatch released) implements DutyRing.Handler<String> {
     @Override
     public void accept(String item) {
       try {
--- a/fescuehook/src/test/java/org/fescuehook/net/http/ScriptedServer.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/http/ScriptedServer.java
@@ -112,7 +112,7 @@
         yield true;
       }
       case Act.LateAnswer answer -> {
-        pass(answer.delay());
+        delay(answer.delay());
         answer(connection, answer.status(), answer.body());
         yield true;
       }
@@ -129,7 +129,7 @@
   }
 
   /** Delays the connection's own thread; no thread of a test waits here. */
-  private static void pass(Duration delay) throws IOException {
+  private static void delay(Duration delay) throws IOException {
     try {
       new CountDownLatch(1).await(delay.toNanos(), TimeUnit.NANOSECONDS);
     } catch (InterruptedException e) {
--- a/fescuehook/src/test/java/org/fescuehook/net/listen/MachineIdTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/listen/MachineIdTest.java
@@ -11,13 +11,13 @@
 
   /** Netty accepts 6 or 8 bytes in this notation, and logs a warning for any other id. */
   @Test
-  void anIdIsEightBytesAsNettyReadsThem() {
+  void formatsAnIdAsEightBytesInNettysNotation() {
     String id = MachineId.of(new VmId("vm-1"));
     assertTrue(id.matches("([0-9a-f]{2}:){7}[0-9a-f]{2}"), id);
   }
 
   @Test
-  void aVmKeepsItsIdAndOthersHaveTheirs() {
+  void derivesTheSameIdForAVmAndDifferentIdsForOthers() {
     assertEquals(MachineId.of(new VmId("vm-1")), MachineId.of(new VmId("vm-1")));
     assertNotEquals(MachineId.of(new VmId("vm-1")), MachineId.of(new VmId("vm-2")));
   }
--- a/fescuehook/src/test/java/org/fescuehook/net/operator/OperatorServerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/operator/OperatorServerTest.java
@@ -69,7 +69,7 @@
   }
 
   @Test
-  void probesOfABalancerNeedNoToken() throws Exception {
+  void probesOfALoadBalancerNeedNoToken() throws Exception {
     URI base = start(Optional.of(TOKEN));
 
     assertEquals(200, get(base, "/livez", "").statusCode());
@@ -84,7 +84,7 @@
   }
 
   @Test
-  void aVmThatIsNotReadyTellsWhy() throws Exception {
+  void aVmThatIsNotReadyReportsTheReason() throws Exception {
     URI base = start(Optional.empty());
     backend.notReady = Optional.of("isolated");
 
@@ -95,7 +95,7 @@
   }
 
   @Test
-  void aLostRaceNamesTheWinner() throws Exception {
+  void aConflictingPublicationReportsTheOneInForce() throws Exception {
     URI base = start(Optional.empty());
     control.answer = new ControlPort.Answer.Conflict(18, "ana");
 
--- a/fescuehook/src/test/java/org/fescuehook/net/peer/PeerLinkTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/peer/PeerLinkTest.java
@@ -24,7 +24,7 @@
 @Timeout(60)
 class PeerLinkTest {
 
-  private static final int MOST_BEATS = 1000;
+  private static final int MAX_HEARTBEATS = 1000;
   private static final VmId PEER = new VmId("entry-1");
 
   private final EventLoopGroup loops =
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void aLinkThatWentSilentIsOpenedAnew() throws IOException {
+  void reopensALinkWhosePeerIsSilent() throws IOException {
     try (ServerSocket peer = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
       links.retain(Map.of(PEER, (InetSocketAddress) peer.getLocalSocketAddress()));
       links.heartbeat();
@@ -50,16 +50,16 @@
         // The peer accepts the connection and never answers, as when a firewall or a NAT on the
         // path
         // drops the connection's state.
-        try (Socket next = beatUntilAccepted(peer)) {
+        try (Socket next = sendHeartbeatsUntilAccepted(peer)) {
           assertEquals("entry-2", hello(next));
         }
       }
     }
   }
 
-  private Socket beatUntilAccepted(ServerSocket peer) throws IOException {
+  private Socket sendHeartbeatsUntilAccepted(ServerSocket peer) throws IOException {
     peer.setSoTimeout(20);
-    for (int beats = 0; beats < MOST_BEATS; beats++) {
+    for (int heartbeats = 0; heartbeats < MAX_HEARTBEATS; heartbeats++) {
       links.heartbeat();
       try {
         return peer.accept();
@@ -67,7 +67,7 @@
         // The link is not opened yet; the next heartbeat checks again.
       }
     }
-    throw new AssertionError("the link was not opened anew");
+    throw new AssertionError("the link was not reopened");
   }
 
   private static String hello(Socket socket) throws IOException {
--- a/fescuehook/src/test/java/org/fescuehook/net/peer/PeerProtocolTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/peer/PeerProtocolTest.java
@@ -33,7 +33,7 @@
 
 class PeerProtocolTest {
 
-  private static final Duration PATIENCE = Duration.ofSeconds(20);
+  private static final Duration TIMEOUT = Duration.ofSeconds(20);
   private static final VmId SERVER = new VmId("entry-1");
   private static final VmId CLIENT = new VmId("entry-2");
   private static final InetSocketAddress ANY_PORT =
@@ -50,9 +50,9 @@
 
   @BeforeEach
   void open() throws IOException {
-    server = new PeerServer(loops, identity(SERVER), "s1", PATIENCE, serverSide, meters);
+    server = new PeerServer(loops, identity(SERVER), "s1", TIMEOUT, serverSide, meters);
     address = server.start(ANY_PORT);
-    links = new PeerLinks(loops, identity(CLIENT), "c1", PATIENCE, clientSide);
+    links = new PeerLinks(loops, identity(CLIENT), "c1", TIMEOUT, clientSide);
   }
 
   @AfterEach
@@ -63,17 +63,17 @@
   }
 
   @Test
-  void aHeartbeatIsHeardByBothEnds() throws InterruptedException {
+  void aHeartbeatIsReceivedByBothSides() throws InterruptedException {
     connect();
 
-    assertEquals(CLIENT, take(serverSide.reports).vm());
-    assertEquals(SERVER, take(clientSide.reports).vm());
+    assertEquals(CLIENT, next(serverSide.reports).vm());
+    assertEquals(SERVER, next(clientSide.reports).vm());
   }
 
   @Test
-  void theClaimantTellsWhatItKnowsOfARequest() throws Exception {
+  void theClaimantReportsTheOutcomeOfARequest() throws Exception {
     connect();
-    take(clientSide.reports);
+    next(clientSide.reports);
 
     assertTrue(ask(RecordingListener.KNOWN).orElseThrow().getInProgress());
     assertEquals(
@@ -81,19 +81,19 @@
   }
 
   @Test
-  void aQuestionToAPeerWithoutALinkHasNoAnswer() throws Exception {
+  void aQueryToAPeerWithoutALinkHasNoAnswer() throws Exception {
     assertEquals(Optional.empty(), ask(RecordingListener.KNOWN));
   }
 
   @Test
-  void aPeerIsAskedForItsConfiguration() throws InterruptedException {
+  void aPeerSendsItsConfigurationOnRequest() throws InterruptedException {
     connect();
-    take(clientSide.reports);
+    next(clientSide.reports);
 
     links.askConfiguration(SERVER, 0);
 
     assertEquals(
-        RecordingListener.REVISION_PLUS_ONE, take(clientSide.configurations).getRevisionPlusOne());
+        RecordingListener.REVISION_PLUS_ONE, next(clientSide.configurations).getRevisionPlusOne());
   }
 
   @Test
@@ -121,22 +121,22 @@
   }
 
   @Test
-  void aFrameBeyondTheLimitIsRefusedBeforeItIsRead() throws IOException {
+  void anOversizedFrameIsRefusedBeforeItIsRead() throws IOException {
     byte[] lengthOfTwoGigabytes = {(byte) 0xff, (byte) 0xff, (byte) 0xff, (byte) 0xff, 0x07};
 
     assertEquals("oversized", refusalOf(lengthOfTwoGigabytes));
   }
 
   @Test
-  void randomBytesAreRefusedAndLeaveNeighboursAlone() throws Exception {
+  void randomBytesAreRefusedAndDoNotAffectOtherConnections() throws Exception {
     connect();
-    take(clientSide.reports);
+    next(clientSide.reports);
     Random random = new Random(20);
     int tries = 200;
     for (int i = 0; i < tries; i++) {
-      byte[] noise = new byte[1 + random.nextInt(300)];
-      random.nextBytes(noise);
-      sendAndAwaitEnd(noise);
+      byte[] randomBytes = new byte[1 + random.nextInt(300)];
+      random.nextBytes(randomBytes);
+      sendAndAwaitEnd(randomBytes);
     }
 
     assertTrue(ask(RecordingListener.KNOWN).isPresent());
@@ -187,7 +187,7 @@
     return bytes.toByteArray();
   }
 
-  private static <T> T take(BlockingQueue<T> queue) throws InterruptedException {
+  private static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
     T taken = queue.poll(20, TimeUnit.SECONDS);
     if (taken == null) {
       throw new AssertionError("nothing was received in time");
--- a/fescuehook/src/test/java/org/fescuehook/net/platform/HttpLogServiceTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/platform/HttpLogServiceTest.java
@@ -23,8 +23,8 @@
 class HttpLogServiceTest {
 
   private static final byte[] RECORD = {1, 2, 3};
-  private static final Duration SHORT = Duration.ofMillis(200);
-  private static final Duration LONG = Duration.ofSeconds(20);
+  private static final Duration SHORT_TIMEOUT = Duration.ofMillis(200);
+  private static final Duration LONG_TIMEOUT = Duration.ofSeconds(20);
 
   private final EventLoopGroup loops =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -46,27 +46,29 @@
     server.then(new Act.Silence());
 
     LogUnavailableException lost =
-        assertThrows(LogUnavailableException.class, () -> log(SHORT).append("control", RECORD));
+        assertThrows(
+            LogUnavailableException.class, () -> log(SHORT_TIMEOUT).append("control", RECORD));
 
     assertTrue(lost.mayHaveTakenEffect());
     assertEquals("append control", lost.step());
   }
 
   @Test
-  void anAppendOnAConnectionClosedInBetweenMayHaveTakenEffect() {
+  void anAppendWhoseConnectionIsClosedMayHaveTakenEffect() {
     server.then(new Act.Close());
 
     LogUnavailableException lost =
-        assertThrows(LogUnavailableException.class, () -> log(LONG).append("control", RECORD));
+        assertThrows(
+            LogUnavailableException.class, () -> log(LONG_TIMEOUT).append("control", RECORD));
 
     assertTrue(lost.mayHaveTakenEffect());
   }
 
   @Test
-  void anAppendThatCannotConnectSurelyTookNoEffect() throws IOException {
+  void anAppendThatCannotConnectTookNoEffect() throws IOException {
     InetSocketAddress closed = server.address();
     server.close();
-    HttpLogService log = new HttpLogService(loops.next(), closed, LONG);
+    HttpLogService log = new HttpLogService(loops.next(), closed, LONG_TIMEOUT);
 
     LogUnavailableException refused =
         assertThrows(LogUnavailableException.class, () -> log.append("control", RECORD));
@@ -75,11 +77,12 @@
   }
 
   @Test
-  void anAppendRefusedDuringAnOutageSurelyTookNoEffect() {
+  void anAppendRefusedDuringAnOutageTookNoEffect() {
     server.then(new Act.Answer(503, "{}"));
 
     LogUnavailableException refused =
-        assertThrows(LogUnavailableException.class, () -> log(LONG).append("control", RECORD));
+        assertThrows(
+            LogUnavailableException.class, () -> log(LONG_TIMEOUT).append("control", RECORD));
 
     assertFalse(refused.mayHaveTakenEffect());
   }
@@ -87,7 +90,7 @@
   @Test
   void aSilentConnectionIsReplacedByANewOne() throws LogUnavailableException {
     server.then(new Act.Silence(), new Act.Answer(200, "{\"offset\":7}"));
-    HttpLogService log = log(SHORT);
+    HttpLogService log = log(SHORT_TIMEOUT);
     assertThrows(LogUnavailableException.class, () -> log.append("control", RECORD));
 
     assertEquals(7, log.append("control", RECORD));
@@ -97,7 +100,7 @@
   @Test
   void callsShareOneConnection() throws LogUnavailableException {
     server.then(new Act.Answer(200, "{\"offset\":7}"), new Act.Answer(200, "{\"offset\":8}"));
-    HttpLogService log = log(LONG);
+    HttpLogService log = log(LONG_TIMEOUT);
 
     assertEquals(7, log.append("control", RECORD));
     assertEquals(8, log.append("control", RECORD));
@@ -114,7 +117,7 @@
             "{\"earliest\":3,\"next\":5,\"records\":[{\"offset\":4,\"appended\":9,\"data\":\"%s\"}]}"
                 .formatted(data)));
 
-    LogPage page = log(LONG).read("control", 2, 10, Duration.ofMillis(5));
+    LogPage page = log(LONG_TIMEOUT).read("control", 2, 10, Duration.ofMillis(5));
 
     assertEquals(3, page.earliest());
     assertEquals(5, page.next());
@@ -123,11 +126,12 @@
   }
 
   @Test
-  void anAnswerThatIsNoPageIsAFaultOfTheRead() {
+  void aReadFailsIfTheAnswerIsNotAPage() {
     server.then(new Act.Answer(200, "{\"records\":[]}"));
 
     assertThrows(
-        LogUnavailableException.class, () -> log(LONG).read("control", 0, 10, Duration.ZERO));
+        LogUnavailableException.class,
+        () -> log(LONG_TIMEOUT).read("control", 0, 10, Duration.ZERO));
   }
 
   private HttpLogService log(Duration timeout) {
--- a/fescuehook/src/test/java/org/fescuehook/net/platform/LogAppendRingTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/platform/LogAppendRingTest.java
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void aLostReplyIsUnknownAndNotAppendedAgain() throws InterruptedException {
+  void anAppendWithoutAReplyIsUnknownAndNotRetried() throws InterruptedException {
     log.loseReplies = true;
     start(Duration.ofMinutes(1));
 
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void aRecordThatWaitedTooLongIsSurelyNotAppended() throws InterruptedException {
+  void aRecordThatWaitedTooLongIsNotAppended() throws InterruptedException {
     start(Duration.ofNanos(-1));
 
     offer(1);
@@ -68,7 +68,7 @@
   }
 
   @Test
-  void aFullRingRefusesAtOnceAndCountsIt() throws InterruptedException {
+  void aFullRingRefusesAndCountsOffersAtOnce() throws InterruptedException {
     log.open = new CountDownLatch(1);
     start(Duration.ofMinutes(1));
     offer(1);
@@ -83,8 +83,8 @@
     assertEquals(2, meters.counter("fescuehook.ring.refused", "ring", "test-append").count());
   }
 
-  private void start(Duration longestWait) {
-    ring = new LogAppendRing("test-append", 4, log, longestWait, meters);
+  private void start(Duration maxWait) {
+    ring = new LogAppendRing("test-append", 4, log, maxWait, meters);
     ring.start();
   }
 
--- a/fescuehook/src/test/java/org/fescuehook/net/platform/LogTailTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/platform/LogTailTest.java
@@ -22,7 +22,7 @@
   private final LogTail tail = new LogTail(log, "control", sink, meters);
 
   @Test
-  void readsFromTheEarliestKeptRecordToTheEnd() {
+  void readsFromTheEarliestRetainedRecordToTheEnd() {
     log.page = new LogPage(40, 42, List.of(record(40), record(41)));
 
     assertEquals(Duration.ZERO, tail.step());
@@ -31,11 +31,11 @@
   }
 
   @Test
-  void aRecordThatHadNoRoomIsReadAgain() {
+  void aRecordThatTheSinkDidNotAcceptIsReadAgain() {
     log.page = new LogPage(0, 2, List.of(record(0), record(1)));
-    sink.room = 1;
+    sink.capacity = 1;
     tail.step();
-    sink.room = 5;
+    sink.capacity = 5;
 
     tail.step();
 
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void aLogThatEndsBeforeWhatWasReadCountsAsUnreachable() {
+  void aLogThatEndsBeforeTheReadPositionIsReportedAsUnreachable() {
     log.page = new LogPage(0, 2, List.of(record(0), record(1)));
     tail.step();
     sink.seen.clear();
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void aPageThatMayBeTooLargeIsAskedForInSmallerParts() {
+  void aFailedReadIsRetriedWithFewerRecords() {
     tail.step();
     int first = log.max;
 
@@ -97,14 +97,14 @@
 
   private static final class Recorder implements LogTail.Sink {
     private final List<String> seen = new ArrayList<>();
-    private int room = 5;
+    private int capacity = 5;
 
     @Override
     public boolean record(LogRecord record) {
-      if (room == 0) {
+      if (capacity == 0) {
         return false;
       }
-      room--;
+      capacity--;
       seen.add("record " + record.offset());
       return true;
     }
--- a/fescuehook/src/test/java/org/fescuehook/net/worker/HttpWorkerPortTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/worker/HttpWorkerPortTest.java
@@ -37,8 +37,8 @@
 class HttpWorkerPortTest {
 
   private static final WorkerId WORKER = new WorkerId("worker-1");
-  private static final Duration SHORT = Duration.ofMillis(200);
-  private static final Duration LONG = Duration.ofSeconds(20);
+  private static final Duration SHORT_TIMEOUT = Duration.ofMillis(200);
+  private static final Duration LONG_TIMEOUT = Duration.ofSeconds(20);
 
   private final EventLoopGroup loops =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -61,7 +61,7 @@
   void aGrantCarriesTheLeaseThatTheWorkerChose() throws InterruptedException {
     server.then(new Act.Answer(201, "{\"lease\":\"x7\"}"));
 
-    port(LONG).send(WORKER, new WorkerCommand.Grant("j.1/0", 2, 4, 1024, 30_000));
+    port(LONG_TIMEOUT).send(WORKER, new WorkerCommand.Grant("j.1/0", 2, 4, 1024, 30_000));
 
     assertEquals(new WorkerReply.Granted(WORKER, "j.1/0", "x7"), next());
     assertEquals(
@@ -74,37 +74,37 @@
   void aWorkerWithoutTheResourcesRefusesTheGrant() throws InterruptedException {
     server.then(new Act.Answer(409, "{\"error\":\"insufficient\"}"));
 
-    port(LONG).send(WORKER, new WorkerCommand.Grant("j.1/0", 2, 4, 1024, 30_000));
+    port(LONG_TIMEOUT).send(WORKER, new WorkerCommand.Grant("j.1/0", 2, 4, 1024, 30_000));
 
     assertEquals(new WorkerReply.GrantRefused(WORKER, "j.1/0", "insufficient"), next());
   }
 
   @Test
-  void aStartOfALapsedLeaseFindsItGone() throws InterruptedException {
+  void aStartWithAnExpiredLeaseReportsItAsGone() throws InterruptedException {
     server.then(new Act.Answer(404, "{\"error\":\"gone\"}"));
 
-    port(LONG).send(WORKER, new WorkerCommand.Start("x7", "j", "j.1", 0, "run"));
+    port(LONG_TIMEOUT).send(WORKER, new WorkerCommand.Start("x7", "j", "j.1", 0, "run"));
 
     assertEquals(states(new State("x7", LeaseState.GONE, 0)), next());
   }
 
   @Test
-  void aCommandThatTheWorkerCannotRunIsAFailedTask() throws InterruptedException {
+  void aCommandThatTheWorkerCannotRunIsReportedAsAFailedTask() throws InterruptedException {
     server.then(new Act.Answer(400, "{\"error\":\"bad-request\"}"));
 
-    port(LONG).send(WORKER, new WorkerCommand.Start("x7", "j", "j.1", 0, "odd"));
+    port(LONG_TIMEOUT).send(WORKER, new WorkerCommand.Start("x7", "j", "j.1", 0, "odd"));
 
     assertEquals(states(new State("x7", LeaseState.FAILED, 126)), next());
   }
 
   @Test
-  void aRenewalTellsTheStateOfEachLease() throws InterruptedException {
+  void aRenewalReturnsTheStateOfEachLease() throws InterruptedException {
     server.then(
         new Act.Answer(
             200,
             "{\"states\":[{\"lease\":\"a\",\"state\":\"failed\",\"exitCode\":3}],\"gone\":[\"b\"]}"));
 
-    port(LONG).send(WORKER, new WorkerCommand.Renew(List.of("a", "b"), 30_000));
+    port(LONG_TIMEOUT).send(WORKER, new WorkerCommand.Renew(List.of("a", "b"), 30_000));
 
     assertEquals(
         states(new State("a", LeaseState.FAILED, 3), new State("b", LeaseState.GONE, 0)), next());
@@ -115,7 +115,7 @@
     server.then(new Act.Silence());
     WorkerCommand command = new WorkerCommand.Release("x7");
 
-    port(SHORT).send(WORKER, command);
+    port(SHORT_TIMEOUT).send(WORKER, command);
 
     WorkerReply.Silent silent = assertInstanceOf(WorkerReply.Silent.class, next());
     assertEquals(command, silent.command());
@@ -123,17 +123,17 @@
   }
 
   @Test
-  void anAnswerThatCannotBeReadIsNoWordOfTheWorker() throws InterruptedException {
+  void anInvalidAnswerIsReportedAsSilence() throws InterruptedException {
     server.then(new Act.Answer(200, "{\"states\":[{\"lease\":\"a\",\"state\":\"odd\"}]}"));
 
-    port(LONG).send(WORKER, new WorkerCommand.Renew(List.of("a"), 30_000));
+    port(LONG_TIMEOUT).send(WORKER, new WorkerCommand.Renew(List.of("a"), 30_000));
 
     assertInstanceOf(WorkerReply.Silent.class, next());
   }
 
   @Test
   void aWorkerThatIsNotDeclaredIsSilent() throws InterruptedException {
-    port(LONG).send(new WorkerId("other"), new WorkerCommand.Release("x7"));
+    port(LONG_TIMEOUT).send(new WorkerId("other"), new WorkerCommand.Release("x7"));
 
     assertInstanceOf(WorkerReply.Silent.class, next());
     assertTrue(server.requests().isEmpty());
@@ -141,7 +141,7 @@
 
   @Test
   void commandsBeyondThePoolWaitForAConnection() throws InterruptedException {
-    HttpWorkerPort port = port(LONG);
+    HttpWorkerPort port = port(LONG_TIMEOUT);
     for (int i = 0; i < 20; i++) {
       server.then(new Act.Answer(200, "{}"));
     }
--- a/fescuehook/src/test/java/org/fescuehook/net/worker/DrippedAnswerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/worker/TrickledAnswerTest.java
@@ -28,21 +28,21 @@
  * Guards against a request that never times out because the worker's answer trickles in byte by
  * byte. The timeout must run from the sending of the request, whatever has arrived since.
  */
-class DrippedAnswerTest {
+class TrickledAnswerTest {
 
-  private static final Duration LIMIT = Duration.ofMillis(500);
-  private static final int MANY = 1000;
-  private static final long DRIP_MILLIS = 200;
+  private static final Duration TIMEOUT = Duration.ofMillis(500);
+  private static final int ANSWER_BYTES = 1000;
+  private static final long BYTE_INTERVAL_MILLIS = 200;
 
   /** Ten times the timeout; the complete answer takes far longer. */
-  private static final long PATIENCE_MILLIS = 5000;
+  private static final long RESULT_WAIT_MILLIS = 5000;
 
   private final EventLoopGroup loops =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final ScheduledExecutorService worker = Executors.newSingleThreadScheduledExecutor();
   private final ServerSocket server;
 
-  DrippedAnswerTest() throws IOException {
+  TrickledAnswerTest() throws IOException {
     server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
   }
 
@@ -53,18 +53,19 @@
     loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
   }
 
-  private void answerInDrips() {
+  private void answerByteByByte() {
     try {
       OutputStream out = server.accept().getOutputStream();
-      String head = "HTTP/1.1 200 OK\r\ncontent-length: " + MANY + "\r\n\r\n";
+      String head = "HTTP/1.1 200 OK\r\ncontent-length: " + ANSWER_BYTES + "\r\n\r\n";
       out.write(head.getBytes(StandardCharsets.UTF_8));
-      worker.scheduleAtFixedRate(() -> drip(out), DRIP_MILLIS, DRIP_MILLIS, TimeUnit.MILLISECONDS);
+      worker.scheduleAtFixedRate(
+          () -> writeByte(out), BYTE_INTERVAL_MILLIS, BYTE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     } catch (IOException e) {
       // The test has ended.
     }
   }
 
-  private static void drip(OutputStream out) {
+  private static void writeByte(OutputStream out) {
     try {
       out.write('x');
     } catch (IOException e) {
@@ -73,14 +74,15 @@
   }
 
   @Test
-  void theTimeLimitOfARequestRunsFromItsSending() throws Exception {
-    worker.execute(this::answerInDrips);
+  void theTimeoutOfARequestStartsWithItsSending() throws Exception {
+    worker.execute(this::answerByteByByte);
     BlockingQueue<HttpResult> results = new LinkedBlockingQueue<>();
     InetSocketAddress address = (InetSocketAddress) server.getLocalSocketAddress();
     HttpCall call = HttpCall.without(HttpMethod.GET, "/");
-    new WorkerConnections(loops.next(), address, LIMIT).send(call, results::add);
-    HttpResult result = results.poll(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
-    assertNotNull(result, "no result within " + PATIENCE_MILLIS + " ms of a limit of " + LIMIT);
+    new WorkerConnections(loops.next(), address, TIMEOUT).send(call, results::add);
+    HttpResult result = results.poll(RESULT_WAIT_MILLIS, TimeUnit.MILLISECONDS);
+    assertNotNull(
+        result, "no result within " + RESULT_WAIT_MILLIS + " ms of a timeout of " + TIMEOUT);
     assertInstanceOf(HttpResult.Failed.class, result);
   }
 }
