--- a/fescuehook/src/main/java/org/fescuehook/net/caller/RequestPath.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/RequestPath.java
@@ -31,7 +31,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The request path of one entry VM: the service port, the dispatch of requests, the executors. */
+/**
+ * Connects the parts of an entry VM that serve requests: the service port, the dispatch thread and
+ * the client of the executors.
+ */
 public final class RequestPath implements AutoCloseable {
   private static final Logger LOGGER = LoggerFactory.getLogger(RequestPath.class);
 
@@ -42,14 +45,14 @@
   private final JobsEndpoint jobs;
   private final CallerServer server;
   private final ExecutorClient executors;
-  private final LocalOutcomes own = new LocalOutcomes();
+  private final LocalOutcomes localOutcomes = new LocalOutcomes();
   private final CommandPerformer performer;
   private final DispatchCore core;
   private final DispatchThread thread;
   private final Duration probeInterval;
   private final AtomicLong tickets = new AtomicLong();
   private volatile int unrecorded;
-  private volatile Optional<RefusalReason> closedBecause = Optional.of(RefusalReason.NOT_READY);
+  private volatile Optional<RefusalReason> notReadyReason = Optional.of(RefusalReason.NOT_READY);
 
   /**
    * Creates the path and starts its dispatch thread; no port is opened before {@link #start()}.
@@ -78,9 +81,11 @@
     this.executors = new ExecutorClient(loops, metrics);
     this.thread =
         new DispatchThread("dispatch", DispatchThread.RING_SIZE, this::handle, this.metrics);
-    this.performer = new CommandPerformer(executors, log, outcomes, this.metrics, new RingSink());
+    this.performer =
+        new CommandPerformer(executors, log, outcomes, this.metrics, new RingEventSink());
     Random jitter = new Random(identity.hashCode() ^ incarnation.hashCode());
-    this.core = new DispatchCore(identity, incarnation, preferences, own, jitter, performer);
+    this.core =
+        new DispatchCore(identity, incarnation, preferences, localOutcomes, jitter, performer);
     thread.start();
   }
 
@@ -88,7 +93,7 @@
    * Opens the service port.
    *
    * @return the address in use
-   * @throws ServicePortException if it cannot be opened
+   * @throws ServicePortException if the port cannot be opened
    */
   public InetSocketAddress start() throws ServicePortException {
     InetSocketAddress address = server.start(serviceAddress);
@@ -96,7 +101,10 @@
     return address;
   }
 
-  /** Handles an event on the dispatch thread. */
+  /**
+   * Handles an event on the dispatch thread. The connection of an ended dispatch is returned, and a
+   * new configuration applied to the executors, before the core handles the event.
+   */
   private void handle(DispatchEvent event) {
     switch (event) {
       case DispatchEvent.DispatchEnded ended -> performer.dispatchEnded(ended.ticket());
@@ -116,33 +124,33 @@
     }
   }
 
-  /** Takes that a connection to an executor gave no sign of life; called on event loops. */
+  /** Reports an executor that did not answer a probe to the core. Called on event loops. */
   private void suspect(ExecutorId executor) {
     thread.deliver(new DispatchEvent.PathSuspected(executor), loops.next());
   }
 
-  /** Takes a whole request of a caller, on its event loop. */
+  /** Handles a whole request of a caller, on the event loop of its connection. */
   private void received(CallerExchange exchange) {
-    boolean handedOn = false;
+    boolean bodyTransferred = false;
     try {
       ServiceRequest request =
           parser.parse(exchange.head(), exchange.body(), exchange.receivedNanos());
-      handedOn = handle(exchange, request);
+      bodyTransferred = handle(exchange, request);
     } catch (MalformedRequestException e) {
       exchange.refuse(Refusal.of(e.reason(), e.getMessage()));
     } finally {
-      if (!handedOn) {
+      if (!bodyTransferred) {
         exchange.body().release();
       }
     }
   }
 
-  /** Returns whether the body was handed on. */
+  /** Handles a parsed request; returns whether the dispatch thread will release the body. */
   private boolean handle(CallerExchange exchange, ServiceRequest request)
       throws MalformedRequestException {
     switch (request) {
-      case ServiceRequest.Pass pass -> {
-        return pass(exchange, pass);
+      case ServiceRequest.Forward forward -> {
+        return forward(exchange, forward);
       }
       case ServiceRequest.Submit submit -> submit(exchange, submit);
       case ServiceRequest.Show show -> jobs.show(exchange, show);
@@ -151,10 +159,10 @@
     return false;
   }
 
-  private boolean pass(CallerExchange exchange, ServiceRequest.Pass pass) {
+  private boolean forward(CallerExchange exchange, ServiceRequest.Forward forward) {
     long ticket = tickets.incrementAndGet();
-    performer.open(ticket, new OpenExchange(exchange, pass));
-    boolean offered = thread.offer(new DispatchEvent.Arrived(ticket, pass.facts()));
+    performer.open(ticket, new OpenExchange(exchange, forward));
+    boolean offered = thread.offer(new DispatchEvent.Arrived(ticket, forward.attributes()));
     if (!offered) {
       performer.discard(ticket);
       exchange.refuse(Refusal.of(RefusalReason.QUEUE_FULL, "too many requests at once"));
@@ -166,7 +174,7 @@
 
   private void submit(CallerExchange exchange, ServiceRequest.Submit submit)
       throws MalformedRequestException {
-    Optional<RefusalReason> closed = closedBecause;
+    Optional<RefusalReason> closed = notReadyReason;
     if (closed.isPresent()) {
       exchange.refuse(Refusal.of(closed.get(), "this entry VM takes no jobs now"));
       return;
@@ -174,59 +182,62 @@
     jobs.submit(exchange, submit);
   }
 
-  /** Puts a configuration in force. */
+  /** Applies a configuration to the dispatch of requests. */
   public void configurationInForce(Configuration configuration) {
     thread.put(new DispatchEvent.Configured(configuration));
   }
 
-  /** Puts shares of executors' slots in force. */
+  /** Applies this VM's shares of the executors' slots. */
   public void sharesInForce(SlotShares shares) {
     thread.put(new DispatchEvent.Shared(shares));
   }
 
-  /** Names all executors that are leaving; they get nothing new. */
+  /** Sets the executors that are leaving; they get no new requests. */
   public void executorsLeaving(Set<ExecutorId> leaving) {
     thread.put(new DispatchEvent.Leaving(Set.copyOf(leaving)));
   }
 
-  /** Takes a record of the stream {@code requests}; called by the thread that reads it. */
+  /** Handles a record of the stream {@code requests}. Called by the thread that reads it. */
   public void onRequestRecord(LogRecord record) {
     thread.put(new DispatchEvent.RecordRead(record));
   }
 
-  /** Tells that a read reached the end of the stream {@code requests}. */
+  /** Reports that a read reached the end of the stream {@code requests}. */
   public void onRequestsCaughtUp(long earliest, long next) {
     thread.put(new DispatchEvent.CaughtUp(earliest, next));
   }
 
-  /** Tells whether the log answers. */
+  /** Reports whether the log is reachable. */
   public void logReachable(boolean reachable) {
     thread.put(new DispatchEvent.LogReachable(reachable));
   }
 
-  /** Returns what this VM knows of a request id that it claimed; empty if it knows nothing. */
+  /** Returns the outcome of a request that this VM claimed; empty if it knows none. */
   public Optional<OutcomeReply> outcome(RequestKey key) {
-    return own.find(key);
+    return localOutcomes.find(key);
   }
 
-  /** Opens or closes the path for new requests; {@code why} is the reason told while closed. */
+  /**
+   * Sets whether new requests are accepted; while they are not, they are refused with the reason
+   * {@code why}.
+   */
   public void ready(boolean ready, RefusalReason why) {
-    closedBecause = ready ? Optional.empty() : Optional.of(why);
+    notReadyReason = ready ? Optional.empty() : Optional.of(why);
     thread.put(new DispatchEvent.Ready(ready, why));
   }
 
-  /** Accepts nothing new, answers what is in flight, and asks callers to close. */
+  /** Stops accepting connections, answers the requests in flight and closes idle connections. */
   public void drain() {
     server.drain();
     EventLog.info(LOGGER, RequestEvent.SERVICE_PORT_DRAINING, inFlight());
   }
 
-  /** Returns the requests not yet answered, and the outcomes not yet known to be in the log. */
+  /** Returns the number of unanswered requests plus that of outcomes not yet known to be logged. */
   public int inFlight() {
     return Math.max(metrics.inFlight().get(), performer.openRequests()) + unrecorded;
   }
 
-  /** Closes all connections at once. */
+  /** Closes all connections without waiting for requests in flight. */
   @Override
   public void close() {
     server.close();
@@ -234,7 +245,7 @@
     executors.close();
   }
 
-  private final class RingSink implements CommandPerformer.EventSink {
+  private final class RingEventSink implements CommandPerformer.EventSink {
     @Override
     public void deliver(DispatchEvent event, EventLoop loop) {
       thread.deliver(event, loop);
--- a/fescuehook/src/main/java/org/fescuehook/net/http/HttpClientConnection.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/http/HttpClientConnection.java
@@ -33,9 +33,9 @@
 import java.util.function.Consumer;
 
 /**
- * One kept-alive connection with one request at a time. A connection on which a request had no
- * whole answer in time is closed, so a late answer never meets the next request; the next request
- * opens a new one. All state belongs to one event loop.
+ * A persistent connection that carries one request at a time. If a request gets no complete answer
+ * in time, the connection is closed, so that its late answer is never taken for that of the next
+ * request, which opens a new connection. All state is confined to one event loop.
  */
 public final class HttpClientConnection {
 
@@ -47,15 +47,15 @@
   private Optional<Channel> channel = Optional.empty();
   private Optional<Exchange> current = Optional.empty();
 
-  /** When the last request was begun. */
-  private long begunAt;
+  /** Time at which the last request was started. */
+  private long startedAtNanos;
 
-  /** When parts of the answer to it came; absent if none has. */
-  private OptionalLong firstPartAt = OptionalLong.empty();
+  /** Time at which the first part of its answer arrived; empty if none has. */
+  private OptionalLong firstPartAtNanos = OptionalLong.empty();
 
-  private long lastPartAt;
+  private long lastPartAtNanos;
 
-  /** Creates a connection that is opened by the first request. */
+  /** Creates a connection that is opened with the first request. */
   public HttpClientConnection(EventLoop loop, InetSocketAddress peer, Duration connectTimeout) {
     this.loop = loop;
     this.peer = peer;
@@ -63,33 +63,33 @@
   }
 
   /**
-   * Sends a request. No other request may be under way.
+   * Sends a request. No other request may be in progress.
    *
-   * @param timeout longest time from now to the whole answer
-   * @param sink called once, on the event loop
+   * @param timeout time from now within which the complete answer must arrive
+   * @param sink receives the result; called once, on the event loop
    */
   public void send(HttpCall call, Duration timeout, Consumer<HttpResult> sink) {
     loop.execute(() -> start(new Exchange(call, sink), timeout));
   }
 
-  /** Tells whether a part of the answer under way has come within a time until now. */
+  /** Returns whether a part of the current answer has arrived within the given time until now. */
   public boolean heardWithin(Duration time) {
     return current.isPresent()
-        && firstPartAt.isPresent()
-        && System.nanoTime() - lastPartAt <= time.toNanos();
+        && firstPartAtNanos.isPresent()
+        && System.nanoTime() - lastPartAtNanos <= time.toNanos();
   }
 
-  /** Returns how long the first part of the last answer took; zero if none has come. */
+  /** Returns the time until the first part of the last answer arrived; zero if none has. */
   public long firstPartNanos() {
-    return firstPartAt.isPresent() ? firstPartAt.getAsLong() - begunAt : 0;
+    return firstPartAtNanos.isPresent() ? firstPartAtNanos.getAsLong() - startedAtNanos : 0;
   }
 
-  /** Closes the connection, also one that is being opened; a request under way fails. */
+  /** Closes the connection, even while it is being opened; a request in progress fails. */
   public void close() {
     loop.execute(
         () -> {
           current.ifPresent(exchange -> fail(exchange, new IOException("closed by this side")));
-          drop();
+          closeChannel();
         });
   }
 
@@ -100,8 +100,8 @@
       return;
     }
     current = Optional.of(exchange);
-    begunAt = System.nanoTime();
-    firstPartAt = OptionalLong.empty();
+    startedAtNanos = System.nanoTime();
+    firstPartAtNanos = OptionalLong.empty();
     exchange.deadline =
         Optional.of(
             loop.schedule(
@@ -169,14 +169,14 @@
       return;
     }
     current = Optional.empty();
-    drop();
+    closeChannel();
     exchange.end(new HttpResult.Failed(cause, exchange.maybeSent));
   }
 
-  private void drop() {
-    Optional<Channel> dropped = channel;
+  private void closeChannel() {
+    Optional<Channel> closing = channel;
     channel = Optional.empty();
-    dropped.ifPresent(Channel::close);
+    closing.ifPresent(Channel::close);
   }
 
   private void answered(Channel from, FullHttpResponse response) {
@@ -187,7 +187,7 @@
     Exchange exchange = current.get();
     current = Optional.empty();
     if (!HttpUtil.isKeepAlive(response)) {
-      drop();
+      closeChannel();
     }
     exchange.end(
         new HttpResult.Answered(
@@ -203,7 +203,7 @@
     current.ifPresent(exchange -> fail(exchange, cause));
   }
 
-  /** One request and where its result goes. */
+  /** A request in progress and the receiver of its result. */
   private static final class Exchange {
     private final HttpCall call;
     private final Consumer<HttpResult> sink;
@@ -237,8 +237,9 @@
     @Override
     public void channelRead(ChannelHandlerContext context, Object part) {
       if (channel.filter(context.channel()::equals).isPresent()) {
-        lastPartAt = System.nanoTime();
-        firstPartAt = firstPartAt.isPresent() ? firstPartAt : OptionalLong.of(lastPartAt);
+        lastPartAtNanos = System.nanoTime();
+        firstPartAtNanos =
+            firstPartAtNanos.isPresent() ? firstPartAtNanos : OptionalLong.of(lastPartAtNanos);
       }
       context.fireChannelRead(part);
     }
--- a/fescuehook/src/main/java/org/fescuehook/net/operator/OperatorRouter.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/operator/OperatorRouter.java
@@ -17,7 +17,7 @@
 import org.fescuehook.model.configuration.Configuration;
 import org.fescuehook.model.job.JobId;
 
-/** Finds the answer to a call of an operator. */
+/** Routes the calls of operators to the backend or the control port, and builds their answers. */
 final class OperatorRouter {
 
   private static final String EXPLAIN = "/explain/";
@@ -38,15 +38,17 @@
     this.control = control;
   }
 
-  /** Tells whether a call needs no token: a balancer's probes carry none. */
-  static boolean open(String path) {
+  /**
+   * Returns whether a path is served without a token, since a load balancer's probes carry none.
+   */
+  static boolean isServedWithoutToken(String path) {
     return path.equals("/livez") || path.equals("/readyz");
   }
 
   /**
    * Answers a call.
    *
-   * @param sink called once, on any thread
+   * @param sink receives the answer; called once, on any thread
    */
   void route(
       HttpMethod method, QueryStringDecoder target, String body, Consumer<OperatorAnswer> sink) {
@@ -105,15 +107,15 @@
   private ObjectNode statusBody(String controlDocument) {
     VmStatus vm = backend.status();
     ObjectNode body = mapper.createObjectNode();
-    ObjectNode own = body.putObject("vm");
-    own.put("name", vm.vm()).put("domain", vm.domain()).put("incarnation", vm.incarnation());
-    own.put("ready", vm.notReady().isEmpty());
-    vm.notReady().ifPresent(why -> own.put("notReady", why));
-    own.put("revision", vm.revision()).put("logReachable", vm.logReachable());
-    own.put("inFlight", vm.inFlight());
-    putAll(own.putArray("peers"), vm.peers());
-    putAll(own.putArray("peersReachingLog"), vm.peersReachingLog());
-    putAll(own.putArray("leaving"), vm.leaving());
+    ObjectNode vmNode = body.putObject("vm");
+    vmNode.put("name", vm.vm()).put("domain", vm.domain()).put("incarnation", vm.incarnation());
+    vmNode.put("ready", vm.notReady().isEmpty());
+    vm.notReady().ifPresent(why -> vmNode.put("notReady", why));
+    vmNode.put("revision", vm.revision()).put("logReachable", vm.logReachable());
+    vmNode.put("inFlight", vm.inFlight());
+    putAll(vmNode.putArray("peers"), vm.peers());
+    putAll(vmNode.putArray("peersReachingLog"), vm.peersReachingLog());
+    putAll(vmNode.putArray("leaving"), vm.leaving());
     try {
       body.set("control", mapper.readTree(controlDocument));
     } catch (JsonProcessingException e) {
@@ -154,10 +156,10 @@
     }
   }
 
-  private OperatorAnswer found(Optional<Configuration> configuration, String otherwise) {
+  private OperatorAnswer found(Optional<Configuration> configuration, String notFoundDetail) {
     return configuration
         .map(present -> OperatorAnswer.json(OK, document(present)))
-        .orElseGet(() -> OperatorAnswer.error(NOT_FOUND, "not-found", otherwise));
+        .orElseGet(() -> OperatorAnswer.error(NOT_FOUND, "not-found", notFoundDetail));
   }
 
   private ObjectNode document(Configuration configuration) {
@@ -231,8 +233,8 @@
 
   private void ask(
       Request request, Function<Answer, OperatorAnswer> onAnswer, Consumer<OperatorAnswer> sink) {
-    boolean taken = control.offer(request, answer -> sink.accept(onAnswer.apply(answer)));
-    if (!taken) {
+    boolean accepted = control.offer(request, answer -> sink.accept(onAnswer.apply(answer)));
+    if (!accepted) {
       sink.accept(
           OperatorAnswer.error(UNAVAILABLE, "queue-full", "the decision ring is full")
               .retryAfter(1));
