--- a/fescuehook/src/main/java/org/fescuehook/cli/CommandCatalogue.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/CommandCatalogue.java
@@ -21,12 +21,12 @@
 import org.fescuehook.cli.command.StatusCommand;
 import org.fescuehook.cli.command.SubmitCommand;
 
-/** All commands. */
+/** Lists the commands of the {@code fescuehook} program. */
 final class CommandCatalogue {
 
   private CommandCatalogue() {}
 
-  /** Returns the commands in the order of the help text. */
+  /** Returns the commands in the order in which the help text lists them. */
   static List<CommandSpec> commands(EntryStarter starter, SchedulerStarter scheduler) {
     return List.of(
         new CommandSpec("entry", "run an entry VM", () -> new EntryCommand(starter)),
--- a/fescuehook/src/main/java/org/fescuehook/cli/CommandRunner.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/CommandRunner.java
@@ -16,7 +16,7 @@
 import org.kohsuke.args4j.CmdLineParser;
 import org.kohsuke.args4j.ParserProperties;
 
-/** Finds the command that the arguments name, sets its options and runs it. */
+/** Finds the command that the arguments name, parses its options and runs it. */
 public final class CommandRunner {
 
   private static final Set<String> HELP = Set.of("--help", "-h");
@@ -24,19 +24,19 @@
 
   private final List<CommandSpec> commands;
 
-  /** Creates a runner. */
+  /** Creates a runner whose commands start VMs with the given starters. */
   public CommandRunner(EntryStarter starter, SchedulerStarter scheduler) {
     this.commands = CommandCatalogue.commands(starter, scheduler);
   }
 
-  /** Runs the command; never throws for a fault of the user. */
+  /** Runs the command; reports invalid input by its exit code and never by an exception. */
   public ExitCode run(String[] arguments, Console console) {
     Optional<CommandSpec> spec = find(arguments);
     if (spec.isEmpty()) {
       return runWithoutCommand(arguments, console);
     }
-    int words = spec.get().matches(arguments);
-    return run(spec.get(), Arrays.copyOfRange(arguments, words, arguments.length), console);
+    int wordCount = spec.get().matches(arguments);
+    return run(spec.get(), Arrays.copyOfRange(arguments, wordCount, arguments.length), console);
   }
 
   private Optional<CommandSpec> find(String[] arguments) {
--- a/fescuehook/src/main/java/org/fescuehook/cli/CommandSpec.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/CommandSpec.java
@@ -4,15 +4,15 @@
 import org.fescuehook.cli.command.Command;
 
 /**
- * A command that can be called.
+ * Describes a command that the command line can name.
  *
- * @param name its words, as {@code config check}
- * @param summary what it does
- * @param factory creates it with its options at their defaults
+ * @param name words that select the command, such as {@code config check}
+ * @param summary one line for the help text that says what the command does
+ * @param factory creates the command with all options at their defaults
  */
 record CommandSpec(String name, String summary, Supplier<Command> factory) {
 
-  /** Returns how many arguments name the command; 0 if the arguments call another one. */
+  /** Returns how many arguments the command's name takes up; 0 if they name another command. */
   int matches(String[] arguments) {
     String[] words = name.split(" ");
     if (arguments.length < words.length) {
--- a/fescuehook/src/main/java/org/fescuehook/cli/Main.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/Main.java
@@ -11,12 +11,12 @@
 import org.fescuehook.model.preferences.EntryPreferences;
 import org.fescuehook.model.preferences.SchedulerPreferences;
 
-/** Entry point of the program. */
+/** Starts the {@code fescuehook} program. */
 public final class Main {
 
   private Main() {}
 
-  /** Runs the command that the arguments name and ends the process with its exit code. */
+  /** Runs the command that the arguments name and exits with its exit code. */
   public static void main(String[] arguments) {
     Console console = new Console(System.out, System.err, System.getenv());
     System.exit(
--- a/fescuehook/src/main/java/org/fescuehook/cli/client/EntryClient.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/client/EntryClient.java
@@ -22,7 +22,7 @@
 import org.fescuehook.logic.ini.Addresses;
 import org.fescuehook.logic.ini.Durations;
 
-/** Sends single requests to one port of an entry VM and reads JSON answers. */
+/** Sends HTTP requests to one port of an entry VM and parses its JSON responses. */
 public final class EntryClient implements AutoCloseable {
 
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(3);
@@ -33,26 +33,26 @@
           .version(HttpClient.Version.HTTP_1_1)
           .connectTimeout(CONNECT_TIMEOUT)
           .build();
-  private final String peer;
+  private final String address;
   private final Optional<String> token;
   private final Duration timeout;
 
   /**
    * Creates a client.
    *
-   * @param address the port
-   * @param token bearer token, for the operators' port
-   * @param timeout longest wait for an answer
+   * @param address address of the port
+   * @param token bearer token, which the operators' port may require
+   * @param timeout longest time to wait for a complete response
    */
   public EntryClient(InetSocketAddress address, Optional<String> token, Duration timeout) {
-    this.peer = Addresses.format(address);
+    this.address = Addresses.format(address);
     this.token = token;
     this.timeout = timeout;
   }
 
-  /** Returns the address of the port. */
-  public String peer() {
-    return peer;
+  /** Returns the address of the port as text. */
+  public String address() {
+    return address;
   }
 
   /** Sends a request without a body. */
@@ -69,7 +69,7 @@
       String json = MAPPER.writeValueAsString(body);
       return exchange(builder.method(method, BodyPublishers.ofString(json)).build());
     } catch (JsonProcessingException e) {
-      throw new IllegalArgumentException("body is no JSON: " + body, e);
+      throw new IllegalArgumentException("request body cannot be written as JSON: " + body, e);
     }
   }
 
@@ -80,13 +80,13 @@
 
   private HttpRequest.Builder builder(String path) {
     HttpRequest.Builder builder =
-        HttpRequest.newBuilder(URI.create("http://" + peer + path)).timeout(timeout);
+        HttpRequest.newBuilder(URI.create("http://" + address + path)).timeout(timeout);
     token.ifPresent(value -> builder.header("Authorization", "Bearer " + value));
     return builder;
   }
 
   private Response exchange(HttpRequest request) throws EntryUnreachableException {
-    String step = request.method() + " " + request.uri().getRawPath();
+    String requestLine = request.method() + " " + request.uri().getRawPath();
     try {
       HttpResponse<String> response =
           client
@@ -94,15 +94,15 @@
               .get(timeout.toMillis(), TimeUnit.MILLISECONDS);
       return new Response(response.statusCode(), parse(response.body()), retryAfter(response));
     } catch (JsonProcessingException e) {
-      throw new EntryUnreachableException(step, peer, "the answer is no JSON");
+      throw new EntryUnreachableException(requestLine, address, "the answer is no JSON");
     } catch (ExecutionException e) {
-      throw new EntryUnreachableException(step, peer, problem(e.getCause()));
+      throw new EntryUnreachableException(requestLine, address, problem(e.getCause()));
     } catch (TimeoutException e) {
       throw new EntryUnreachableException(
-          step, peer, "nothing whole within " + Durations.format(timeout));
+          requestLine, address, "nothing whole within " + Durations.format(timeout));
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw new EntryUnreachableException(step, peer, "interrupted");
+      throw new EntryUnreachableException(requestLine, address, "interrupted");
     }
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/cli/client/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/client/package-info.java
@@ -1,4 +1,4 @@
-/** HTTP client with which commands reach an entry VM. */
+/** HTTP client through which commands call an entry VM. */
 @NullMarked
 package org.fescuehook.cli.client;
 
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/AddressOptionHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/AddressOptionHandler.java
@@ -7,12 +7,12 @@
 import org.kohsuke.args4j.OptionDef;
 import org.kohsuke.args4j.spi.Setter;
 
-/** Reads {@code IP:port} options. */
+/** Parses options whose value is an address of the form {@code IP:port}. */
 public final class AddressOptionHandler extends TypedOptionHandler<InetSocketAddress> {
 
   private static final ValueType<InetSocketAddress> TYPE = Addresses.fromPort(1);
 
-  /** Creates the handler; called by args4j. */
+  /** Creates the handler; args4j calls this constructor by reflection. */
   public AddressOptionHandler(
       CmdLineParser parser, OptionDef option, Setter<? super InetSocketAddress> setter) {
     super(parser, option, setter, TYPE, "IP:PORT");
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/Command.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/Command.java
@@ -1,13 +1,13 @@
 package org.fescuehook.cli.command;
 
-/** A command. Its options are fields that args4j sets before it runs. */
+/** Implements one command. Its options are fields, which args4j sets before the command runs. */
 public interface Command {
 
   /**
    * Runs the command.
    *
-   * @return how the process ends
-   * @throws CommandException if it could not do its work
+   * @return exit code of the process
+   * @throws CommandException if the command fails
    */
   ExitCode run(Console console) throws CommandException;
 }
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/ConfigCheckCommand.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/ConfigCheckCommand.java
@@ -7,7 +7,7 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** {@code config check}: checks declarations and changes nothing. */
+/** {@code config check}: checks declaration files without publishing them. */
 public final class ConfigCheckCommand implements Command {
 
   @Argument(metaVar = "FILE", required = true, usage = "declarations, INI; several make up one")
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/ConfigDiffCommand.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/ConfigDiffCommand.java
@@ -15,7 +15,7 @@
 import org.fescuehook.model.configuration.Declarations;
 import org.kohsuke.args4j.Argument;
 
-/** {@code config diff}: compares the declarations in force with files and changes nothing. */
+/** {@code config diff}: compares the declarations in force with files, without changing them. */
 public final class ConfigDiffCommand extends OperatorCommand {
 
   @Argument(metaVar = "FILE", required = true, usage = "declarations, INI; several make up one")
@@ -80,7 +80,7 @@
     new FaultWriter(console, Format.TEXT).write(wanted.faults(), wanted.warnings());
   }
 
-  /** Result as JSON. */
+  /** Result of the comparison, written as JSON. */
   private record Report(
       long revision, List<Difference> differences, List<String> faults, List<String> warnings) {}
 }
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/ConfigPublishCommand.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/ConfigPublishCommand.java
@@ -12,7 +12,8 @@
 import org.kohsuke.args4j.Option;
 
 /**
- * {@code config publish}: puts declarations in force; publishing the same again changes nothing.
+ * {@code config publish}: puts declarations in force. Publishing the declarations that are already
+ * in force has no effect.
  */
 public final class ConfigPublishCommand extends OperatorCommand {
 
@@ -60,17 +61,20 @@
     try {
       response = client.send("POST", "/configuration", publication, Map.of());
     } catch (EntryUnreachableException e) {
-      return afterLostAnswer(console, client, publication, e);
+      return handleLostResponse(console, client, publication, e);
     }
     if (response.status() == CONFLICT) {
-      return conflict(console, client, publication, response);
+      return handleConflict(console, client, publication, response);
     }
-    long revision = granted(response).body().path("revision").asLong();
+    long revision = requireSuccess(response).body().path("revision").asLong();
     return report(console, new Result(revision, true));
   }
 
-  /** The publication may have taken effect; what is in force tells. */
-  private ExitCode afterLostAnswer(
+  /**
+   * Handles a lost response, after which the publication may have taken effect: it has if the
+   * configuration in force has the same declarations.
+   */
+  private ExitCode handleLostResponse(
       Console console,
       EntryClient client,
       Publication publication,
@@ -85,19 +89,21 @@
         failure.getMessage() + "; it may have been accepted: publish again, which is safe");
   }
 
-  private ExitCode conflict(
+  private ExitCode handleConflict(
       Console console, EntryClient client, Publication publication, Response response)
       throws CommandException, EntryUnreachableException {
     long winner = response.body().path("winner").asLong(-1);
-    Optional<PublishedConfiguration> winning = PublishedConfiguration.fetch(client, winner);
-    if (winning.isPresent() && winning.get().declarations().equals(publication.declarations())) {
+    Optional<PublishedConfiguration> winningConfiguration =
+        PublishedConfiguration.fetch(client, winner);
+    if (winningConfiguration.isPresent()
+        && winningConfiguration.get().declarations().equals(publication.declarations())) {
       return report(console, new Result(winner, false));
     }
-    String by = response.body().path("author").asText("unknown");
+    String winningAuthor = response.body().path("author").asText("unknown");
     throw new CommandException(
         ExitCode.CONFLICT,
         "conflict: revision %d by %s came first; look at config diff, then publish with --base %d"
-            .formatted(winner, by, winner));
+            .formatted(winner, winningAuthor, winner));
   }
 
   private ExitCode report(Console console, Result result) {
@@ -122,9 +128,9 @@
     }
   }
 
-  /** Body of a publication. */
+  /** Request body that publishes a configuration. */
   private record Publication(long base, String author, String reason, String declarations) {}
 
-  /** What became of it. */
+  /** Revision in force after the command, and whether this publication created it. */
   private record Result(long revision, boolean changed) {}
 }
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/Console.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/Console.java
@@ -4,15 +4,15 @@
 import java.util.Map;
 
 /**
- * What a command reads from and writes to.
+ * Holds the output streams and the environment of a command.
  *
- * @param out results
- * @param err faults and advice
+ * @param out stream for results
+ * @param err stream for faults and advice
  * @param environment environment variables
  */
 public record Console(PrintStream out, PrintStream err, Map<String, String> environment) {
 
-  /** Copies the map. */
+  /** Creates the console with a copy of the environment. */
   public Console {
     environment = Map.copyOf(environment);
   }
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/ControlReplayReport.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/ControlReplayReport.java
@@ -5,12 +5,12 @@
 import org.fescuehook.logic.control.trace.ControlReplayer.Replay;
 
 /**
- * Result of the replay of a trace of the decision core.
+ * Reports the replay of a trace that an entry VM's decision core recorded.
  *
- * @param events events replayed
- * @param commands commands compared
- * @param same whether every command was as recorded
- * @param differences the first difference, if there is one
+ * @param events number of events replayed
+ * @param commands number of commands compared
+ * @param same whether every command equals the recorded one
+ * @param differences the first difference; empty if there is none
  */
 record ControlReplayReport(long events, long commands, boolean same, List<Difference> differences) {
 
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/DeclarationFiles.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/DeclarationFiles.java
@@ -8,9 +8,9 @@
 import org.fescuehook.logic.ini.IniSource;
 
 /**
- * Declaration files named on the command line, which make up one configuration.
+ * Holds the declaration files that the command line names; together they form one configuration.
  *
- * @param sources the files in the order of their names
+ * @param sources the files, sorted by name
  */
 record DeclarationFiles(List<IniSource> sources) {
 
@@ -23,7 +23,7 @@
     return new DeclarationsParser().check(sources);
   }
 
-  /** Returns the text to publish: the files one after another. */
+  /** Returns the text to publish: the concatenated files without trailing blanks. */
   String text() {
     StringBuilder text = new StringBuilder();
     for (IniSource source : sources) {
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/DurationOptionHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/DurationOptionHandler.java
@@ -6,10 +6,10 @@
 import org.kohsuke.args4j.OptionDef;
 import org.kohsuke.args4j.spi.Setter;
 
-/** Reads durations with a unit. */
+/** Parses options whose value is a duration with a unit. */
 public final class DurationOptionHandler extends TypedOptionHandler<Duration> {
 
-  /** Creates the handler; called by args4j. */
+  /** Creates the handler; args4j calls this constructor by reflection. */
   public DurationOptionHandler(
       CmdLineParser parser, OptionDef option, Setter<? super Duration> setter) {
     super(parser, option, setter, Durations.from(Duration.ZERO), "DURATION");
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/EntryCommand.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/EntryCommand.java
@@ -6,7 +6,7 @@
 import org.fescuehook.model.preferences.EntryPreferences;
 import org.kohsuke.args4j.Option;
 
-/** {@code entry}: runs an entry VM until it is told to stop. */
+/** {@code entry}: runs an entry VM until it is asked to stop. */
 public final class EntryCommand implements Command {
 
   private final EntryStarter starter;
@@ -18,7 +18,7 @@
       usage = "settings of this VM, INI")
   private String settings = "";
 
-  /** Creates the command. */
+  /** Creates the command, which starts the VM with the given starter. */
   public EntryCommand(EntryStarter starter) {
     this.starter = starter;
   }
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/ExplainCommand.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/ExplainCommand.java
@@ -5,7 +5,7 @@
 import org.fescuehook.cli.client.Response;
 import org.kohsuke.args4j.Argument;
 
-/** {@code explain}: tells why a job waits or was refused. */
+/** {@code explain}: prints why a job waits or was rejected. */
 public final class ExplainCommand extends OperatorCommand {
 
   @Argument(metaVar = "ID", required = true, usage = "the job")
@@ -14,7 +14,7 @@
   @Override
   ExitCode run(Console console, EntryClient client)
       throws CommandException, EntryUnreachableException {
-    Response response = granted(client.send("GET", "/explain/" + PathSegments.encode(id)));
+    Response response = requireSuccess(client.send("GET", "/explain/" + PathSegments.encode(id)));
     new ResultWriter(console, format()).write(response.body());
     return ExitCode.DONE;
   }
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/ExplainLogCommand.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/ExplainLogCommand.java
@@ -21,14 +21,17 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** {@code explain-log}: tells the story of one or all batch jobs from the logs of the VMs. */
+/**
+ * {@code explain-log}: explains from the logs of the VMs how a batch job went, or why jobs ended
+ * late.
+ */
 public final class ExplainLogCommand implements Command {
 
   private static final String STANDARD_INPUT = "-";
   private static final double MILLIS_PER_SECOND = 1000;
 
-  /** Jobs that are named one by one. */
-  private static final int DEAREST = 10;
+  /** Number of late jobs that {@code --all} lists one by one. */
+  private static final int MAX_LISTED_JOBS = 10;
 
   @Argument(metaVar = "ID", usage = "the job; not with --all")
   private String id = "";
@@ -47,31 +50,31 @@
     if (all != id.isEmpty()) {
       throw new CommandException(ExitCode.FAULTY_INPUT, "name one job, or give --all");
     }
-    LogGapFinder finder = new LogGapFinder(SchedulerEvent.STOPPED.number());
+    LogGapFinder gapFinder = new LogGapFinder(SchedulerEvent.STOPPED.number());
     List<LoggedEvent> log = new ArrayList<>();
     List<LogGap> gaps = new ArrayList<>();
     for (String file : files.isEmpty() ? List.of(STANDARD_INPUT) : files) {
       List<LogLine> lines = read(file);
       lines.forEach(line -> line.event().ifPresent(log::add));
-      gaps.addAll(finder.find(file, lines));
+      gaps.addAll(gapFinder.find(file, lines));
     }
     if (all) {
-      return tellAll(LateJobReport.of(log), console);
+      return printLateJobs(LateJobReport.of(log), console);
     }
-    return tell(JobTimeline.of(id, log), gaps, console);
+    return printTimeline(JobTimeline.of(id, log), gaps, console);
   }
 
-  private ExitCode tellAll(LateJobReport day, Console console) throws CommandException {
-    if (day.jobs() == 0) {
+  private ExitCode printLateJobs(LateJobReport report, Console console) throws CommandException {
+    if (report.jobs() == 0) {
       throw new CommandException(
           ExitCode.REFUSED, "no line tells of an accepted job; give the logs of all VMs");
     }
-    print(console, "%d jobs accepted, %d late%n", day.jobs(), day.late().size());
-    for (LateJobReport.LostTime loss : day.losses()) {
+    print(console, "%d jobs accepted, %d late%n", report.jobs(), report.late().size());
+    for (LateJobReport.LostTime loss : report.losses()) {
       double seconds = loss.lateMillis() / MILLIS_PER_SECOND;
       print(console, "%9.3f s  %4d  %s  %s%n", seconds, loss.jobs(), loss.queue(), loss.cause());
     }
-    for (LateJobReport.LateJob job : day.late().stream().limit(DEAREST).toList()) {
+    for (LateJobReport.LateJob job : report.late().stream().limit(MAX_LISTED_JOBS).toList()) {
       print(
           console,
           "%s  %s  %d core-s  %.3f s late%s  %s%n",
@@ -89,21 +92,21 @@
     console.out().printf(Locale.ROOT, format, arguments);
   }
 
-  private ExitCode tell(JobTimeline story, List<LogGap> gaps, Console console)
+  private ExitCode printTimeline(JobTimeline timeline, List<LogGap> gaps, Console console)
       throws CommandException {
-    if (story.events().isEmpty()) {
+    if (timeline.events().isEmpty()) {
       long known = gaps.stream().filter(gap -> !(gap instanceof LogGap.OpenEnd)).count();
       String missing =
           known == 0 ? "" : "; in those given, lines are missing at " + known + " places";
       throw new CommandException(
           ExitCode.REFUSED, "no line names " + id + "; give the logs of all VMs" + missing);
     }
-    long first = story.events().getFirst().millis();
-    for (LoggedEvent event : story.events()) {
+    long first = timeline.events().getFirst().millis();
+    for (LoggedEvent event : timeline.events()) {
       double seconds = (event.millis() - first) / MILLIS_PER_SECOND;
       print(console, "%9.3f s  %s  %d  %s%n", seconds, event.vm(), event.number(), event.message());
     }
-    story
+    timeline
         .longestStage()
         .ifPresent(
             stage ->
@@ -112,18 +115,21 @@
                     "Longest: %.3f s, %s%n",
                     stage.millis() / MILLIS_PER_SECOND,
                     stage.name()));
-    tellGaps(story, gaps, console);
+    printGaps(timeline, gaps, console);
     return ExitCode.DONE;
   }
 
-  /** Names the gaps in the time of the job, which has no known end without the event of it. */
-  private static void tellGaps(JobTimeline story, List<LogGap> gaps, Console console) {
-    long first = story.events().getFirst().millis();
+  /**
+   * Prints the gaps in the logs that overlap the job's time. If no event says that the job ended,
+   * its time lasts until the end of the logs.
+   */
+  private static void printGaps(JobTimeline timeline, List<LogGap> gaps, Console console) {
+    long first = timeline.events().getFirst().millis();
     boolean ended =
-        story.events().stream()
+        timeline.events().stream()
             .anyMatch(event -> event.number() == BatchLogEvent.JOB_ENDED.number());
-    long last = ended ? story.events().getLast().millis() : Long.MAX_VALUE;
-    List<String> quiet = new ArrayList<>();
+    long last = ended ? timeline.events().getLast().millis() : Long.MAX_VALUE;
+    List<String> silentVms = new ArrayList<>();
     for (LogGap gap : gaps) {
       if (!gap.overlaps(first, last)) {
         continue;
@@ -147,11 +153,11 @@
                 from,
                 to);
         case LogGap.OpenEnd end ->
-            quiet.add(String.format(Locale.ROOT, "%s after %.3f s", end.vm(), from));
+            silentVms.add(String.format(Locale.ROOT, "%s after %.3f s", end.vm(), from));
       }
     }
-    if (!quiet.isEmpty()) {
-      print(console, "No more lines, lost or idle: %s%n", String.join(", ", quiet));
+    if (!silentVms.isEmpty()) {
+      print(console, "No more lines, lost or idle: %s%n", String.join(", ", silentVms));
     }
   }
 
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/FaultWriter.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/FaultWriter.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.fescuehook.logic.ini.Fault;
 
-/** Writes faults and warnings of checked files, as lines or as JSON. */
+/** Prints the faults and warnings found in checked files, as lines or as JSON. */
 final class FaultWriter {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -18,7 +18,10 @@
     this.format = format;
   }
 
-  /** Writes the result of a check: faults to the error stream, or all as one JSON document. */
+  /**
+   * Prints the result of a check: as lines to standard error, or as one JSON document to standard
+   * output.
+   */
   void write(List<Fault> faults, List<Fault> warnings) {
     if (format == Format.JSON) {
       Report report = new Report(faults.isEmpty(), lines(faults), lines(warnings));
@@ -41,10 +44,10 @@
     }
   }
 
-  /** Result of a check. */
+  /** Result of a check, written as JSON. */
   private record Report(boolean valid, List<Line> faults, List<Line> warnings) {}
 
-  /** One fault, flat. */
+  /** Fault with its location, flattened for the JSON document. */
   private record Line(
       String file,
       int line,
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/Format.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/Format.java
@@ -1,9 +1,9 @@
 package org.fescuehook.cli.command;
 
-/** Form of a command's result. */
+/** Output format of a command's result. */
 public enum Format {
-  /** Lines for a terminal. */
+  /** Human-readable lines for a terminal. */
   TEXT,
-  /** One JSON document for a pipeline. */
+  /** One JSON document for other programs. */
   JSON
 }
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/InputFiles.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/InputFiles.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.fescuehook.logic.ini.IniSource;
 
-/** Reads files named on the command line. */
+/** Reads the files that the command line names. */
 final class InputFiles {
 
   private InputFiles() {}
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/JobReplayReport.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/JobReplayReport.java
@@ -7,15 +7,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Result of the replay of a trace of jobs. Times are seconds since the beginning of the trace.
+ * Reports the replay of a job trace. Times are in seconds since the beginning of the trace.
  *
- * @param jobs what became of each job, in the order of submission
+ * @param jobs outcome of each job, in the order of submission
  */
 record JobReplayReport(List<Row> jobs) {
 
   private static final long MILLIS_PER_SECOND = 1000;
 
-  /** What became of a job; a time that it did not reach is null. */
+  /** Outcome of a job; a null time means that the job never started or never ended. */
   record Row(
       String job,
       String organisation,
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/Json.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/Json.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 
-/** Writes results as JSON. */
+/** Serializes results as indented JSON. */
 final class Json {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -14,7 +14,7 @@
     try {
       return MAPPER.writerWithDefaultPrettyPrinter().writeValueAsString(value);
     } catch (JsonProcessingException e) {
-      throw new IllegalArgumentException("no JSON: " + value, e);
+      throw new IllegalArgumentException("value cannot be written as JSON: " + value, e);
     }
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/JsonText.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/JsonText.java
@@ -9,19 +9,19 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Writes a JSON document for a terminal: scalars as lines, lists of objects as tables. */
+/** Formats a JSON document for a terminal: scalars as lines, lists of objects as tables. */
 final class JsonText {
 
   private static final String INDENT = "  ";
   private static final String EMPTY = "none";
 
-  /** Fields of the documents of an entry VM that are milliseconds since 1970; 0 if not known. */
-  private static final Set<String> TIMES =
+  /** Fields in responses of an entry VM that hold milliseconds since 1970; 0 means unknown. */
+  private static final Set<String> TIME_FIELDS =
       Set.of("submitted", "planned", "ended", "since", "until", "expectedStart", "asOf");
 
   private final StringBuilder text = new StringBuilder();
 
-  /** Returns the document as lines. */
+  /** Returns the document as lines of text. */
   static String write(JsonNode document) {
     JsonText writer = new JsonText();
     writer.writeObject(document, "");
@@ -102,16 +102,16 @@
   }
 
   private static boolean isTime(String name) {
-    return name.endsWith("Millis") || TIMES.contains(name);
+    return name.endsWith("Millis") || TIME_FIELDS.contains(name);
   }
 
-  /** Turns a JSON name into words, as {@code inFlight} into {@code in flight}. */
+  /** Splits a JSON name into words, such as {@code inFlight} into {@code in flight}. */
   private static String words(String name) {
     String bare = name.replaceFirst("Millis$", "");
     return printable(bare.replaceAll("([a-z0-9])([A-Z])", "$1 $2").toLowerCase(Locale.ROOT));
   }
 
-  /** Replaces control characters, which a terminal would obey. */
+  /** Replaces control characters, which a terminal would interpret as commands. */
   private static String printable(String value) {
     return value.replaceAll("\\p{Cntrl}", "?");
   }
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/OperatorCommand.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/OperatorCommand.java
@@ -12,7 +12,7 @@
 import org.jspecify.annotations.Nullable;
 import org.kohsuke.args4j.Option;
 
-/** A command that goes to the operators' port of an entry VM. */
+/** Base of the commands that call the operators' port of an entry VM. */
 abstract class OperatorCommand implements Command {
 
   private static final String TOKEN_VARIABLE = "FESCUEHOOK_OPERATOR_TOKEN";
@@ -44,17 +44,17 @@
     }
   }
 
-  /** Runs the command with a client. */
+  /** Runs the command with a client of the operators' port. */
   abstract ExitCode run(Console console, EntryClient client)
       throws CommandException, EntryUnreachableException;
 
-  /** Returns the form of the result. */
+  /** Returns the format in which to print the result. */
   final Format format() {
     return format;
   }
 
-  /** Returns the response if it is a success, and fails with its refusal if not. */
-  static Response granted(Response response) throws CommandException {
+  /** Returns the response if its status reports success; throws its refusal otherwise. */
+  static Response requireSuccess(Response response) throws CommandException {
     if (response.successful()) {
       return response;
     }
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/PathSegments.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/PathSegments.java
@@ -3,7 +3,7 @@
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
 
-/** Encodes text from the command line for the path of a URL. */
+/** Percent-encodes text from the command line as a segment of a URL path. */
 final class PathSegments {
 
   private PathSegments() {}
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/PublishedConfiguration.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/PublishedConfiguration.java
@@ -7,26 +7,26 @@
 import org.fescuehook.cli.client.Response;
 
 /**
- * A configuration as the operators' port tells it.
+ * Holds a published configuration as the operators' port returns it.
  *
- * @param revision its revision
- * @param base revision that it was based on
+ * @param revision revision number of the configuration
+ * @param base revision that the author changed; -1 for the first configuration
  * @param author who published it
- * @param reason why
- * @param declarations its text, INI
+ * @param reason why it was published
+ * @param declarations text of the declarations, in INI format
  */
 record PublishedConfiguration(
     long revision, long base, String author, String reason, String declarations) {
 
   private static final int NOT_FOUND = 404;
 
-  /** Fetches the configuration in force; empty if none was published yet. */
+  /** Fetches the configuration in force; empty if none has been published yet. */
   static Optional<PublishedConfiguration> fetchCurrent(EntryClient client)
       throws CommandException, EntryUnreachableException {
     return fetch(client, "/configuration");
   }
 
-  /** Fetches a revision; empty if it is not known. */
+  /** Fetches a revision; empty if the entry VM does not know it. */
   static Optional<PublishedConfiguration> fetch(EntryClient client, long revision)
       throws CommandException, EntryUnreachableException {
     return fetch(client, "/configuration?revision=" + revision);
@@ -38,7 +38,7 @@
     if (response.status() == NOT_FOUND) {
       return Optional.empty();
     }
-    JsonNode body = OperatorCommand.granted(response).body();
+    JsonNode body = OperatorCommand.requireSuccess(response).body();
     PublishedConfiguration configuration =
         new PublishedConfiguration(
             body.path("revision").asLong(-1),
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/Refusals.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/Refusals.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import org.fescuehook.cli.client.Response;
 
-/** Turns refusals of an entry VM into one line that says what to do. */
+/** Turns error responses of an entry VM into exceptions with a one-line message for the user. */
 final class Refusals {
 
   private static final int UNAUTHORIZED = 401;
@@ -12,7 +12,7 @@
 
   private Refusals() {}
 
-  /** Returns the exception for a response that is no success. */
+  /** Returns the exception for a response whose status reports no success. */
   static CommandException of(Response response) {
     if (response.status() == UNAUTHORIZED) {
       return new CommandException(
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/ReplayCommand.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/ReplayCommand.java
@@ -23,8 +23,8 @@
 import org.kohsuke.args4j.Option;
 
 /**
- * {@code replay}: replays a trace. A trace of the decision core is compared with what it recorded;
- * a trace of jobs is run against the policy on a virtual clock.
+ * {@code replay}: replays a trace. For a trace of the decision core, compares the commands with the
+ * recorded ones; for a trace of jobs, runs the scheduling policy on a virtual clock.
  */
 public final class ReplayCommand implements Command {
 
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/ResultWriter.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/ResultWriter.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** Writes a JSON answer in the asked form. */
+/** Prints a JSON document in the requested format. */
 final class ResultWriter {
 
   private final Console console;
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/SchedulerCommand.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/SchedulerCommand.java
@@ -7,10 +7,12 @@
 import org.fescuehook.model.preferences.SchedulerPreferences;
 import org.kohsuke.args4j.Option;
 
-/** {@code scheduler}: runs a VM that schedules batch jobs until it is told to stop. */
+/** {@code scheduler}: runs a VM that schedules batch jobs until it is asked to stop. */
 public final class SchedulerCommand implements Command {
 
-  /** Environment variable that names the settings file where no option does. */
+  /**
+   * Environment variable that names the settings file if the option {@code --settings} is missing.
+   */
   private static final String SETTINGS_VARIABLE = "FESCUEHOOK_CONFIG";
 
   private final SchedulerStarter starter;
@@ -24,14 +26,14 @@
   @Option(name = "--check", usage = "only check the settings and start nothing")
   private boolean check;
 
-  /** Creates the command. */
+  /** Creates the command, which starts the VM with the given starter. */
   public SchedulerCommand(SchedulerStarter starter) {
     this.starter = starter;
   }
 
   @Override
   public ExitCode run(Console console) throws CommandException {
-    String file = settings.isEmpty() ? named(console) : settings;
+    String file = settings.isEmpty() ? settingsFromEnvironment(console) : settings;
     SchedulerPreferences preferences;
     try {
       preferences = new SchedulerSettingsParser().parse(InputFiles.read(file));
@@ -46,7 +48,7 @@
     return starter.run(preferences);
   }
 
-  private static String named(Console console) throws CommandException {
+  private static String settingsFromEnvironment(Console console) throws CommandException {
     return Optional.ofNullable(console.environment().get(SETTINGS_VARIABLE))
         .orElseThrow(
             () ->
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/SchedulerStarter.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/SchedulerStarter.java
@@ -2,15 +2,15 @@
 
 import org.fescuehook.model.preferences.SchedulerPreferences;
 
-/** Runs a VM that schedules batch jobs until it is told to stop. */
+/** Runs a VM that schedules batch jobs until it is asked to stop. */
 @FunctionalInterface
 public interface SchedulerStarter {
 
   /**
-   * Runs the VM.
+   * Runs the VM and returns once it has stopped.
    *
-   * @return how the process ends
-   * @throws CommandException if it cannot be started
+   * @return exit code of the process
+   * @throws CommandException if the VM cannot be started
    */
   ExitCode run(SchedulerPreferences preferences) throws CommandException;
 }
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/ServiceCommand.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/ServiceCommand.java
@@ -7,7 +7,7 @@
 import org.fescuehook.cli.client.EntryUnreachableException;
 import org.kohsuke.args4j.Option;
 
-/** A command that goes to the service port of an entry VM, as a caller does. */
+/** Base of the commands that call the service port of an entry VM, as clients do. */
 abstract class ServiceCommand implements Command {
 
   private static final Duration TIMEOUT = Duration.ofSeconds(15);
@@ -31,21 +31,21 @@
     }
   }
 
-  /** Runs the command with a client. */
+  /** Runs the command with a client of the service port. */
   abstract ExitCode run(Console console, EntryClient client)
       throws CommandException, EntryUnreachableException;
 
-  /** Returns how long the entry VM is asked to wait before it answers. */
+  /** Returns how long the entry VM may hold the request before it responds. */
   Duration longestWait() {
     return Duration.ZERO;
   }
 
-  /** Returns what to do when no answer came. */
+  /** Returns the advice to print when no response arrives. */
   String advice() {
     return "see that the entry VM runs, or give --service IP:PORT";
   }
 
-  /** Returns the form of the result. */
+  /** Returns the format in which to print the result. */
   final Format format() {
     return format;
   }
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/SettingsCheckCommand.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/SettingsCheckCommand.java
@@ -7,7 +7,7 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** {@code settings check}: checks a settings file and starts nothing. */
+/** {@code settings check}: checks a settings file without starting a VM. */
 public final class SettingsCheckCommand implements Command {
 
   @Argument(metaVar = "FILE", required = true, usage = "settings of an entry VM, INI")
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/SettingsExampleCommand.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/SettingsExampleCommand.java
@@ -2,7 +2,7 @@
 
 import org.fescuehook.logic.preferences.SettingsDocument;
 
-/** {@code settings example}: prints a full settings file with every key explained. */
+/** {@code settings example}: prints a complete settings file that explains each key. */
 public final class SettingsExampleCommand implements Command {
 
   @Override
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/SocketPortProbe.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/SocketPortProbe.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import org.fescuehook.logic.preferences.PortProbe;
 
-/** Tries an address by listening on it for a moment. */
+/** Checks that an address can be listened on by briefly binding a server socket to it. */
 final class SocketPortProbe implements PortProbe {
 
   @Override
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/StatusCommand.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/StatusCommand.java
@@ -4,13 +4,13 @@
 import org.fescuehook.cli.client.EntryUnreachableException;
 import org.fescuehook.cli.client.Response;
 
-/** {@code status}: shows the state of an entry VM and of the system as it sees it. */
+/** {@code status}: shows the state of an entry VM and the VM's view of the whole system. */
 public final class StatusCommand extends OperatorCommand {
 
   @Override
   ExitCode run(Console console, EntryClient client)
       throws CommandException, EntryUnreachableException {
-    Response response = granted(client.send("GET", "/status"));
+    Response response = requireSuccess(client.send("GET", "/status"));
     new ResultWriter(console, format()).write(response.body());
     return ExitCode.DONE;
   }
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/SubmitCommand.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/SubmitCommand.java
@@ -88,7 +88,7 @@
     return "the job may have been accepted; submit again with --request-id " + requestId;
   }
 
-  /** Body of a submission. */
+  /** Request body that submits a job. */
   private record Submission(
       String organisation,
       int members,
--- a/fescuehook/src/main/java/org/fescuehook/cli/command/TypedOptionHandler.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/command/TypedOptionHandler.java
@@ -8,7 +8,7 @@
 import org.kohsuke.args4j.spi.OneArgumentOptionHandler;
 import org.kohsuke.args4j.spi.Setter;
 
-/** Reads an option by the same type as the settings and declarations. */
+/** Parses an option with the value types that settings and declarations use too. */
 abstract class TypedOptionHandler<T> extends OneArgumentOptionHandler<T> {
 
   private final ValueType<T> type;
--- a/fescuehook/src/main/java/org/fescuehook/cli/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/cli/package-info.java
@@ -1,4 +1,4 @@
-/** The {@code fescuehook} program: finds the command and runs it. */
+/** The {@code fescuehook} program: finds the command that the arguments name and runs it. */
 @NullMarked
 package org.fescuehook.cli;
 
