--- a/fescuehook/src/test/java/org/fescuehook/cli/CommandResult.java
+++ b/fescuehook/src/test/java/org/fescuehook/cli/CommandResult.java
@@ -9,21 +9,21 @@
 import org.fescuehook.cli.command.ExitCode;
 
 /**
- * What a command wrote and how it ended.
+ * Holds the output and the exit code of a command.
  *
- * @param exitCode how it ended
- * @param out what it wrote to the standard output
- * @param err what it wrote to the standard error output
+ * @param exitCode exit code of the command
+ * @param out text written to standard output
+ * @param err text written to standard error
  */
 record CommandResult(ExitCode exitCode, String out, String err) {
 
-  private static final EntryStarter NO_ENTRY =
+  private static final EntryStarter FAILING_STARTER =
       preferences -> {
         throw new AssertionError("an entry VM was started");
       };
 
   static CommandResult of(String... arguments) {
-    return of(NO_ENTRY, Map.of(), arguments);
+    return of(FAILING_STARTER, Map.of(), arguments);
   }
 
   static CommandResult of(
--- a/fescuehook/src/test/java/org/fescuehook/cli/CommandRunnerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/cli/CommandRunnerTest.java
@@ -41,15 +41,15 @@
         return ExitCode.DONE;
       };
 
-  @TempDir private Path folder;
+  @TempDir private Path directory;
 
   @Test
-  void operatorsPageOnCommandsIsCurrent() {
+  void commandsPageMatchesTheHelpTexts() {
     Approvals.verify(new CommandsPage().text(), PageNamer.page("operators/COMMANDS"));
   }
 
   @Test
-  void unknownCommandIsRefusedInOneLine() {
+  void unknownCommandIsRejectedWithOneLine() {
     CommandResult result = CommandResult.of("config", "burn");
 
     assertEquals(ExitCode.FAULTY_INPUT, result.exitCode());
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void unknownOptionIsRefusedInOneLine() {
+  void invalidOptionValueIsRejectedWithOneLine() {
     CommandResult result = CommandResult.of("status", "--operator", "localhost:7002");
 
     assertEquals(ExitCode.FAULTY_INPUT, result.exitCode());
@@ -67,8 +67,8 @@
   }
 
   @Test
-  void entryStartsWithTheSettingsOfTheFile() throws IOException {
-    String file = file("settings.ini", SETTINGS.formatted(0));
+  void entryIsStartedWithTheSettingsFromTheFile() throws IOException {
+    String file = writeFile("settings.ini", SETTINGS.formatted(0));
 
     CommandResult result = CommandResult.of(starter, Map.of(), "entry", "--settings", file);
 
@@ -77,10 +77,10 @@
   }
 
   @Test
-  void entryWithFaultySettingsStartsNothing() throws IOException {
+  void entryIsNotStartedWithInvalidSettings() throws IOException {
     try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       String settings = SETTINGS.formatted(taken.getLocalPort()) + "[control]\ntick = 1\n";
-      String file = file("settings.ini", settings);
+      String file = writeFile("settings.ini", settings);
 
       CommandResult result = CommandResult.of(starter, Map.of(), "entry", "--settings", file);
 
@@ -94,8 +94,8 @@
   }
 
   @Test
-  void faultsAreGivenAsJsonForPipelines() throws IOException {
-    String file = file("declarations.ini", "[rule 1]\nthen = maybe\n");
+  void faultsArePrintedAsJsonOnRequest() throws IOException {
+    String file = writeFile("declarations.ini", "[rule 1]\nthen = maybe\n");
 
     CommandResult result = CommandResult.of("config", "check", "--format", "json", file);
 
@@ -106,14 +106,14 @@
   }
 
   @Test
-  void fileThatIsMissingIsNamed() {
+  void missingFileIsReportedByName() {
     CommandResult result = CommandResult.of("config", "check", "nowhere.ini");
 
     assertEquals(ExitCode.FAULTY_INPUT, result.exitCode());
     assertEquals("fescuehook: nowhere.ini: no such file; give its path\n", result.err());
   }
 
-  private String file(String name, String text) throws IOException {
-    return Files.writeString(folder.resolve(name), text).toString();
+  private String writeFile(String name, String text) throws IOException {
+    return Files.writeString(directory.resolve(name), text).toString();
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/cli/CommandsPage.java
+++ b/fescuehook/src/test/java/org/fescuehook/cli/CommandsPage.java
@@ -2,7 +2,7 @@
 
 import org.fescuehook.cli.command.ExitCode;
 
-/** The operators' page on commands, made from their help texts. */
+/** Generates the operators' page about commands from their help texts. */
 final class CommandsPage {
 
   private static final String HEAD =
--- a/fescuehook/src/test/java/org/fescuehook/cli/ExplainLogCommandTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/cli/ExplainLogCommandTest.java
@@ -16,7 +16,7 @@
 
   private static final String JOB = "613a0aabc6d4ee61";
 
-  @TempDir private Path folder;
+  @TempDir private Path directory;
 
   private static String line(long number, long millis, int event, String message) {
     return ("vm-1 {\"sequenceNumber\":%d,\"timestamp\":%d,\"level\":\"INFO\","
@@ -32,22 +32,22 @@
     return line(number, millis, 8013, "Job " + JOB + " ended COMPLETED after 1 ms");
   }
 
-  private static String other(long number, long millis) {
+  private static String unrelated(long number, long millis) {
     return line(number, millis, 8309, "Call Submit of other answered");
   }
 
-  private static String stopped(long number, long millis) {
+  private static String gracefulStop(long number, long millis) {
     return line(number, millis, 8303, "graceful stop ended");
   }
 
   private CommandResult explain(String... lines) throws IOException {
-    Path log = Files.write(folder.resolve("vm.log"), List.of(lines));
+    Path log = Files.write(directory.resolve("vm.log"), List.of(lines));
     return CommandResult.of("explain-log", JOB, "--log", log.toString());
   }
 
   @Test
-  void linesMissingInTheTimeOfTheJobAreCounted() throws IOException {
-    CommandResult result = explain(accepted(1, 1000), other(9, 1500), ended(10, 3000));
+  void gapInTheLogDuringTheJobIsReportedWithItsLineCount() throws IOException {
+    CommandResult result = explain(accepted(1, 1000), unrelated(9, 1500), ended(10, 3000));
 
     assertEquals(ExitCode.DONE, result.exitCode(), result.err());
     assertTrue(
@@ -56,17 +56,17 @@
   }
 
   @Test
-  void linesMissingAtAnotherTimeAreNotTold() throws IOException {
+  void gapInTheLogAfterTheJobIsNotReported() throws IOException {
     CommandResult result =
-        explain(accepted(1, 1000), ended(2, 2000), other(3, 2500), stopped(10, 9000));
+        explain(accepted(1, 1000), ended(2, 2000), unrelated(3, 2500), gracefulStop(10, 9000));
 
     assertFalse(result.out().contains("Missing"), result.out());
   }
 
   @Test
-  void aProcessThatEndedUnplannedMayHaveTakenLinesWithIt() throws IOException {
+  void lastLinesOfACrashedProcessAreReportedAsPossiblyMissing() throws IOException {
     CommandResult result =
-        explain(accepted(1, 1000), other(2, 1500), other(1, 4000), ended(2, 5000));
+        explain(accepted(1, 1000), unrelated(2, 1500), unrelated(1, 4000), ended(2, 5000));
 
     assertTrue(
         result
@@ -78,40 +78,45 @@
   }
 
   @Test
-  void aPlannedStopLeavesNothingOut() throws IOException {
+  void restartAfterAGracefulStopIsNotReportedAsAGap() throws IOException {
     CommandResult result =
-        explain(accepted(1, 1000), stopped(2, 1500), other(1, 4000), ended(2, 5000));
+        explain(accepted(1, 1000), gracefulStop(2, 1500), unrelated(1, 4000), ended(2, 5000));
 
     assertFalse(result.out().contains("Missing"), result.out());
   }
 
   @Test
-  void linesThatPassedEachOtherAreNotMissing() throws IOException {
+  void linesLoggedOutOfOrderAreNotReportedAsMissing() throws IOException {
     CommandResult result =
-        explain(other(2, 900), accepted(1, 1000), other(4, 1200), ended(3, 1200), stopped(5, 1300));
+        explain(
+            unrelated(2, 900),
+            accepted(1, 1000),
+            unrelated(4, 1200),
+            ended(3, 1200),
+            gracefulStop(5, 1300));
 
     assertFalse(result.out().contains("Missing"), result.out());
     assertFalse(result.out().contains("No more lines"), result.out());
   }
 
   @Test
-  void aJobWithoutAnEndIsToldWithTheVmsThatFellSilent() throws IOException {
-    CommandResult result = explain(accepted(1, 1000), other(2, 1500));
+  void jobWithoutEndEventListsVmsWhoseLogsEndEarly() throws IOException {
+    CommandResult result = explain(accepted(1, 1000), unrelated(2, 1500));
 
     assertTrue(
         result.out().contains("No more lines, lost or idle: vm-1 after 0.500 s\n"), result.out());
   }
 
   @Test
-  void aJobThatNoLineNamesMayBeAmongTheMissingLines() throws IOException {
-    CommandResult result = explain(other(1, 1000), other(9, 1500));
+  void unknownJobIsReportedWithTheNumberOfGapsInTheLogs() throws IOException {
+    CommandResult result = explain(unrelated(1, 1000), unrelated(9, 1500));
 
     assertEquals(ExitCode.REFUSED, result.exitCode());
     assertTrue(result.err().contains("lines are missing at 1 places"), result.err());
   }
 
   @Test
-  void linesWithoutNumbersAreReadAsBefore() throws IOException {
+  void linesWithoutSequenceNumbersAreNotReportedAsMissing() throws IOException {
     CommandResult result = explain(accepted(0, 1000), ended(0, 2000));
 
     assertEquals(ExitCode.DONE, result.exitCode(), result.err());
--- a/fescuehook/src/test/java/org/fescuehook/cli/FakeEntryVm.java
+++ b/fescuehook/src/test/java/org/fescuehook/cli/FakeEntryVm.java
@@ -12,35 +12,38 @@
 import java.util.Optional;
 import java.util.Queue;
 
-/** Answers the requests of commands one by one as scripted, and notes them. */
+/**
+ * HTTP server that answers requests with scripted responses, in order, and records the requests.
+ */
 final class FakeEntryVm implements AutoCloseable {
 
   private final HttpServer server;
-  private final Queue<Answer> answers = new ArrayDeque<>();
+  private final Queue<ScriptedResponse> responses = new ArrayDeque<>();
   private final List<String> requests = new ArrayList<>();
   private final List<String> bodies = new ArrayList<>();
   private final List<String> tokens = new ArrayList<>();
 
-  private record Answer(int status, String body, Optional<String> retryAfter, boolean lost) {}
+  private record ScriptedResponse(
+      int status, String body, Optional<String> retryAfter, boolean dropped) {}
 
   FakeEntryVm() throws IOException {
     server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
-    server.createContext("/", this::answer);
+    server.createContext("/", this::respond);
     server.start();
   }
 
-  FakeEntryVm answers(int status, String body) {
-    answers.add(new Answer(status, body, Optional.empty(), false));
+  FakeEntryVm respondsWith(int status, String body) {
+    responses.add(new ScriptedResponse(status, body, Optional.empty(), false));
     return this;
   }
 
-  FakeEntryVm refuses(int status, String body, int retryAfterSeconds) {
-    answers.add(new Answer(status, body, Optional.of("" + retryAfterSeconds), false));
+  FakeEntryVm rejects(int status, String body, int retryAfterSeconds) {
+    responses.add(new ScriptedResponse(status, body, Optional.of("" + retryAfterSeconds), false));
     return this;
   }
 
-  FakeEntryVm losesTheAnswer() {
-    answers.add(new Answer(0, "", Optional.empty(), true));
+  FakeEntryVm dropsConnection() {
+    responses.add(new ScriptedResponse(0, "", Optional.empty(), true));
     return this;
   }
 
@@ -48,7 +51,7 @@
     return "127.0.0.1:" + server.getAddress().getPort();
   }
 
-  /** Returns method and path of each request. */
+  /** Returns method and path of each request received. */
   synchronized List<String> requests() {
     return List.copyOf(requests);
   }
@@ -61,18 +64,18 @@
     return List.copyOf(tokens);
   }
 
-  private synchronized void answer(HttpExchange exchange) throws IOException {
+  private synchronized void respond(HttpExchange exchange) throws IOException {
     requests.add(exchange.getRequestMethod() + " " + exchange.getRequestURI());
     bodies.add(new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.UTF_8));
     tokens.add(String.valueOf(exchange.getRequestHeaders().getFirst("Authorization")));
-    Answer answer = answers.remove();
-    if (answer.lost()) {
+    ScriptedResponse response = responses.remove();
+    if (response.dropped()) {
       exchange.close();
       return;
     }
-    answer.retryAfter().ifPresent(s -> exchange.getResponseHeaders().add("Retry-After", s));
-    byte[] body = answer.body().getBytes(StandardCharsets.UTF_8);
-    exchange.sendResponseHeaders(answer.status(), body.length);
+    response.retryAfter().ifPresent(s -> exchange.getResponseHeaders().add("Retry-After", s));
+    byte[] body = response.body().getBytes(StandardCharsets.UTF_8);
+    exchange.sendResponseHeaders(response.status(), body.length);
     exchange.getResponseBody().write(body);
     exchange.close();
   }
--- a/fescuehook/src/test/java/org/fescuehook/cli/OperatorCommandsTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/cli/OperatorCommandsTest.java
@@ -35,7 +35,7 @@
 
   private final FakeEntryVm vm;
 
-  @TempDir private Path folder;
+  @TempDir private Path directory;
 
   OperatorCommandsTest() throws IOException {
     vm = new FakeEntryVm();
@@ -48,7 +48,7 @@
 
   @Test
   void publicationIsSentWithItsBaseAuthorAndReason() throws IOException {
-    vm.answers(404, NONE_PUBLISHED).answers(200, "{\"revision\":3}");
+    vm.respondsWith(404, NONE_PUBLISHED).respondsWith(200, "{\"revision\":3}");
 
     CommandResult result = publish("none");
 
@@ -63,8 +63,8 @@
   }
 
   @Test
-  void publishingTheSameAgainChangesNothing() throws IOException {
-    vm.answers(200, published(7, DECLARATIONS));
+  void publishingTheDeclarationsInForceHasNoEffect() throws IOException {
+    vm.respondsWith(200, published(7, DECLARATIONS));
 
     CommandResult result = publish("3");
 
@@ -74,10 +74,10 @@
   }
 
   @Test
-  void conflictNamesTheWinner() throws IOException {
-    vm.answers(200, published(7, "[policy]\n"))
-        .answers(409, CONFLICT)
-        .answers(200, published(8, "[policy]\nmax-attempts = 2\n"));
+  void conflictReportsTheWinningRevisionAndItsAuthor() throws IOException {
+    vm.respondsWith(200, published(7, "[policy]\n"))
+        .respondsWith(409, CONFLICT)
+        .respondsWith(200, published(8, "[policy]\nmax-attempts = 2\n"));
 
     CommandResult result = publish("7");
 
@@ -89,27 +89,27 @@
   }
 
   @Test
-  void conflictWithTheSameDeclarationsIsNoChange() throws IOException {
-    vm.answers(200, published(7, "[policy]\n"))
-        .answers(409, CONFLICT)
-        .answers(200, published(8, DECLARATIONS));
+  void conflictWithEqualDeclarationsSucceeds() throws IOException {
+    vm.respondsWith(200, published(7, "[policy]\n"))
+        .respondsWith(409, CONFLICT)
+        .respondsWith(200, published(8, DECLARATIONS));
 
     assertEquals("revision 8: already in force, no change\n", publish("7").out());
   }
 
   @Test
-  void lostAnswerIsResolvedByWhatIsInForce() throws IOException {
-    vm.answers(200, published(7, "[policy]\n"))
-        .losesTheAnswer()
-        .answers(200, published(8, DECLARATIONS));
+  void lostResponseIsResolvedFromTheConfigurationInForce() throws IOException {
+    vm.respondsWith(200, published(7, "[policy]\n"))
+        .dropsConnection()
+        .respondsWith(200, published(8, DECLARATIONS));
 
     assertEquals("revision 8: published and in force\n", publish("7").out());
   }
 
   @Test
-  void lostAnswerThatStaysUnresolvedIsSaidSo() throws IOException {
+  void lostResponseOfAPublicationNotInForceIsReportedAsUnreachable() throws IOException {
     String before = published(7, "[policy]\n");
-    vm.answers(200, before).losesTheAnswer().answers(200, before);
+    vm.respondsWith(200, before).dropsConnection().respondsWith(200, before);
 
     CommandResult result = publish("7");
 
@@ -118,7 +118,7 @@
   }
 
   @Test
-  void faultyDeclarationsAreNotSent() throws IOException {
+  void invalidDeclarationsAreNotSent() throws IOException {
     CommandResult result = publish("7", DECLARATIONS.replace("slots = 8", "slots = 65"));
 
     assertEquals(ExitCode.FAULTY_INPUT, result.exitCode());
@@ -126,11 +126,11 @@
   }
 
   @Test
-  void differencesHaveAnExitCodeOfTheirOwn() throws IOException {
-    String file = file("d.ini", DECLARATIONS);
-    vm.answers(200, published(7, DECLARATIONS.replace("slots = 8", "slots = 4")));
+  void differencesGiveExitCodeDifferent() throws IOException {
+    String file = writeFile("d.ini", DECLARATIONS);
+    vm.respondsWith(200, published(7, DECLARATIONS.replace("slots = 8", "slots = 4")));
     CommandResult different = run("config", "diff", file);
-    vm.answers(200, published(7, "# the same\n" + DECLARATIONS));
+    vm.respondsWith(200, published(7, "# the same\n" + DECLARATIONS));
     CommandResult same = run("config", "diff", file);
 
     assertEquals(ExitCode.DIFFERENT, different.exitCode());
@@ -146,7 +146,7 @@
 
   @Test
   void shownDeclarationsCanBePublishedAsTheyAre() {
-    vm.answers(200, published(7, DECLARATIONS));
+    vm.respondsWith(200, published(7, DECLARATIONS));
 
     CommandResult result = run("config", "show");
 
@@ -156,19 +156,19 @@
 
   @Test
   void unknownRevisionIsNotFound() {
-    vm.answers(404, NONE_PUBLISHED);
+    vm.respondsWith(404, NONE_PUBLISHED);
 
     assertEquals(ExitCode.NOT_FOUND, run("config", "show", "--revision", "5").exitCode());
     assertEquals(List.of("GET /configuration?revision=5"), vm.requests());
   }
 
   @Test
-  void tokenComesFromTheFileBeforeTheEnvironment() throws IOException {
-    vm.answers(202, "{}").answers(202, "{}");
+  void tokenFileTakesPrecedenceOverTheEnvironment() throws IOException {
+    vm.respondsWith(202, "{}").respondsWith(202, "{}");
     Map<String, String> environment = Map.of("FESCUEHOOK_OPERATOR_TOKEN", "from-environment");
     String[] drain = {"drain", "--operator", vm.address()};
     String[] withFile = {
-      "drain", "--operator", vm.address(), "--token-file", file("token", "from-file\n")
+      "drain", "--operator", vm.address(), "--token-file", writeFile("token", "from-file\n")
     };
 
     CommandResult.of(preferences -> ExitCode.DONE, environment, drain);
@@ -178,8 +178,8 @@
   }
 
   @Test
-  void refusalNamesItsReasonAndWhenToTryAgain() {
-    vm.refuses(503, "{\"error\":\"queue-full\",\"detail\":\"the decision ring is full\"}", 2);
+  void rejectionReportsItsReasonAndTheRetryDelay() {
+    vm.rejects(503, "{\"error\":\"queue-full\",\"detail\":\"the decision ring is full\"}", 2);
 
     CommandResult result = run("status");
 
@@ -204,7 +204,7 @@
 
   @Test
   void statusIsShownAsTables() {
-    vm.answers(
+    vm.respondsWith(
         200,
         """
         {"vm":{"name":"entry-1","ready":true,"inFlight":3,"peers":["entry-2","entry-3"],
@@ -221,7 +221,7 @@
   }
 
   private CommandResult publish(String base, String declarations) throws IOException {
-    String file = file("declarations.ini", declarations);
+    String file = writeFile("declarations.ini", declarations);
     return run("config", "publish", "--base", base, "--author", "rui", "--reason", "first", file);
   }
 
@@ -232,8 +232,8 @@
     return CommandResult.of(all.toArray(String[]::new));
   }
 
-  private String file(String name, String text) throws IOException {
-    return Files.writeString(folder.resolve(name), text).toString();
+  private String writeFile(String name, String text) throws IOException {
+    return Files.writeString(directory.resolve(name), text).toString();
   }
 
   private static String published(long revision, String declarations) {
--- a/fescuehook/src/test/java/org/fescuehook/cli/ReplayCommandTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/cli/ReplayCommandTest.java
@@ -35,11 +35,11 @@
       max-racks=0 urgent=false checkpointable=false declared-s=60 runs-s=60
       """;
 
-  @TempDir private Path folder;
+  @TempDir private Path directory;
 
   @Test
-  void traceOfTheDecisionCoreGivesTheSameDecisions() throws IOException {
-    CommandResult result = replay(String.join("\n", recorded()));
+  void replayOfADecisionCoreTraceReproducesItsCommands() throws IOException {
+    CommandResult result = replay(String.join("\n", recordedTrace()));
 
     assertEquals(ExitCode.DONE, result.exitCode(), result.err());
     assertTrue(result.out().startsWith("events: 9\ncommands: "), result.out());
@@ -47,8 +47,8 @@
   }
 
   @Test
-  void otherDecisionThanRecordedIsShownAndEndsWithItsOwnCode() throws IOException {
-    List<String> lines = recorded();
+  void commandThatDiffersFromTheTraceIsPrintedAndGivesExitCodeRefused() throws IOException {
+    List<String> lines = recordedTrace();
     int append = 0;
     while (!lines.get(append).startsWith("> append")) {
       append++;
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void traceOfJobsTellsWhatBecameOfEach() throws IOException {
+  void replayOfAJobTracePrintsTheOutcomeOfEachJob() throws IOException {
     CommandResult result = replay(JOBS);
 
     assertEquals(ExitCode.DONE, result.exitCode(), result.err());
@@ -73,7 +73,7 @@
   }
 
   @Test
-  void faultyLineIsNamed() throws IOException {
+  void invalidLineIsReportedByNumber() throws IOException {
     CommandResult jobs = replay(JOBS.replace("rack=r1", "rock=r1"));
     CommandResult control = replay("fescuehook-control-trace 1\nnonsense\n");
 
@@ -84,11 +84,11 @@
   }
 
   private CommandResult replay(String trace) throws IOException {
-    String file = Files.writeString(folder.resolve("trace.txt"), trace).toString();
+    String file = Files.writeString(directory.resolve("trace.txt"), trace).toString();
     return CommandResult.of("replay", file);
   }
 
-  private static List<String> recorded() {
+  private static List<String> recordedTrace() {
     IdentityPreferences identity =
         new IdentityPreferences(new VmId("entry-1"), new FailureDomain("a"));
     ControlPreferences preferences = ControlPreferences.DEFAULT;
--- a/fescuehook/src/test/java/org/fescuehook/cli/ServiceCommandsTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/cli/ServiceCommandsTest.java
@@ -25,7 +25,7 @@
 
   @Test
   void submittedJobIsPrinted() {
-    vm.answers(202, "{\"job\":\"j-1\"}");
+    vm.respondsWith(202, "{\"job\":\"j-1\"}");
 
     CommandResult result = submit("--members", "4", "--memory", "8GiB", "--urgent");
 
@@ -39,8 +39,8 @@
   }
 
   @Test
-  void submissionWithoutAnswerTellsHowToRepeatIt() {
-    vm.losesTheAnswer();
+  void submissionWithoutResponseAdvisesToRetryWithItsRequestId() {
+    vm.dropsConnection();
 
     CommandResult result = submit("--request-id", "r-9");
 
@@ -49,8 +49,9 @@
   }
 
   @Test
-  void refusedSubmissionSaysWhetherItRan() {
-    vm.answers(422, "{\"reason\":\"never-runnable\",\"detail\":\"no such shape\",\"ran\":\"no\"}");
+  void rejectedSubmissionReportsWhetherTheJobRan() {
+    vm.respondsWith(
+        422, "{\"reason\":\"never-runnable\",\"detail\":\"no such shape\",\"ran\":\"no\"}");
 
     CommandResult result = submit();
 
@@ -59,8 +60,8 @@
   }
 
   @Test
-  void jobIsWaitedForAndCancelledByItsId() {
-    vm.answers(200, "{\"job\":\"a/b\",\"state\":\"finished\"}").answers(200, "{}");
+  void jobIsShownAfterWaitingAndCancelledByItsEncodedId() {
+    vm.respondsWith(200, "{\"job\":\"a/b\",\"state\":\"finished\"}").respondsWith(200, "{}");
 
     CommandResult shown = run("job", "show", "a/b", "--wait", "1m");
     CommandResult cancelled = run("job", "cancel", "a/b");
@@ -72,7 +73,7 @@
 
   @Test
   void unknownJobIsNotFound() {
-    vm.answers(404, "{\"reason\":\"not-found\",\"ran\":\"no\"}");
+    vm.respondsWith(404, "{\"reason\":\"not-found\",\"ran\":\"no\"}");
 
     assertEquals(ExitCode.NOT_FOUND, run("job", "show", "j-1").exitCode());
   }
--- a/fescuehook/src/test/java/org/fescuehook/cli/client/EntryClientTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/cli/client/EntryClientTest.java
@@ -16,15 +16,15 @@
 
 class EntryClientTest {
 
-  private static final Duration SHORT = Duration.ofMillis(300);
+  private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(300);
 
   @Test
   @Timeout(30)
-  void answerThatStopsInTheMiddleIsGivenUp() throws IOException {
+  void incompleteResponseTimesOut() throws IOException {
     try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         EntryClient client = client(server)) {
       CompletableFuture<Socket> connection =
-          CompletableFuture.supplyAsync(() -> answerHalf(server));
+          CompletableFuture.supplyAsync(() -> sendPartialResponse(server));
 
       assertThrows(EntryUnreachableException.class, () -> client.send("GET", "/status"));
 
@@ -35,14 +35,14 @@
   private static EntryClient client(ServerSocket server) {
     InetSocketAddress address =
         new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
-    return new EntryClient(address, Optional.empty(), SHORT);
+    return new EntryClient(address, Optional.empty(), RESPONSE_TIMEOUT);
   }
 
-  private static Socket answerHalf(ServerSocket server) {
+  private static Socket sendPartialResponse(ServerSocket server) {
     try {
       Socket socket = server.accept();
-      String half = "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n{\"half\":";
-      socket.getOutputStream().write(half.getBytes(StandardCharsets.US_ASCII));
+      String partialResponse = "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n{\"half\":";
+      socket.getOutputStream().write(partialResponse.getBytes(StandardCharsets.US_ASCII));
       socket.getOutputStream().flush();
       return socket;
     } catch (IOException e) {
