--- a/fescuehook/src/test/java/org/fescuehook/ArchitectureTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/ArchitectureTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 import org.slf4j.Logger;
 
-/** Holds the layers and the purity of the decision core. */
+/** Checks the layers, and that the decision core uses no clock, thread, socket or randomness. */
 class ArchitectureTest {
 
   private static final String MODEL = "org.fescuehook.model..";
@@ -37,7 +37,7 @@
     "org.fescuehook.logic.control..", "org.fescuehook.logic.scheduling.."
   };
 
-  /** Static methods that read a clock or draw a random number, as owner and name. */
+  /** Static methods that read a clock or generate a random number, as class and method name. */
   private static final Set<String> IMPURE_METHODS =
       Set.of(
           "java.lang.Math.random",
@@ -65,46 +65,46 @@
           .map(method -> Logger.class.getName() + "." + method)
           .collect(Collectors.toUnmodifiableSet());
 
-  private static final JavaClasses PRODUCT =
+  private static final JavaClasses MAIN_CLASSES =
       new ClassFileImporter()
           .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
           .importPackages("org.fescuehook");
 
   @Test
-  void modelIsPlainData() {
+  void modelDependsOnlyOnTheJdkAndNullnessAnnotations() {
     classes()
         .that()
         .resideInAPackage(MODEL)
         .should()
         .onlyDependOnClassesThat()
         .resideInAnyPackage(MODEL, "java..", "org.jspecify..")
-        .check(PRODUCT);
+        .check(MAIN_CLASSES);
   }
 
   @Test
-  void generatedMessagesDependOnNoHandWrittenCode() {
+  void generatedMessagesDoNotDependOnHandWrittenCode() {
     noClasses()
         .that()
         .resideInAPackage(WIRE)
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage(MODEL, LOGIC, NET, ENTRY, CLI)
-        .check(PRODUCT);
+        .check(MAIN_CLASSES);
   }
 
   @Test
-  void logicKnowsNeitherNettyNorTheLayersAbove() {
+  void logicDependsNeitherOnNettyNorOnHigherLayers() {
     noClasses()
         .that()
         .resideInAPackage(LOGIC)
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage("io.netty..", NET, ENTRY, CLI)
-        .check(PRODUCT);
+        .check(MAIN_CLASSES);
   }
 
   @Test
-  void adaptersKnowNoProgram() {
+  void networkAdaptersDoNotDependOnPrograms() {
     noClasses()
         .that()
         .resideInAPackage(NET)
@@ -112,12 +112,12 @@
         .dependOnClassesThat()
         .resideInAnyPackage(ENTRY, CLI)
         .allowEmptyShould(true)
-        .check(PRODUCT);
+        .check(MAIN_CLASSES);
   }
 
   @Test
   void layersHaveNoCycles() {
-    slices().matching("org.fescuehook.(*)..").should().beFreeOfCycles().check(PRODUCT);
+    slices().matching("org.fescuehook.(*)..").should().beFreeOfCycles().check(MAIN_CLASSES);
   }
 
   @Test
@@ -129,27 +129,27 @@
         .dependOnClassesThat(impureTypes())
         .orShould()
         .callMethodWhere(callsOneOf(IMPURE_METHODS))
-        .check(PRODUCT);
+        .check(MAIN_CLASSES);
   }
 
   @Test
-  void noProcessIsStarted() {
+  void mainCodeStartsNoProcesses() {
     noClasses()
         .should()
         .dependOnClassesThat()
         .belongToAnyOf(ProcessBuilder.class, Process.class)
         .orShould()
         .callMethodWhere(callsOneOf(Set.of("java.lang.Runtime.exec")))
-        .check(PRODUCT);
+        .check(MAIN_CLASSES);
   }
 
   @Test
-  void ioUringStaysUnused() {
+  void ioUringTransportIsNotUsed() {
     noClasses()
         .should()
         .dependOnClassesThat()
         .resideInAPackage("io.netty.channel.uring..")
-        .check(PRODUCT);
+        .check(MAIN_CLASSES);
   }
 
   @Test
@@ -166,7 +166,7 @@
         .andShould()
         .haveName("LOGGER")
         .allowEmptyShould(true)
-        .check(PRODUCT);
+        .check(MAIN_CLASSES);
   }
 
   @Test
@@ -176,7 +176,7 @@
         .resideOutsideOfPackage("org.fescuehook.logic.event..")
         .should()
         .callMethodWhere(callsOneOf(LOGGING_METHODS))
-        .check(PRODUCT);
+        .check(MAIN_CLASSES);
   }
 
   private static DescribedPredicate<JavaClass> impureTypes() {
--- a/fescuehook/src/test/java/org/fescuehook/PlatformNamesTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/PlatformNamesTest.java
@@ -14,7 +14,10 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Names of the users' platform stand in one folder, and only the program's composition uses it. */
+/**
+ * Checks that names of the users' platform occur only in the package {@code platform}, and that
+ * only {@code entry.scheduler}, which assembles the program, depends on that package.
+ */
 class PlatformNamesTest {
 
   private static final Path SOURCES =
@@ -40,7 +43,7 @@
           "\"apiKeys\"");
 
   @Test
-  void noNameOfThePlatformStandsOutsideItsFolder() throws IOException {
+  void platformNamesDoNotOccurOutsideThePlatformPackage() throws IOException {
     List<String> found = new ArrayList<>();
     for (Path file : sources()) {
       String text = Files.readString(file);
@@ -54,7 +57,7 @@
   }
 
   @Test
-  void eachNameStandsInTheFolder() throws IOException {
+  void eachPlatformNameOccursInThePlatformPackage() throws IOException {
     StringBuilder text = new StringBuilder();
     for (Path file : sources()) {
       if (file.startsWith(SOURCES.resolve("platform"))) {
@@ -62,12 +65,12 @@
       }
     }
     for (String name : NAMES) {
-      assertTrue(text.indexOf(name) >= 0, () -> name + " is looked for in vain");
+      assertTrue(text.indexOf(name) >= 0, () -> name + " does not occur in the package platform");
     }
   }
 
   @Test
-  void onlyTheProgramsCompositionUsesTheAdapter() {
+  void onlyEntrySchedulerDependsOnThePlatformPackage() {
     noClasses()
         .that()
         .resideOutsideOfPackages("org.fescuehook.platform..", "org.fescuehook.entry.scheduler..")
--- a/fescuehook/src/test/java/org/fescuehook/build/KnownRedTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/build/KnownRedTest.java
@@ -10,52 +10,52 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Holds what build/known-red.sh accepts. */
+/** Checks which lists of known failing tests build/known-red.sh accepts. */
 class KnownRedTest {
 
-  private static final String LINE = "org.example.LeaseTest#lapses | clock runs back | #7\n";
+  private static final String ENTRY = "org.example.LeaseTest#lapses | clock runs back | #7\n";
 
   @TempDir Path root;
 
   @BeforeEach
-  void writeTheTestThatIsListed() throws IOException {
+  void writeListedTest() throws IOException {
     Path tests = Files.createDirectories(root.resolve("module/src/test/java/org/example"));
     Files.writeString(tests.resolve("LeaseTest.java"), "class LeaseTest { void lapses() {} }");
   }
 
   @Test
-  void threeLinesAreAcceptedAndEachNamesTheTestToLeaveOut() throws Exception {
+  void threeEntriesAreAcceptedAndTheirTestsPrinted() throws Exception {
     String test = "org.example.LeaseTest#lapses";
 
     assertEquals(
-        new Shell.Result(0, String.join("\n", test, test, test)), check(LINE + LINE + LINE));
+        new Shell.Result(0, String.join("\n", test, test, test)), check(ENTRY + ENTRY + ENTRY));
   }
 
   @Test
-  void fourthLineIsRefused() throws Exception {
-    assertRefused("4 lines, at most 3 are accepted", LINE + LINE + LINE + LINE);
+  void fourthEntryIsRejected() throws Exception {
+    assertRejected("4 lines, at most 3 are accepted", ENTRY + ENTRY + ENTRY + ENTRY);
   }
 
   @Test
-  void lineWithoutIssueIsRefused() throws Exception {
-    String line = "org.example.LeaseTest#lapses | clock runs back";
+  void entryWithoutIssueIsRejected() throws Exception {
+    String entry = "org.example.LeaseTest#lapses | clock runs back";
 
-    assertRefused("not of the form 'Class#method | cause | issue': " + line, line);
+    assertRejected("not of the form 'Class#method | cause | issue': " + entry, entry);
   }
 
   @Test
-  void classWithoutMethodIsRefused() throws Exception {
-    String line = "org.example.LeaseTest | clock runs back | #7";
+  void classWithoutMethodIsRejected() throws Exception {
+    String entry = "org.example.LeaseTest | clock runs back | #7";
 
-    assertRefused("not of the form 'Class#method | cause | issue': " + line, line);
+    assertRejected("not of the form 'Class#method | cause | issue': " + entry, entry);
   }
 
   @Test
-  void testThatDoesNotExistIsRefused() throws Exception {
-    assertRefused("no such test: LeaseTest#renews", "LeaseTest#renews | gone | #7");
+  void missingTestIsRejected() throws Exception {
+    assertRejected("no such test: LeaseTest#renews", "LeaseTest#renews | gone | #7");
   }
 
-  private void assertRefused(String problem, String list) throws Exception {
+  private void assertRejected(String problem, String list) throws Exception {
     assertEquals(new Shell.Result(1, "KNOWN-RED.txt: " + problem), check(list));
   }
 
--- a/fescuehook/src/test/java/org/fescuehook/build/LauncherTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/build/LauncherTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Holds how the launcher of a program finds its Java, with scripts in the place of Java. */
+/** Checks how a program's launcher script finds Java; scripts stand in for the java binary. */
 class LauncherTest {
 
   @TempDir Path root;
   private Path launcher;
 
   @BeforeEach
-  void copyTheLauncherWithUsualDirectoriesBelowTheRoot() throws IOException {
+  void copyLauncherWithSearchDirectoriesBelowRoot() throws IOException {
     String script = Files.readString(Shell.scripts().resolve("launcher.sh"));
     launcher = root.resolve("program");
     Files.writeString(
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void javaHomeGoesFirst() throws Exception {
+  void javaHomeTakesPrecedenceOverThePath() throws Exception {
     String home = writeJava("home", "25.0.1");
     writeJava("path", "26");
 
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void olderJavaInJavaHomeAndOnThePathIsPassedOver() throws Exception {
+  void olderJavaInJavaHomeAndOnThePathIsSkipped() throws Exception {
     String home = writeJava("home", "17.0.15");
     writeJava("path", "24.0.2");
     writeJava("jvm/some-25-jdk", "25");
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void optionsOfTheEnvironmentReplaceTheDefaults() throws Exception {
+  void optionsFromTheEnvironmentReplaceTheDefaults() throws Exception {
     writeJava("path", "25");
 
     assertEquals(
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void withoutSuitableJavaTheOneNeededIsNamed() throws Exception {
+  void missingJavaIsReportedWithTheRequiredVersion() throws Exception {
     writeJava("path", "1.8.0_402");
 
     assertEquals(
@@ -69,8 +69,8 @@
         launch(Map.of()));
   }
 
-  private Shell.Result launch(Map<String, String> more) throws Exception {
-    Map<String, String> environment = new HashMap<>(more);
+  private Shell.Result launch(Map<String, String> variables) throws Exception {
+    Map<String, String> environment = new HashMap<>(variables);
     environment.put("PATH", root.resolve("path/bin") + ":/usr/bin:/bin");
     return new Shell(root, environment).run("sh", launcher.toString(), "a", "b");
   }
--- a/fescuehook/src/test/java/org/fescuehook/build/Shell.java
+++ b/fescuehook/src/test/java/org/fescuehook/build/Shell.java
@@ -5,18 +5,18 @@
 import java.nio.file.Path;
 import java.util.Map;
 
-/** Runs a command with nothing but the given environment. */
+/** Runs commands in a directory with only the given environment variables. */
 record Shell(Path directory, Map<String, String> environment) {
 
   /**
-   * The end of a command.
+   * Holds the result of a command.
    *
    * @param code exit code
-   * @param output what it wrote to stdout and stderr
+   * @param output text written to standard output and standard error
    */
   record Result(int code, String output) {}
 
-  /** Returns the directory that holds the scripts of the build. */
+  /** Returns the directory of the build scripts. */
   static Path scripts() {
     return Path.of(System.getProperty("basedir", ".")).resolve("../build").toAbsolutePath();
   }
--- a/fescuehook/src/test/java/org/fescuehook/catalogue/Catalogue.java
+++ b/fescuehook/src/test/java/org/fescuehook/catalogue/Catalogue.java
@@ -7,12 +7,12 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** The table of a page under docs/: the cells of each row below the header. */
+/** Holds the table of a page under docs/: the cells of each row below the header. */
 record Catalogue(List<List<String>> rows) {
 
   private static final int HEADER_LINES = 2;
 
-  /** Reads the only table of a page such as {@code EVENTS.md}. */
+  /** Reads the table of a page that contains exactly one, such as {@code EVENTS.md}. */
   static Catalogue read(String page) throws IOException {
     List<List<String>> rows = new ArrayList<>();
     for (String line : Files.readAllLines(module().resolve("../docs").resolve(page))) {
@@ -28,7 +28,7 @@
     return Path.of(System.getProperty("basedir", "."));
   }
 
-  /** Writes a row as the page has it. */
+  /** Formats the cells as a row of a Markdown table. */
   static String row(String... cells) {
     return "| " + String.join(" | ", Arrays.stream(cells).map(Catalogue::escape).toList()) + " |";
   }
--- a/fescuehook/src/test/java/org/fescuehook/catalogue/EventCatalogueTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/catalogue/EventCatalogueTest.java
@@ -14,26 +14,26 @@
 import org.fescuehook.model.event.NumberedEvent;
 import org.junit.jupiter.api.Test;
 
-/** Keeps docs/EVENTS.md and the enums of numbered events equal. */
+/** Checks that docs/EVENTS.md lists exactly the numbered events that the code defines. */
 class EventCatalogueTest {
 
   private static final String PAGE = "EVENTS.md";
 
   @Test
-  void everyNumberBelongsToOneEvent() {
-    Map<Integer, NumberedEvent> seen = new HashMap<>();
-    List<String> clashes = new ArrayList<>();
+  void eventNumbersAreUnique() {
+    Map<Integer, NumberedEvent> eventsByNumber = new HashMap<>();
+    List<String> duplicates = new ArrayList<>();
     for (NumberedEvent event : events()) {
-      NumberedEvent earlier = seen.putIfAbsent(event.number(), event);
+      NumberedEvent earlier = eventsByNumber.putIfAbsent(event.number(), event);
       if (earlier != null) {
-        clashes.add(event.number() + ": " + qualified(earlier) + ", " + qualified(event));
+        duplicates.add(event.number() + ": " + qualified(earlier) + ", " + qualified(event));
       }
     }
-    assertEquals(List.of(), clashes, "numbers used twice");
+    assertEquals(List.of(), duplicates, "numbers used twice");
   }
 
   @Test
-  void pageListsEveryEventAndNoOther() throws IOException {
+  void pageListsExactlyTheEventsOfTheCode() throws IOException {
     Map<Integer, String> expected = new TreeMap<>();
     for (NumberedEvent event : events()) {
       expected.put(event.number(), columns(event));
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void pageListsEventsOnceInOrderOfNumberAndExplainsThem() throws IOException {
+  void pageListsEventsInAscendingOrderWithTheirMeaning() throws IOException {
     int previous = 0;
     List<String> faults = new ArrayList<>();
     for (List<String> row : Catalogue.read(PAGE).rows()) {
--- a/fescuehook/src/test/java/org/fescuehook/catalogue/MetricsCatalogueTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/catalogue/MetricsCatalogueTest.java
@@ -13,37 +13,40 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Keeps docs/METRICS.md and the metric names in the code equal. */
+/** Checks that docs/METRICS.md lists exactly the metrics that the code names. */
 class MetricsCatalogueTest {
 
   private static final String PAGE = "METRICS.md";
 
-  /** A string literal that begins as a metric name does. */
+  /** Matches a string literal that starts like a metric name. */
   private static final Pattern LITERAL = Pattern.compile("\"(fescuehook\\.[^\"]*)\"");
 
   private static final Pattern NAME = Pattern.compile("fescuehook(\\.[a-z0-9]+)+");
 
   @Test
-  void pageListsEveryMetricAndNoOther() throws IOException {
+  void pageListsExactlyTheMetricsOfTheCode() throws IOException {
     Set<String> expected = namesInCode();
     Set<String> found = namesInPage();
     assertEquals(expected, found, () -> difference(expected, found));
   }
 
   @Test
-  void metricNamesAreWholeLiteralsOfLowerCaseWords() throws IOException {
-    List<String> others =
+  void metricNamesAreCompleteLowerCaseLiterals() throws IOException {
+    List<String> invalidNames =
         namesInCode().stream().filter(name -> !NAME.matcher(name).matches()).toList();
-    assertEquals(List.of(), others, "a name put together from parts cannot be found here");
+    assertEquals(
+        List.of(),
+        invalidNames,
+        "metric names that are concatenated or not lower case cannot be compared with the page");
   }
 
   @Test
   void pageGivesKindAndMeaningOfEachMetric() throws IOException {
-    List<List<String>> bare =
+    List<List<String>> incompleteRows =
         Catalogue.read(PAGE).rows().stream()
             .filter(row -> row.size() != 4 || row.get(1).isBlank() || row.get(3).isBlank())
             .toList();
-    assertEquals(List.of(), bare);
+    assertEquals(List.of(), incompleteRows);
   }
 
   private static Set<String> namesInCode() throws IOException {
--- a/fescuehook/src/test/java/org/fescuehook/page/PageNamer.java
+++ b/fescuehook/src/test/java/org/fescuehook/page/PageNamer.java
@@ -7,13 +7,13 @@
 import org.approvaltests.reporters.QuietReporter;
 
 /**
- * Takes a page under docs/ as the approved file, so that a test tells when it is not current.
+ * Uses a page under docs/ as the approved file, so that a test fails when the page is outdated.
  *
- * @param page path of the page below docs/, without extension
+ * @param page path of the page relative to docs/, without extension
  */
 public record PageNamer(String page) implements ApprovalNamer {
 
-  /** Returns options that compare with the page in Markdown. */
+  /** Returns options that compare a text with the Markdown page. */
   public static Options page(String page) {
     return new Options(QuietReporter.INSTANCE)
         .forFile()
--- a/fescuehook/src/test/java/org/fescuehook/spec/TlcRunner.java
+++ b/fescuehook/src/test/java/org/fescuehook/spec/TlcRunner.java
@@ -13,9 +13,9 @@
 import tlc2.TLC;
 
 /**
- * Runs TLC on one module and configuration.
+ * Runs the model checker TLC on one module and configuration.
  *
- * <p>TLC keeps its state in statics, so each run takes a JVM of its own.
+ * <p>TLC keeps its state in static fields, so each run starts a JVM of its own.
  */
 final class TlcRunner {
 
@@ -25,7 +25,7 @@
       Pattern.compile("Error: (?:Invariant|Action property) (\\w+) is violated");
   private static final String TEMPORAL_VIOLATION = "Error: Temporal properties were violated";
   private static final String COMPLETED = "Model checking completed. No error has been found.";
-  private static final int LIMIT_SECONDS = 110;
+  private static final int TIMEOUT_SECONDS = 110;
 
   private final Path specifications;
   private final Path scratch;
@@ -35,8 +35,8 @@
    * Creates a runner.
    *
    * @param specifications directory of the modules and their configurations
-   * @param scratch empty directory for the files of TLC
-   * @param shared directory for what later runs can use again
+   * @param scratch empty directory for the files that TLC writes
+   * @param shared directory of the class data archive that all runs share
    */
   TlcRunner(Path specifications, Path scratch, Path shared) {
     this.specifications = specifications;
@@ -44,7 +44,10 @@
     this.classArchive = shared.resolve("classes.jsa");
   }
 
-  /** How the JVM compiles; a full compilation does not pay in a run that ends early. */
+  /**
+   * JIT compilation level of the JVM. Full optimization does not pay off in a run that ends early,
+   * at the first violation.
+   */
   enum Compiler {
     QUICK("-XX:TieredStopAtLevel=1"),
     FULL("-XX:TieredStopAtLevel=4");
@@ -56,7 +59,7 @@
     }
   }
 
-  /** What TLC found. */
+  /** Result of model checking. */
   enum Verdict {
     HOLDS,
     VIOLATED,
@@ -64,13 +67,14 @@
   }
 
   /**
-   * Outcome of a run.
+   * Holds the outcome of a run.
    *
-   * @param violated the property that failed; for a temporal one, which TLC does not name, empty
+   * @param violated name of the violated property; empty for a temporal property, which TLC does
+   *     not name
    */
   record Outcome(Verdict verdict, String violated, long generated, long distinct, String output) {}
 
-  /** Checks a module under a configuration. */
+  /** Checks a module with a configuration, for at most {@link #TIMEOUT_SECONDS}. */
   Outcome run(String module, String configuration, Compiler compiler)
       throws IOException, InterruptedException {
     Path output = scratch.resolve("output.txt");
@@ -80,7 +84,7 @@
             .redirectErrorStream(true)
             .redirectOutput(output.toFile())
             .start();
-    boolean ended = process.waitFor(LIMIT_SECONDS, TimeUnit.SECONDS);
+    boolean ended = process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     if (!ended) {
       process.destroyForcibly().waitFor();
     }
@@ -99,7 +103,7 @@
         "-Xlog:disable",
         "-Djava.io.tmpdir=" + scratch,
         "-cp",
-        library().toString(),
+        tlcJar().toString(),
         TLC.class.getName(),
         "-workers",
         "4",
@@ -110,7 +114,7 @@
         module);
   }
 
-  private static Path library() {
+  private static Path tlcJar() {
     URL location = TLC.class.getProtectionDomain().getCodeSource().getLocation();
     return Path.of(URI.create(location.toString()));
   }
@@ -127,10 +131,10 @@
         .results()
         .findFirst()
         .map(found -> new Outcome(Verdict.VIOLATED, found.group(1), generated, distinct, output))
-        .orElseGet(() -> withoutName(generated, distinct, output));
+        .orElseGet(() -> outcomeWithoutNamedProperty(generated, distinct, output));
   }
 
-  private static Outcome withoutName(long generated, long distinct, String output) {
+  private static Outcome outcomeWithoutNamedProperty(long generated, long distinct, String output) {
     if (output.contains(TEMPORAL_VIOLATION)) {
       return new Outcome(Verdict.VIOLATED, "", generated, distinct, output);
     }
