--- a/standins/src/main/java/org/fescuehook/standins/list/ListFaults.java
+++ b/standins/src/main/java/org/fescuehook/standins/list/ListFaults.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * Faults of the list, and changes to it.
+ * Faults of the list of VMs, and changes to its members.
  *
- * @param refusing each call is answered by 503
- * @param silent no call is answered
- * @param lagMs how old the answered list is, in milliseconds
- * @param put members to add, or to replace by name
- * @param remove names of members to take off the list
+ * @param refusing whether each request gets the status 503
+ * @param silent whether requests get no response
+ * @param lagMs age of the returned list, in milliseconds
+ * @param put members to add, or to replace if their name is already listed
+ * @param remove names of members to remove
  */
 public record ListFaults(
     boolean refusing, boolean silent, long lagMs, List<Member> put, List<String> remove) {
 
-  /** Returns a list that works, with a change. */
+  /** Returns faults that only set the lag and add or replace members. */
   public static ListFaults put(long lagMs, Member... members) {
     return new ListFaults(false, false, lagMs, List.of(members), List.of());
   }
--- a/standins/src/main/java/org/fescuehook/standins/list/ListStandIn.java
+++ b/standins/src/main/java/org/fescuehook/standins/list/ListStandIn.java
@@ -13,7 +13,7 @@
 import org.fescuehook.standins.http.Exchange;
 import org.fescuehook.standins.http.StandInServer;
 
-/** A list of VMs that answers what was true a declared time ago. */
+/** Stand-in for the platform's list of VMs, which returns the members as of a set time ago. */
 public final class ListStandIn extends StandIn<ListFaults> {
   private static final int MAX_BODY_BYTES = 1 << 20;
 
@@ -23,12 +23,18 @@
   private ListFaults faults = ListFaults.put(0);
   private long reads;
 
-  /** Counts of the list. */
+  /** Counters of the list. */
   public record Stats(long reads, int members) {}
 
-  private record Answer(long asOf, List<Member> members) {}
+  /** Response to a read; {@code asOf} is the wall-clock time of the members, in milliseconds. */
+  private record MembersResponse(long asOf, List<Member> members) {}
 
-  /** Starts the list; the clock gives wall-clock milliseconds, the members count as long known. */
+  /**
+   * Starts the list.
+   *
+   * @param clock returns wall-clock milliseconds
+   * @param members initial members, listed since time 0 so that a lag never hides them
+   */
   public ListStandIn(
       EventLoopGroup group,
       InetSocketAddress address,
@@ -42,11 +48,12 @@
     this.server = new StandInServer(group, address, limits, this::handle);
   }
 
-  /** Returns where it listens. */
+  /** Returns the address on which the list listens. */
   public InetSocketAddress address() {
     return server.address();
   }
 
+  /** Replaces the faults and records a new version of the list with the changes. */
   @Override
   public synchronized void apply(ListFaults next) {
     faults = next;
@@ -79,7 +86,7 @@
     }
     if (!faults.silent()) {
       long asOf = clock.getAsLong() - faults.lagMs();
-      exchange.reply(200, new Answer(asOf, versions.floorEntry(asOf).getValue()));
+      exchange.reply(200, new MembersResponse(asOf, versions.floorEntry(asOf).getValue()));
     }
   }
 }
--- a/standins/src/main/java/org/fescuehook/standins/list/Member.java
+++ b/standins/src/main/java/org/fescuehook/standins/list/Member.java
@@ -1,7 +1,7 @@
 package org.fescuehook.standins.list;
 
 /**
- * A VM on the list.
+ * A VM on the list of members.
  *
  * @param role {@code entry}, {@code executor} or {@code worker}
  * @param state {@code live} or {@code leaving}
--- a/standins/src/main/java/org/fescuehook/standins/log/LogFaults.java
+++ b/standins/src/main/java/org/fescuehook/standins/log/LogFaults.java
@@ -1,16 +1,16 @@
 package org.fescuehook.standins.log;
 
 /**
- * Faults and limits of the log; 0 stands for none.
+ * Faults and limits of the log. 0 stands for no limit, delay or lost reply.
  *
- * @param refusing each call is answered by 503
- * @param silent no call is answered
- * @param delayMs milliseconds before a call takes effect
- * @param loseReplies how many of the next appends take effect but get no answer: their connection
- *     is closed
- * @param retainCount how many records a stream keeps
- * @param retainMs how many milliseconds a stream keeps a record
- * @param appendsPerSecond rate above which appends queue
+ * @param refusing whether each request gets the status 503
+ * @param silent whether requests get no response
+ * @param delayMs milliseconds before a request takes effect
+ * @param loseReplies how many of the next appends take effect although their connection is closed
+ *     without a response
+ * @param retainCount maximum number of records that a stream keeps
+ * @param retainMs maximum age of a record that a stream keeps, in milliseconds
+ * @param appendsPerSecond number of appends in a second above which further ones are delayed
  */
 public record LogFaults(
     boolean refusing,
@@ -21,6 +21,6 @@
     long retainMs,
     int appendsPerSecond) {
 
-  /** A log that works and keeps all. */
+  /** A log without faults that keeps all records. */
   public static final LogFaults NONE = new LogFaults(false, false, 0, 0, 0, 0, 0);
 }
--- a/standins/src/main/java/org/fescuehook/standins/log/LogStandIn.java
+++ b/standins/src/main/java/org/fescuehook/standins/log/LogStandIn.java
@@ -15,21 +15,22 @@
 import org.fescuehook.standins.http.Exchange;
 import org.fescuehook.standins.http.StandInServer;
 
-/** A log service in memory. */
+/** In-memory stand-in for the platform's append-only log service. */
 public final class LogStandIn extends StandIn<LogFaults> {
-  private static final Pattern CALL = Pattern.compile("(GET|POST) /streams/([^/]+)/records");
+  private static final Pattern RECORDS_REQUEST =
+      Pattern.compile("(GET|POST) /streams/([^/]+)/records");
   private static final int MAX_RECORD_BYTES = 1 << 20;
 
   private final LongSupplier clock;
   private final StandInServer server;
   private final Map<String, RecordStream> streams = new HashMap<>();
-  private final List<Waiter> waiters = new ArrayList<>();
+  private final List<WaitingRead> waitingReads = new ArrayList<>();
   private LogFaults faults = LogFaults.NONE;
   private int repliesToLose;
   private long nextAppendAt;
   private Stats stats = new Stats(0, 0, 0, 0, Map.of());
 
-  /** Counts of the log; {@code next} gives for each stream the offset after its last record. */
+  /** Counters of the log; {@code next} maps each stream to the offset after its last record. */
   public record Stats(
       long appends, long reads, long lostReplies, long failedCalls, Map<String, Long> next) {
 
@@ -39,7 +40,7 @@
     }
   }
 
-  /** Starts the log; the clock gives wall-clock milliseconds. */
+  /** Starts the log; the clock returns wall-clock milliseconds. */
   public LogStandIn(EventLoopGroup group, InetSocketAddress address, LongSupplier clock)
       throws StandInException {
     super("log", LogFaults.class);
@@ -48,7 +49,7 @@
     this.server = new StandInServer(group, address, limits, this::handle);
   }
 
-  /** Returns where it listens. */
+  /** Returns the address on which the log listens. */
   public InetSocketAddress address() {
     return server.address();
   }
@@ -72,12 +73,12 @@
   }
 
   private synchronized void handle(Exchange exchange) {
-    Matcher call = CALL.matcher(exchange.call());
+    Matcher call = RECORDS_REQUEST.matcher(exchange.call());
     if (!call.matches()) {
       exchange.error(404, "not-found", exchange.call());
       return;
     }
-    if (failed(exchange)) {
+    if (failsByFault(exchange)) {
       return;
     }
     String stream = call.group(2);
@@ -88,7 +89,8 @@
     }
   }
 
-  private boolean failed(Exchange exchange) {
+  /** Returns whether a fault in force prevents the request, after responding if the log refuses. */
+  private boolean failsByFault(Exchange exchange) {
     if (faults.refusing()) {
       exchange.error(503, "outage", "the log is down");
     }
@@ -99,6 +101,7 @@
     return false;
   }
 
+  /** Returns the delay of the next append, which keeps to the configured rate. */
   private long appendDelay() {
     if (faults.appendsPerSecond() == 0) {
       return faults.delayMs();
@@ -109,7 +112,7 @@
   }
 
   private synchronized void append(Exchange exchange, String name) {
-    long offset = retained(name).append(clock.getAsLong(), exchange.body());
+    long offset = streamWithRetention(name).append(clock.getAsLong(), exchange.body());
     if (repliesToLose > 0) {
       repliesToLose--;
       stats = stats.plus(1, 0, 1, 0);
@@ -118,9 +121,9 @@
       stats = stats.plus(1, 0, 0, 0);
       exchange.reply(200, Map.of("offset", offset));
     }
-    for (Waiter waiter : List.copyOf(waiters)) {
-      if (waiter.stream.equals(name)) {
-        finish(waiter);
+    for (WaitingRead waitingRead : List.copyOf(waitingReads)) {
+      if (waitingRead.stream.equals(name)) {
+        completeRead(waitingRead);
       }
     }
   }
@@ -133,28 +136,29 @@
       exchange.reply(200, page);
       return;
     }
-    Waiter waiter = new Waiter(exchange, name);
-    waiters.add(waiter);
-    exchange.later(waitMillis, () -> finish(waiter));
+    WaitingRead waitingRead = new WaitingRead(exchange, name);
+    waitingReads.add(waitingRead);
+    exchange.later(waitMillis, () -> completeRead(waitingRead));
   }
 
-  /** Answers a waiting read once: at the first record, or when its time is over. */
-  private synchronized void finish(Waiter waiter) {
-    if (waiters.remove(waiter) && !failed(waiter.exchange)) {
-      waiter.exchange.reply(200, page(waiter.exchange, waiter.stream));
+  /** Responds to a waiting read once: at the first append to its stream, or after its wait time. */
+  private synchronized void completeRead(WaitingRead waitingRead) {
+    if (waitingReads.remove(waitingRead) && !failsByFault(waitingRead.exchange)) {
+      waitingRead.exchange.reply(200, page(waitingRead.exchange, waitingRead.stream));
     }
   }
 
   private RecordStream.Page page(Exchange exchange, String name) {
     int max = (int) exchange.number("max", Integer.MAX_VALUE);
-    return retained(name).read(exchange.number("from", 0), max);
+    return streamWithRetention(name).read(exchange.number("from", 0), max);
   }
 
-  private RecordStream retained(String name) {
+  /** Returns a stream, created if absent, after dropping the records that have expired. */
+  private RecordStream streamWithRetention(String name) {
     RecordStream stream = streams.computeIfAbsent(name, n -> new RecordStream());
     stream.retain(clock.getAsLong(), faults.retainCount(), faults.retainMs());
     return stream;
   }
 
-  private record Waiter(Exchange exchange, String stream) {}
+  private record WaitingRead(Exchange exchange, String stream) {}
 }
--- a/standins/src/main/java/org/fescuehook/standins/log/RecordStream.java
+++ b/standins/src/main/java/org/fescuehook/standins/log/RecordStream.java
@@ -7,16 +7,25 @@
 final class RecordStream {
   private static final int MAX_PAGE_BYTES = 4 << 20;
 
-  private static final int COMPACTION = 4096;
+  /** Number of dropped records after which the list is compacted. */
+  private static final int COMPACTION_THRESHOLD_RECORDS = 4096;
 
   private final List<StoredRecord> records = new ArrayList<>();
-  private int head;
+
+  /** Index of the oldest record that has not been dropped. */
+  private int firstKept;
+
   private long next;
 
-  /** A record; {@code appended} is in milliseconds. */
+  /** A record; {@code appended} is the time of its append, in wall-clock milliseconds. */
   record StoredRecord(long offset, long appended, byte[] data) {}
 
-  /** An answer to a read; {@code next} is the offset after the last record of the stream. */
+  /**
+   * Response to a read.
+   *
+   * @param earliest offset of the oldest record that the stream keeps
+   * @param next offset after the last record of the stream
+   */
   record Page(long earliest, long next, List<StoredRecord> records) {}
 
   long append(long now, byte[] data) {
@@ -24,28 +33,29 @@
     return next++;
   }
 
-  /** Drops records beyond the count or the age given; 0 stands for no limit. */
+  /** Drops the oldest records that exceed the count or the age; 0 stands for no limit. */
   void retain(long now, int count, long ageMillis) {
-    while (head < records.size() && expired(now, count, ageMillis)) {
-      head++;
+    while (firstKept < records.size() && expired(now, count, ageMillis)) {
+      firstKept++;
     }
-    if (head >= COMPACTION) {
-      records.subList(0, head).clear();
-      head = 0;
+    if (firstKept >= COMPACTION_THRESHOLD_RECORDS) {
+      records.subList(0, firstKept).clear();
+      firstKept = 0;
     }
   }
 
+  /** Returns records from an offset on; an offset before the earliest one starts there. */
   Page read(long from, int max) {
     List<StoredRecord> page = new ArrayList<>();
     long bytes = 0;
-    long start = head + Math.max(0, from - earliest());
+    long start = firstKept + Math.max(0, from - earliest());
     for (long i = start; i < records.size() && page.size() < max; i++) {
-      StoredRecord r = records.get((int) i);
-      bytes += r.data().length;
+      StoredRecord stored = records.get((int) i);
+      bytes += stored.data().length;
       if (bytes > MAX_PAGE_BYTES && !page.isEmpty()) {
         break;
       }
-      page.add(r);
+      page.add(stored);
     }
     return new Page(earliest(), next, page);
   }
@@ -55,13 +65,13 @@
   }
 
   private long earliest() {
-    return head == records.size() ? next : records.get(head).offset();
+    return firstKept == records.size() ? next : records.get(firstKept).offset();
   }
 
   private boolean expired(long now, int count, long ageMillis) {
-    if (count > 0 && records.size() - head > count) {
+    if (count > 0 && records.size() - firstKept > count) {
       return true;
     }
-    return ageMillis > 0 && now - records.get(head).appended() > ageMillis;
+    return ageMillis > 0 && now - records.get(firstKept).appended() > ageMillis;
   }
 }
--- a/standins/src/main/java/org/fescuehook/standins/platform/AppendAnswer.java
+++ b/standins/src/main/java/org/fescuehook/standins/platform/AppendAnswer.java
@@ -1,35 +1,35 @@
 package org.fescuehook.standins.platform;
 
-/** What the store answers to an append. */
+/** Response of the store to an append request. */
 sealed interface AppendAnswer {
 
-  /** All records are stored, from one offset to before another. */
+  /** All records are stored, from {@code offset} up to and excluding {@code endOffset}. */
   record Stored(long offset, long endOffset) implements AppendAnswer {}
 
-  /** The partition ends elsewhere than the writer expected. */
-  record OtherEnd(long endOffset) implements AppendAnswer {}
+  /** The partition doesn't end at the offset that the writer expected. */
+  record UnexpectedEnd(long endOffset) implements AppendAnswer {}
 
-  /** A writer of a higher epoch has appended. */
+  /** The same writer has already appended with a higher epoch. */
   record Fenced(String reason) implements AppendAnswer {
     Fenced() {
       this("fenced");
     }
   }
 
-  /** The append does not follow the last one of its epoch. */
+  /** The sequence number doesn't follow the last append of the writer's epoch. */
   record OutOfSequence(String reason, long sequence) implements AppendAnswer {
     OutOfSequence(long expected) {
       this("seq", expected);
     }
   }
 
-  /** Returns its status of HTTP. */
+  /** Returns the HTTP status code. */
   default int status() {
     return switch (this) {
       case Stored stored -> 200;
-      case OtherEnd other -> 412;
+      case UnexpectedEnd unexpected -> 412;
       case Fenced fenced -> 409;
-      case OutOfSequence out -> 409;
+      case OutOfSequence outOfSequence -> 409;
     };
   }
 }
--- a/standins/src/main/java/org/fescuehook/standins/platform/FleetFaults.java
+++ b/standins/src/main/java/org/fescuehook/standins/platform/FleetFaults.java
@@ -3,20 +3,21 @@
 import java.util.List;
 
 /**
- * Faults of the executors.
+ * Faults of the platform's executors.
  *
- * @param crash numbers of the executors that crash now; each comes back at once, under its id or
- *     another one
- * @param losses orders that get no answer
+ * @param crash numbers of the executors that crash now; each restarts at once, under the same id or
+ *     a new one
+ * @param losses executors some of whose orders get no response
  */
 public record FleetFaults(List<Integer> crash, List<OrderLoss> losses) {
 
   /**
-   * Orders to an executor that get no answer.
+   * Share of the orders to an executor that get no response.
    *
-   * @param executor its number
-   * @param permille how many of a thousand orders it strikes
-   * @param late whether they are carried out seconds later, through all checks; otherwise never
+   * @param executor number of the executor
+   * @param permille how many of a thousand orders are affected
+   * @param late whether these orders pass all checks and are executed seconds later; if not, they
+   *     are never executed
    */
   public record OrderLoss(int executor, int permille, boolean late) {}
 }
--- a/standins/src/main/java/org/fescuehook/standins/platform/FleetMember.java
+++ b/standins/src/main/java/org/fescuehook/standins/platform/FleetMember.java
@@ -18,31 +18,34 @@
 import org.fescuehook.standins.http.Json;
 import org.fescuehook.standins.http.StandInServer;
 
-/** The port of an executor through its lives, and its entries in the store. */
+/**
+ * An executor with a fixed address that lives through several incarnations. It serves the orders to
+ * the current incarnation and writes its entry into the store.
+ */
 final class FleetMember {
 
-  /** Racks take turns among the executors. */
+  /** Number of racks; executors are assigned to them in turn. */
   private static final int RACKS = 2;
 
-  private static final int LIVES_OF_AN_ID = 2;
+  private static final int INCARNATIONS_PER_ID = 2;
   private static final int SLOTS = 4;
-  private static final int CORES_OF_A_SLOT = 1000;
-  private static final int MEMORY_OF_A_SLOT = 1024;
+  private static final int MILLI_CORES_PER_SLOT = 1000;
+  private static final int MEMORY_MEGABYTES_PER_SLOT = 1024;
 
-  /** The slowest clock that the platform grants. */
-  private static final double SLOWEST_CLOCK = 0.98;
+  /** Rate of the slowest executor clock that the platform's protocol allows. */
+  private static final double SLOWEST_CLOCK_RATE = 0.98;
 
-  private static final int REQUEST_BYTES = 65_536;
-  private static final int CONNECTIONS = 1024;
-  private static final long LONGEST_WAIT_MILLIS = 2000;
+  private static final int MAX_REQUEST_BYTES = 65_536;
+  private static final int MAX_CONNECTIONS = 1024;
+  private static final long MAX_POLL_WAIT_MILLIS = 2000;
 
-  /** The store drops the entry of a silent executor after three heartbeats. */
-  private static final long ENTRY_LAPSE_MILLIS = 4500;
+  /** The store removes the entry of an executor that has missed three heartbeats. */
+  private static final long ENTRY_EXPIRY_MILLIS = 4500;
 
-  /** An order that is carried out late is so within these times. */
-  private static final long LATE_FROM_MILLIS = 2000;
+  /** Range of the delay after which a late order is executed. */
+  private static final long MIN_DELAY_MILLIS = 2000;
 
-  private static final long LATE_TO_MILLIS = 8000;
+  private static final long MAX_DELAY_MILLIS = 8000;
   private static final int PERMILLE = 1000;
 
   private final int number;
@@ -51,10 +54,10 @@
   private final Consumer<RunEvent> journal;
   private final StandInServer server;
   private final EventLoopGroup group;
-  private final List<Exchange> waiting = new ArrayList<>();
+  private final List<Exchange> waitingPolls = new ArrayList<>();
   private TaskExecutor executor;
-  private Optional<FleetFaults.OrderLoss> loss = Optional.empty();
-  private int lives;
+  private Optional<FleetFaults.OrderLoss> orderLoss = Optional.empty();
+  private int incarnations;
   private long heartbeats;
 
   FleetMember(
@@ -71,16 +74,16 @@
     this.journal = journal;
     this.group = group;
     this.executor = next(0);
-    var limits = new StandInServer.Limits(CONNECTIONS, REQUEST_BYTES);
+    var limits = new StandInServer.Limits(MAX_CONNECTIONS, MAX_REQUEST_BYTES);
     this.server = new StandInServer(group, address, limits, this::handle);
   }
 
-  /** Begins the next life. Every other one has the id of the one before. */
-  private TaskExecutor next(long formerBornMillis) {
-    lives++;
-    String id = "x" + number + "-" + (lives + 1) / LIVES_OF_AN_ID;
-    long born = Math.max(formerBornMillis + 1, System.currentTimeMillis());
-    double rate = number % 2 == 0 ? SLOWEST_CLOCK : 1;
+  /** Creates the next incarnation. Every second one has the id of its predecessor. */
+  private TaskExecutor next(long previousBornMillis) {
+    incarnations++;
+    String id = "x" + number + "-" + (incarnations + 1) / INCARNATIONS_PER_ID;
+    long born = Math.max(previousBornMillis + 1, System.currentTimeMillis());
+    double rate = number % 2 == 0 ? SLOWEST_CLOCK_RATE : 1;
     long offset = -(long) (clock.getAsLong() * rate) + 1000L * number;
     return new TaskExecutor(id, born, SLOTS, rate, offset, journal);
   }
@@ -89,23 +92,24 @@
     return server;
   }
 
+  /** Crashes the current incarnation and starts the next one at once. */
   synchronized void crash() {
     executor.crash(clock.getAsLong());
-    waiting.clear();
-    TaskExecutor gone = executor;
-    executor = next(gone.bornMillis());
-    if (!executor.id().equals(gone.id())) {
+    waitingPolls.clear();
+    TaskExecutor crashed = executor;
+    executor = next(crashed.bornMillis());
+    if (!executor.id().equals(crashed.id())) {
       group
           .next()
           .schedule(
-              () -> store.putExecutor(gone.id(), new byte[0]),
-              ENTRY_LAPSE_MILLIS,
+              () -> store.putExecutor(crashed.id(), new byte[0]),
+              ENTRY_EXPIRY_MILLIS,
               TimeUnit.MILLISECONDS);
     }
     heartbeat();
   }
 
-  /** Writes the entry. */
+  /** Writes the entry of the current incarnation into the store. */
   synchronized void heartbeat() {
     heartbeats++;
     Map<String, Object> entry = new LinkedHashMap<>();
@@ -120,45 +124,51 @@
     entry.put("born", executor.bornMillis());
     entry.put(
         "capacity",
-        Map.of("cpu", SLOTS * CORES_OF_A_SLOT, "memMb", SLOTS * MEMORY_OF_A_SLOT, "gpu", 0));
+        Map.of(
+            "cpu",
+            SLOTS * MILLI_CORES_PER_SLOT,
+            "memMb",
+            SLOTS * MEMORY_MEGABYTES_PER_SLOT,
+            "gpu",
+            0));
     entry.put("labels", List.of("kind-a", "rack-" + number % RACKS));
     store.putExecutor(executor.id(), Json.write(entry));
   }
 
-  /** Lets time pass. */
+  /** Ends the runs that are due, responds to waiting polls and restarts a crashed executor. */
   synchronized void advance() {
     if (executor.advance(clock.getAsLong())) {
-      List.copyOf(waiting).forEach(this::finish);
+      List.copyOf(waitingPolls).forEach(this::completePoll);
     }
     if (executor.crashed()) {
       crash();
     }
   }
 
-  /** Sets which orders get no answer from now on. */
-  synchronized void lose(Optional<FleetFaults.OrderLoss> orders) {
-    loss = orders;
+  /** Sets which orders get no response from now on. */
+  synchronized void setOrderLoss(Optional<FleetFaults.OrderLoss> orders) {
+    orderLoss = orders;
   }
 
   private synchronized void handle(Exchange exchange) throws IOException {
     ThreadLocalRandom random = ThreadLocalRandom.current();
-    if (loss.isEmpty() || random.nextInt(PERMILLE) >= loss.get().permille()) {
-      carryOut(exchange, false);
-    } else if (loss.get().late()) {
-      long delay = random.nextLong(LATE_FROM_MILLIS, LATE_TO_MILLIS);
-      exchange.later(delay, () -> carryOut(exchange, true));
+    if (orderLoss.isEmpty() || random.nextInt(PERMILLE) >= orderLoss.get().permille()) {
+      execute(exchange, false);
+    } else if (orderLoss.get().late()) {
+      long delay = random.nextLong(MIN_DELAY_MILLIS, MAX_DELAY_MILLIS);
+      exchange.later(delay, () -> execute(exchange, true));
     }
   }
 
-  /** Carries out an order; one that is late gets no answer. */
-  private synchronized void carryOut(Exchange exchange, boolean late) throws IOException {
+  /** Executes an order; a late order gets no response. */
+  private synchronized void execute(Exchange exchange, boolean late) throws IOException {
     executor.advance(clock.getAsLong());
     if (executor.crashed()) {
       crash();
     }
     if (!exchange.header("Expected-Instance").equals(executor.id())) {
       if (!late) {
-        exchange.reply(421, clockAnd(Map.of()));
+        exchange.reply(421, withClock(Map.of()));
       }
       return;
     }
@@ -173,36 +183,36 @@
           default -> throw new IOException("no call " + exchange.call());
         };
     if (!late) {
-      answer(exchange, order, outcome);
+      respond(exchange, order, outcome);
     }
   }
 
-  private void answer(Exchange exchange, JsonNode order, TaskExecutor.Outcome outcome) {
+  private void respond(Exchange exchange, JsonNode order, TaskExecutor.Outcome outcome) {
     switch (outcome) {
       case TaskExecutor.Outcome.Rejected(String reason) ->
-          exchange.reply(409, clockAnd(Map.of("reason", reason)));
+          exchange.reply(409, withClock(Map.of("reason", reason)));
       case TaskExecutor.Outcome.Done done when exchange.call().equals("POST /-/hold") ->
-          answerHold(exchange, order.path("waitMs").asLong());
-      case TaskExecutor.Outcome.Done done -> exchange.reply(200, clockAnd(Map.of()));
+          respondToPoll(exchange, order.path("waitMs").asLong());
+      case TaskExecutor.Outcome.Done done -> exchange.reply(200, withClock(Map.of()));
     }
   }
 
-  private void answerHold(Exchange exchange, long waitMillis) {
-    waiting.add(exchange);
-    if (waitMillis <= 0 || executor.hasUnacknowledged()) {
-      finish(exchange);
+  private void respondToPoll(Exchange exchange, long waitMillis) {
+    waitingPolls.add(exchange);
+    if (waitMillis <= 0 || executor.hasUnacknowledgedEnds()) {
+      completePoll(exchange);
       return;
     }
-    exchange.later(Math.min(waitMillis, LONGEST_WAIT_MILLIS), () -> finish(exchange));
+    exchange.later(Math.min(waitMillis, MAX_POLL_WAIT_MILLIS), () -> completePoll(exchange));
   }
 
-  private synchronized void finish(Exchange exchange) {
-    if (waiting.remove(exchange)) {
-      exchange.reply(200, executor.lists(clock.getAsLong()));
+  private synchronized void completePoll(Exchange exchange) {
+    if (waitingPolls.remove(exchange)) {
+      exchange.reply(200, executor.pollResponse(clock.getAsLong()));
     }
   }
 
-  private Map<String, Object> clockAnd(Map<String, Object> fields) {
+  private Map<String, Object> withClock(Map<String, Object> fields) {
     Map<String, Object> body = new LinkedHashMap<>(fields);
     body.put("clockMs", executor.clock(clock.getAsLong()));
     return body;
--- a/standins/src/main/java/org/fescuehook/standins/platform/FleetStandIn.java
+++ b/standins/src/main/java/org/fescuehook/standins/platform/FleetStandIn.java
@@ -11,22 +11,25 @@
 import org.fescuehook.standins.StandInException;
 import org.fescuehook.standins.http.StandInServer;
 
-/** The platform's executors, which write their entries into the store. */
+/** Stand-in for the platform's executors, which write their entries into the store. */
 public final class FleetStandIn extends StandIn<FleetFaults> {
 
-  /** Longest delay of an end or a lapse; an executor's clock is coarser than that to a caller. */
-  private static final long STEP_MILLIS = 10;
+  /**
+   * Interval at which ended runs and expired leases are detected. Callers don't notice this delay:
+   * they know an executor's clock less precisely.
+   */
+  private static final long ADVANCE_INTERVAL_MILLIS = 10;
 
-  private static final long HEARTBEAT_MILLIS = 1500;
+  private static final long HEARTBEAT_INTERVAL_MILLIS = 1500;
 
   private final List<FleetMember> members = new ArrayList<>();
   private final Journal<RunEvent> journal;
 
   /**
-   * Starts executors and their entries.
+   * Starts the executors and their heartbeats.
    *
-   * @param clock gives monotonic milliseconds
-   * @param store where the entries go
+   * @param clock returns monotonic milliseconds
+   * @param store store that receives the executors' entries
    */
   public FleetStandIn(
       EventLoopGroup group,
@@ -43,16 +46,24 @@
     }
     var loop = group.next();
     loop.scheduleWithFixedDelay(
-        () -> members.forEach(FleetMember::advance), 0, STEP_MILLIS, TimeUnit.MILLISECONDS);
+        () -> members.forEach(FleetMember::advance),
+        0,
+        ADVANCE_INTERVAL_MILLIS,
+        TimeUnit.MILLISECONDS);
     loop.scheduleWithFixedDelay(
-        () -> members.forEach(FleetMember::heartbeat), 0, HEARTBEAT_MILLIS, TimeUnit.MILLISECONDS);
+        () -> members.forEach(FleetMember::heartbeat),
+        0,
+        HEARTBEAT_INTERVAL_MILLIS,
+        TimeUnit.MILLISECONDS);
   }
 
   @Override
   public void apply(FleetFaults faults) {
     for (int i = 0; i < members.size(); i++) {
       int number = i + 1;
-      members.get(i).lose(faults.losses().stream().filter(l -> l.executor() == number).findFirst());
+      members
+          .get(i)
+          .setOrderLoss(faults.losses().stream().filter(l -> l.executor() == number).findFirst());
     }
     faults.crash().forEach(number -> members.get(number - 1).crash());
   }
@@ -62,7 +73,7 @@
     return journal.entries();
   }
 
-  /** Returns how many entries of the journal were overwritten. */
+  /** Returns how many journal entries were overwritten. */
   @Override
   public Object stats() {
     return journal.dropped();
--- a/standins/src/main/java/org/fescuehook/standins/platform/PlatformConfiguration.java
+++ b/standins/src/main/java/org/fescuehook/standins/platform/PlatformConfiguration.java
@@ -4,19 +4,19 @@
 import java.util.Map;
 import org.fescuehook.standins.http.Json;
 
-/** The operators' configuration: one queue that is open to one organisation. */
+/** Configuration that the operators publish: one queue, which one organisation may use. */
 public final class PlatformConfiguration {
 
-  /** Host of the queue's calls. */
+  /** Host name to which callers of the queue send their requests. */
   public static final String HOST = "jobs.example";
 
-  /** Prefix of the queue's paths. */
+  /** Path prefix of the requests to the queue. */
   public static final String PATH_PREFIX = "/jobs/";
 
-  /** Key of the organisation that calls. */
+  /** API key of the organisation. */
   public static final String KEY = "key-1";
 
-  /** Pool of the executors that run the queue's tasks. */
+  /** Name of the executor pool that runs the queue's tasks. */
   static final String SERVICE = "pool";
 
   private PlatformConfiguration() {}
--- a/standins/src/main/java/org/fescuehook/standins/platform/RunEvent.java
+++ b/standins/src/main/java/org/fescuehook/standins/platform/RunEvent.java
@@ -1,15 +1,17 @@
 package org.fescuehook.standins.platform;
 
 /**
- * Something that happened to a run of a task on an executor.
+ * An event in the execution of a task's run on an executor.
  *
  * @param kind what happened
- * @param executor id of the executor, which it may have had in several lives
- * @param bornMillis which of its lives, by when that started, milliseconds since 1970
- * @param task name of the task; empty for a lease that lapsed, which concerns all runs there
+ * @param executor id of the executor, which several of its incarnations may share
+ * @param bornMillis start time of the executor's incarnation, in milliseconds since 1970
+ * @param task name of the task; empty for {@link Kind#LAPSED}, which concerns all runs on the
+ *     executor
  * @param run number of the run
- * @param detail the job's text for a start, how it ended for an end, else empty
- * @param atMillis monotonic time
+ * @param detail specification of the job for a start, kind of the ending for an end, otherwise
+ *     empty
+ * @param atMillis time of the event, in monotonic milliseconds
  */
 public record RunEvent(
     Kind kind,
@@ -20,19 +22,19 @@
     String detail,
     long atMillis) {
 
-  /** What can happen. */
+  /** Kinds of events. */
   public enum Kind {
-    /** The run began. */
+    /** The run has started. */
     STARTED,
-    /** The run that just began was ordered seconds before. */
+    /** The run has started from an order that was delayed for seconds; follows {@link #STARTED}. */
     STARTED_LATE,
-    /** The run is over; the end is listed. */
+    /** The run has ended, and polls report its end until it is acknowledged. */
     ENDED,
-    /** The end was taken note of. */
+    /** The scheduler has acknowledged the end of the run. */
     ACKNOWLEDGED,
-    /** The lease lapsed. */
+    /** The executor's lease has expired. */
     LAPSED,
-    /** The executor crashed; what ran there is over and no end is listed. */
+    /** The executor has crashed and the run with it; no poll reports its end. */
     CRASHED
   }
 }
--- a/standins/src/main/java/org/fescuehook/standins/platform/StoreFaults.java
+++ b/standins/src/main/java/org/fescuehook/standins/platform/StoreFaults.java
@@ -1,19 +1,19 @@
 package org.fescuehook.standins.platform;
 
 /**
- * Faults of the store; all can be in force at once.
+ * Faults of the store, which can be combined.
  *
- * @param slowFactor how many times as long as usual the ways to appends and of answers take; 0
- *     stands for 1
- * @param silent whether calls get no answer and do nothing
- * @param refusing whether calls get a 503 and do nothing
- * @param lostPermille how many of a thousand appends get no answer
- * @param late whether an append without an answer is carried out seconds later
+ * @param slowFactor factor by which the network delays of append requests and of all responses
+ *     grow; 0 stands for 1
+ * @param silent whether requests have no effect and get no response
+ * @param refusing whether requests have no effect and get the status 503
+ * @param lostPermille how many of a thousand appends take effect but get no response
+ * @param late whether an append without a response takes effect only seconds later
  */
 public record StoreFaults(
     double slowFactor, boolean silent, boolean refusing, int lostPermille, boolean late) {
 
-  /** No fault. */
+  /** A store without faults. */
   static final StoreFaults NONE = new StoreFaults(1, false, false, 0, false);
 
   double factor() {
--- a/standins/src/main/java/org/fescuehook/standins/platform/StorePartition.java
+++ b/standins/src/main/java/org/fescuehook/standins/platform/StorePartition.java
@@ -9,38 +9,39 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The one partition of a topic. It keeps all records; nothing expires. Not safe for threads. */
+/** The single partition of a topic. Keeps all records; none expires. Not thread-safe. */
 final class StorePartition {
 
-  /** Answers to a writer's last appends that are repeated. */
-  private static final int REPEATED_ANSWERS = 5;
+  /** Number of a writer's last appends whose response is remembered and repeated to a retry. */
+  private static final int MAX_REMEMBERED_APPENDS = 5;
 
-  /** Most records of a page of the newest ones. */
-  private static final int PAGE_RECORDS = 500;
+  /** Maximum number of records on a page of {@link #newest(String)}. */
+  private static final int MAX_PAGE_RECORDS = 500;
 
   private final boolean keyed;
   private final List<byte[]> records = new ArrayList<>();
   private final TreeMap<String, Newest> newest = new TreeMap<>();
   private final Map<String, Writer> writers = new HashMap<>();
 
-  /** The newest record of a key. */
+  /** The newest record of a key; its value is encoded as Base64. */
   record Newest(String key, String value, long offset) {}
 
-  /** A page of the newest records, in the order of their keys. */
+  /** A page of the newest records, ordered by key. */
   record Page(List<Newest> items, boolean hasMore, long endOffset) {}
 
+  /** Appends of a writer in its current epoch. */
   private static final class Writer {
     private final long epoch;
-    private long next;
-    private final Deque<Answered> answered = new ArrayDeque<>();
+    private long nextSequence;
+    private final Deque<AnsweredAppend> lastAppends = new ArrayDeque<>();
 
-    private Writer(long epoch, long next) {
+    private Writer(long epoch, long nextSequence) {
       this.epoch = epoch;
-      this.next = next;
+      this.nextSequence = nextSequence;
     }
   }
 
-  private record Answered(long sequence, AppendAnswer.Stored answer) {}
+  private record AnsweredAppend(long sequence, AppendAnswer.Stored answer) {}
 
   StorePartition(boolean keyed) {
     this.keyed = keyed;
@@ -50,47 +51,52 @@
     return records.size();
   }
 
+  /**
+   * Appends records, unless the writer's epoch is fenced, its sequence number doesn't follow its
+   * last append or the partition doesn't end where the writer expects. A retry of one of the
+   * writer's last appends gets the response of the first try and appends nothing.
+   */
   AppendAnswer append(AppendCall call) {
     Writer writer = writers.get(call.producer());
     if (!call.producer().isEmpty() && writer != null) {
       if (call.epoch() < writer.epoch) {
         return new AppendAnswer.Fenced();
       }
-      for (Answered earlier : writer.answered) {
+      for (AnsweredAppend earlier : writer.lastAppends) {
         if (call.epoch() == writer.epoch && call.sequence() == earlier.sequence) {
           return earlier.answer;
         }
       }
-      if (call.epoch() == writer.epoch && call.sequence() != writer.next) {
-        return new AppendAnswer.OutOfSequence(writer.next);
+      if (call.epoch() == writer.epoch && call.sequence() != writer.nextSequence) {
+        return new AppendAnswer.OutOfSequence(writer.nextSequence);
       }
     }
     if (call.expectedEnd() >= 0 && call.expectedEnd() != end()) {
-      return new AppendAnswer.OtherEnd(end());
+      return new AppendAnswer.UnexpectedEnd(end());
     }
     long offset = end();
     call.records().forEach(this::add);
     AppendAnswer.Stored stored = new AppendAnswer.Stored(offset, end());
     if (!call.producer().isEmpty()) {
-      remember(call, stored);
+      rememberAppend(call, stored);
     }
     return stored;
   }
 
-  private void remember(AppendCall call, AppendAnswer.Stored stored) {
-    Writer known = writers.get(call.producer());
+  private void rememberAppend(AppendCall call, AppendAnswer.Stored stored) {
+    Writer previous = writers.get(call.producer());
     Writer writer =
-        known != null && known.epoch == call.epoch()
-            ? known
+        previous != null && previous.epoch == call.epoch()
+            ? previous
             : new Writer(call.epoch(), call.sequence());
     writers.put(call.producer(), writer);
     if (call.records().isEmpty()) {
       return;
     }
-    writer.next = call.sequence() + 1;
-    writer.answered.addLast(new Answered(call.sequence(), stored));
-    if (writer.answered.size() > REPEATED_ANSWERS) {
-      writer.answered.removeFirst();
+    writer.nextSequence = call.sequence() + 1;
+    writer.lastAppends.addLast(new AnsweredAppend(call.sequence(), stored));
+    if (writer.lastAppends.size() > MAX_REMEMBERED_APPENDS) {
+      writer.lastAppends.removeFirst();
     }
   }
 
@@ -109,7 +115,10 @@
     }
   }
 
-  /** Returns the answer of a read from an offset on, up to a number of bytes. */
+  /**
+   * Returns the encoded response to a read from an offset on. Only its last record may exceed the
+   * number of bytes.
+   */
   byte[] read(long from, long maxBytes) {
     List<byte[]> found = new ArrayList<>();
     long bytes = 0;
@@ -120,10 +129,13 @@
     return StoreRecords.encode(end(), found);
   }
 
-  /** Returns the newest records after a key, or from the start if it is empty. */
+  /**
+   * Returns the newest record of each key, from the first key after {@code afterKey} on. An empty
+   * {@code afterKey} stands for the start.
+   */
   Page newest(String afterKey) {
     var following = afterKey.isEmpty() ? newest : newest.tailMap(afterKey, false);
-    List<Newest> items = following.values().stream().limit(PAGE_RECORDS).toList();
+    List<Newest> items = following.values().stream().limit(MAX_PAGE_RECORDS).toList();
     return new Page(items, following.size() > items.size(), end());
   }
 }
--- a/standins/src/main/java/org/fescuehook/standins/platform/StoreRecords.java
+++ b/standins/src/main/java/org/fescuehook/standins/platform/StoreRecords.java
@@ -7,7 +7,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** The store's raw records: four bytes of length, big-endian, then the payload. */
+/** Encodes and decodes the store's records: a big-endian length of four bytes, then the payload. */
 final class StoreRecords {
 
   private StoreRecords() {}
@@ -23,7 +23,10 @@
     return records;
   }
 
-  /** Encodes the answer of a read: the end, the first kept offset, then the records. */
+  /**
+   * Encodes the response to a read: the end offset, the first offset that is kept (always 0), then
+   * the records.
+   */
   static byte[] encode(long end, List<byte[]> records) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     out.writeBytes(ByteBuffer.allocate(2 * Long.BYTES).putLong(end).putLong(0).array());
@@ -34,7 +37,7 @@
     return out.toByteArray();
   }
 
-  /** Returns a record of a keyed topic: one byte of key length, the key and the value. */
+  /** Encodes a record of a keyed topic: the length of the key in one byte, the key, the value. */
   static byte[] keyed(String key, byte[] value) {
     byte[] name = key.getBytes(StandardCharsets.UTF_8);
     return ByteBuffer.allocate(1 + name.length + value.length)
--- a/standins/src/main/java/org/fescuehook/standins/platform/StoreStandIn.java
+++ b/standins/src/main/java/org/fescuehook/standins/platform/StoreStandIn.java
@@ -15,37 +15,37 @@
 import org.fescuehook.standins.http.StandInServer;
 
 /**
- * The platform's store in memory: a log of topics with one partition each. A partition carries its
- * appends out one after another; an append that waits too long is refused.
+ * In-memory stand-in for the platform's store, a log of topics with one partition each. A partition
+ * executes its appends one after another and rejects an append that would wait too long.
  */
 public final class StoreStandIn extends StandIn<StoreFaults> {
 
-  /** Topics of this prefix keep the newest record of each key. */
-  private static final String KEYED = "keyed.";
+  /** Prefix of the topics that also index the newest record of each key. */
+  private static final String KEYED_TOPIC_PREFIX = "keyed.";
 
-  private static final String OPERATORS = "keyed.op";
-  private static final String EXECUTORS = "keyed.servers";
+  private static final String OPERATORS_TOPIC = "keyed.op";
+  private static final String EXECUTORS_TOPIC = "keyed.servers";
 
-  private static final int REQUEST_BYTES = 2_097_152;
-  private static final int KILOBYTE = 1024;
+  private static final int MAX_REQUEST_BYTES = 2_097_152;
+  private static final int BYTES_PER_KILOBYTE = 1024;
   private static final int DEFAULT_READ_KILOBYTES = 1024;
 
-  /** Time that an append occupies its partition, in ms; a slow store does not lengthen it. */
+  /** Time for which an append occupies its partition; {@code slowFactor} doesn't affect it. */
   private static final double APPEND_MILLIS = 4;
 
-  /** Usual time of the way to an append and of the way of an answer, in ms. */
-  private static final double USUAL_MILLIS = 4;
+  /** Mean network delay of an append request, and of the response to any request. */
+  private static final double NETWORK_DELAY_MILLIS = 4;
 
-  /** Part by which a way varies. */
-  private static final double VARIATION = 0.25;
+  /** Fraction by which a network delay varies in both directions. */
+  private static final double NETWORK_DELAY_VARIATION = 0.25;
 
-  /** An append that would wait longer in its partition is refused. */
-  private static final long MOST_WAITING_MILLIS = 2000;
+  /** Longest time that an append may wait for its partition; a longer wait is rejected. */
+  private static final long MAX_QUEUE_DELAY_MILLIS = 2000;
 
-  /** An append whose effect comes late comes within these times. */
-  private static final long LATE_FROM_MILLIS = 500;
+  /** Range of the additional delay before a late append takes effect. */
+  private static final long MIN_LATE_MILLIS = 500;
 
-  private static final long LATE_TO_MILLIS = 4000;
+  private static final long MAX_LATE_MILLIS = 4000;
   private static final int PERMILLE = 1000;
 
   private final LongSupplier clock;
@@ -54,12 +54,13 @@
   private StoreFaults faults = StoreFaults.NONE;
   private Stats stats = new Stats(0, 0, 0, 0);
 
-  /** Counts of the store. */
+  /** Counters of the store. */
   public record Stats(long appends, long reads, long failedCalls, long lostAnswers) {}
 
+  /** A topic with its waiting reads, and the time until which queued appends occupy it. */
   private static final class Topic {
     private final StorePartition partition;
-    private final List<Waiter> waiters = new ArrayList<>();
+    private final List<WaitingRead> waitingReads = new ArrayList<>();
     private double busyUntil;
 
     private Topic(boolean keyed) {
@@ -67,18 +68,18 @@
     }
   }
 
-  private record Waiter(Exchange exchange, long from) {}
+  private record WaitingRead(Exchange exchange, long from) {}
 
-  /** Starts the store; the clock gives monotonic milliseconds. */
+  /** Starts the store; the clock returns monotonic milliseconds. */
   public StoreStandIn(EventLoopGroup group, InetSocketAddress address, LongSupplier clock)
       throws StandInException {
     super("store", StoreFaults.class);
     this.clock = clock;
-    var limits = new StandInServer.Limits(Integer.MAX_VALUE, REQUEST_BYTES);
+    var limits = new StandInServer.Limits(Integer.MAX_VALUE, MAX_REQUEST_BYTES);
     this.server = new StandInServer(group, address, limits, this::handle);
   }
 
-  /** Returns where it listens. */
+  /** Returns the address on which the store listens. */
   public InetSocketAddress address() {
     return server.address();
   }
@@ -98,29 +99,29 @@
     return List.of(server);
   }
 
-  /** Writes the operators' configuration, past all faults. */
+  /** Writes the operators' configuration; faults don't affect this write. */
   public synchronized void publishConfiguration() {
-    put(OPERATORS, "config", PlatformConfiguration.text());
+    put(OPERATORS_TOPIC, "config", PlatformConfiguration.text());
   }
 
-  /** Writes an executor's entry, past all faults; an empty value removes it. */
+  /** Writes an executor's entry, or removes it if the value is empty; faults don't affect this. */
   synchronized void putExecutor(String id, byte[] value) {
-    put(EXECUTORS, id, value);
+    put(EXECUTORS_TOPIC, id, value);
   }
 
   private void put(String name, String key, byte[] value) {
     Topic topic = topic(name);
     List<byte[]> records = List.of(StoreRecords.keyed(key, value));
     topic.partition.append(new AppendCall("", 0, 0, -1, records));
-    wake(topic);
+    completeWaitingReads(topic);
   }
 
   private Topic topic(String name) {
-    return topics.computeIfAbsent(name, n -> new Topic(n.startsWith(KEYED)));
+    return topics.computeIfAbsent(name, n -> new Topic(n.startsWith(KEYED_TOPIC_PREFIX)));
   }
 
   private synchronized void handle(Exchange exchange) throws IOException {
-    if (failed(exchange)) {
+    if (failsByFault(exchange)) {
       return;
     }
     String name = exchange.text("topic");
@@ -130,13 +131,16 @@
       case "GET /-/log-newest" -> {
         count(0, 1, 0, 0);
         StorePartition.Page page = topic(name).partition.newest(exchange.text("dependsOn"));
-        answerAfterWay(exchange, () -> exchange.reply(200, page));
+        respondAfterDelay(exchange, () -> exchange.reply(200, page));
       }
       default -> exchange.error(404, "not-found", exchange.call());
     }
   }
 
-  private boolean failed(Exchange exchange) {
+  /**
+   * Returns whether a fault in force prevents the request, after responding if the store refuses.
+   */
+  private boolean failsByFault(Exchange exchange) {
     if (faults.refusing() && !faults.silent()) {
       exchange.error(503, "outage", "the store is down");
     }
@@ -148,24 +152,24 @@
   }
 
   private void queueAppend(Exchange exchange, String name) {
-    if (name.equals(OPERATORS) || name.equals(EXECUTORS)) {
+    if (name.equals(OPERATORS_TOPIC) || name.equals(EXECUTORS_TOPIC)) {
       exchange.error(403, "read-only", name);
       return;
     }
     Topic topic = topic(name);
     double now = clock.getAsLong();
-    if (topic.busyUntil - now > MOST_WAITING_MILLIS) {
+    if (topic.busyUntil - now > MAX_QUEUE_DELAY_MILLIS) {
       count(0, 0, 1, 0);
       exchange.error(503, "busy", "more than 2 s of appends wait");
       return;
     }
     topic.busyUntil = Math.max(now, topic.busyUntil) + APPEND_MILLIS;
-    long wait = Math.round(topic.busyUntil - now) + way();
+    long wait = Math.round(topic.busyUntil - now) + networkDelay();
     AppendCall call = AppendCall.of(exchange);
     boolean lost = ThreadLocalRandom.current().nextInt(PERMILLE) < faults.lostPermille();
     long late =
         lost && faults.late()
-            ? ThreadLocalRandom.current().nextLong(LATE_FROM_MILLIS, LATE_TO_MILLIS)
+            ? ThreadLocalRandom.current().nextLong(MIN_LATE_MILLIS, MAX_LATE_MILLIS)
             : 0;
     exchange.later(wait + late, () -> append(exchange, topic, call, lost));
   }
@@ -173,9 +177,9 @@
   private synchronized void append(Exchange exchange, Topic topic, AppendCall call, boolean lost) {
     AppendAnswer answer = topic.partition.append(call);
     count(1, 0, 0, lost ? 1 : 0);
-    wake(topic);
+    completeWaitingReads(topic);
     if (!lost) {
-      answerAfterWay(exchange, () -> exchange.reply(answer.status(), answer));
+      respondAfterDelay(exchange, () -> exchange.reply(answer.status(), answer));
     }
   }
 
@@ -184,44 +188,46 @@
     long from = exchange.number("startKey", 0);
     long waitMillis = exchange.number("waitMs", 0);
     if (waitMillis <= 0 || from < topic.partition.end()) {
-      answerRead(exchange, topic, from);
+      respondToRead(exchange, topic, from);
       return;
     }
-    Waiter waiter = new Waiter(exchange, from);
-    topic.waiters.add(waiter);
-    exchange.later(waitMillis, () -> finish(topic, waiter));
+    WaitingRead waitingRead = new WaitingRead(exchange, from);
+    topic.waitingReads.add(waitingRead);
+    exchange.later(waitMillis, () -> completeRead(topic, waitingRead));
   }
 
-  private void wake(Topic topic) {
-    for (Waiter waiter : List.copyOf(topic.waiters)) {
-      finish(topic, waiter);
+  private void completeWaitingReads(Topic topic) {
+    for (WaitingRead waitingRead : List.copyOf(topic.waitingReads)) {
+      completeRead(topic, waitingRead);
     }
   }
 
-  private synchronized void finish(Topic topic, Waiter waiter) {
-    if (topic.waiters.remove(waiter) && !failed(waiter.exchange)) {
-      answerRead(waiter.exchange, topic, waiter.from);
+  private synchronized void completeRead(Topic topic, WaitingRead waitingRead) {
+    if (topic.waitingReads.remove(waitingRead) && !failsByFault(waitingRead.exchange)) {
+      respondToRead(waitingRead.exchange, topic, waitingRead.from);
     }
   }
 
-  private void answerRead(Exchange exchange, Topic topic, long from) {
-    long bytes = exchange.number("maxKb", DEFAULT_READ_KILOBYTES) * KILOBYTE;
+  private void respondToRead(Exchange exchange, Topic topic, long from) {
+    long bytes = exchange.number("maxKb", DEFAULT_READ_KILOBYTES) * BYTES_PER_KILOBYTE;
     byte[] found = topic.partition.read(from, bytes);
     Map<String, String> fields = Map.of("Content-Type", "application/octet-stream");
-    answerAfterWay(exchange, () -> exchange.reply(200, fields, found));
+    respondAfterDelay(exchange, () -> exchange.reply(200, fields, found));
   }
 
-  /** Answers unless the store went silent on the way. */
-  private void answerAfterWay(Exchange exchange, Exchange.Step answer) {
-    exchange.later(way(), () -> answerUnlessSilent(answer));
+  /** Responds after the network delay, unless the store is silent by then. */
+  private void respondAfterDelay(Exchange exchange, Exchange.Step answer) {
+    exchange.later(networkDelay(), () -> respondUnlessSilent(answer));
   }
 
-  private long way() {
-    double spread = ThreadLocalRandom.current().nextDouble(1 - VARIATION, 1 + VARIATION);
-    return Math.round(USUAL_MILLIS * faults.factor() * spread);
+  private long networkDelay() {
+    double spread =
+        ThreadLocalRandom.current()
+            .nextDouble(1 - NETWORK_DELAY_VARIATION, 1 + NETWORK_DELAY_VARIATION);
+    return Math.round(NETWORK_DELAY_MILLIS * faults.factor() * spread);
   }
 
-  private synchronized void answerUnlessSilent(Exchange.Step answer) throws IOException {
+  private synchronized void respondUnlessSilent(Exchange.Step answer) throws IOException {
     if (!faults.silent()) {
       answer.run();
     }
--- a/standins/src/main/java/org/fescuehook/standins/platform/TaskExecutor.java
+++ b/standins/src/main/java/org/fescuehook/standins/platform/TaskExecutor.java
@@ -13,30 +13,32 @@
 import java.util.regex.Pattern;
 
 /**
- * One life of an executor: its clock, its lease, the highest fencing token it has seen, what runs
- * and which ends were not taken note of. It starts no task that does not fit. Time comes with each
- * call; not safe for threads.
+ * One incarnation of an executor, with its clock, its lease and the highest fencing token that it
+ * has received. It tracks the active runs and the ended runs that the scheduler hasn't acknowledged
+ * yet, and rejects a task for which it has no free slot. Callers pass the current time in monotonic
+ * milliseconds. Not thread-safe.
  */
 final class TaskExecutor {
 
-  /** How the platform names the ends of runs that this executor produces. */
+  /** Values by which the platform's protocol says how a run ended. */
   static final String DONE = "done";
 
   private static final String STOPPED = "stopped";
   private static final String LAPSED = "lapsed";
 
-  /** The end of a run that takes its executor with it. */
-  private static final String CRASHES = "crash";
+  /** Keyword of a job specification whose run crashes its executor; never sent as an ending. */
+  private static final String CRASH = "crash";
 
   /**
-   * A job's text says how long each of its tasks runs, or after what time it crashes its executor.
+   * Format of a job's specification: after how many milliseconds each of its tasks ends, or crashes
+   * its executor.
    */
   private static final Pattern SPEC = Pattern.compile("(run|crash):(\\d+) .*");
 
-  private static final long LONGEST_LEASE_MILLIS = 6000;
-  private static final long STOP_MILLIS = 200;
-  private static final int ENDS_PER_ANSWER = 500;
-  private static final int WHOLE = 100;
+  private static final long MAX_LEASE_MILLIS = 6000;
+  private static final long STOP_DURATION_MILLIS = 200;
+  private static final int MAX_ENDED_RUNS_PER_POLL = 500;
+  private static final int FULL_SPEED_PERCENT = 100;
 
   private final String id;
   private final long bornMillis;
@@ -44,35 +46,36 @@
   private final double clockRate;
   private final long clockOffset;
   private final Consumer<RunEvent> journal;
-  private final Map<String, Active> active = new LinkedHashMap<>();
+  private final Map<String, ActiveRun> activeRuns = new LinkedHashMap<>();
   private final Map<String, Integer> highestRuns = new HashMap<>();
-  private final Deque<Ended> ended = new ArrayDeque<>();
+  private final Deque<EndedRun> unacknowledgedEnds = new ArrayDeque<>();
   private long highestToken;
   private long leaseUntil;
-  private long endNumber;
+  private long lastEndNumber;
   private boolean crashed;
 
-  /** What an order led to. */
+  /** Result of an order. */
   sealed interface Outcome {
-    /** It was carried out. */
+    /** The executor executed the order. */
     record Done() implements Outcome {}
 
-    /** It was not, for a reason that the platform names. */
+    /** The executor rejected the order; the reason is one of the platform's protocol. */
     record Rejected(String reason) implements Outcome {}
   }
 
-  /** A run, with the time at which it ends by itself or by a stop. */
-  private record Active(int run, long endsAt, String how) {}
+  /** A running task, with the time at which it ends by itself or because of a stop order. */
+  private record ActiveRun(int run, long endsAt, String ending) {}
 
-  private record Ended(long number, String task, int run, String how) {}
+  /** An ended run; {@code number} counts the ends of this incarnation. */
+  private record EndedRun(long number, String task, int run, String ending) {}
 
   /**
-   * Creates an executor on which nothing runs.
+   * Creates an executor without active runs.
    *
-   * @param bornMillis when this life began, milliseconds since 1970
-   * @param slots tasks that run at a time; each task takes one
-   * @param clockRate its own seconds in a second
-   * @param clockOffset its clock at time 0, in ms
+   * @param bornMillis start time of this incarnation, in milliseconds since 1970
+   * @param slots how many tasks can run at the same time
+   * @param clockRate how many milliseconds its clock advances in a millisecond
+   * @param clockOffset reading of its clock at time 0, in milliseconds
    */
   TaskExecutor(
       String id,
@@ -101,52 +104,57 @@
     return clockOffset + (long) (now * clockRate);
   }
 
-  /** Lets time pass: runs end, the lease lapses. Returns whether an end was listed. */
+  /**
+   * Ends the runs that are due, and all runs if the lease has expired.
+   *
+   * @return whether a run has ended that a poll now reports; false if a run crashed the executor
+   */
   boolean advance(long now) {
-    long before = endNumber;
-    if (!active.isEmpty() && clock(now) >= leaseUntil) {
+    long before = lastEndNumber;
+    if (!activeRuns.isEmpty() && clock(now) >= leaseUntil) {
       record(RunEvent.Kind.LAPSED, "", 0, "", now);
-      List.copyOf(active.keySet()).forEach(task -> end(task, LAPSED, now));
+      List.copyOf(activeRuns.keySet()).forEach(task -> end(task, LAPSED, now));
     }
-    for (String task : List.copyOf(active.keySet())) {
-      Active run = active.get(task);
+    for (String task : List.copyOf(activeRuns.keySet())) {
+      ActiveRun run = activeRuns.get(task);
       if (now < run.endsAt) {
         continue;
       }
-      if (run.how.equals(CRASHES)) {
+      if (run.ending.equals(CRASH)) {
         crashed = true;
         return false;
       }
-      end(task, run.how, now);
+      end(task, run.ending, now);
     }
-    return endNumber > before;
+    return lastEndNumber > before;
   }
 
-  /** Tells whether a run has crashed it. */
+  /** Returns whether a run has crashed this executor. */
   boolean crashed() {
     return crashed;
   }
 
-  private void end(String task, String how, long now) {
-    Active over = active.remove(task);
-    endNumber++;
-    ended.add(new Ended(endNumber, task, over.run, how));
-    record(RunEvent.Kind.ENDED, task, over.run, how, now);
+  private void end(String task, String ending, long now) {
+    ActiveRun endedRun = activeRuns.remove(task);
+    lastEndNumber++;
+    unacknowledgedEnds.add(new EndedRun(lastEndNumber, task, endedRun.run, ending));
+    record(RunEvent.Kind.ENDED, task, endedRun.run, ending, now);
   }
 
-  /** Ends this life. */
+  /** Ends this incarnation; its active runs end without being reported by a poll. */
   void crash(long now) {
-    active.forEach((task, over) -> record(RunEvent.Kind.CRASHED, task, over.run, "", now));
-    active.clear();
+    activeRuns.forEach(
+        (task, endedRun) -> record(RunEvent.Kind.CRASHED, task, endedRun.run, "", now));
+    activeRuns.clear();
   }
 
   Outcome start(JsonNode order, long now) {
     return start(order, now, false);
   }
 
-  /** Carries out an order to start a run, which may have come long before. */
+  /** Starts a run; {@code late} says that the order was delayed, which the journal records. */
   Outcome start(JsonNode order, long now, boolean late) {
-    if (!admits(order)) {
+    if (!acceptsToken(order)) {
       return new Outcome.Rejected("fence");
     }
     long until = order.path("expiresMs").asLong();
@@ -156,19 +164,19 @@
     extend(until, now);
     String task = order.path("taskId").asText();
     int run = order.path("runId").asInt();
-    Active there = active.get(task);
-    if (there != null && there.run == run) {
+    ActiveRun current = activeRuns.get(task);
+    if (current != null && current.run == run) {
       return new Outcome.Done();
     }
     if (run <= highestRuns.getOrDefault(task, 0)) {
       return new Outcome.Rejected("old");
     }
-    if (active.size() >= slots) {
+    if (activeRuns.size() >= slots) {
       return new Outcome.Rejected("room");
     }
     String spec = order.path("spec").asText();
     highestRuns.put(task, run);
-    active.put(task, active(run, spec, now));
+    activeRuns.put(task, activeRun(run, spec, now));
     record(RunEvent.Kind.STARTED, task, run, spec, now);
     if (late) {
       record(RunEvent.Kind.STARTED_LATE, task, run, "", now);
@@ -176,40 +184,43 @@
     return new Outcome.Done();
   }
 
-  private static Active active(int run, String spec, long now) {
+  private static ActiveRun activeRun(int run, String spec, long now) {
     Matcher matcher = SPEC.matcher(spec);
     if (!matcher.matches()) {
-      return new Active(run, now, DONE);
+      return new ActiveRun(run, now, DONE);
     }
-    String how = matcher.group(1).equals(CRASHES) ? CRASHES : DONE;
-    return new Active(run, now + Long.parseLong(matcher.group(2)), how);
+    String ending = matcher.group(1).equals(CRASH) ? CRASH : DONE;
+    return new ActiveRun(run, now + Long.parseLong(matcher.group(2)), ending);
   }
 
   Outcome stop(JsonNode order, long now) {
-    if (!admits(order)) {
+    if (!acceptsToken(order)) {
       return new Outcome.Rejected("fence");
     }
     String task = order.path("taskId").asText();
     int run = order.path("runId").asInt();
     highestRuns.merge(task, run, Math::max);
-    Active there = active.get(task);
-    if (there != null && there.run <= run) {
-      long endsAt = Math.min(there.endsAt, now + STOP_MILLIS);
-      String how = endsAt < there.endsAt ? STOPPED : there.how;
-      active.put(task, new Active(there.run, endsAt, how));
+    ActiveRun current = activeRuns.get(task);
+    if (current != null && current.run <= run) {
+      long endsAt = Math.min(current.endsAt, now + STOP_DURATION_MILLIS);
+      String ending = endsAt < current.endsAt ? STOPPED : current.ending;
+      activeRuns.put(task, new ActiveRun(current.run, endsAt, ending));
     }
     return new Outcome.Done();
   }
 
-  /** Takes note of ends and extends the lease. */
+  /**
+   * Handles a poll: drops the ended runs that it acknowledges and extends the lease. "Hold" is what
+   * the platform's protocol calls it.
+   */
   Outcome hold(JsonNode order, long now) {
-    if (!admits(order)) {
+    if (!acceptsToken(order)) {
       return new Outcome.Rejected("fence");
     }
     long acknowledged = order.path("ackedUpTo").asLong();
-    while (!ended.isEmpty() && ended.peekFirst().number <= acknowledged) {
-      Ended noted = ended.removeFirst();
-      record(RunEvent.Kind.ACKNOWLEDGED, noted.task, noted.run, noted.how, now);
+    while (!unacknowledgedEnds.isEmpty() && unacknowledgedEnds.peekFirst().number <= acknowledged) {
+      EndedRun first = unacknowledgedEnds.removeFirst();
+      record(RunEvent.Kind.ACKNOWLEDGED, first.task, first.run, first.ending, now);
     }
     if (order.has("expiresMs")) {
       extend(order.path("expiresMs").asLong(), now);
@@ -218,26 +229,28 @@
   }
 
   Outcome pace(JsonNode order) {
-    return admits(order) ? new Outcome.Done() : new Outcome.Rejected("fence");
+    return acceptsToken(order) ? new Outcome.Done() : new Outcome.Rejected("fence");
   }
 
-  /** Returns the lists that answer a hold. */
-  Map<String, Object> lists(long now) {
+  /** Returns the fields of a poll's response: the active runs and the unacknowledged ends. */
+  Map<String, Object> pollResponse(long now) {
     List<List<Object>> running = new ArrayList<>();
-    active.forEach((task, run) -> running.add(List.of(task, run.run, "", WHOLE, 0)));
-    List<List<Object>> over =
-        ended.stream()
-            .limit(ENDS_PER_ANSWER)
-            .<List<Object>>map(end -> List.of(end.number, end.task, end.run, end.how, ""))
+    activeRuns.forEach(
+        (task, run) -> running.add(List.of(task, run.run, "", FULL_SPEED_PERCENT, 0)));
+    List<List<Object>> finished =
+        unacknowledgedEnds.stream()
+            .limit(MAX_ENDED_RUNS_PER_POLL)
+            .<List<Object>>map(end -> List.of(end.number, end.task, end.run, end.ending, ""))
             .toList();
-    return Map.of("born", bornMillis, "clockMs", clock(now), "active", running, "finished", over);
+    return Map.of(
+        "born", bornMillis, "clockMs", clock(now), "active", running, "finished", finished);
   }
 
-  boolean hasUnacknowledged() {
-    return !ended.isEmpty();
+  boolean hasUnacknowledgedEnds() {
+    return !unacknowledgedEnds.isEmpty();
   }
 
-  private boolean admits(JsonNode order) {
+  private boolean acceptsToken(JsonNode order) {
     long token = order.path("fencingToken").asLong();
     if (token < highestToken) {
       return false;
@@ -247,7 +260,7 @@
   }
 
   private void extend(long until, long now) {
-    leaseUntil = Math.max(leaseUntil, Math.min(until, clock(now) + LONGEST_LEASE_MILLIS));
+    leaseUntil = Math.max(leaseUntil, Math.min(until, clock(now) + MAX_LEASE_MILLIS));
   }
 
   private void record(RunEvent.Kind kind, String task, int run, String detail, long now) {
--- a/standins/src/main/java/org/fescuehook/standins/platform/package-info.java
+++ b/standins/src/main/java/org/fescuehook/standins/platform/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The users' platform: its store and its executors of tasks, which speak its published protocol.
+ * Stand-ins for the users' platform: its store and its executors, which implement its published
+ * protocol.
  */
 @NullMarked
 package org.fescuehook.standins.platform;
--- a/standins/src/test/java/org/fescuehook/standins/log/LogStandInTest.java
+++ b/standins/src/test/java/org/fescuehook/standins/log/LogStandInTest.java
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void appendWhoseReplyIsLostTookEffect() throws Exception {
+  void anAppendWhoseResponseIsLostTakesEffect() throws Exception {
     log.apply(new LogFaults(false, false, 0, 1, 0, 0, 0));
 
     assertThrows(IOException.class, () -> client.post(RECORDS, "lost"));
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void earliestRisesWithRetentionAndReadsStartThere() throws Exception {
+  void aReadStartsAtTheEarliestRecordThatRetentionKeeps() throws Exception {
     client.post(RECORDS, "a");
     clock.set(1500);
     client.post(RECORDS, "b");
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void waitingReadIsAnsweredByTheFirstAppend() throws Exception {
+  void theFirstAppendCompletesAWaitingRead() throws Exception {
     var waiting = client.getLater(RECORDS + "?from=0&wait-ms=3600000");
 
     StandInLoops.await(() -> log.stats().reads() != 0);
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void outageRefusesAndKeepsWhatWasAppended() throws Exception {
+  void anOutageRejectsAppendsAndKeepsEarlierRecords() throws Exception {
     client.post(RECORDS, "a");
     log.apply(new LogFaults(true, false, 0, 0, 0, 0, 0));
     assertEquals(503, client.post(RECORDS, "b").statusCode());
--- a/standins/src/test/java/org/fescuehook/standins/platform/FleetStandInTest.java
+++ b/standins/src/test/java/org/fescuehook/standins/platform/FleetStandInTest.java
@@ -70,16 +70,16 @@
     return client.sendAsync(request, BodyHandlers.ofString()).orTimeout(20, TimeUnit.SECONDS);
   }
 
-  private boolean startedLate() {
+  private boolean hasStartedLate() {
     return fleet.journal().stream().anyMatch(e -> e.kind() == RunEvent.Kind.STARTED_LATE);
   }
 
   @Test
-  void aLateOrderIsCarriedOutWithoutAnAnswer() {
+  void aLateOrderIsExecutedWithoutAResponse() {
     fleet.apply(new FleetFaults(List.of(), List.of(new FleetFaults.OrderLoss(1, 1000, true))));
 
     var unanswered = order(1, "run-start", START);
-    StandInLoops.await(this::startedLate);
+    StandInLoops.await(this::hasStartedLate);
 
     assertFalse(unanswered.isDone());
   }
@@ -91,7 +91,7 @@
   }
 
   @Test
-  void everyOtherLifeOfAnExecutorHasTheIdOfTheOneBefore() throws IOException {
+  void everySecondIncarnationOfAnExecutorHasTheIdOfItsPredecessor() throws IOException {
     order(1, "run-start", START).join();
     long first = poll("x1-1").path("born").asLong();
     fleet.apply(new FleetFaults(List.of(1), List.of()));
@@ -106,14 +106,14 @@
   }
 
   @Test
-  void ordersToOtherExecutorsAreAnswered() {
+  void anOrderLossAffectsOnlyItsExecutor() {
     fleet.apply(new FleetFaults(List.of(), List.of(new FleetFaults.OrderLoss(1, 1000, false))));
 
     assertEquals(200, order(2, "run-start", START).join().statusCode());
   }
 
   @Test
-  void ordersAreAnsweredOnceTheFaultIsOver() {
+  void ordersGetAResponseAfterTheFaultIsCleared() {
     fleet.apply(new FleetFaults(List.of(), List.of(new FleetFaults.OrderLoss(1, 1000, false))));
     fleet.apply(new FleetFaults(List.of(), List.of()));
 
--- a/standins/src/test/java/org/fescuehook/standins/platform/StorePartitionTest.java
+++ b/standins/src/test/java/org/fescuehook/standins/platform/StorePartitionTest.java
@@ -27,15 +27,15 @@
   }
 
   @Test
-  void anAppendAtAnotherEndDoesNothing() {
+  void anAppendWithAWrongExpectedEndAppendsNothing() {
     assertEquals(new AppendAnswer.Stored(0, 2), append(1, 1, 0, "a=1", "b=2"));
 
-    assertEquals(new AppendAnswer.OtherEnd(2), append(1, 2, 0, "c=3"));
+    assertEquals(new AppendAnswer.UnexpectedEnd(2), append(1, 2, 0, "c=3"));
     assertEquals(2, partition.end());
   }
 
   @Test
-  void aRepeatedAppendGetsItsFirstAnswerAndAppendsNothing() {
+  void aRetriedAppendGetsItsFirstResponseAndAppendsNothing() {
     append(1, 1, -1, "a=1");
     append(1, 2, -1, "b=2");
 
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void onlyTheLastFiveAnswersAreRepeated() {
+  void onlyTheLastFiveResponsesAreRepeated() {
     for (int sequence = 1; sequence <= 6; sequence++) {
       append(1, sequence, -1, "a=1");
     }
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void anAppendThatComesBeforeItsTurnDoesNothing() {
+  void anAppendThatSkipsASequenceNumberAppendsNothing() {
     append(1, 1, -1, "a=1");
 
     assertEquals(new AppendAnswer.OutOfSequence(2), append(1, 3, -1, "b=2"));
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void aHigherEpochBeginsAtAnySequenceAndFencesTheLower() {
+  void aHigherEpochStartsAtAnySequenceNumberAndFencesLowerEpochs() {
     append(1, 1, -1, "a=1");
 
     assertEquals(new AppendAnswer.Stored(1, 2), append(2, 40, -1, "b=2"));
@@ -79,7 +79,7 @@
   }
 
   @Test
-  void theNewestRecordOfEachKeyIsKeptAndAnEmptyOneDropsIt() {
+  void theNewestRecordOfEachKeyIsIndexedAndAnEmptyValueRemovesTheKey() {
     append(1, 1, -1, "a=1", "b=2", "a=3", "b=");
 
     StorePartition.Page page = partition.newest("");
@@ -90,7 +90,7 @@
   }
 
   @Test
-  void aReadGivesTheEndAndTheRecordsFromAnOffsetOn() {
+  void aReadReturnsTheEndOffsetAndTheRecordsFromAnOffsetOn() {
     append(1, 1, -1, "a=1", "b=2");
 
     ByteBuffer answer = ByteBuffer.wrap(partition.read(1, 1000));
--- a/standins/src/test/java/org/fescuehook/standins/platform/StoreStandInTest.java
+++ b/standins/src/test/java/org/fescuehook/standins/platform/StoreStandInTest.java
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void aWaitingReadIsAnsweredByTheFirstAppend() throws Exception {
+  void theFirstAppendCompletesAWaitingRead() throws Exception {
     var waiting = client.getLater(READ + "&startKey=0&waitMs=30000");
     StandInLoops.await(() -> store.stats().reads() != 0);
 
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void aRefusingStoreDoesNothing() throws Exception {
+  void aRefusingStoreAppendsNothing() throws Exception {
     store.apply(new StoreFaults(1, false, true, 0, false));
     assertEquals(503, client.post(APPEND, RECORD).statusCode());
     store.apply(StoreFaults.NONE);
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void anAppendWithoutAnAnswerTakesEffect() throws Exception {
+  void anAppendWithoutAResponseTakesEffect() throws Exception {
     store.apply(new StoreFaults(1, false, false, 1000, false));
 
     var unanswered = client.postLater(APPEND, RECORD);
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void theOperatorsTopicIsReadButNotWritten() throws Exception {
+  void theOperatorsTopicIsReadOnly() throws Exception {
     store.publishConfiguration();
 
     assertTrue(client.get(NEWEST + "keyed.op").body().contains("\"key\":\"config\""));
--- a/standins/src/test/java/org/fescuehook/standins/platform/TaskExecutorTest.java
+++ b/standins/src/test/java/org/fescuehook/standins/platform/TaskExecutorTest.java
@@ -41,19 +41,20 @@
   }
 
   @Test
-  void aRunEndsAndIsListedUntilItsEndIsAcknowledged() {
+  void anEndedRunIsReportedUntilItsEndIsAcknowledged() {
     assertEquals(DONE, start(TASK, 1, 1, 1000));
     executor.advance(1500);
-    assertEquals(List.of(List.of(1L, TASK, 1, "done", "")), executor.lists(1500).get("finished"));
+    assertEquals(
+        List.of(List.of(1L, TASK, 1, "done", "")), executor.pollResponse(1500).get("finished"));
 
     executor.hold(order(1).put("ackedUpTo", 1), 1600);
 
-    assertEquals(List.of(), executor.lists(1600).get("finished"));
+    assertEquals(List.of(), executor.pollResponse(1600).get("finished"));
     assertEquals(List.of("STARTED 1 run:500 job", "ENDED 1 done", "ACKNOWLEDGED 1 done"), events());
   }
 
   @Test
-  void aStartThatIsThereAlreadyStartsNothing() {
+  void aRepeatedStartOfAnActiveRunStartsNothing() {
     start(TASK, 1, 1, 1000);
 
     assertEquals(DONE, start(TASK, 1, 1, 1010));
@@ -61,21 +62,21 @@
   }
 
   @Test
-  void aLowerFencingTokenDoesNothing() {
+  void anOrderWithALowerFencingTokenIsRejected() {
     executor.hold(order(5), 1000);
 
     assertEquals(rejected("fence"), start(TASK, 1, 4, 1000));
   }
 
   @Test
-  void whatDoesNotFitIsRejected() {
+  void aStartWithoutAFreeSlotIsRejected() {
     start(TASK, 1, 1, 1000);
 
     assertEquals(rejected("room"), start(OTHER, 1, 1, 1000));
   }
 
   @Test
-  void aLeaseThatIsNotExtendedLapsesWithAllThatRuns() {
+  void anExpiredLeaseEndsAllActiveRuns() {
     ObjectNode order = run(TASK, 1, 1).put("spec", "run:500 job").put("expiresMs", 1200);
     executor.start(order, 1000);
 
@@ -85,7 +86,7 @@
   }
 
   @Test
-  void aLeaseIsShortenedToTheLongest() {
+  void aLeaseIsLimitedToTheMaximumDuration() {
     ObjectNode order = run(TASK, 1, 1).put("spec", "run:90000 job").put("expiresMs", 90_000);
     executor.start(order, 1000);
 
@@ -95,7 +96,7 @@
   }
 
   @Test
-  void aStopTakesAWhileAndRejectsLowerRunsForGood() {
+  void aStopTakesEffectAfterADelayAndRejectsRunsUpToItsNumber() {
     start(TASK, 1, 1, 1000);
     executor.stop(run(TASK, 2, 1), 1100);
     executor.advance(1300);
@@ -106,14 +107,14 @@
   }
 
   @Test
-  void aStartAfterItsTimeIsRejected() {
+  void aStartWithAnExpiredLeaseIsRejected() {
     ObjectNode order = run(TASK, 1, 1).put("spec", "run:500 job").put("expiresMs", 900);
 
     assertEquals(rejected("late"), executor.start(order, 1000));
   }
 
   @Test
-  void aRunThatBeginsLateIsToldApart() {
+  void aDelayedStartIsRecordedOnce() {
     ObjectNode order = run(TASK, 1, 1).put("spec", "run:500 job").put("expiresMs", 4000);
 
     assertEquals(DONE, executor.start(order, 1000, true));
@@ -123,7 +124,7 @@
   }
 
   @Test
-  void aLateStartOfARunThatWasStoppedIsRejected() {
+  void aDelayedStartOfAStoppedRunIsRejected() {
     executor.stop(run(TASK, 1, 1), 1000);
     ObjectNode order = run(TASK, 1, 1).put("spec", "run:500 job").put("expiresMs", 4000);
 
@@ -132,7 +133,7 @@
   }
 
   @Test
-  void aRunMayCrashItsExecutor() {
+  void aCrashSpecificationCrashesTheExecutorWhenItIsDue() {
     ObjectNode order = run(TASK, 1, 1).put("spec", "crash:20 job").put("expiresMs", 4000);
     executor.start(order, 1000);
     executor.advance(1019);
