--- a/standins/src/main/java/org/fescuehook/standins/executor/Behaviour.java
+++ b/standins/src/main/java/org/fescuehook/standins/executor/Behaviour.java
@@ -2,23 +2,23 @@
 
 import com.fasterxml.jackson.annotation.JsonEnumDefaultValue;
 
-/** How an executor treats requests. */
+/** How an executor responds to requests. */
 public enum Behaviour {
-  /** Runs and answers. */
+  /** Runs the request and responds. */
   @JsonEnumDefaultValue
   NORMAL,
-  /** Runs longer by the delay, holding the slot. */
+  /** Runs the request for longer by the delay, during which the slot stays occupied. */
   SLOW,
-  /** Runs, frees the slot, and answers only after the delay. */
+  /** Runs the request, frees the slot, and responds only after the delay. */
   LATE,
-  /** Runs and never answers. */
+  /** Runs the request and never responds. */
   SILENT,
-  /** Runs, answers by half and closes the connection. */
+  /** Runs the request, sends half of the response and closes the connection. */
   CUT,
-  /** Runs and answers with the token of the request before. */
+  /** Runs the request and responds with the token of the previous request. */
   CROSSED,
-  /** Runs nothing and says so. */
+  /** Rejects requests as not run. */
   REFUSING,
-  /** Runs nothing new and says so; what runs is finished. */
+  /** Rejects new requests as not run; the running ones are finished. */
   LEAVING
 }
--- a/standins/src/main/java/org/fescuehook/standins/executor/ExecutorFaults.java
+++ b/standins/src/main/java/org/fescuehook/standins/executor/ExecutorFaults.java
@@ -3,11 +3,11 @@
 import java.util.Set;
 
 /**
- * Behaviour of some executors.
+ * How some executors respond to requests.
  *
- * @param names whom it concerns; empty for all
- * @param behaviour how they treat requests from now on
- * @param delayMs delay of the behaviours that have one, in milliseconds
+ * @param names names of the affected executors; empty for all
+ * @param behaviour behaviour of these executors from now on
+ * @param delayMs delay in milliseconds for {@link Behaviour#SLOW} and {@link Behaviour#LATE}
  */
 public record ExecutorFaults(Set<String> names, Behaviour behaviour, long delayMs) {
 
--- a/standins/src/main/java/org/fescuehook/standins/executor/ExecutorStandIns.java
+++ b/standins/src/main/java/org/fescuehook/standins/executor/ExecutorStandIns.java
@@ -14,26 +14,27 @@
 import org.fescuehook.standins.http.StandInServer;
 
 /**
- * Executors named {@code executor-1} and so on, with one journal. {@code /sleep?ms=} runs for a
- * time, {@code /size?bytes=} answers so many bytes in chunks; any path answers the request's body.
+ * Executors named {@code executor-1}, {@code executor-2} and so on, which share a journal. A
+ * request runs for as many milliseconds as its query parameter {@code ms} says. {@code
+ * /size?bytes=} returns so many bytes in chunks; any other path returns the request's body.
  */
 public final class ExecutorStandIns extends StandIn<ExecutorFaults> {
   private final Journal<RequestRun> journal;
   private final List<ExecutorStandIn> executors = new ArrayList<>();
 
   /**
-   * What an executor takes at a time.
+   * Concurrency limits of an executor.
    *
-   * @param slots requests run at a time; further ones are refused as not run
-   * @param connections connections open at a time; further ones are closed at accept
+   * @param slots maximum number of running requests; further ones are rejected as not run
+   * @param connections maximum number of open connections; further ones are closed at accept
    */
   public record Limits(int slots, int connections) {}
 
   /**
-   * Counts of an executor; times are in monotonic milliseconds.
+   * Counters of an executor; times are in monotonic milliseconds.
    *
-   * @param faultsSince when its behaviour was last set
-   * @param lastRequestAt when the last request arrived, refused or not
+   * @param faultsSince when the behaviour was last set
+   * @param lastRequestAt when the last request arrived, whether it was rejected or not
    */
   public record Stats(
       long runs,
@@ -46,11 +47,12 @@
       long lastRequestAt) {}
 
   /**
-   * Starts executors.
+   * Starts the executors.
    *
-   * @param first address of the first; the others follow on the next ports, or on any if it is 0
-   * @param clock gives monotonic milliseconds
-   * @param journalLimit how many runs are kept in the journal
+   * @param first address of the first executor; the others use the ports after it, or any free
+   *     ports if its port is 0
+   * @param clock returns monotonic milliseconds
+   * @param journalLimit maximum number of runs in the journal
    */
   public ExecutorStandIns(
       EventLoopGroup group,
@@ -71,14 +73,14 @@
     }
   }
 
-  /** Returns where each executor listens, by name. */
+  /** Returns the address of each executor by its name. */
   public Map<String, InetSocketAddress> addresses() {
     Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
     executors.forEach(e -> addresses.put(e.name(), e.server().address()));
     return addresses;
   }
 
-  /** Changes the behaviour of those that the faults name. */
+  /** Changes the behaviour of the executors that the faults concern. */
   @Override
   public void apply(ExecutorFaults faults) {
     executors.stream().filter(e -> faults.concerns(e.name())).forEach(e -> e.apply(faults));
--- a/standins/src/main/java/org/fescuehook/standins/executor/RequestRun.java
+++ b/standins/src/main/java/org/fescuehook/standins/executor/RequestRun.java
@@ -1,16 +1,16 @@
 package org.fescuehook.standins.executor;
 
 /**
- * A request that an executor ran. Texts are empty where nothing was sent.
+ * A request that an executor ran. The value of a header that was not sent is empty.
  *
  * @param executor name of the executor
- * @param token the dispatch's token
- * @param requestId the caller's own id
- * @param organisation whose request it is
- * @param path path it asked for
- * @param start when it began, in monotonic milliseconds
- * @param end when it ended; 0 while it runs
- * @param concurrency how many requests the executor ran when it began, itself included
+ * @param token token of the dispatch
+ * @param requestId request id that the caller chose
+ * @param organisation organisation of the caller
+ * @param path path of the request
+ * @param start start of the run, in monotonic milliseconds
+ * @param end end of the run, in monotonic milliseconds; 0 while it runs
+ * @param concurrency number of requests running on the executor at the start, including this one
  */
 public record RequestRun(
     String executor,
--- a/standins/src/main/java/org/fescuehook/standins/worker/GangAudit.java
+++ b/standins/src/main/java/org/fescuehook/standins/worker/GangAudit.java
@@ -8,27 +8,31 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Finds what the events of workers, of one process or of several, show to be wrong. */
+/**
+ * Checks the events of workers, of one or several processes, for violations of what a scheduler of
+ * gangs guarantees.
+ */
 public final class GangAudit {
   private final int accelerators;
   private final long maxPartialMillis;
-  private final Map<String, Integer> held = new HashMap<>();
+  private final Map<String, Integer> heldAccelerators = new HashMap<>();
   private final Map<String, Gang> gangs = new HashMap<>();
   private final List<Finding> findings = new ArrayList<>();
 
-  /** Kinds of findings. */
+  /** Kinds of violations. */
   public enum Fault {
-    /** A worker's leases held more accelerators than it has. */
+    /** The leases of a worker held more accelerators than the worker has. */
     OVERBOOKED,
-    /** A member, or another attempt of the same job, ran already when a member was started. */
+    /** A member was started while it, or another attempt of the same job, was already running. */
     DOUBLED,
-    /** Members of a gang ran while others did not, for longer than allowed. */
+    /** Some members of a gang ran without the others for longer than allowed. */
     PARTIAL
   }
 
-  /** Something wrong; the subject is a worker or an attempt. */
+  /** A violation; the subject is the name of a worker or of an attempt. */
   public record Finding(Fault fault, String subject, long at, String detail) {}
 
+  /** An attempt of a job: its members, and since when only a part of them has been running. */
   private static final class Gang {
     final Set<String> members = new HashSet<>();
     final Set<String> finished = new HashSet<>();
@@ -43,10 +47,11 @@
   }
 
   /**
-   * Checks events, in any order.
+   * Returns the violations in the events.
    *
-   * @param accelerators accelerators of each worker
-   * @param maxPartialMillis how long a gang may run in part
+   * @param events events in any order
+   * @param accelerators number of accelerators of each worker
+   * @param maxPartialMillis how long a part of a gang may run without the others, in milliseconds
    */
   public static List<Finding> check(
       List<WorkerEvent> events, int accelerators, long maxPartialMillis) {
@@ -55,7 +60,7 @@
     long last = 0;
     for (WorkerEvent e :
         events.stream().sorted(Comparator.comparingLong(WorkerEvent::at)).toList()) {
-      audit.take(e);
+      audit.apply(e);
       last = e.at();
     }
     for (Map.Entry<String, Gang> entry : audit.gangs.entrySet()) {
@@ -64,21 +69,21 @@
     return audit.findings;
   }
 
-  private void take(WorkerEvent e) {
+  private void apply(WorkerEvent e) {
     switch (e.kind()) {
       case REFUSED -> {}
-      case GRANTED -> hold(e, e.accelerators());
+      case GRANTED -> addHeld(e, e.accelerators());
       case STARTED -> start(e);
       case FINISHED, FAILED, CHECKPOINTED -> end(e);
       case RELEASED, LAPSED -> {
-        hold(e, -e.accelerators());
+        addHeld(e, -e.accelerators());
         end(e);
       }
     }
   }
 
-  private void hold(WorkerEvent e, int change) {
-    int now = held.merge(e.worker(), change, Integer::sum);
+  private void addHeld(WorkerEvent e, int change) {
+    int now = heldAccelerators.merge(e.worker(), change, Integer::sum);
     if (now > accelerators) {
       findings.add(new Finding(Fault.OVERBOOKED, e.worker(), e.at(), now + " held"));
     }
@@ -89,14 +94,14 @@
     started.job = e.job();
     for (Gang gang : gangs.values()) {
       boolean rival = gang != started && gang.job.equals(e.job()) && !gang.runningByLease.isEmpty();
-      boolean twice = gang == started && gang.runningByLease.containsValue(e.key());
-      if (rival || twice) {
+      boolean duplicate = gang == started && gang.runningByLease.containsValue(e.key());
+      if (rival || duplicate) {
         String others = gang.runningByLease.values().toString();
         findings.add(new Finding(Fault.DOUBLED, e.attempt(), e.at(), others + " ran already"));
       }
     }
     started.runningByLease.put(e.lease(), e.key());
-    judge(e, started);
+    updatePartial(e, started);
   }
 
   private void end(WorkerEvent e) {
@@ -107,10 +112,11 @@
     if (e.kind() == WorkerEvent.Kind.FINISHED) {
       gang.finished.add(e.key());
     }
-    judge(e, gang);
+    updatePartial(e, gang);
   }
 
-  private void judge(WorkerEvent e, Gang gang) {
+  /** Starts or ends the time during which only a part of the gang runs. */
+  private void updatePartial(WorkerEvent e, Gang gang) {
     int running = gang.runningByLease.size();
     if (running == 0 || running + gang.finished.size() >= gang.members.size()) {
       endPartial(e.attempt(), gang, e.at());
--- a/standins/src/main/java/org/fescuehook/standins/worker/Lease.java
+++ b/standins/src/main/java/org/fescuehook/standins/worker/Lease.java
@@ -1,6 +1,6 @@
 package org.fescuehook.standins.worker;
 
-/** One lease in the book of its worker; times are in milliseconds. Not thread-safe. */
+/** A lease on resources of a worker; times are in monotonic milliseconds. Not thread-safe. */
 final class Lease {
   private static final long NEVER = Long.MAX_VALUE;
 
@@ -22,26 +22,27 @@
     this.expiresAt = expiresAt;
   }
 
-  void start(long now, String ofJob, TaskCommand command) {
+  void start(long now, String startedJob, TaskCommand command) {
     state = LeaseState.RUNNING;
-    job = ofJob;
+    job = startedJob;
     endsAt = now + command.millis();
     exitCode = command.exitCode();
   }
 
+  /** Sets the speed of the task, which lengthens or shortens the rest of its run time. */
   void throttle(long now, int newPercent) {
     endsAt = endsAt == NEVER ? NEVER : now + (endsAt - now) / newPercent * percent;
     percent = newPercent;
   }
 
-  /** Returns when something happens by itself next. */
-  long nextEvent() {
+  /** Returns when the lease next expires or its task next ends without a request. */
+  long nextEventAt() {
     return state == LeaseState.RUNNING
         ? Math.min(expiresAt, Math.min(endsAt, checkpointAt))
         : expiresAt;
   }
 
-  /** Ends the task if its time has come; returns whether it did. */
+  /** Ends the task if it is due, and returns whether it has ended. */
   boolean endTask(long now) {
     if (state != LeaseState.RUNNING || Math.min(endsAt, checkpointAt) > now) {
       return false;
--- a/standins/src/main/java/org/fescuehook/standins/worker/LeaseState.java
+++ b/standins/src/main/java/org/fescuehook/standins/worker/LeaseState.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 import java.util.Locale;
 
-/** State of a lease that is not gone. */
+/** State of a lease that is neither released nor expired. */
 enum LeaseState {
   HELD,
   RUNNING,
--- a/standins/src/main/java/org/fescuehook/standins/worker/Resources.java
+++ b/standins/src/main/java/org/fescuehook/standins/worker/Resources.java
@@ -1,18 +1,19 @@
 package org.fescuehook.standins.worker;
 
-/** Accelerators, cores and memory in MiB. */
+/** Amounts of accelerators, cores and memory; the memory is in MiB. */
 public record Resources(int accelerators, int cores, long memoryMegabytes) {
 
-  boolean covers(Resources r) {
-    return accelerators >= r.accelerators
-        && cores >= r.cores
-        && memoryMegabytes >= r.memoryMegabytes;
+  boolean covers(Resources other) {
+    return accelerators >= other.accelerators
+        && cores >= other.cores
+        && memoryMegabytes >= other.memoryMegabytes;
   }
 
-  Resources plus(Resources r, int sign) {
+  /** Adds other resources, or subtracts them if the sign is -1. */
+  Resources plus(Resources other, int sign) {
     return new Resources(
-        accelerators + sign * r.accelerators,
-        cores + sign * r.cores,
-        memoryMegabytes + sign * r.memoryMegabytes);
+        accelerators + sign * other.accelerators,
+        cores + sign * other.cores,
+        memoryMegabytes + sign * other.memoryMegabytes);
   }
 }
--- a/standins/src/main/java/org/fescuehook/standins/worker/TaskCommand.java
+++ b/standins/src/main/java/org/fescuehook/standins/worker/TaskCommand.java
@@ -4,16 +4,16 @@
 import java.util.regex.Pattern;
 
 /**
- * What a task does.
+ * How long a task runs and how it ends.
  *
- * @param millis milliseconds until it ends by itself
- * @param exitCode its exit code then
+ * @param millis milliseconds after which the task ends by itself
+ * @param exitCode exit code with which it ends
  */
 record TaskCommand(long millis, int exitCode) {
   private static final Pattern RUN = Pattern.compile("run:(\\d{1,15})(?::exit=(\\d{1,3}))?");
   private static final long NEVER = Long.MAX_VALUE / 2;
 
-  /** Reads {@code run:<millis>}, {@code run:<millis>:exit=<code>} or {@code forever}. */
+  /** Parses {@code run:<millis>}, {@code run:<millis>:exit=<code>} or {@code forever}. */
   static TaskCommand parse(String text) {
     if (text.equals("forever")) {
       return new TaskCommand(NEVER, 0);
--- a/standins/src/main/java/org/fescuehook/standins/worker/WorkerEvent.java
+++ b/standins/src/main/java/org/fescuehook/standins/worker/WorkerEvent.java
@@ -1,34 +1,34 @@
 package org.fescuehook.standins.worker;
 
 /**
- * Something that happened to a lease.
+ * An event of a lease, or a rejected request for one.
  *
- * @param at when, in monotonic milliseconds
- * @param lease the lease, empty for a refused grant
- * @param key the key that it was asked for with, {@code <attempt>/<member>}
- * @param job the job, empty before the start
- * @param accelerators how many accelerators it holds, or asked for
+ * @param at time of the event, in monotonic milliseconds
+ * @param lease id of the lease; empty for {@link Kind#REFUSED}
+ * @param key key in the request for the lease, {@code <attempt>/<member>}
+ * @param job name of the job; empty before the start of the task
+ * @param accelerators number of accelerators that the lease holds, or that were requested
  */
 public record WorkerEvent(
     long at, String worker, Kind kind, String lease, String key, String job, int accelerators) {
 
   /** Kinds of events. */
   public enum Kind {
-    /** A lease was asked for and not given. */
+    /** A request for a lease was rejected. */
     REFUSED,
-    /** Resources are held. */
+    /** A lease on resources was granted. */
     GRANTED,
-    /** The task runs. */
+    /** The task was started. */
     STARTED,
     /** The task ended by itself with exit code 0. */
     FINISHED,
     /** The task ended by itself with another exit code. */
     FAILED,
-    /** The task was saved and stopped. */
+    /** The task was checkpointed and stopped. */
     CHECKPOINTED,
     /** The holder released the lease. */
     RELEASED,
-    /** The lease was not renewed in time. */
+    /** The lease expired because it was not renewed in time. */
     LAPSED
   }
 
--- a/standins/src/main/java/org/fescuehook/standins/worker/WorkerFaults.java
+++ b/standins/src/main/java/org/fescuehook/standins/worker/WorkerFaults.java
@@ -5,16 +5,18 @@
 /**
  * Faults of some workers.
  *
- * @param names whom they concern; empty for all
- * @param failTasks each task that is started fails at once
- * @param silent calls have no effect and no answer; leases lapse and tasks end all the same
- * @param frozen nothing is answered and nothing lapses or ends until the worker is thawed; what was
- *     due by then comes first
- * @param refuseGrants each request for a lease is refused
- * @param loseReplies calls take effect, and the connection is closed without an answer
- * @param ignoreCheckpoint a checkpoint is accepted and never done
+ * @param names names of the affected workers; empty for all
+ * @param failTasks whether each started task fails at once
+ * @param silent whether requests have no effect and get no response; leases still expire and tasks
+ *     still end
+ * @param frozen whether the worker is suspended: requests wait, leases don't expire and tasks don't
+ *     end. When the fault is cleared, the tasks and leases that are due end before the waiting
+ *     requests are handled
+ * @param refuseGrants whether each request for a lease is rejected
+ * @param loseReplies whether requests take effect but their connection is closed without a response
+ * @param ignoreCheckpoint whether checkpoint requests are accepted but never executed
  * @param checkpointMs milliseconds that a checkpoint takes
- * @param delayMs milliseconds before a call takes effect
+ * @param delayMs milliseconds before a request takes effect
  */
 public record WorkerFaults(
     Set<String> names,
@@ -27,7 +29,7 @@
     long checkpointMs,
     long delayMs) {
 
-  /** Workers that work; a checkpoint takes no time. */
+  /** Workers without faults; a checkpoint takes no time. */
   public static final WorkerFaults NONE =
       new WorkerFaults(Set.of(), false, false, false, false, false, false, 0, 0);
 
--- a/standins/src/main/java/org/fescuehook/standins/worker/WorkerMessages.java
+++ b/standins/src/main/java/org/fescuehook/standins/worker/WorkerMessages.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Bodies of the worker's calls. */
+/** JSON bodies of the worker's requests and responses. */
 final class WorkerMessages {
   private WorkerMessages() {}
 
@@ -32,9 +32,15 @@
       int cores,
       long memoryMegabytes) {
 
-    static LeaseUsage of(Lease l) {
-      Resources r = l.resources;
-      return new LeaseUsage(l.id, l.key, l.state, r.accelerators(), r.cores(), r.memoryMegabytes());
+    static LeaseUsage of(Lease lease) {
+      Resources resources = lease.resources;
+      return new LeaseUsage(
+          lease.id,
+          lease.key,
+          lease.state,
+          resources.accelerators(),
+          resources.cores(),
+          resources.memoryMegabytes());
     }
   }
 
--- a/standins/src/main/java/org/fescuehook/standins/worker/WorkerStandIns.java
+++ b/standins/src/main/java/org/fescuehook/standins/worker/WorkerStandIns.java
@@ -14,39 +14,41 @@
 import org.fescuehook.standins.StandInException;
 import org.fescuehook.standins.http.StandInServer;
 
-/** Workers named {@code worker-1} and so on, with one journal. */
+/** Workers named {@code worker-1}, {@code worker-2} and so on, which share a journal. */
 public final class WorkerStandIns extends StandIn<WorkerFaults> {
-  private static final long TICK_MILLIS = 10;
+  private static final long EXPIRY_INTERVAL_MILLIS = 10;
 
   private final Journal<WorkerEvent> journal;
   private final int accelerators;
   private final Map<String, WorkerStandIn> workers = new LinkedHashMap<>();
-  private final Future<?> ticker;
+  private final Future<?> expiryTimer;
 
   /**
-   * The workers to start.
+   * Number and size of the workers to start.
    *
-   * @param first number in the name of the first
+   * @param first number in the name of the first worker
    * @param each resources of each worker
-   * @param usageLagMillis how old a reported usage can be
+   * @param usageLagMillis maximum age of a reported usage, in milliseconds
    */
   public record Fleet(int first, int count, Resources each, long usageLagMillis) {}
 
   /**
-   * Counts of the workers.
+   * Counters of the workers.
    *
-   * @param heldBack calls that wait for a frozen worker
-   * @param events what is still in the journal
+   * @param heldBack number of requests that wait for a frozen worker
+   * @param events number of events in the journal, by kind
+   * @param dropped number of events that were dropped from the journal
    */
   public record Stats(
       int workers, int leases, int heldBack, Map<WorkerEvent.Kind, Integer> events, long dropped) {}
 
   /**
-   * Starts workers.
+   * Starts the workers.
    *
-   * @param first address of the first; the others follow on the next ports, or on any if it is 0
-   * @param clock gives monotonic milliseconds
-   * @param journalLimit how many events are kept in the journal
+   * @param first address of the first worker; the others use the ports after it, or any free ports
+   *     if its port is 0
+   * @param clock returns monotonic milliseconds
+   * @param journalLimit maximum number of events in the journal
    */
   public WorkerStandIns(
       EventLoopGroup group,
@@ -63,28 +65,31 @@
       int port = first.getPort() == 0 ? 0 : first.getPort() + i;
       var address = new InetSocketAddress(first.getAddress(), port);
       String name = "worker-" + (fleet.first() + i);
-      LeaseBook book = new LeaseBook(name, incarnation, fleet.each(), journal::add);
+      LeaseRegistry registry = new LeaseRegistry(name, incarnation, fleet.each(), journal::add);
       long lag = fleet.usageLagMillis();
-      workers.put(name, new WorkerStandIn(group, address, book, fleet.each(), lag, clock));
+      workers.put(name, new WorkerStandIn(group, address, registry, fleet.each(), lag, clock));
     }
-    Runnable tick = () -> workers.values().forEach(WorkerStandIn::tick);
-    this.ticker =
-        group.next().scheduleAtFixedRate(tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
+    Runnable expireAll = () -> workers.values().forEach(WorkerStandIn::expire);
+    this.expiryTimer =
+        group
+            .next()
+            .scheduleAtFixedRate(
+                expireAll, EXPIRY_INTERVAL_MILLIS, EXPIRY_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Returns where each worker listens, by name. */
+  /** Returns the address of each worker by its name. */
   public Map<String, InetSocketAddress> addresses() {
     Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
     workers.forEach((name, worker) -> addresses.put(name, worker.server().address()));
     return addresses;
   }
 
-  /** Returns what went wrong, given how long a gang may run in part. */
+  /** Returns the violations in the journal; a part of a gang may run alone for the given time. */
   public List<GangAudit.Finding> audit(long maxPartialMillis) {
     return GangAudit.check(journal(), accelerators, maxPartialMillis);
   }
 
-  /** Replaces the faults of those that they name. */
+  /** Replaces the faults of the workers that the new ones concern. */
   @Override
   public void apply(WorkerFaults faults) {
     workers.forEach(
@@ -111,7 +116,7 @@
 
   @Override
   public void close() {
-    ticker.cancel(false);
+    expiryTimer.cancel(false);
     super.close();
   }
 
--- a/standins/src/test/java/org/fescuehook/standins/executor/ExecutorStandInsTest.java
+++ b/standins/src/test/java/org/fescuehook/standins/executor/ExecutorStandInsTest.java
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void requestBeyondTheSlotsIsRefusedAndNotInTheJournal() throws Exception {
+  void aRequestWithoutAFreeSlotIsRejectedAndNotInTheJournal() throws Exception {
     client.getLater("/sleep?ms=60000");
     client.getLater("/sleep?ms=60000");
     StandInLoops.await(() -> stats().running() >= SLOTS);
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void connectionBeyondTheLimitIsClosedAtAcceptAndCounted() throws Exception {
+  void aConnectionAboveTheLimitIsClosedAtAcceptAndCounted() throws Exception {
     Socket[] open = new Socket[CONNECTIONS];
     for (int i = 0; i < CONNECTIONS; i++) {
       open[i] = new Socket(address.getAddress(), address.getPort());
@@ -75,8 +75,8 @@
   }
 
   @Test
-  void cutAnswerIsAnErrorAndTheRequestRan() {
-    behave(Behaviour.CUT);
+  void aTruncatedResponseIsAnErrorAlthoughTheRequestRan() {
+    setBehaviour(Behaviour.CUT);
 
     assertThrows(IOException.class, () -> client.get("/size?bytes=100000"));
 
@@ -85,9 +85,9 @@
   }
 
   @Test
-  void crossedAnswerCarriesTheTokenOfTheRequestBefore() throws Exception {
+  void aCrossedResponseCarriesTheTokenOfThePreviousRequest() throws Exception {
     client.get("/first");
-    behave(Behaviour.CROSSED);
+    setBehaviour(Behaviour.CROSSED);
 
     var crossed = client.get("/second");
 
@@ -95,7 +95,7 @@
   }
 
   @Test
-  void openConnectionsGoSilentWhileNewOnesWork() throws Exception {
+  void silencedConnectionsGetNoResponseWhileNewOnesWork() throws Exception {
     client.get("/echo");
     executors.silenceOpenConnections();
     var silent = client.getLater("/echo");
@@ -107,7 +107,7 @@
     assertEquals(2, executors.journal().size());
   }
 
-  private void behave(Behaviour behaviour) {
+  private void setBehaviour(Behaviour behaviour) {
     executors.apply(new ExecutorFaults(Set.of("executor-1"), behaviour, 0));
   }
 
--- a/standins/src/test/java/org/fescuehook/standins/worker/LeaseBookTest.java
+++ b/standins/src/test/java/org/fescuehook/standins/worker/LeaseRegistryTest.java
@@ -11,59 +11,59 @@
 import org.fescuehook.standins.worker.WorkerEvent.Kind;
 import org.junit.jupiter.api.Test;
 
-class LeaseBookTest {
+class LeaseRegistryTest {
   private static final Resources TWO = new Resources(2, 4, 1024);
 
   private final List<WorkerEvent> events = new ArrayList<>();
-  private final LeaseBook book =
-      new LeaseBook("worker-1", "a", new Resources(4, 64, 4096), events::add);
+  private final LeaseRegistry registry =
+      new LeaseRegistry("worker-1", "a", new Resources(4, 64, 4096), events::add);
 
   @Test
-  void leaseThatIsNotRenewedLapsesWithItsTaskAndFreesItsResources() {
+  void anUnrenewedLeaseExpiresAndFreesItsResources() {
     Lease lease = grant(0, "j.1/0");
-    book.start(0, lease, "j", TaskCommand.parse("forever"));
+    registry.start(0, lease, "j", TaskCommand.parse("forever"));
     grant(0, "j.1/1");
 
-    assertTrue(book.grant(99, "k.1/0", TWO, 100).isEmpty());
-    assertTrue(book.grant(100, "k.1/0", TWO, 100).isPresent());
+    assertTrue(registry.grant(99, "k.1/0", TWO, 100).isEmpty());
+    assertTrue(registry.grant(100, "k.1/0", TWO, 100).isPresent());
 
-    assertTrue(book.find(100, lease.id).isEmpty());
+    assertTrue(registry.find(100, lease.id).isEmpty());
     assertEquals(Kind.LAPSED, events.get(4).kind());
   }
 
   @Test
-  void shorterRenewalBringsTheLapseForward() {
+  void aShorterRenewalMovesTheExpiryForward() {
     Lease lease = grant(0, "j.1/0");
-    book.renew(10, lease, 20);
+    registry.renew(10, lease, 20);
 
-    assertTrue(book.find(30, lease.id).isEmpty());
+    assertTrue(registry.find(30, lease.id).isEmpty());
   }
 
   @Test
-  void leaseIdIsNeverUsedAgainWhenTheKeyRepeats() {
+  void aRepeatedKeyGetsANewLeaseId() {
     Lease first = grant(0, "j.1/0");
-    book.release(0, first);
+    registry.release(0, first);
 
     assertNotEquals(first.id, grant(0, "j.1/0").id);
   }
 
   @Test
-  void taskEndsWithItsExitCodeAndKeepsItsLease() {
+  void aTaskEndsWithItsExitCodeAndItsLeaseStays() {
     Lease lease = grant(0, "j.1/0");
-    book.start(10, lease, "j", TaskCommand.parse("run:50:exit=3"));
+    registry.start(10, lease, "j", TaskCommand.parse("run:50:exit=3"));
 
-    book.expire(59);
+    registry.expire(59);
     assertEquals(LeaseState.RUNNING, lease.state);
-    book.expire(60);
+    registry.expire(60);
 
-    assertEquals(LeaseState.FAILED, book.find(60, lease.id).orElseThrow().state);
+    assertEquals(LeaseState.FAILED, registry.find(60, lease.id).orElseThrow().state);
     assertEquals(3, lease.exitCode);
   }
 
   @Test
-  void auditFindsTwoAttemptsOfAJobThatRanAtATime() {
-    book.start(1, grant(0, "j.1/0"), "j", TaskCommand.parse("forever"));
-    book.start(2, grant(0, "j.2/0"), "j", TaskCommand.parse("forever"));
+  void auditFindsConcurrentAttemptsOfAJob() {
+    registry.start(1, grant(0, "j.1/0"), "j", TaskCommand.parse("forever"));
+    registry.start(2, grant(0, "j.2/0"), "j", TaskCommand.parse("forever"));
 
     List<Finding> findings = GangAudit.check(events, 4, 0);
 
@@ -71,13 +71,13 @@
   }
 
   @Test
-  void auditFindsAGangThatRanInPartForTooLong() {
+  void auditFindsAGangThatRanPartiallyForTooLong() {
     Lease first = grant(0, "j.1/0");
     Lease second = grant(0, "j.1/1");
-    book.start(10, first, "j", TaskCommand.parse("forever"));
-    book.start(20, second, "j", TaskCommand.parse("forever"));
-    book.release(50, second);
-    book.release(90, first);
+    registry.start(10, first, "j", TaskCommand.parse("forever"));
+    registry.start(20, second, "j", TaskCommand.parse("forever"));
+    registry.release(50, second);
+    registry.release(90, first);
 
     assertEquals(List.of(), GangAudit.check(events, 4, 40));
     assertEquals(
@@ -85,7 +85,7 @@
   }
 
   @Test
-  void auditFindsAWorkerThatHeldMoreThanItHas() {
+  void auditFindsAnOverbookedWorker() {
     List<WorkerEvent> forged =
         List.of(
             new WorkerEvent(0, "w", WorkerEvent.Kind.GRANTED, "a", "j.1/0", "", 3),
@@ -97,6 +97,6 @@
   }
 
   private Lease grant(long now, String key) {
-    return book.grant(now, key, TWO, 100).orElseThrow();
+    return registry.grant(now, key, TWO, 100).orElseThrow();
   }
 }
--- a/standins/src/test/java/org/fescuehook/standins/worker/WorkerStandInsTest.java
+++ b/standins/src/test/java/org/fescuehook/standins/worker/WorkerStandInsTest.java
@@ -14,7 +14,7 @@
       "{\"key\":\"j.1/0\",\"accelerators\":2,\"cores\":4,\"memoryMegabytes\":1024,\"ttlMs\":100}";
 
   @Test
-  void thawedWorkerLetsLapseWhatWasDueBeforeItAnswers() throws Exception {
+  void aThawedWorkerExpiresDueLeasesBeforeItResponds() throws Exception {
     AtomicLong clock = new AtomicLong();
     var fleet = new WorkerStandIns.Fleet(1, 1, new Resources(8, 64, 4096), 0);
     try (StandInLoops loops = new StandInLoops();
