--- a/standins/src/main/java/org/fescuehook/standins/Journal.java
+++ b/standins/src/main/java/org/fescuehook/standins/Journal.java
@@ -6,13 +6,13 @@
 import java.util.concurrent.atomic.AtomicReferenceArray;
 
 /**
- * The last entries of what happened. Any thread may add; the oldest are overwritten.
+ * A bounded journal, in which new entries overwrite the oldest ones. Thread-safe.
  *
- * @param <T> immutable entry
+ * @param <T> type of the entries, which must be immutable
  */
 public final class Journal<T> {
   private final AtomicReferenceArray<T> ring;
-  private final AtomicLong next = new AtomicLong();
+  private final AtomicLong nextIndex = new AtomicLong();
 
   /** Creates a journal that keeps up to {@code limit} entries. */
   public Journal(int limit) {
@@ -21,20 +21,20 @@
 
   /** Adds an entry and returns its index, for {@link #replace}. */
   public int add(T entry) {
-    int index = (int) (next.getAndIncrement() % ring.length());
+    int index = (int) (nextIndex.getAndIncrement() % ring.length());
     ring.set(index, entry);
     return index;
   }
 
-  /** Replaces an entry, unless it was overwritten meanwhile. */
-  public void replace(int index, T old, T replacement) {
-    ring.compareAndSet(index, old, replacement);
+  /** Replaces an entry, unless it has been overwritten. */
+  public void replace(int index, T expected, T replacement) {
+    ring.compareAndSet(index, expected, replacement);
   }
 
-  /** Returns the entries that are left, oldest first. */
+  /** Returns the entries that have not been overwritten, oldest first. */
   public List<T> entries() {
     List<T> entries = new ArrayList<>();
-    long end = next.get();
+    long end = nextIndex.get();
     for (long i = Math.max(0, end - ring.length()); i < end; i++) {
       T entry = ring.get((int) (i % ring.length()));
       if (entry != null) {
@@ -46,6 +46,6 @@
 
   /** Returns how many entries were overwritten. */
   public long dropped() {
-    return Math.max(0, next.get() - ring.length());
+    return Math.max(0, nextIndex.get() - ring.length());
   }
 }
--- a/standins/src/main/java/org/fescuehook/standins/Main.java
+++ b/standins/src/main/java/org/fescuehook/standins/Main.java
@@ -18,7 +18,7 @@
 import org.kohsuke.args4j.CmdLineParser;
 import org.kohsuke.args4j.Option;
 
-/** Command line of the stand-ins; runs until it is stopped. */
+/** Command-line program that starts stand-ins and runs until it is stopped. */
 public final class Main {
   @Argument(
       required = true,
@@ -73,7 +73,7 @@
 
   private Main() {}
 
-  /** Exits with 2 on a wrong command line and with 1 if a stand-in cannot start. */
+  /** Exits with 2 if the command line is invalid and with 1 if a stand-in cannot be started. */
   public static void main(String[] arguments) {
     Main main = new Main();
     CmdLineParser parser = new CmdLineParser(main);
@@ -112,20 +112,20 @@
 
   private static String properties(Map<String, InetSocketAddress> addresses) {
     return addresses.entrySet().stream()
-        .map(e -> e.getKey() + "=" + text(e.getValue()) + "\n")
+        .map(e -> e.getKey() + "=" + hostAndPort(e.getValue()) + "\n")
         .collect(Collectors.joining());
   }
 
-  private static String text(InetSocketAddress address) {
+  private static String hostAndPort(InetSocketAddress address) {
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
-  /** Writes the file in one step, so that a waiting script never reads half of it. */
+  /** Writes the file atomically, so that a waiting script never reads a part of it. */
   private static void write(Path file, String properties) throws StandInException {
-    Path part = file.resolveSibling(file.getFileName() + ".part");
+    Path temporary = file.resolveSibling(file.getFileName() + ".part");
     try {
-      Files.writeString(part, properties);
-      Files.move(part, file, StandardCopyOption.ATOMIC_MOVE);
+      Files.writeString(temporary, properties);
+      Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE);
     } catch (IOException e) {
       throw new StandInException("write", file.toString(), e);
     }
--- a/standins/src/main/java/org/fescuehook/standins/StandInProcess.java
+++ b/standins/src/main/java/org/fescuehook/standins/StandInProcess.java
@@ -16,17 +16,17 @@
 import org.fescuehook.standins.platform.StoreStandIn;
 import org.fescuehook.standins.worker.WorkerStandIns;
 
-/** All stand-ins of one process, and their control port. */
+/** The stand-ins of one process, and their control server. */
 final class StandInProcess {
-  private static final LongSupplier WALL = System::currentTimeMillis;
-  private static final LongSupplier MONOTONIC = () -> System.nanoTime() / 1_000_000;
+  private static final LongSupplier WALL_CLOCK_MILLIS = System::currentTimeMillis;
+  private static final LongSupplier MONOTONIC_CLOCK_MILLIS = () -> System.nanoTime() / 1_000_000;
 
   private final EventLoopGroup group;
   private final Sizes sizes;
   private final List<StandIn<?>> standIns = new ArrayList<>();
   private final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
 
-  /** What a process stands in for. */
+  /** Services for which a process can stand in. */
   enum Kind {
     LOG,
     LIST,
@@ -36,19 +36,19 @@
     ALL
   }
 
-  /** How much of each is started. */
+  /** Numbers and sizes of the stand-ins to start. */
   record Sizes(
       int executors,
       ExecutorStandIns.Limits executorLimits,
       WorkerStandIns.Fleet fleet,
       int journalLimit) {}
 
-  /** Starts stand-ins; with all in one process, only the log has the port that is given. */
+  /** Starts stand-ins. With {@link Kind#ALL}, only the log listens on the given port. */
   StandInProcess(EventLoopGroup group, Kind kind, InetSocketAddress first, Sizes sizes)
       throws StandInException {
     this.group = group;
     this.sizes = sizes;
-    InetSocketAddress any = new InetSocketAddress(first.getAddress(), 0);
+    InetSocketAddress anyPort = new InetSocketAddress(first.getAddress(), 0);
     switch (kind) {
       case LOG -> startLog(first);
       case LIST -> startList(first);
@@ -57,21 +57,21 @@
       case PLATFORM -> startPlatform(first);
       case ALL -> {
         startLog(first);
-        startExecutors(any);
-        startWorkers(any);
-        startList(any);
+        startExecutors(anyPort);
+        startWorkers(anyPort);
+        startList(anyPort);
       }
     }
-    addresses.put("control", new ControlServer(group, any, standIns).address());
+    addresses.put("control", new ControlServer(group, anyPort, standIns).address());
   }
 
-  /** Returns where everything listens, by name. */
+  /** Returns the address of each stand-in and of the control server by its name. */
   Map<String, InetSocketAddress> addresses() {
     return addresses;
   }
 
   private void startLog(InetSocketAddress address) throws StandInException {
-    LogStandIn log = new LogStandIn(group, address, WALL);
+    LogStandIn log = new LogStandIn(group, address, WALL_CLOCK_MILLIS);
     standIns.add(log);
     addresses.put("log", log.address());
   }
@@ -80,30 +80,38 @@
     int journalLimit = sizes.journalLimit();
     var executors =
         new ExecutorStandIns(
-            group, first, sizes.executors(), sizes.executorLimits(), MONOTONIC, journalLimit);
+            group,
+            first,
+            sizes.executors(),
+            sizes.executorLimits(),
+            MONOTONIC_CLOCK_MILLIS,
+            journalLimit);
     standIns.add(executors);
     addresses.putAll(executors.addresses());
   }
 
   private void startWorkers(InetSocketAddress first) throws StandInException {
     int journalLimit = sizes.journalLimit();
-    var workers = new WorkerStandIns(group, first, sizes.fleet(), MONOTONIC, journalLimit);
+    var workers =
+        new WorkerStandIns(group, first, sizes.fleet(), MONOTONIC_CLOCK_MILLIS, journalLimit);
     standIns.add(workers);
     addresses.putAll(workers.addresses());
   }
 
-  /** Starts the users' platform: its store, its executors and a configuration. */
+  /** Starts the users' platform: its store with a configuration, and its executors. */
   private void startPlatform(InetSocketAddress address) throws StandInException {
-    StoreStandIn store = new StoreStandIn(group, address, MONOTONIC);
-    InetSocketAddress any = new InetSocketAddress(address.getAddress(), 0);
+    StoreStandIn store = new StoreStandIn(group, address, MONOTONIC_CLOCK_MILLIS);
+    InetSocketAddress anyPort = new InetSocketAddress(address.getAddress(), 0);
     int count = sizes.executors();
     standIns.add(store);
-    standIns.add(new FleetStandIn(group, any, count, MONOTONIC, store, sizes.journalLimit()));
+    standIns.add(
+        new FleetStandIn(
+            group, anyPort, count, MONOTONIC_CLOCK_MILLIS, store, sizes.journalLimit()));
     store.publishConfiguration();
     addresses.put("store", store.address());
   }
 
-  /** Starts the list with the executors and workers of this process on it. */
+  /** Starts the list of VMs, which contains the executors and workers of this process. */
   private void startList(InetSocketAddress address) throws StandInException {
     List<Member> members = new ArrayList<>();
     addresses.forEach(
@@ -114,7 +122,7 @@
             members.add(new Member(name, role, "live", host, at.getPort()));
           }
         });
-    ListStandIn list = new ListStandIn(group, address, WALL, members);
+    ListStandIn list = new ListStandIn(group, address, WALL_CLOCK_MILLIS, members);
     standIns.add(list);
     addresses.put("list", list.address());
   }
--- a/standins/src/main/java/org/fescuehook/standins/control/ControlServer.java
+++ b/standins/src/main/java/org/fescuehook/standins/control/ControlServer.java
@@ -15,9 +15,10 @@
 import org.fescuehook.standins.worker.WorkerStandIns;
 
 /**
- * The control port of a process: {@code POST /faults} takes an object of faults by target, {@code
- * POST /silence} a list of targets whose open connections go silent; {@code GET /journal}, {@code
- * GET /stats} and, on workers, {@code GET /audit?part-ms=} report.
+ * The control server of a process, through which tests set faults and read reports. {@code POST
+ * /faults} takes a JSON object that maps targets to faults, {@code POST /silence} a list of targets
+ * whose open connections stop passing data. {@code GET /journal} and {@code GET /stats} return
+ * reports by target, {@code GET /audit?part-ms=} the violations in the journal of the workers.
  */
 public final class ControlServer implements AutoCloseable {
   private static final int MAX_BODY_BYTES = 16 << 20;
@@ -25,7 +26,7 @@
   private final Map<String, StandIn<?>> standIns = new LinkedHashMap<>();
   private final StandInServer server;
 
-  /** Starts the control port of some stand-ins; they are not closed with it. */
+  /** Starts the control server of some stand-ins; closing it doesn't close them. */
   public ControlServer(EventLoopGroup group, InetSocketAddress address, List<StandIn<?>> standIns)
       throws StandInException {
     standIns.forEach(s -> this.standIns.put(s.target(), s));
@@ -33,7 +34,7 @@
     this.server = new StandInServer(group, address, limits, this::handle);
   }
 
-  /** Returns where it listens. */
+  /** Returns the address on which the control server listens. */
   public InetSocketAddress address() {
     return server.address();
   }
@@ -47,8 +48,8 @@
     switch (exchange.call()) {
       case "POST /faults" -> applyFaults(exchange);
       case "POST /silence" -> silence(exchange);
-      case "GET /journal" -> exchange.reply(200, byTarget(StandIn::journal));
-      case "GET /stats" -> exchange.reply(200, byTarget(StandIn::stats));
+      case "GET /journal" -> exchange.reply(200, collectByTarget(StandIn::journal));
+      case "GET /stats" -> exchange.reply(200, collectByTarget(StandIn::stats));
       case "GET /audit" -> audit(exchange);
       default -> exchange.error(404, "not-found", exchange.call());
     }
@@ -82,9 +83,9 @@
     return standIn;
   }
 
-  private Map<String, Object> byTarget(Function<StandIn<?>, Object> part) {
-    Map<String, Object> parts = new LinkedHashMap<>();
-    standIns.forEach((target, standIn) -> parts.put(target, part.apply(standIn)));
-    return parts;
+  private Map<String, Object> collectByTarget(Function<StandIn<?>, Object> value) {
+    Map<String, Object> values = new LinkedHashMap<>();
+    standIns.forEach((target, standIn) -> values.put(target, value.apply(standIn)));
+    return values;
   }
 }
--- a/standins/src/main/java/org/fescuehook/standins/control/package-info.java
+++ b/standins/src/main/java/org/fescuehook/standins/control/package-info.java
@@ -1,4 +1,4 @@
-/** The control port, by which tests set faults and read journals. */
+/** The control server, through which tests set faults and read journals. */
 @NullMarked
 package org.fescuehook.standins.control;
 
--- a/standins/src/main/java/org/fescuehook/standins/http/Exchange.java
+++ b/standins/src/main/java/org/fescuehook/standins/http/Exchange.java
@@ -18,7 +18,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** One request and the means to answer it; the answer may be given later, or never. */
+/** A request and the means to respond to it, at once, later or never. */
 public final class Exchange {
   private static final int CHUNK_BYTES = 8192;
 
@@ -27,10 +27,10 @@
   private final QueryStringDecoder uri;
   private final byte[] body;
 
-  /** Part of the work on a request. */
+  /** A step in the handling of a request. */
   @FunctionalInterface
   public interface Step {
-    /** Does the work; a failure is answered by 400. */
+    /** Executes the step; an exception leads to a response with the status 400. */
     void run() throws IOException;
   }
 
@@ -41,7 +41,7 @@
     this.body = ByteBufUtil.getBytes(request.content());
   }
 
-  /** Returns method and path, as in {@code GET /members}. */
+  /** Returns the method and the path, as in {@code GET /members}. */
   public String call() {
     return request.method() + " " + uri.path();
   }
@@ -51,18 +51,18 @@
     return uri.path();
   }
 
-  /** Returns a query parameter as a number. */
+  /** Returns a query parameter as a number, or {@code otherwise} if it is absent. */
   public long number(String name, long otherwise) {
     List<String> values = uri.parameters().getOrDefault(name, List.of());
     return values.isEmpty() ? otherwise : Long.parseLong(values.getFirst());
   }
 
-  /** Returns a query parameter as text, or the empty text. */
+  /** Returns a query parameter, or an empty string if it is absent. */
   public String text(String name) {
     return uri.parameters().getOrDefault(name, List.of("")).getFirst();
   }
 
-  /** Returns a header, or the empty text. */
+  /** Returns a header, or an empty string if it is absent. */
   public String header(String name) {
     return request.headers().get(name, "");
   }
@@ -72,22 +72,22 @@
     return body;
   }
 
-  /** Reads the body as JSON. */
+  /** Parses the body as JSON. */
   public <T> T json(Class<T> type) throws IOException {
     return Json.read(body, type);
   }
 
-  /** Answers with JSON. */
+  /** Responds with a JSON body. */
   public void reply(int status, Object value) {
     reply(status, Map.of("Content-Type", "application/json"), Json.write(value));
   }
 
-  /** Answers with an error body. */
+  /** Responds with a JSON body that describes an error. */
   public void error(int status, String slug, String detail) {
     reply(status, Map.of("error", slug, "detail", detail));
   }
 
-  /** Answers with a body of known length. */
+  /** Responds with a body whose length is sent in {@code Content-Length}. */
   public void reply(int status, Map<String, String> fields, byte[] content) {
     var response =
         new DefaultFullHttpResponse(
@@ -99,24 +99,24 @@
     context.writeAndFlush(response);
   }
 
-  /** Answers with 200 in chunks. */
+  /** Responds with the status 200 and a chunked body. */
   public void replyChunked(Map<String, String> fields, byte[] content) {
     writeChunks(fields, content, content.length);
     context.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
   }
 
-  /** Announces a body in chunks, sends half of it and closes the connection. */
+  /** Starts a response with a chunked body, sends half of the body and closes the connection. */
   public void cut(Map<String, String> fields, byte[] content) {
     writeChunks(fields, content, content.length / 2);
     context.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
   }
 
-  /** Closes the connection without an answer. */
+  /** Closes the connection without a response. */
   public void close() {
     context.close();
   }
 
-  /** Does a step on the connection's event loop after a delay; at once if the delay is 0. */
+  /** Executes a step on the connection's event loop after a delay; a delay of 0 executes it now. */
   public void later(long delayMillis, Step step) {
     if (delayMillis <= 0) {
       attempt(step);
--- a/standins/src/main/java/org/fescuehook/standins/http/Json.java
+++ b/standins/src/main/java/org/fescuehook/standins/http/Json.java
@@ -8,7 +8,7 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import java.io.IOException;
 
-/** Reads and writes JSON bodies; unknown fields are errors, absent collections are empty. */
+/** Reads and writes JSON bodies. Unknown fields are rejected, absent collections are empty. */
 public final class Json {
   private static final ObjectMapper MAPPER =
       JsonMapper.builder()
@@ -17,17 +17,17 @@
 
   private Json() {}
 
-  /** Reads a body. */
+  /** Parses a body. */
   public static <T> T read(byte[] body, Class<T> type) throws IOException {
     return MAPPER.readValue(body, type);
   }
 
-  /** Converts a tree that was read already. */
+  /** Converts a parsed JSON tree. */
   public static <T> T convert(JsonNode tree, Class<T> type) throws JsonProcessingException {
     return MAPPER.treeToValue(tree, type);
   }
 
-  /** Writes a body. */
+  /** Serialises a value as JSON. */
   public static byte[] write(Object value) {
     try {
       return MAPPER.writeValueAsBytes(value);
--- a/standins/src/main/java/org/fescuehook/standins/http/StandInServer.java
+++ b/standins/src/main/java/org/fescuehook/standins/http/StandInServer.java
@@ -24,34 +24,34 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.fescuehook.standins.StandInException;
 
-/** An HTTP/1.1 server on a shared event loop group, with a limit of connections. */
+/** An HTTP/1.1 server on a shared event loop group that limits its open connections. */
 public final class StandInServer implements AutoCloseable {
-  private static final int BACKLOG = 1024;
+  private static final int ACCEPT_BACKLOG = 1024;
 
   private final ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
-  private final AtomicInteger open = new AtomicInteger();
-  private final AtomicLong rejected = new AtomicLong();
+  private final AtomicInteger openCount = new AtomicInteger();
+  private final AtomicLong rejectedCount = new AtomicLong();
   private final Limits limits;
   private final Handler handler;
   private final Channel listener;
 
-  /** Takes each request on an event loop, so it must not block. */
+  /** Handles requests. It is called on an event loop, so it must not block. */
   @FunctionalInterface
   public interface Handler {
-    /** Handles a request; a failure is answered by 400. */
+    /** Handles a request; an exception leads to a response with the status 400. */
     void handle(Exchange exchange) throws IOException;
   }
 
   /**
    * Limits of a server.
    *
-   * @param connections connections open at a time; further ones are closed at accept
-   * @param bodyBytes longest request body; longer ones are answered by 413
+   * @param connections maximum number of open connections; further ones are closed at accept
+   * @param bodyBytes maximum size of a request body; larger ones get the status 413
    */
   public record Limits(int connections, int bodyBytes) {}
 
   /**
-   * Binds and starts to answer; port 0 chooses a port.
+   * Binds to an address and starts to serve; port 0 chooses a free port.
    *
    * @throws StandInException if the address cannot be bound
    */
@@ -64,8 +64,8 @@
         new ServerBootstrap()
             .group(group)
             .channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, BACKLOG)
-            .childHandler(new Pipeline());
+            .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
+            .childHandler(new ConnectionInitializer());
     var bound = bootstrap.bind(address).awaitUninterruptibly();
     if (!bound.isSuccess()) {
       throw new StandInException("bind", address.toString(), bound.cause());
@@ -73,22 +73,22 @@
     this.listener = bound.channel();
   }
 
-  /** Returns where it listens. */
+  /** Returns the address on which the server listens. */
   public InetSocketAddress address() {
     return (InetSocketAddress) listener.localAddress();
   }
 
-  /** Returns how many connections are open. */
+  /** Returns the number of open connections. */
   public int openConnections() {
-    return open.get();
+    return openCount.get();
   }
 
-  /** Returns how many connections were closed at accept, being too many. */
+  /** Returns how many connections were closed at accept because of the limit. */
   public long rejectedConnections() {
-    return rejected.get();
+    return rejectedCount.get();
   }
 
-  /** Lets all open connections go silent without closing them. */
+  /** Drops all further data on the connections that are open now, without closing them. */
   public void silenceOpenConnections() {
     connections.forEach(c -> c.pipeline().get(SilenceHandler.class).silenced = true);
   }
@@ -99,13 +99,13 @@
     connections.close().awaitUninterruptibly();
   }
 
-  /** Builds the handlers of an accepted connection. */
-  private final class Pipeline extends ChannelInitializer<Channel> {
+  /** Sets up an accepted connection, or closes it if too many are open. */
+  private final class ConnectionInitializer extends ChannelInitializer<Channel> {
     @Override
     protected void initChannel(Channel channel) {
-      channel.closeFuture().addListener(f -> open.decrementAndGet());
-      if (open.incrementAndGet() > limits.connections()) {
-        rejected.incrementAndGet();
+      channel.closeFuture().addListener(f -> openCount.decrementAndGet());
+      if (openCount.incrementAndGet() > limits.connections()) {
+        rejectedCount.incrementAndGet();
         channel.close();
         return;
       }
@@ -117,7 +117,7 @@
     }
   }
 
-  /** Drops all that passes in either direction once silenced; the connection stays open. */
+  /** Drops all messages in both directions once silenced; the connection stays open. */
   private static final class SilenceHandler extends ChannelDuplexHandler {
     private volatile boolean silenced;
 
@@ -140,7 +140,7 @@
     }
   }
 
-  /** Passes whole requests to the handler. */
+  /** Passes complete requests to the handler. */
   private final class Dispatcher extends SimpleChannelInboundHandler<FullHttpRequest> {
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
--- a/standins/src/main/java/org/fescuehook/standins/package-info.java
+++ b/standins/src/main/java/org/fescuehook/standins/package-info.java
@@ -1,4 +1,4 @@
-/** Small stand-ins for the platform and the backend servers, for tests and measurements. */
+/** Stand-ins for the platform and the backend servers, for tests and measurements. */
 @NullMarked
 package org.fescuehook.standins;
 
--- a/standins/src/test/java/org/fescuehook/standins/StandInClient.java
+++ b/standins/src/test/java/org/fescuehook/standins/StandInClient.java
@@ -10,7 +10,7 @@
 import java.net.http.HttpResponse.BodyHandlers;
 import java.util.concurrent.CompletableFuture;
 
-/** Calls one stand-in. */
+/** HTTP client of one stand-in. */
 public final class StandInClient implements AutoCloseable {
   private final HttpClient client =
       HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
--- a/standins/src/test/java/org/fescuehook/standins/StandInLoops.java
+++ b/standins/src/test/java/org/fescuehook/standins/StandInLoops.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 
-/** Event loops and addresses of a test. */
+/** Event loop group and addresses for the stand-ins of a test. */
 public final class StandInLoops implements AutoCloseable {
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -21,7 +21,7 @@
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
   }
 
-  /** Waits for what another thread does; fails after a long time. */
+  /** Waits until another thread makes a condition true; fails after 20 seconds. */
   public static void await(BooleanSupplier condition) {
     long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
     while (!condition.getAsBoolean()) {
