--- a/standins/src/main/java/org/fescuehook/standins/platform/FleetMember.java
+++ b/standins/src/main/java/org/fescuehook/standins/platform/FleetMember.java
@@ -19,8 +19,8 @@
 import org.fescuehook.standins.http.StandInServer;
 
 /**
- * An executor with a fixed address that lives through several incarnations. It serves the orders to
- * the current incarnation and writes its entry into the store.
+ * An executor with a fixed address and its successive incarnations. It serves the orders to the
+ * current incarnation and writes its entry into the store.
  */
 final class FleetMember {
 
--- a/standins/src/main/java/org/fescuehook/standins/worker/LeaseRegistry.java
+++ b/standins/src/main/java/org/fescuehook/standins/worker/LeaseRegistry.java
@@ -42,7 +42,7 @@
     leases.put(lease.id, lease);
     free = free.plus(requested, -1);
     updateNextEvent(lease);
-    recordEvent(now, Kind.GRANTED, lease);
+    record(now, Kind.GRANTED, lease);
     return Optional.of(lease);
   }
 
@@ -63,7 +63,7 @@
     if (lease.state == LeaseState.HELD) {
       lease.start(now, job, command);
       updateNextEvent(lease);
-      recordEvent(now, Kind.STARTED, lease);
+      record(now, Kind.STARTED, lease);
     }
   }
 
@@ -91,7 +91,7 @@
     nextEventAt = Long.MAX_VALUE;
     for (Lease lease : List.copyOf(leases.values())) {
       if (lease.endTask(now)) {
-        recordEvent(now, Kind.valueOf(lease.state.name()), lease);
+        record(now, Kind.valueOf(lease.state.name()), lease);
       }
       if (lease.expiresAt <= now) {
         remove(now, Kind.LAPSED, lease);
@@ -109,10 +109,10 @@
   private void remove(long now, Kind kind, Lease lease) {
     leases.remove(lease.id);
     free = free.plus(lease.resources, 1);
-    recordEvent(now, kind, lease);
+    record(now, kind, lease);
   }
 
-  private void recordEvent(long now, Kind kind, Lease lease) {
+  private void record(long now, Kind kind, Lease lease) {
     int accelerators = lease.resources.accelerators();
     journal.accept(
         new WorkerEvent(now, worker, kind, lease.id, lease.key, lease.job, accelerators));
