--- a/fescuehook/src/test/java/org/fescuehook/spec/SpecificationTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/spec/SpecificationTest.java
@@ -27,115 +27,87 @@
           .normalize();
 
   /**
-   * Stands for a violated temporal property, which TLC does not name; a configuration that expects
-   * one has only one.
+   * Stands for a violated temporal property. TLC does not name it, so a configuration that must
+   * violate one contains no other.
    */
-  private static final String UNNAMED_TEMPORAL = "";
+  private static final String TEMPORAL = "";
 
-  private static final String AT_MOST_ONE_DISPATCH = "AtMostOneDispatch";
-  private static final String ONE_RUN_IN_WINDOW = "OneRunInWindow";
-  private static final String NEVER_REVERTS = "NeverReverts";
-  private static final String NOT_RUN_IS_TRUE = "NotRunIsTrue";
+  private static final String ONE_DISPATCH = "AtMostOneDispatch";
+  private static final String ONE_RUN = "OneRunInWindow";
+  private static final String NO_REVERT = "NeverReverts";
+  private static final String NOT_RUN = "NotRunIsTrue";
   private static final String FREE_IS_GONE = "FreeIsGone";
 
   /** Returns the configurations whose properties must hold. */
-  static Stream<ValidModel> specifications() {
+  static Stream<Valid> specifications() {
     return Stream.of(
-        new ValidModel("Gang", "two owners, two attempts, two members: one attempt runs, complete"),
-        new ValidModel("Gang_takeovers", "the same with a third claim"),
-        new ValidModel("Gang_grants", "the same with late and repeated grants"),
-        new ValidModel("Gang_hand_over", "the same with a hand-over"),
-        new ValidModel("Gang_liveness", "a gang that lost a member stops as a whole"),
-        new ValidModel(
-            "RequestClaims", "three requests with one id: one dispatch, correct answers"),
-        new ValidModel("ClaimWindow", "readers from any offset agree when an id is free again"),
-        new ValidModel("Configuration", "no accepted publication is lost, nothing reverts"),
-        new ValidModel("SilentWorker", "a silent worker's lease counts as gone only once it is"),
-        new ValidModel("RepeatedAppend", "an append sent several times has one true outcome"));
+        new Valid("Gang", "two owners, two attempts, two members: one attempt runs, complete"),
+        new Valid("Gang_takeovers", "the same with a third claim"),
+        new Valid("Gang_grants", "the same with late and repeated grants"),
+        new Valid("Gang_hand_over", "the same with a hand-over"),
+        new Valid("Gang_liveness", "a gang that lost a member stops as a whole"),
+        new Valid("RequestClaims", "three requests with one id: one dispatch, correct answers"),
+        new Valid("ClaimWindow", "readers from any offset agree when an id is free again"),
+        new Valid("Configuration", "no accepted publication is lost, nothing reverts"),
+        new Valid("SilentWorker", "a silent worker's lease counts as gone only once it is"),
+        new Valid("RepeatedAppend", "an append sent several times has one true outcome"));
   }
 
   /** Returns the variants that break one rule, each with the property that must be violated. */
-  static Stream<FaultyModel> faultyVariants() {
+  static Stream<Faulty> faultyVariants() {
     return Stream.of(
-        new FaultyModel(
-            "Gang_epoch_not_checked", "OneAttemptRuns", "records of an old epoch count"),
-        new FaultyModel("Gang_start_before_commit", "StartNeedsCommit", "start before read-back"),
-        new FaultyModel(
-            "Gang_start_creates_lease", "OneAttemptRuns", "start revives a lapsed lease"),
-        new FaultyModel("Gang_lease_id_reused", "OneAttemptRuns", "a worker issues an id twice"),
-        new FaultyModel("Gang_lease_id_reused_again", "GoneForGood", "a lapsed lease comes back"),
-        new FaultyModel(
+        new Faulty("Gang_epoch_not_checked", "OneAttemptRuns", "records of an old epoch count"),
+        new Faulty("Gang_start_before_commit", "StartNeedsCommit", "start before read-back"),
+        new Faulty("Gang_start_creates_lease", "OneAttemptRuns", "start revives a lapsed lease"),
+        new Faulty("Gang_lease_id_reused", "OneAttemptRuns", "a worker issues an id twice"),
+        new Faulty("Gang_lease_id_reused_again", "GoneForGood", "a lapsed lease comes back"),
+        new Faulty(
             "Gang_end_without_word", "NoAcceleratorTwice", "one lease gone ends the attempt"),
-        new FaultyModel(
-            "Gang_end_overrides_commit", "EndedRunsNothing", "never-started after commit"),
-        new FaultyModel(
-            "Gang_release_without_stop", "ReleaseHasCause", "release with no stop record"),
-        new FaultyModel("Gang_release_before_end", "ReleaseHasCause", "release before the result"),
-        new FaultyModel(
-            "Gang_claim_without_base", "ClaimReplacesWhatItSaw", "a claim without a base"),
-        new FaultyModel(
-            "Gang_part_gang_kept", UNNAMED_TEMPORAL, "a lost member is ignored by renewals"),
-        new FaultyModel(
-            "RequestClaims_dispatch_before_claim_read",
-            AT_MOST_ONE_DISPATCH,
-            "dispatch before read-back"),
-        new FaultyModel(
-            "RequestClaims_release_while_won",
-            AT_MOST_ONE_DISPATCH,
-            "release, then a paused dispatch"),
-        new FaultyModel(
+        new Faulty("Gang_end_overrides_commit", "EndedRunsNothing", "never-started after commit"),
+        new Faulty("Gang_release_without_stop", "ReleaseHasCause", "release with no stop record"),
+        new Faulty("Gang_release_before_end", "ReleaseHasCause", "release before the result"),
+        new Faulty("Gang_claim_without_base", "ClaimReplacesWhatItSaw", "a claim without a base"),
+        new Faulty("Gang_part_gang_kept", TEMPORAL, "a lost member is ignored by renewals"),
+        new Faulty(
+            "RequestClaims_dispatch_before_claim_read", ONE_DISPATCH, "dispatch before read-back"),
+        new Faulty(
+            "RequestClaims_release_while_won", ONE_DISPATCH, "release, then a paused dispatch"),
+        new Faulty(
             "RequestClaims_dispatch_on_silence",
-            AT_MOST_ONE_DISPATCH,
+            ONE_DISPATCH,
             "a duplicate runs for a dead claimant"),
-        new FaultyModel(
-            "RequestClaims_claim_without_replay",
-            AT_MOST_ONE_DISPATCH,
-            "a new VM claims without a replay"),
-        new FaultyModel(
-            "RequestClaims_id_used_after_retention",
-            AT_MOST_ONE_DISPATCH,
-            "an id outlives its claim"),
-        new FaultyModel(
+        new Faulty(
+            "RequestClaims_claim_without_replay", ONE_DISPATCH, "a new VM claims without a replay"),
+        new Faulty(
+            "RequestClaims_id_used_after_retention", ONE_DISPATCH, "an id outlives its claim"),
+        new Faulty(
             "RequestClaims_release_after_dispatch", "ReleaseOnlyUndispatched", "release of a run"),
-        new FaultyModel(
-            "RequestClaims_dispatch_after_giving_up", NOT_RUN_IS_TRUE, "token kept too long"),
-        new FaultyModel(
+        new Faulty("RequestClaims_dispatch_after_giving_up", NOT_RUN, "token kept too long"),
+        new Faulty(
             "RequestClaims_lost_claim_wins_later", "DuplicateRunsNothing", "a loser wins later"),
-        new FaultyModel(
+        new Faulty(
             "RequestClaims_outcome_before_answer", "OutcomeIsOfARun", "an outcome is guessed"),
-        new FaultyModel(
-            "ClaimWindow_window_of_winner", ONE_RUN_IN_WINDOW, "only the winner's time counts"),
-        new FaultyModel(
-            "ClaimWindow_first_record_not_checked", ONE_RUN_IN_WINDOW, "claims vanished unread"),
-        new FaultyModel(
-            "Configuration_publish_without_base", "OneWinnerPerBase", "no base is checked"),
-        new FaultyModel(
-            "Configuration_accepted_before_read", "AcceptedHasWon", "accepted when sent"),
-        new FaultyModel("Configuration_gap_not_noticed", "ReadersAgree", "a reader skips a gap"),
-        new FaultyModel(
-            "Configuration_snapshot_too_late", "FreshReaderLearns", "no snapshot in time"),
-        new FaultyModel(
-            "Configuration_snapshot_with_new_revision", NEVER_REVERTS, "a snapshot renumbers"),
-        new FaultyModel(
-            "Configuration_load_lowers", NEVER_REVERTS, "a late loader takes an old snapshot"),
-        new FaultyModel(
-            "Configuration_older_from_peer", NEVER_REVERTS, "a peer's older one is taken"),
-        new FaultyModel(
+        new Faulty("ClaimWindow_window_of_winner", ONE_RUN, "only the winner's time counts"),
+        new Faulty("ClaimWindow_first_record_not_checked", ONE_RUN, "claims vanished unread"),
+        new Faulty("Configuration_publish_without_base", "OneWinnerPerBase", "no base is checked"),
+        new Faulty("Configuration_accepted_before_read", "AcceptedHasWon", "accepted when sent"),
+        new Faulty("Configuration_gap_not_noticed", "ReadersAgree", "a reader skips a gap"),
+        new Faulty("Configuration_snapshot_too_late", "FreshReaderLearns", "no snapshot in time"),
+        new Faulty("Configuration_snapshot_with_new_revision", NO_REVERT, "a snapshot renumbers"),
+        new Faulty("Configuration_load_lowers", NO_REVERT, "a late loader takes an old snapshot"),
+        new Faulty("Configuration_older_from_peer", NO_REVERT, "a peer's older one is taken"),
+        new Faulty(
             "SilentWorker_own_renewals_only", FREE_IS_GONE, "only the owner's renewals count"),
-        new FaultyModel(
+        new Faulty(
             "SilentWorker_ride_without_bound",
             FREE_IS_GONE,
             "a VM without the log renews for ever"),
-        new FaultyModel(
-            "SilentWorker_lag_ignored", FREE_IS_GONE, "a replica's lag is not waited out"),
-        new FaultyModel(
+        new Faulty("SilentWorker_lag_ignored", FREE_IS_GONE, "a replica's lag is not waited out"),
+        new Faulty(
             "SilentWorker_renewer_not_known", FREE_IS_GONE, "a VM that may renew is not counted"),
-        new FaultyModel(
-            "SilentWorker_late_renewal", FREE_IS_GONE, "a renewal arrives after any delay"),
-        new FaultyModel(
-            "RepeatedAppend_rejection_counts_for_all", NOT_RUN_IS_TRUE, "a fenced repeat decides"),
-        new FaultyModel(
-            "RepeatedAppend_refusal_counts_for_all", NOT_RUN_IS_TRUE, "a refused repeat decides"));
+        new Faulty("SilentWorker_late_renewal", FREE_IS_GONE, "a renewal arrives after any delay"),
+        new Faulty("RepeatedAppend_rejection_counts_for_all", NOT_RUN, "a fenced repeat decides"),
+        new Faulty("RepeatedAppend_refusal_counts_for_all", NOT_RUN, "a refused repeat decides"));
   }
 
   @TempDir private static Path sharedDirectory;
@@ -144,8 +116,7 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("specifications")
-  void allPropertiesOfTheSpecificationHold(ValidModel model)
-      throws IOException, InterruptedException {
+  void allPropertiesOfTheSpecificationHold(Valid model) throws IOException, InterruptedException {
     Outcome outcome = check(model.configuration(), Compiler.FULL);
 
     assertEquals(Verdict.HOLDS, outcome.verdict(), outcome.output());
@@ -153,7 +124,7 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("faultyVariants")
-  void faultyVariantViolatesTheExpectedProperty(FaultyModel model)
+  void faultyVariantViolatesTheExpectedProperty(Faulty model)
       throws IOException, InterruptedException {
     Outcome outcome = check(model.configuration(), Compiler.QUICK);
 
@@ -196,7 +167,7 @@
   }
 
   /** Configuration whose properties must hold, and what they state. */
-  record ValidModel(String configuration, String properties) {
+  record Valid(String configuration, String properties) {
     @Override
     public String toString() {
       return configuration + ": " + properties;
@@ -204,7 +175,7 @@
   }
 
   /** Variant of a model with one fault, and the property that it must violate. */
-  record FaultyModel(String configuration, String violated, String fault) {
+  record Faulty(String configuration, String violated, String fault) {
     @Override
     public String toString() {
       return configuration + ": " + fault;
