--- a/fescuehook/src/test/java/org/fescuehook/platform/ExecutorParserTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/ExecutorParserTest.java
@@ -51,7 +51,8 @@
     ExecutorProfile withStartTime =
         parse(ENTRY.replace("\"slots\"", "\"born\":1786115069591,\"slots\""));
     assertEquals(
-        withoutStartTime.withStart(OptionalLong.of(1_786_115_069_591L)), withStartTime.incarnation());
+        withoutStartTime.withStart(OptionalLong.of(1_786_115_069_591L)),
+        withStartTime.incarnation());
   }
 
   @Test
