--- a/fescuehook/src/main/java/org/fescuehook/net/executor/Exchange.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/executor/Exchange.java
@@ -136,7 +136,7 @@
   /** Handles a part of the body; returns the result of the dispatch with the last part. */
   Optional<DispatchResult> content(HttpContent content) {
     boolean last = content instanceof LastHttpContent;
-    record(content);
+    recordBody(content);
     if (notRun) {
       content.release();
     } else {
@@ -148,7 +148,7 @@
     return Optional.of(completeResult());
   }
 
-  private void record(HttpContent content) {
+  private void recordBody(HttpContent content) {
     int size = content.content().readableBytes();
     if (!recordedWhole || size == 0) {
       return;
--- a/fescuehook/src/test/java/org/fescuehook/net/duty/BacklogLogThrottleTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/duty/BacklogLogThrottleTest.java
@@ -6,7 +6,7 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-class WaitWatchTest {
+class BacklogLogThrottleTest {
 
   private final BacklogLogThrottle throttle = new BacklogLogThrottle();
 
