--- a/fescuehook/src/main/java/org/fescuehook/entry/PeerAnswers.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/PeerAnswers.java
@@ -15,7 +15,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What this VM tells its peers and learns from them. */
+/** Answers the peers' questions and processes their messages. */
 final class PeerAnswers implements PeerListener {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(PeerAnswers.class);
@@ -38,7 +38,7 @@
 
   @Override
   public void heard(PeerReport report) {
-    state.heard(report);
+    state.recordHeartbeat(report);
   }
 
   @Override
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchCore.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/BatchCore.java
@@ -23,20 +23,24 @@
 import org.fescuehook.model.preferences.BatchPreferences;
 
 /**
- * Decides about batch jobs: while this VM owns them it stores and orders, else it watches the
- * owner. Single-threaded and without clock or network: the same events at the same times give the
- * same commands.
+ * The state machine of batch scheduling on one VM. While this VM is the owner of the batch jobs, it
+ * schedules them; otherwise it watches the owner and takes over if that fails. It is used by a
+ * single thread and reads no clock and no network: the same events at the same times give the same
+ * commands.
  */
 public final class BatchCore {
 
-  /** When callers come back while no VM decides; a take-over lasts some 3 s. */
-  private static final long COME_BACK_MILLIS = 1000;
+  /** Delay after which callers retry while this VM is not the owner; a takeover takes about 3 s. */
+  private static final long RETRY_AFTER_MILLIS = 1000;
 
-  /** How long a stopping owner waits for what is on its way to the store. */
-  private static final long STOP_WAIT_NANOS = Duration.ofMillis(1500).toNanos();
+  /** Longest time that a stopping owner waits for its last changes to be stored. */
+  private static final long STOP_TIMEOUT_NANOS = Duration.ofMillis(1500).toNanos();
 
-  /** Age of the store's last word up to which other VMs could take over as well. */
-  private static final Duration STORE_NEAR = Duration.ofMillis(1000);
+  /**
+   * Age of the last confirmed heartbeat up to which the store counts as reachable, so that another
+   * VM could take over as well.
+   */
+  private static final Duration STORE_REACHABLE_AGE = Duration.ofMillis(1000);
 
   private final BatchPreferences preferences;
   private final OwnershipDuty ownership;
@@ -48,18 +52,18 @@
   private OptionalLong stoppingSince = OptionalLong.empty();
   private boolean retired;
 
-  /** Creates a core that has read nothing. */
+  /** Creates a core that is not the owner and knows no configuration, owner or executor. */
   public BatchCore(OwnerIdentity self, BatchPreferences preferences) {
     this.preferences = preferences;
     this.ownership = new OwnershipDuty(self);
   }
 
   /**
-   * Applies one event.
+   * Applies one event after which no other event waits.
    *
    * @param nowNanos monotonic time
    * @param wallMillis milliseconds since 1970
-   * @return what is to be done, in order
+   * @return the commands to execute, in order
    */
   public List<BatchCommand> apply(BatchEvent event, long nowNanos, long wallMillis) {
     return apply(event, nowNanos, wallMillis, false);
@@ -70,53 +74,56 @@
    *
    * @param nowNanos monotonic time
    * @param wallMillis milliseconds since 1970
-   * @param more whether further events wait already; plans then wait for them, for a moment
-   * @return what is to be done, in order
+   * @param moreEventsQueued whether further events are queued; planning is then postponed for a
+   *     short time
+   * @return the commands to execute, in order
    */
-  public List<BatchCommand> apply(BatchEvent event, long nowNanos, long wallMillis, boolean more) {
-    BatchContext context = new BatchContext(nowNanos, wallMillis, more);
-    take(event, context);
+  public List<BatchCommand> apply(
+      BatchEvent event, long nowNanos, long wallMillis, boolean moreEventsQueued) {
+    BatchContext context = new BatchContext(nowNanos, wallMillis, moreEventsQueued);
+    handle(event, context);
     step(context);
     return context.commands();
   }
 
-  /** Returns the owner to tell peers: this VM if it owns, else the one that it knows. */
+  /** Returns the owner to report to peers: this VM if it is the owner, else the one it knows of. */
   public Optional<OwnerHint> ownerHint() {
     return ownership.hint();
   }
 
   /**
-   * Returns how long nothing can become due by time alone, as far as is known; zero while this VM
-   * owns or stops. An event may end it at any moment.
+   * Returns the shortest time until this VM could claim ownership, during which no {@link
+   * BatchEvent.Tick} is needed; zero while this VM is the owner, takes over or stops. Any event may
+   * shorten this time.
    *
    * @param nowNanos monotonic time
    */
-  public Duration calmFor(long nowNanos) {
-    boolean standsBy = owner.isEmpty() && takeover.isEmpty() && stoppingSince.isEmpty();
-    return standsBy ? ownership.calmFor(nowNanos) : Duration.ZERO;
+  public Duration minTimeToClaim(long nowNanos) {
+    boolean standby = owner.isEmpty() && takeover.isEmpty() && stoppingSince.isEmpty();
+    return standby ? ownership.minTimeToClaim(nowNanos) : Duration.ZERO;
   }
 
-  /** Tells whether this VM decides. */
+  /** Returns whether this VM is the owner and schedules jobs. */
   public boolean deciding() {
     return owner.isPresent();
   }
 
-  /** Tells whether a stop has handed ownership over, or had none. */
+  /** Returns whether this VM, after {@link BatchEvent.StopBegun}, no longer holds ownership. */
   public boolean handedOver() {
     return retired && ownership.epoch().isEmpty();
   }
 
-  private void take(BatchEvent event, BatchContext context) {
-    ownership.runs(context);
+  private void handle(BatchEvent event, BatchContext context) {
+    ownership.recordActivity(context);
     switch (event) {
-      case BatchEvent.Called called -> called(called, context);
+      case BatchEvent.Called called -> handleCall(called, context);
       case BatchEvent.ConfigurationRead(var newer) -> configure(newer, context);
       case BatchEvent.Appended(var stream, var position, var outcome) ->
           appended(stream, position, outcome, context);
       case BatchEvent.OwnershipRead(var newest, long end) -> ownership.read(newest, end, context);
-      case BatchEvent.OwnershipUnreadable unreadable -> ownership.unreadable(context);
-      case BatchEvent.OwnerDoubted doubted -> ownership.doubted(context);
-      case BatchEvent.OwnerHinted(var hint) -> ownership.hinted(hint, context);
+      case BatchEvent.OwnershipUnreadable unreadable -> ownership.readFailed(context);
+      case BatchEvent.OwnerDoubted doubted -> ownership.ownerSuspected(context);
+      case BatchEvent.OwnerHinted(var hint) -> ownership.hintReceived(hint, context);
       case BatchEvent.StateRead(long epoch, var records, var more) ->
           takeover.ifPresent(loading -> loading.read(epoch, records, more, context));
       case BatchEvent.StateUnreadable(long epoch) ->
@@ -136,14 +143,14 @@
     }
   }
 
-  private void called(BatchEvent.Called asked, BatchContext context) {
+  private void handleCall(BatchEvent.Called call, BatchContext context) {
     if (owner.isEmpty()) {
       context.count("fescuehook.batch.refused", "cause", RefusalCause.NOT_OWNER.tag());
-      CallAnswer refused = new CallAnswer.Refused(RefusalCause.NOT_OWNER, COME_BACK_MILLIS);
-      context.add(new BatchCommand.Answer(asked.ticket(), refused));
+      CallAnswer refused = new CallAnswer.Refused(RefusalCause.NOT_OWNER, RETRY_AFTER_MILLIS);
+      context.add(new BatchCommand.Answer(call.ticket(), refused));
       return;
     }
-    owner.get().called(asked, ownership.contact(context), context);
+    owner.get().handleCall(call, ownership.storeReachability(context), context);
   }
 
   private void configure(BatchConfiguration newer, BatchContext context) {
@@ -156,14 +163,14 @@
         BatchLogEvent.CONFIGURATION_IN_FORCE,
         newer.version(),
         newer.queues().size(),
-        newer.holders().size());
+        newer.organisations().size());
     owner.ifPresent(owning -> owning.configure(newer));
   }
 
   private void appended(
       StreamName stream, WriterPosition position, AppendOutcome outcome, BatchContext context) {
     if (stream == StreamName.OWNERSHIP) {
-      ownership.answered(position, outcome, context);
+      ownership.appendCompleted(position, outcome, context);
       return;
     }
     owner.ifPresent(owning -> owning.appended(position, outcome, context));
@@ -176,7 +183,7 @@
 
   private void seen(ExecutorProfile profile, BatchContext context) {
     ExecutorProfile known = listed.get(profile.id());
-    if (known != null && profile.incarnation().before(known.incarnation())) {
+    if (known != null && profile.incarnation().startedBefore(known.incarnation())) {
       return;
     }
     listed.put(profile.id(), profile);
@@ -201,16 +208,16 @@
       ownership.abandon("fenced", context);
     }
     retireIfStopping(context);
-    // Without a configuration nothing can be decided, so there is no claim either.
+    // Without a configuration this VM could not schedule, so it does not claim ownership either.
     if (configuration.isPresent() || ownership.epoch().isPresent()) {
       ownership.step(context);
     }
     followOwnership(context);
     takeover.ifPresent(loading -> loading.step(context));
-    beginIfLoaded(context);
+    startOwnerIfLoaded(context);
     yieldIfStalled(context);
     if (owner.isPresent()) {
-      owner.get().step(ownership.contact(context), context);
+      owner.get().step(ownership.storeReachability(context), context);
     }
   }
 
@@ -218,8 +225,8 @@
     if (stoppingSince.isEmpty() || retired) {
       return;
     }
-    boolean settled = owner.map(BatchOwner::settled).orElse(true);
-    if (settled || context.nowNanos() - stoppingSince.getAsLong() > STOP_WAIT_NANOS) {
+    boolean allStored = owner.map(BatchOwner::allStored).orElse(true);
+    if (allStored || context.nowNanos() - stoppingSince.getAsLong() > STOP_TIMEOUT_NANOS) {
       retired = true;
       ownership.retire(context);
     }
@@ -243,40 +250,44 @@
     }
   }
 
-  /** Gives up a take-over that stands still all the while the store confirms this owner. */
+  /**
+   * Yields ownership if the takeover makes no progress although the store confirms this owner's
+   * heartbeats. The stall time does not count while the store is unreachable.
+   */
   private void yieldIfStalled(BatchContext context) {
-    StoreReachability contact = ownership.contact(context);
-    if (context.nowNanos() - contact.confirmedAt() >= contact.nearNanos(STORE_NEAR)) {
-      takeover.ifPresent(loading -> loading.excuse(context));
+    StoreReachability contact = ownership.storeReachability(context);
+    if (context.nowNanos() - contact.confirmedAt()
+        >= contact.maxHeartbeatAgeNanos(STORE_REACHABLE_AGE)) {
+      takeover.ifPresent(loading -> loading.resetStallTimer(context));
     }
     if (takeover.filter(loading -> loading.stalled(contact, context)).isPresent()) {
       ownership.yield(context);
     }
   }
 
-  private void beginIfLoaded(BatchContext context) {
+  private void startOwnerIfLoaded(BatchContext context) {
     if (takeover.isEmpty()) {
       return;
     }
     if (!takeover.get().loaded() || !executorsRead || configuration.isEmpty()) {
-      takeover.get().tellWhatIsMissing(executorsRead ? "a configuration" : "executors", context);
+      takeover.get().logProgress(executorsRead ? "a configuration" : "executors", context);
       return;
     }
     Takeover done = takeover.get();
     takeover = Optional.empty();
-    JobRegistry book = done.book(context);
+    JobRegistry registry = done.registry(context);
     context.note(
         BatchLogEvent.OWNING,
         done.epoch(),
-        book.openJobs().stream().filter(ActiveJob::open).count(),
-        Takeover.inheritedRuns(book).size(),
+        registry.activeJobs().stream().filter(ActiveJob::open).count(),
+        Takeover.inheritedRuns(registry).size(),
         (context.nowNanos() - done.startedAt()) / 1_000_000);
     owner =
         Optional.of(
             new BatchOwner(
                 done.epoch(),
                 preferences,
-                book,
+                registry,
                 configuration.get(),
                 List.copyOf(listed.values()),
                 context));
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnershipDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/ownership/OwnershipDuty.java
@@ -14,96 +14,95 @@
 import org.fescuehook.logic.batch.store.WriterPosition;
 
 /**
- * Decides when this VM claims ownership, keeps it alive by heartbeats and notices its loss.
+ * Decides when this VM claims ownership, keeps it by heartbeats and detects its loss.
  *
- * <p>A claim is an append that the store takes only if the stream still ends where the claimant has
- * read it to; its offset makes its epoch, so no two owners share one. The claim raises the epoch of
- * the stream, and with it shuts out the former owner's heartbeats.
+ * <p>A claim is an append that the store accepts only if the stream still ends where the claimant
+ * has read it to. Its offset determines the epoch, so no two owners share one. The claim raises the
+ * epoch of the stream, so that heartbeats of the former owner are rejected.
  */
 public final class OwnershipDuty {
 
-  /** How long a doubt counts; calls that renew it come several times a second. */
-  private static final long DOUBT_NANOS = Duration.ofMillis(1500).toNanos();
+  /** Duration of a suspicion of the owner; calls renew it several times a second. */
+  private static final long SUSPICION_NANOS = Duration.ofMillis(1500).toNanos();
 
-  /** Pause before a claim or heartbeat that the store did not take is repeated. */
-  private static final long RETRY_NANOS = Duration.ofMillis(100).toNanos();
+  /** Pause before a claim or heartbeat that was not stored is repeated. */
+  private static final long RETRY_PAUSE_NANOS = Duration.ofMillis(100).toNanos();
 
   /**
-   * How long a much weaker VM than the former owner leaves the claim to others of its kind, if
-   * there are any; they read of a silence within some 0.4 s of each other.
+   * Delay after which a VM that is much weaker than the former owner claims, to let stronger VMs
+   * claim first; all VMs notice a silence within about 0.4 s of each other.
    */
-  private static final long WEAKER_WAIT_NANOS = Duration.ofMillis(500).toNanos();
+  private static final long WEAKER_VM_DELAY_NANOS = Duration.ofMillis(500).toNanos();
 
   /**
-   * How long a VM that could not begin to decide claims only where nobody else does; what kept it
-   * from it, such as a thin link, rarely passes sooner.
+   * How long a VM that could not complete a take-over claims only if no other VM does; the cause,
+   * such as a slow network link, rarely passes sooner.
    */
-  private static final long YIELD_NANOS = Duration.ofSeconds(60).toNanos();
+  private static final long YIELD_PERIOD_NANOS = Duration.ofSeconds(60).toNanos();
 
-  /** Longer than any other VM waits, so that each of them claims first. */
-  private static final long YIELD_WAIT_NANOS = Duration.ofMillis(2000).toNanos();
+  /** Delay of such a claim; longer than that of any other VM, so that each claims first. */
+  private static final long YIELD_DELAY_NANOS = Duration.ofMillis(2000).toNanos();
 
-  /** Offset of what a peer told before any record was read. */
-  private static final long BEFORE_FIRST = -1;
+  /** Offset of an owner reported by a peer before any record was read. */
+  private static final long BEFORE_FIRST_OFFSET = -1;
 
   private final OwnerIdentity self;
 
   /**
-   * Sequence of this VM's claims. The store answers a repeated epoch and sequence as it answered
-   * the first, so claimants must not share a sequence: each would read that it has won.
+   * Sequence number of this VM's claims. Claimants must not share one: the store answers a repeated
+   * epoch and sequence number with the first answer, so each would be told that it has won.
    */
   private final long claimSequence;
 
-  private final OwnershipPace pace = new OwnershipPace();
+  private final OwnershipTimeouts timeouts = new OwnershipTimeouts();
   private Optional<OwnerRecord> newest = Optional.empty();
   private OptionalLong end = OptionalLong.empty();
   private OptionalLong epoch = OptionalLong.empty();
-  private long quietSince;
+  private long silentSince;
 
   /** Whether the silence began with a record of the owner. */
-  private boolean quietSinceHeard;
+  private boolean silentSinceRecord;
 
-  private OptionalLong doubtedAt = OptionalLong.empty();
+  private OptionalLong suspectedAt = OptionalLong.empty();
   private long sequence;
   private boolean readable;
-  private final PendingCall appending = new PendingCall(PendingCall.APPEND);
+  private final PendingCall appending = new PendingCall(PendingCall.APPEND_TIMEOUT);
 
   /**
-   * What was sent under the present sequence and may have been stored. It is sent again until it
-   * surely is: the store answers a repeated sequence as it answered the first, whatever it carries.
+   * The append with the present sequence number, while its outcome is open. It is repeated until it
+   * is certainly stored: the store gives a repeat the first answer, whatever it contains.
    */
-  private Optional<OwnerRecord.Kind> unsettled = Optional.empty();
+  private Optional<OwnerRecord.Kind> unconfirmed = Optional.empty();
 
-  /** Whether it may have been stored before it was sent the last time. */
-  private boolean unsettledUnsure;
+  /** Whether that append may have been stored before it was sent the last time. */
+  private boolean mayBeStoredAlready;
 
   private long nextAppendAt;
-  private long sentAt;
-  private long heartbeatSentAt;
+  private long lastSentAt;
+  private long firstSentAt;
   private OptionalLong confirmedAt = OptionalLong.empty();
   private boolean retired;
   private boolean yielding;
   private OptionalLong yieldedAt = OptionalLong.empty();
 
-  /** Creates the duty of a VM that has read nothing. */
+  /** Creates the duty of a VM that has not read anything. */
   public OwnershipDuty(OwnerIdentity self) {
     this.self = self;
     this.claimSequence = Integer.toUnsignedLong((self.vm() + self.incarnation()).hashCode());
   }
 
-  /** Returns the epoch if this VM owns as far as it knows. */
+  /** Returns the epoch if this VM is the owner as far as it knows. */
   public OptionalLong epoch() {
     return epoch;
   }
 
-  /** Returns the epoch if this VM may decide; it may not while it gives ownership up. */
+  /** Returns the epoch if this VM may decide; absent while it gives ownership up. */
   public OptionalLong decidingEpoch() {
     return retired || yielding ? OptionalLong.empty() : epoch;
   }
 
   /**
-   * Returns the newest record of an owner that may decide; absent if there is none, if it has given
-   * up, or if it is this VM itself and has lost its epoch.
+   * Returns the newest record of an owner, unless it has given up, or is this VM without an epoch.
    */
   public Optional<OwnerRecord> owner() {
     return newest
@@ -111,24 +110,24 @@
         .filter(record -> epoch.isPresent() || !bySelf(record));
   }
 
-  /** Returns what is known of this VM's way to the store. */
-  public StoreReachability contact(BatchContext context) {
-    return pace.contact(confirmedAt.orElse(context.nowNanos()), context);
+  /** Returns how well this VM reaches the store. */
+  public StoreReachability storeReachability(BatchContext context) {
+    return timeouts.storeReachability(confirmedAt.orElse(context.nowNanos()), context);
   }
 
-  /** Takes in that this VM runs. The stream is read from the first call on. */
-  public void runs(BatchContext context) {
-    pace.runs(context);
+  /** Records that this VM is running. Reading of the stream starts with the first call. */
+  public void recordActivity(BatchContext context) {
+    timeouts.recordActivity(context);
   }
 
-  /** Takes in that the stream was read to its end. */
+  /** Records a read to the end of the stream, and its newest record if there is a new one. */
   public void read(Optional<OwnerRecord> record, long streamEnd, BatchContext context) {
     end = OptionalLong.of(Math.max(streamEnd, end.orElse(0)));
     readable = true;
-    if (pace.readLate(context)) {
-      quietFromNow(false, context);
+    if (timeouts.readOverdue(context)) {
+      restartSilence(false, context);
     }
-    pace.read(context);
+    timeouts.readCompleted(context);
     if (record.isEmpty()) {
       return;
     }
@@ -137,37 +136,37 @@
       return;
     }
     boolean changed = newest.isEmpty() || newest.get().epoch() != seen.epoch();
-    if (!changed && quietSinceHeard) {
-      pace.heard(context.nowNanos() - quietSince, context);
+    if (!changed && silentSinceRecord) {
+      timeouts.heartbeatReceived(context.nowNanos() - silentSince, context);
     }
     newest = record;
-    quietFromNow(true, context);
-    doubtedAt = OptionalLong.empty();
+    restartSilence(true, context);
+    suspectedAt = OptionalLong.empty();
     if (changed) {
       context.note(BatchLogEvent.OWNER_SEEN, seen.vm(), seen.epoch(), seen.kind());
     }
     if (epoch.isPresent() && seen.epoch() > epoch.getAsLong()) {
-      lose(context, "a claim of " + seen.vm());
+      loseOwnership(context, "a claim of " + seen.vm());
     }
     boolean ownClaim = seen.kind() == OwnerRecord.Kind.CLAIM && bySelf(seen);
     if (ownClaim && epoch.isEmpty() && !retired) {
-      win(seen.epoch(), context);
+      becomeOwner(seen.epoch(), context);
     }
   }
 
-  /** Takes in that the stream could not be read: silence counts anew from here. */
-  public void unreadable(BatchContext context) {
+  /** Records a failed read: the silence of the owner is measured anew from now on. */
+  public void readFailed(BatchContext context) {
     readable = false;
-    pace.unreadable(context);
-    quietFromNow(false, context);
+    timeouts.readFailed(context);
+    restartSilence(false, context);
   }
 
-  private void quietFromNow(boolean heard, BatchContext context) {
-    quietSince = context.nowNanos();
-    quietSinceHeard = heard;
+  private void restartSilence(boolean byRecord, BatchContext context) {
+    silentSince = context.nowNanos();
+    silentSinceRecord = byRecord;
   }
 
-  /** Returns the owner to tell others: this VM, or the one that it knows. */
+  /** Returns the owner to report to peers: this VM, or the one it knows. */
   public Optional<OwnerHint> hint() {
     if (epoch.isPresent()) {
       return Optional.of(new OwnerHint(self.vm(), epoch.getAsLong(), self.address()));
@@ -176,54 +175,52 @@
   }
 
   /**
-   * Takes a peer's word for a newer owner. It matters while this VM cannot read the stream itself;
-   * what it reads later counts more.
+   * Handles an owner reported by a peer, if it is newer than the known one. This matters while this
+   * VM cannot read the stream itself; what it reads later has precedence.
    */
-  public void hinted(OwnerHint hint, BatchContext context) {
+  public void hintReceived(OwnerHint hint, BatchContext context) {
     long known = Math.max(epoch.orElse(0), newest.map(OwnerRecord::epoch).orElse(0L));
     if (hint.epoch() <= known || hint.vm().equals(self.vm())) {
       return;
     }
-    long offset = newest.map(OwnerRecord::offset).orElse(BEFORE_FIRST);
-    newest = Optional.of(OwnerRecord.ofPeersWord(hint, offset));
-    quietFromNow(false, context);
-    doubtedAt = OptionalLong.empty();
+    long offset = newest.map(OwnerRecord::offset).orElse(BEFORE_FIRST_OFFSET);
+    newest = Optional.of(OwnerRecord.fromHint(hint, offset));
+    restartSilence(false, context);
+    suspectedAt = OptionalLong.empty();
     context.note(BatchLogEvent.OWNER_SEEN, hint.vm(), hint.epoch(), "peer's word");
     if (epoch.isPresent()) {
-      lose(context, "a peer knows " + hint.vm() + " at epoch " + hint.epoch());
+      loseOwnership(context, "a peer knows " + hint.vm() + " at epoch " + hint.epoch());
     }
   }
 
-  /** Takes in that the owner has shown that it does not decide at present. */
-  public void doubted(BatchContext context) {
+  /** Records that the owner has shown that it currently makes no decisions. */
+  public void ownerSuspected(BatchContext context) {
     if (epoch.isEmpty()) {
-      doubtedAt = OptionalLong.of(context.nowNanos());
+      suspectedAt = OptionalLong.of(context.nowNanos());
     }
   }
 
-  /** Claims or sends a heartbeat if it is time. */
+  /** Sends a claim or a heartbeat if one is due. */
   public void step(BatchContext context) {
-    if (appending.present(context) || context.nowNanos() - nextAppendAt < 0) {
+    if (appending.isPending(context) || context.nowNanos() - nextAppendAt < 0) {
       return;
     }
     if (epoch.isPresent()) {
       OwnerRecord.Kind wanted =
           retired || yielding ? OwnerRecord.Kind.RELEASE : OwnerRecord.Kind.HEARTBEAT;
-      append(unsettled.orElse(wanted), OptionalLong.empty(), context);
+      append(unconfirmed.orElse(wanted), OptionalLong.empty(), context);
       return;
     }
-    if (!retired && end.isPresent() && ownerGone(context)) {
+    if (!retired && end.isPresent() && mayClaim(context)) {
       claim(context);
     }
   }
 
   /**
-   * Returns how long no claim can become due while nothing new is heard; zero if one may be due
-   * now, or if this VM owns.
-   *
-   * @param nowNanos monotonic time
+   * Returns how long no claim can become due if no news arrives; zero if one may be due now, or if
+   * this VM is the owner.
    */
-  public Duration calmFor(long nowNanos) {
+  public Duration minTimeToClaim(long nowNanos) {
     boolean another =
         owner()
             .filter(owner -> !owner.vm().equals(self.vm()))
@@ -232,52 +229,53 @@
     if (epoch.isPresent() || !another) {
       return Duration.ZERO;
     }
-    return OwnershipPace.calmFor(nowNanos - quietSince);
+    return OwnershipTimeouts.minTimeToClaim(nowNanos - silentSince);
   }
 
-  private boolean ownerGone(BatchContext context) {
+  private boolean mayClaim(BatchContext context) {
     if (newest.isEmpty()) {
       return true;
     }
     OwnerRecord owner = newest.get();
-    boolean formerStart = owner.vm().equals(self.vm()) && !bySelf(owner);
+    boolean ownPreviousIncarnation = owner.vm().equals(self.vm()) && !bySelf(owner);
     boolean yielded =
-        yieldedAt.isPresent() && context.nowNanos() - yieldedAt.getAsLong() < YIELD_NANOS;
-    boolean displaces =
+        yieldedAt.isPresent() && context.nowNanos() - yieldedAt.getAsLong() < YIELD_PERIOD_NANOS;
+    boolean takesOver =
         readable && ProcessingPower.muchStronger(self.milliCores(), owner.milliCores());
-    if (formerStart || (displaces && !yielded)) {
+    if (ownPreviousIncarnation || (takesOver && !yielded)) {
       return true;
     }
     boolean released = owner.kind() == OwnerRecord.Kind.RELEASE;
-    boolean weaker = ProcessingPower.muchStronger(owner.milliCores(), self.milliCores());
-    long patience =
-        (released ? 0 : patienceNanos(context))
-            + (weaker ? WEAKER_WAIT_NANOS : 0)
-            + (yielded ? YIELD_WAIT_NANOS : 0);
-    return patience == 0 || (context.nowNanos() - quietSince > patience && !pace.readLate(context));
+    boolean muchWeaker = ProcessingPower.muchStronger(owner.milliCores(), self.milliCores());
+    long delay =
+        (released ? 0 : silenceTimeoutNanos(context))
+            + (muchWeaker ? WEAKER_VM_DELAY_NANOS : 0)
+            + (yielded ? YIELD_DELAY_NANOS : 0);
+    return delay == 0
+        || (context.nowNanos() - silentSince > delay && !timeouts.readOverdue(context));
   }
 
-  private long patienceNanos(BatchContext context) {
-    boolean doubted =
-        doubtedAt.isPresent() && context.nowNanos() - doubtedAt.getAsLong() < DOUBT_NANOS;
-    return doubted ? pace.doubtedSilenceNanos(context) : pace.silenceNanos(context);
+  private long silenceTimeoutNanos(BatchContext context) {
+    boolean suspected =
+        suspectedAt.isPresent() && context.nowNanos() - suspectedAt.getAsLong() < SUSPICION_NANOS;
+    return suspected ? timeouts.suspectedSilenceNanos(context) : timeouts.silenceNanos(context);
   }
 
   private void claim(BatchContext context) {
     sequence = claimSequence;
-    settled();
+    clearUnconfirmed();
     append(OwnerRecord.Kind.CLAIM, end, context);
   }
 
   private void append(OwnerRecord.Kind kind, OptionalLong expectedEnd, BatchContext context) {
     appending.begin(context);
-    sentAt = context.nowNanos();
-    if (unsettled.isEmpty()) {
-      heartbeatSentAt = context.nowNanos();
+    lastSentAt = context.nowNanos();
+    if (unconfirmed.isEmpty()) {
+      firstSentAt = context.nowNanos();
     }
-    // What is still unsettled had no outcome, or one that leaves it open.
-    unsettledUnsure = unsettled.isPresent();
-    unsettled = Optional.of(kind);
+    // One that is still unconfirmed had no outcome, or one that leaves open if it is stored.
+    mayBeStoredAlready = unconfirmed.isPresent();
+    unconfirmed = Optional.of(kind);
     long appendEpoch = epoch.orElseGet(() -> expectedEnd.getAsLong() + 1);
     OwnerRecord record =
         new OwnerRecord(
@@ -291,93 +289,95 @@
             List.of(keyed)));
   }
 
-  /** Takes the outcome of a claim or a heartbeat. */
-  public void answered(WriterPosition position, AppendOutcome outcome, BatchContext context) {
+  /** Handles the outcome of a claim or a heartbeat. */
+  public void appendCompleted(
+      WriterPosition position, AppendOutcome outcome, BatchContext context) {
     appending.end();
-    if (outcome.ofTheStore()) {
-      pace.appended(context.nowNanos() - sentAt, context);
+    if (outcome.processedByStore()) {
+      timeouts.appended(context.nowNanos() - lastSentAt, context);
     }
     boolean claimed = position.sequence() == claimSequence;
     switch (outcome) {
       case AppendOutcome.Stored stored -> stored(position, claimed, context);
       case AppendOutcome.Refused refused -> {
-        unsettled = unsettledUnsure ? unsettled : Optional.empty();
-        nextAppendAt = context.nowNanos() + RETRY_NANOS;
+        unconfirmed = mayBeStoredAlready ? unconfirmed : Optional.empty();
+        nextAppendAt = context.nowNanos() + RETRY_PAUSE_NANOS;
       }
       case AppendOutcome.Unanswered unanswered -> {
-        unsettledUnsure = true;
-        nextAppendAt = context.nowNanos() + (claimed ? pace.claimPauseNanos(context) : RETRY_NANOS);
+        mayBeStoredAlready = true;
+        nextAppendAt =
+            context.nowNanos() + (claimed ? timeouts.claimPauseNanos(context) : RETRY_PAUSE_NANOS);
       }
-      case AppendOutcome.Fenced fenced -> refusedForGood(position, "a higher epoch", context);
-      case AppendOutcome.Conflict conflict -> refusedForGood(position, "a later record", context);
-      case AppendOutcome.OutOfSequence _ -> refusedForGood(position, "another sequence", context);
+      case AppendOutcome.Fenced fenced -> superseded(position, "a higher epoch", context);
+      case AppendOutcome.Conflict conflict -> superseded(position, "a later record", context);
+      case AppendOutcome.OutOfSequence _ -> superseded(position, "another sequence", context);
     }
   }
 
   private void stored(WriterPosition position, boolean claimed, BatchContext context) {
     if (claimed && epoch.isEmpty() && !retired) {
-      win(position.epoch(), context);
+      becomeOwner(position.epoch(), context);
     }
     if (epoch.isEmpty() || epoch.getAsLong() != position.epoch()) {
       return;
     }
-    boolean released = unsettled.equals(Optional.of(OwnerRecord.Kind.RELEASE));
-    settled();
-    confirmedAt = OptionalLong.of(heartbeatSentAt);
+    boolean released = unconfirmed.equals(Optional.of(OwnerRecord.Kind.RELEASE));
+    clearUnconfirmed();
+    confirmedAt = OptionalLong.of(firstSentAt);
     sequence = position.sequence() + 1;
     boolean ending = retired || yielding;
-    nextAppendAt = ending ? context.nowNanos() : heartbeatSentAt + OwnershipPace.HEARTBEAT_NANOS;
+    nextAppendAt = ending ? context.nowNanos() : firstSentAt + OwnershipTimeouts.HEARTBEAT_NANOS;
     if (released) {
-      lose(context, retired ? "this VM stops" : "this VM could not begin to decide");
+      loseOwnership(context, retired ? "this VM stops" : "this VM could not begin to decide");
     }
   }
 
-  private void settled() {
-    unsettled = Optional.empty();
-    unsettledUnsure = false;
+  private void clearUnconfirmed() {
+    unconfirmed = Optional.empty();
+    mayBeStoredAlready = false;
   }
 
-  private void refusedForGood(WriterPosition position, String cause, BatchContext context) {
-    // Another claim has come first; its record is read before this VM may claim again.
-    nextAppendAt = context.nowNanos() + pace.claimPauseNanos(context);
-    quietFromNow(false, context);
+  private void superseded(WriterPosition position, String cause, BatchContext context) {
+    // Another claim was stored first; its record is read before this VM may claim again.
+    nextAppendAt = context.nowNanos() + timeouts.claimPauseNanos(context);
+    restartSilence(false, context);
     if (epoch.isPresent() && epoch.getAsLong() == position.epoch()) {
-      lose(context, cause);
+      loseOwnership(context, cause);
     }
   }
 
-  private void win(long won, BatchContext context) {
-    settled();
+  private void becomeOwner(long won, BatchContext context) {
+    clearUnconfirmed();
     epoch = OptionalLong.of(won);
     sequence = claimSequence + 1;
-    confirmedAt = OptionalLong.of(heartbeatSentAt);
-    // Others have heard nothing since the claim was sent, which a slow store takes long for.
-    nextAppendAt = heartbeatSentAt + OwnershipPace.HEARTBEAT_NANOS;
+    confirmedAt = OptionalLong.of(firstSentAt);
+    // Others have received nothing since the claim was sent, long ago if the store is slow.
+    nextAppendAt = firstSentAt + OwnershipTimeouts.HEARTBEAT_NANOS;
     context.note(BatchLogEvent.OWNERSHIP_WON, won);
   }
 
-  private void lose(BatchContext context, String cause) {
+  private void loseOwnership(BatchContext context, String cause) {
     context.note(BatchLogEvent.OWNERSHIP_LOST, epoch.orElse(0), cause);
     if (yielding) {
       yielding = false;
       yieldedAt = OptionalLong.of(context.nowNanos());
     }
-    settled();
+    clearUnconfirmed();
     epoch = OptionalLong.empty();
     confirmedAt = OptionalLong.empty();
-    quietFromNow(false, context);
+    restartSilence(false, context);
   }
 
-  /** Ownership was lost in another stream, or is given up for a fault. */
+  /** Ends ownership that was lost in another stream, or that is given up because of a fault. */
   public void abandon(String cause, BatchContext context) {
     if (epoch.isPresent()) {
-      lose(context, cause);
+      loseOwnership(context, cause);
     }
   }
 
   /**
-   * Gives ownership up, so that another VM claims at once, and claims later only where none does.
-   * Its heartbeats would keep the others from claiming while it decides nothing.
+   * Gives ownership up, so that another VM claims at once; this VM then claims only if none does.
+   * Its heartbeats would keep the others from claiming although it makes no decisions.
    */
   public void yield(BatchContext context) {
     if (epoch.isPresent() && !yielding) {
@@ -394,6 +394,6 @@
   }
 
   private boolean bySelf(OwnerRecord record) {
-    return record.by(self.vm(), self.incarnation());
+    return record.writtenBy(self.vm(), self.incarnation());
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/Place.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/plan/TaskPlacement.java
@@ -5,10 +5,10 @@
 import org.fescuehook.logic.batch.state.TaskProgress;
 
 /**
- * Where a task starts.
+ * The executor on which a task is to start.
  *
  * @param step the step
  * @param task the task
  * @param executor the executor
  */
-public record Place(StepProgress step, TaskProgress task, ExecutorState executor) {}
+public record TaskPlacement(StepProgress step, TaskProgress task, ExecutorState executor) {}
--- a/fescuehook/src/main/java/org/fescuehook/logic/batch/store/PendingCall.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/batch/store/PendingCall.java
@@ -5,41 +5,45 @@
 import org.fescuehook.logic.batch.BatchContext;
 
 /**
- * Marks that the outcome of a call is waited for, but not without end: an outcome that is lost with
- * a fault of this VM would otherwise stop its duty for good. Each call ends by time limits of its
- * own long before.
+ * Tracks whether the outcome of a call is awaited, for a limited time. Without the limit, an
+ * outcome that is lost by a fault of this VM would block its duty forever. Each call ends by its
+ * own timeout long before.
  */
 public final class PendingCall {
 
-  /** For appends; longer than their own limit and the way of the largest. */
-  public static final Duration APPEND = RepeatedAppend.LIMIT.plusSeconds(2);
+  /** For appends; longer than their own time limit and the transfer time of the largest. */
+  public static final Duration APPEND_TIMEOUT = RepeatedAppend.LIMIT.plusSeconds(2);
 
-  /** For pages of the store, whose own limit is 10 s while they come steadily. */
-  public static final Duration PAGE = Duration.ofSeconds(11);
+  /** For pages read from the store, whose own time limit is 10 s while they arrive steadily. */
+  public static final Duration PAGE_TIMEOUT = Duration.ofSeconds(11);
 
-  /** For questions to the advice service, whose own limit is 5 s. */
-  public static final Duration ADVICE = Duration.ofSeconds(6);
+  /** For requests to the advice service, whose own timeout is 5 s. */
+  public static final Duration ADVICE_TIMEOUT = Duration.ofSeconds(6);
 
-  private final long longestNanos;
+  private final long timeoutNanos;
   private OptionalLong since = OptionalLong.empty();
 
-  /** Creates a mark that is not set; it is taken back after the longest wait. */
-  public PendingCall(Duration longest) {
-    this.longestNanos = longest.toNanos();
+  /**
+   * Creates an instance without a call.
+   *
+   * @param timeout time after which an outcome is no longer awaited
+   */
+  public PendingCall(Duration timeout) {
+    this.timeoutNanos = timeout.toNanos();
   }
 
-  /** Begins to wait. */
+  /** Records that a call has begun. */
   public void begin(BatchContext context) {
     since = OptionalLong.of(context.nowNanos());
   }
 
-  /** Ends the wait. */
+  /** Records that the outcome of the call has arrived. */
   public void end() {
     since = OptionalLong.empty();
   }
 
-  /** Tells whether an outcome is waited for and may still come. */
-  public boolean present(BatchContext context) {
-    return since.isPresent() && context.nowNanos() - since.getAsLong() < longestNanos;
+  /** Tells whether a call is under way whose outcome may still arrive. */
+  public boolean isPending(BatchContext context) {
+    return since.isPresent() && context.nowNanos() - since.getAsLong() < timeoutNanos;
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ControlCore.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ControlCore.java
@@ -4,17 +4,17 @@
 import java.util.List;
 import java.util.Set;
 import org.fescuehook.logic.control.ControlPort.Request;
+import org.fescuehook.logic.control.append.RecordOutcome;
 import org.fescuehook.logic.control.append.RecordWriter;
-import org.fescuehook.logic.control.append.Resolution;
 import org.fescuehook.logic.control.configuration.ConfigurationHolder;
 import org.fescuehook.logic.control.gang.GangDuty;
-import org.fescuehook.logic.control.gang.Mode;
-import org.fescuehook.logic.control.ownership.OutageWatch;
+import org.fescuehook.logic.control.gang.GangMode;
+import org.fescuehook.logic.control.ownership.CatchUpTracker;
+import org.fescuehook.logic.control.ownership.LogCompatibility;
+import org.fescuehook.logic.control.ownership.OutageMonitor;
 import org.fescuehook.logic.control.ownership.OwnerDuty;
-import org.fescuehook.logic.control.ownership.PauseWatch;
-import org.fescuehook.logic.control.ownership.PeerWatch;
-import org.fescuehook.logic.control.ownership.ReaderWatch;
-import org.fescuehook.logic.control.ownership.Understanding;
+import org.fescuehook.logic.control.ownership.PauseDetector;
+import org.fescuehook.logic.control.ownership.PeerTracker;
 import org.fescuehook.logic.control.planning.JobEndDuty;
 import org.fescuehook.logic.control.planning.PlanDuty;
 import org.fescuehook.logic.control.request.RequestRouter;
@@ -35,16 +35,17 @@
 import org.fescuehook.wire.ControlRecord;
 
 /**
- * Folds the control stream and decides. Pure and single-threaded: the same events at the same times
- * give the same commands.
+ * Applies the records of the control stream and makes the decisions of the owner. The core does no
+ * input or output and is confined to one thread: the same events at the same times give the same
+ * commands, so a recorded trace can be replayed.
  */
 public final class ControlCore {
   private final VmId vm;
-  private final ControlStream stream = new ControlStream(this::folded);
-  private final ReaderWatch reader;
-  private final PeerWatch peers;
-  private final PauseWatch pauses;
-  private final OutageWatch outages;
+  private final ControlStream stream = new ControlStream(this::applied);
+  private final CatchUpTracker catchUp;
+  private final PeerTracker peers;
+  private final PauseDetector pauseDetector;
+  private final OutageMonitor outageMonitor;
   private final RecordWriter writer;
   private final OwnerDuty owner;
   private final GangDuty gangs;
@@ -56,13 +57,13 @@
   private final ConfigurationHolder configuration;
   private final RequestRouter requests;
   private boolean deciding;
-  private boolean standingIn;
+  private boolean renewingForOwner;
   private boolean current;
 
   /**
-   * Creates a core that has read nothing.
+   * Creates a core that has not read any record.
    *
-   * @param incarnation distinguishes starts of the same VM; never used twice
+   * @param incarnation identifies this process among all processes of the VM; never reused
    */
   public ControlCore(
       IdentityPreferences identity,
@@ -71,12 +72,12 @@
       Scheduler scheduler,
       DeclarationsReader declarationsReader) {
     vm = identity.vm();
-    reader = new ReaderWatch(preferences.ownerTimeout());
-    peers = new PeerWatch(vm);
-    pauses = new PauseWatch(preferences.ownerTimeout().dividedBy(2));
-    outages = new OutageWatch(vm, reader, peers);
+    catchUp = new CatchUpTracker(preferences.ownerTimeout());
+    peers = new PeerTracker(vm);
+    pauseDetector = new PauseDetector(preferences.ownerTimeout().dividedBy(2));
+    outageMonitor = new OutageMonitor(vm, catchUp, peers);
     writer = new RecordWriter(vm, incarnation);
-    owner = new OwnerDuty(vm, incarnation, preferences, writer, reader, peers);
+    owner = new OwnerDuty(vm, incarnation, preferences, writer, catchUp, peers);
     gangs = new GangDuty(preferences, writer, peers);
     plans = new PlanDuty(scheduler, new FaultyWorkerDetector(), writer, gangs);
     jobEnds = new JobEndDuty(writer);
@@ -85,7 +86,7 @@
     snapshots = new SnapshotDuty(preferences, writer);
     configuration = new ConfigurationHolder(declarationsReader);
     requests =
-        new RequestRouter(vm, incarnation, scheduler, declarationsReader, writer, reader, owner);
+        new RequestRouter(vm, incarnation, scheduler, declarationsReader, writer, catchUp, owner);
   }
 
   /**
@@ -93,195 +94,199 @@
    *
    * @param nowNanos monotonic time
    * @param wallMillis milliseconds since 1970
-   * @return what is to be done, in order
+   * @return the commands to execute, in order
    */
   public List<ControlCommand> apply(ControlEvent event, long nowNanos, long wallMillis) {
-    Turn turn = new Turn(nowNanos, wallMillis);
-    if (pauses.wasPaused(turn)) {
-      reader.paused(turn);
+    DecisionContext context = new DecisionContext(nowNanos, wallMillis);
+    if (pauseDetector.wasPaused(context)) {
+      catchUp.paused(context);
     }
     switch (event) {
-      case ControlEvent.RecordRead(var record) -> stream.read(record, turn);
-      case ControlEvent.CaughtUp(long earliest, long next) -> caughtUp(earliest, next, turn);
-      case ControlEvent.LogUnreachable() -> reader.unreachable();
+      case ControlEvent.RecordRead(var record) -> stream.read(record, context);
+      case ControlEvent.CaughtUp(long earliest, long next) -> caughtUp(earliest, next, context);
+      case ControlEvent.LogUnreachable() -> catchUp.unreachable();
       case ControlEvent.AppendFailed(long sequence, boolean certain) ->
-          resolve(writer.failed(sequence, certain, turn), turn);
-      case ControlEvent.WorkerAnswered(var reply) -> gangs.answered(reply, turn);
-      case ControlEvent.MembersListed(var members) -> peers.listed(members, turn);
+          resolve(writer.failed(sequence, certain, context), context);
+      case ControlEvent.WorkerAnswered(var reply) -> gangs.answered(reply, context);
+      case ControlEvent.MembersListed(var members) -> peers.listed(members, context);
       case ControlEvent.PeersHeard(var alive, var reachingLog, var draining) ->
-          peers.heard(alive, reachingLog, draining, turn);
-      case ControlEvent.PeersFolded(var nextOffsets) -> peers.folded(nextOffsets);
-      case ControlEvent.Asked(long ticket, Request request) -> asked(ticket, request, turn);
+          peers.heard(alive, reachingLog, draining, context);
+      case ControlEvent.PeersFolded(var nextOffsets) -> peers.peersApplied(nextOffsets);
+      case ControlEvent.Asked(long ticket, Request request) ->
+          handleRequest(ticket, request, context);
       case ControlEvent.Tick() -> {}
     }
     if (!(event instanceof ControlEvent.RecordRead)) {
-      step(turn);
+      step(context);
     }
-    return turn.commands();
+    return context.commands();
   }
 
-  private void caughtUp(long earliest, long next, Turn turn) {
-    stream.keptFrom(earliest, turn);
+  private void caughtUp(long earliest, long next, DecisionContext context) {
+    stream.noteEarliest(earliest, context);
     if (stream.nextOffset() < next) {
-      turn.count("fescuehook.control.reads.incomplete");
+      context.count("fescuehook.control.reads.incomplete");
       return;
     }
-    reader.caughtUp(turn);
-    snapshots.caughtUp(earliest, turn);
-    if (stream.complete() && configuration.take(stream.state(), turn)) {
+    catchUp.caughtUp(context);
+    snapshots.caughtUp(earliest, context);
+    if (stream.complete() && configuration.update(stream.state(), context)) {
       plans.stateChanged();
     }
   }
 
-  /** Takes in a record that was just folded. */
-  private void folded(ControlRecord record, long offset, FoldResult result, Turn turn) {
+  /** Handles a record that was just applied to the state. */
+  private void applied(
+      ControlRecord record, long offset, FoldResult result, DecisionContext context) {
     ControlState state = stream.state();
     boolean counted = result == FoldResult.COUNTED;
     if (counted) {
-      counted(record, turn);
+      tookEffect(record, context);
     }
-    shareHolder.folded(state.shares(), offset + 1, turn);
-    resolve(writer.read(record, result, offset), turn);
+    shareHolder.sharesPublished(state.shares(), offset + 1, context);
+    resolve(writer.read(record, result, offset), context);
   }
 
-  private void counted(ControlRecord record, Turn turn) {
+  private void tookEffect(ControlRecord record, DecisionContext context) {
     ControlState state = stream.state();
     if (state.inForce(record) || record.hasOwnerClaim()) {
-      owner.sign(turn);
+      owner.ownerSeen(context);
     }
     if (owner.owns(state)) {
-      DecisionNotes.write(record, turn);
+      DecisionLogger.log(record, context);
     }
     if (record.hasSnapshotPart()) {
-      snapshots.read(record, turn);
+      snapshots.read(record, context);
     }
     if (record.hasOwnerClaim() && current) {
-      turn.note(ControlLogEvent.OWNER_CHANGED, record.getWriter(), state.epoch());
+      context.note(ControlLogEvent.OWNER_CHANGED, record.getWriter(), state.epoch());
     }
     RecordSubject.job(record)
         .ifPresent(
             job -> {
-              gangs.folded(job);
-              jobEnds.folded(job);
+              gangs.jobChanged(job);
+              jobEnds.jobChanged(job);
               plans.stateChanged();
-              requests.folded(job, state, turn);
+              requests.jobChanged(job, state, context);
             });
   }
 
-  private void resolve(List<Resolution> resolutions, Turn turn) {
-    for (Resolution resolution : resolutions) {
-      requests.resolved(resolution, stream.state(), turn);
+  private void resolve(List<RecordOutcome> outcomes, DecisionContext context) {
+    for (RecordOutcome outcome : outcomes) {
+      requests.resolved(outcome, stream.state(), context);
     }
   }
 
-  private void asked(long ticket, Request request, Turn turn) {
-    Set<WorkerId> unavailable = unavailableWorkers(turn);
-    boolean readable = stream.complete() && reader.everCurrent();
-    RequestRouter.Situation situation =
-        new RequestRouter.Situation(
+  private void handleRequest(long ticket, Request request, DecisionContext context) {
+    Set<WorkerId> unavailable = unavailableWorkers(context);
+    boolean readable = stream.complete() && catchUp.everCurrent();
+    RequestRouter.ClusterView cluster =
+        new RequestRouter.ClusterView(
             stream.state(), configuration.inForce(), readable, unavailable, summary());
-    requests.asked(ticket, request, situation, turn);
+    requests.handle(ticket, request, cluster, context);
   }
 
-  private Set<WorkerId> unavailableWorkers(Turn turn) {
-    Set<WorkerId> unavailable = new HashSet<>(gangs.restingWorkers(turn));
+  private Set<WorkerId> unavailableWorkers(DecisionContext context) {
+    Set<WorkerId> unavailable = new HashSet<>(gangs.workersInBackoff(context));
     unavailable.addAll(peers.leavingWorkers());
     return unavailable;
   }
 
-  private void step(Turn turn) {
-    current = stream.complete() && reader.current(turn);
-    outages.step(turn);
+  private void step(DecisionContext context) {
+    current = stream.complete() && catchUp.current(context);
+    outageMonitor.step(context);
     if (stream.complete()) {
-      stepDuties(turn);
+      stepDuties(context);
     }
-    requests.step(stream.state(), turn);
+    requests.step(stream.state(), context);
     if (current) {
-      shareHolder.step(turn);
-      writer.settle(turn);
+      shareHolder.step(context);
+      writer.appendBarrierIfDue(context);
     } else {
-      shareHolder.giveUpIfIsolated(turn);
+      shareHolder.giveUpIfIsolated(context);
     }
   }
 
-  private void stepDuties(Turn turn) {
+  private void stepDuties(DecisionContext context) {
     ControlState state = stream.state();
-    Understanding understanding = understanding(state);
-    owner.step(state, understanding, turn);
-    boolean decides = owner.decides(state, turn) && understanding != Understanding.PARTIAL;
-    changeDeciding(decides, turn);
-    gangs.step(state, mode(decides, turn), stream.nextOffset(), turn);
+    LogCompatibility compatibility = compatibility(state);
+    owner.step(state, compatibility, context);
+    boolean decides = owner.decides(state, context) && compatibility != LogCompatibility.PARTIAL;
+    changeDeciding(decides, context);
+    gangs.step(state, mode(decides, context), stream.nextOffset(), context);
     if (decides) {
-      decide(state, turn);
+      decide(state, context);
     }
   }
 
-  private Understanding understanding(ControlState state) {
+  private LogCompatibility compatibility(ControlState state) {
     if (stream.newerSeen()) {
-      return Understanding.PARTIAL;
+      return LogCompatibility.PARTIAL;
     }
-    return configuration.unreadable(state) ? Understanding.NO_CONFIGURATION : Understanding.WHOLE;
+    return configuration.unreadable(state)
+        ? LogCompatibility.NO_CONFIGURATION
+        : LogCompatibility.WHOLE;
   }
 
-  private Mode mode(boolean decides, Turn turn) {
+  private GangMode mode(boolean decides, DecisionContext context) {
     if (decides) {
-      return Mode.DECIDE;
+      return GangMode.DECIDE;
     }
     ControlState state = stream.state();
     boolean owns = owner.owns(state);
-    Mode mode = outages.mode(state.owner(), owns, turn);
-    boolean standsIn = mode == Mode.RENEW && !owns;
-    if (standsIn && !standingIn) {
+    GangMode mode = outageMonitor.mode(state.owner(), owns, context);
+    boolean renewsForOwner = mode == GangMode.RENEW && !owns;
+    if (renewsForOwner && !renewingForOwner) {
       String name = state.owner().map(VmId::value).orElse("none");
-      turn.note(ControlLogEvent.RENEWING_FOR_OWNER, name, state.jobs().liveCount());
+      context.note(ControlLogEvent.RENEWING_FOR_OWNER, name, state.jobs().liveCount());
     }
-    standingIn = standsIn;
+    renewingForOwner = renewsForOwner;
     return mode;
   }
 
-  private void changeDeciding(boolean decides, Turn turn) {
+  private void changeDeciding(boolean decides, DecisionContext context) {
     if (decides == deciding) {
       return;
     }
     deciding = decides;
     ControlState state = stream.state();
     if (decides) {
-      turn.note(ControlLogEvent.BECAME_OWNER, state.epoch(), state.jobs().liveCount());
+      context.note(ControlLogEvent.BECAME_OWNER, state.epoch(), state.jobs().liveCount());
       jobEnds.begin(state);
       plans.stateChanged();
     } else {
-      turn.note(ControlLogEvent.LOST_OWNERSHIP, state.epoch());
+      context.note(ControlLogEvent.LOST_OWNERSHIP, state.epoch());
       jobEnds.end();
     }
   }
 
-  private void decide(ControlState state, Turn turn) {
-    snapshots.step(state, stream.nextOffset(), turn);
+  private void decide(ControlState state, DecisionContext context) {
+    snapshots.step(state, stream.nextOffset(), context);
     if (configuration.inForce().isEmpty() || !configuration.readable(state)) {
       return;
     }
     Declarations declarations = configuration.inForce().get().declarations();
-    jobEnds.step(state, declarations, turn);
-    plans.step(state, declarations, unavailableWorkers(turn), turn);
-    shares.step(state, declarations, turn);
+    jobEnds.step(state, declarations, context);
+    plans.step(state, declarations, unavailableWorkers(context), context);
+    shares.step(state, declarations, context);
   }
 
-  /** Returns the offset after the last folded record; the next read starts there. */
+  /** Returns the offset after the last applied record; the next read starts there. */
   public long nextOffset() {
     return stream.nextOffset();
   }
 
-  /** Tells whether this VM is the owner as far as it has read. */
+  /** Returns whether this VM is the owner according to the records read so far. */
   public boolean owner() {
     return owner.owns(stream.state());
   }
 
-  /** Returns the state as far as it was read. */
+  /** Returns the state after the records read so far. */
   ControlState state() {
     return stream.state();
   }
 
-  /** Returns the state at a glance. */
+  /** Returns a summary of the state, for operators and metrics. */
   public ControlSummary summary() {
     ControlState state = stream.state();
     return new ControlSummary(
@@ -293,7 +298,7 @@
         current,
         state.jobs().waitingCount(),
         state.jobs().liveCount(),
-        writer.unreadCount(),
+        writer.pendingCount(),
         stream.skipped());
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/append/RecordWriter.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/append/RecordWriter.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.fescuehook.logic.control.ControlLimits;
-import org.fescuehook.logic.control.Turn;
-import org.fescuehook.logic.control.append.Resolution.Fate;
+import org.fescuehook.logic.control.DecisionContext;
+import org.fescuehook.logic.control.append.RecordOutcome.Kind;
 import org.fescuehook.logic.control.record.RecordCodec;
 import org.fescuehook.logic.control.state.FoldResult;
 import org.fescuehook.model.fleet.VmId;
@@ -16,59 +16,69 @@
 import org.fescuehook.wire.OwnerHeartbeat;
 
 /**
- * Appends own records and holds each until reading tells what became of it. Nothing is appended
- * again blindly: the reply to an append is not used but for the certain word that it failed. A
- * record is known to be absent once a later own record was read, since the fold drops what was
- * overtaken.
+ * Appends records of this VM and tracks each until its outcome is read from the log. The reply to
+ * an append is used only if it reports a certain failure, so nothing is appended again while it may
+ * be in the log. A record that was not read is known to be absent once a later record of this VM
+ * was read, because a record that arrives after a later one of its writer is dropped (see {@code
+ * WriterSequences}).
  */
 public final class RecordWriter {
 
+  /** Time from the last append to a barrier if the outcome of the last append is unknown. */
   private static final Duration BARRIER_INTERVAL = Duration.ofMillis(500);
-  private static final Duration LONG_UNREAD = Duration.ofSeconds(30);
 
-  private record Unread(ControlRecord record, boolean unknown) {}
+  /** Time from the last append to a barrier if the append did not fail but was not read. */
+  private static final Duration UNREAD_TIMEOUT = Duration.ofSeconds(30);
+
+  private record PendingRecord(ControlRecord record, boolean outcomeUnknown) {}
 
   private final VmId vm;
   private final String incarnation;
-  private final TreeMap<Long, Unread> unread = new TreeMap<>();
+  private final TreeMap<Long, PendingRecord> pending = new TreeMap<>();
   private long lastSequence;
   private long lastAppendNanos = Long.MIN_VALUE / 2;
   private long lastFailureNanos = Long.MIN_VALUE / 2;
 
-  /** Creates a writer that has written nothing. */
+  /** Creates a writer that has appended nothing. */
   public RecordWriter(VmId vm, String incarnation) {
     this.vm = vm;
     this.incarnation = incarnation;
   }
 
-  /** Tells whether a decision may be appended now. */
-  public boolean hasRoom(Turn turn) {
-    return unread.size() < ControlLimits.MOST_UNREAD && rested(turn);
+  /** Returns whether a decision may be appended now. */
+  public boolean hasCapacity(DecisionContext context) {
+    return pending.size() < ControlLimits.MAX_PENDING_APPENDS && backoffElapsed(context);
   }
 
-  /** After a failure the appender or the log gets a rest, however soon the failure came. */
-  private boolean rested(Turn turn) {
-    return turn.passed(lastFailureNanos, ControlLimits.APPEND_REST);
+  /**
+   * Returns whether the backoff after the last failed append has elapsed. It keeps appends that
+   * fail at once from being repeated in a tight loop.
+   */
+  private boolean backoffElapsed(DecisionContext context) {
+    return context.hasElapsed(lastFailureNanos, ControlLimits.APPEND_BACKOFF);
   }
 
-  /** Tells whether the record of a request may be appended now. */
-  public boolean hasRoomForRequest(Turn turn) {
-    return unread.size() < ControlLimits.MOST_UNREAD_REQUESTS && rested(turn);
+  /** Returns whether the record of a request may be appended now. */
+  public boolean hasCapacityForRequest(DecisionContext context) {
+    return pending.size() < ControlLimits.MAX_PENDING_REQUEST_APPENDS && backoffElapsed(context);
   }
 
-  /** Returns the number of records whose outcome is not known. */
-  public int unreadCount() {
-    return unread.size();
+  /** Returns the number of records whose outcome is not known yet. */
+  public int pendingCount() {
+    return pending.size();
   }
 
-  /** Tells whether the outcome of a record is not known yet. */
-  public boolean isUnread(long sequence) {
-    return unread.containsKey(sequence);
+  /** Returns whether the outcome of the record with this sequence number is not known yet. */
+  public boolean isPending(long sequence) {
+    return pending.containsKey(sequence);
   }
 
-  /** Tells whether a record is on its way to the log, or there and not read yet. */
-  public boolean onItsWay() {
-    return unread.values().stream().anyMatch(entry -> !entry.unknown());
+  /**
+   * Returns whether the append of a record is in flight, or the record is in the log and not read
+   * yet.
+   */
+  public boolean hasAppendInFlight() {
+    return pending.values().stream().anyMatch(entry -> !entry.outcomeUnknown());
   }
 
   /** Returns the monotonic time of the last append. */
@@ -77,84 +87,89 @@
   }
 
   /**
-   * Appends a record that needs no owner.
+   * Appends a record that is not a decision of the owner.
    *
-   * @param body a builder with only the body set
-   * @return the sequence of the record
+   * @param body builder in which only the body is set
+   * @return the sequence number of the record
    */
-  public long append(ControlRecord.Builder body, Turn turn) {
+  public long append(ControlRecord.Builder body, DecisionContext context) {
     lastSequence++;
     ControlRecord record =
         body.setVersion(RecordCodec.VERSION)
             .setWriter(vm.value())
             .setIncarnation(incarnation)
             .setSequence(lastSequence)
-            .setWrittenMillis(turn.wallMillis())
+            .setWrittenMillis(context.wallMillis())
             .build();
-    unread.put(lastSequence, new Unread(record, false));
-    lastAppendNanos = turn.now();
-    turn.append(record);
+    pending.put(lastSequence, new PendingRecord(record, false));
+    lastAppendNanos = context.nowNanos();
+    context.append(record);
     return lastSequence;
   }
 
-  /** Appends a decision under an epoch. */
-  public long append(ControlRecord.Builder body, long epoch, Turn turn) {
-    return append(body.setEpochPlusOne(epoch + 1), turn);
+  /** Appends a decision of the owner under an epoch. */
+  public long append(ControlRecord.Builder body, long epoch, DecisionContext context) {
+    return append(body.setEpochPlusOne(epoch + 1), context);
   }
 
-  /** Takes in the word that an append failed; returns what is known by it. */
-  public List<Resolution> failed(long sequence, boolean certain, Turn turn) {
-    lastFailureNanos = turn.now();
-    Unread entry = unread.get(sequence);
+  /** Handles that an append failed; returns the outcomes that are known thereby. */
+  public List<RecordOutcome> failed(long sequence, boolean certain, DecisionContext context) {
+    lastFailureNanos = context.nowNanos();
+    PendingRecord entry = pending.get(sequence);
     if (entry == null) {
       return List.of();
     }
     if (!certain) {
-      unread.put(sequence, new Unread(entry.record(), true));
+      pending.put(sequence, new PendingRecord(entry.record(), true));
       return List.of();
     }
-    unread.remove(sequence);
-    return List.of(new Resolution(entry.record(), Fate.ABSENT, -1));
+    pending.remove(sequence);
+    return List.of(new RecordOutcome(entry.record(), Kind.ABSENT, -1));
   }
 
-  /** Takes in a record of the log; returns what is known by it of own records. */
-  public List<Resolution> read(ControlRecord record, FoldResult result, long offset) {
+  /**
+   * Handles a record that was read; returns the outcomes of this VM's records that are known
+   * thereby.
+   */
+  public List<RecordOutcome> read(ControlRecord record, FoldResult result, long offset) {
     boolean own =
         record.getWriter().equals(vm.value()) && record.getIncarnation().equals(incarnation);
     if (!own || result == FoldResult.DUPLICATE) {
       return List.of();
     }
-    List<Resolution> resolutions = new ArrayList<>();
-    Iterator<Map.Entry<Long, Unread>> entries =
-        unread.headMap(record.getSequence(), true).entrySet().iterator();
+    List<RecordOutcome> outcomes = new ArrayList<>();
+    Iterator<Map.Entry<Long, PendingRecord>> entries =
+        pending.headMap(record.getSequence(), true).entrySet().iterator();
     while (entries.hasNext()) {
-      Map.Entry<Long, Unread> entry = entries.next();
+      Map.Entry<Long, PendingRecord> entry = entries.next();
       ControlRecord mine = entry.getValue().record();
       if (entry.getKey() == record.getSequence()) {
-        Fate fate = result == FoldResult.COUNTED ? Fate.COUNTED : Fate.NOT_COUNTED;
-        resolutions.add(new Resolution(mine, fate, offset));
+        Kind kind = result == FoldResult.COUNTED ? Kind.COUNTED : Kind.NOT_COUNTED;
+        outcomes.add(new RecordOutcome(mine, kind, offset));
       } else {
-        resolutions.add(new Resolution(mine, Fate.ABSENT, -1));
+        outcomes.add(new RecordOutcome(mine, Kind.ABSENT, -1));
       }
       entries.remove();
     }
-    return resolutions;
+    return outcomes;
   }
 
   /**
-   * Appends a record that counts for nothing, if the last own record has an unknown outcome or was
-   * not read for long, as when it vanished before: reading it tells what became of those before.
-   * Called only while the log can be read.
+   * Appends a barrier, which is a record without effect, if the append of the last pending record
+   * failed with an unknown outcome, or that record was not read for {@link #UNREAD_TIMEOUT}, for
+   * example because the log's retention removed it first. Once the barrier is read, the outcome of
+   * all records before it is known. Called only while the log can be read.
    */
-  public void settle(Turn turn) {
-    if (unread.isEmpty() || !rested(turn)) {
+  public void appendBarrierIfDue(DecisionContext context) {
+    if (pending.isEmpty() || !backoffElapsed(context)) {
       return;
     }
-    boolean unknown = unread.lastEntry().getValue().unknown();
-    Duration wait = unknown ? BARRIER_INTERVAL : LONG_UNREAD;
-    if (turn.passed(lastAppendNanos, wait)) {
+    boolean outcomeUnknown = pending.lastEntry().getValue().outcomeUnknown();
+    Duration wait = outcomeUnknown ? BARRIER_INTERVAL : UNREAD_TIMEOUT;
+    if (context.hasElapsed(lastAppendNanos, wait)) {
       append(
-          ControlRecord.newBuilder().setOwnerHeartbeat(OwnerHeartbeat.getDefaultInstance()), turn);
+          ControlRecord.newBuilder().setOwnerHeartbeat(OwnerHeartbeat.getDefaultInstance()),
+          context);
     }
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/AttemptTrack.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/AttemptProgress.java
@@ -10,41 +10,41 @@
 import org.fescuehook.model.job.AttemptId;
 import org.fescuehook.wire.StopReason;
 
-/** What the driving VM knows of one live attempt beyond the log. */
-final class AttemptTrack {
+/** Progress of one live attempt: what the VM that steps it knows beyond the records in the log. */
+final class AttemptProgress {
   final AttemptId attempt;
-  final List<MemberTrack> members = new ArrayList<>();
-  final long sinceNanos;
-  Optional<StopReason> abort = Optional.empty();
-  OptionalLong stoppingSince = OptionalLong.empty();
-  OptionalLong foldedSince = OptionalLong.empty();
-  OptionalLong startedSince = OptionalLong.empty();
+  final List<MemberProgress> members = new ArrayList<>();
+  final long createdNanos;
+  Optional<StopReason> abortReason = Optional.empty();
+  OptionalLong stoppingSinceNanos = OptionalLong.empty();
+  OptionalLong appliedByAllSinceNanos = OptionalLong.empty();
+  OptionalLong startingSinceNanos = OptionalLong.empty();
   long stoppingOffset;
-  long unread;
+  long pendingSequence;
   boolean committed;
   boolean awaitsCheckpoint;
   boolean releasing;
   boolean abandoned;
 
-  AttemptTrack(JobState job, long nowNanos) {
+  AttemptProgress(JobState job, long nowNanos) {
     this.attempt = job.attempt();
-    this.sinceNanos = nowNanos;
+    this.createdNanos = nowNanos;
     int number = 0;
     for (WorkerId worker : job.workers()) {
-      members.add(new MemberTrack(number, worker, nowNanos));
+      members.add(new MemberProgress(number, worker, nowNanos));
       number++;
     }
   }
 
-  boolean all(Predicate<MemberTrack> condition) {
+  boolean all(Predicate<MemberProgress> condition) {
     return members.stream().allMatch(condition);
   }
 
-  Optional<MemberTrack> first(Predicate<MemberTrack> condition) {
+  Optional<MemberProgress> first(Predicate<MemberProgress> condition) {
     return members.stream().filter(condition).findFirst();
   }
 
-  /** Tells whether the leases of this attempt are to be renewed by this VM. */
+  /** Returns whether this VM renews the leases of this attempt. */
   boolean renewable() {
     return committed && !releasing && !abandoned;
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/gang/LeaseReleaser.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/gang/LeaseReleaser.java
@@ -5,61 +5,68 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import org.fescuehook.logic.control.ControlLimits;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.worker.WorkerPort.WorkerCommand;
 import org.fescuehook.model.fleet.WorkerId;
 
-/** Releases leases, again and again until the worker's word or until they have lapsed. */
+/**
+ * Releases leases. A release is repeated until the worker confirms that the lease is gone, or until
+ * the lease must have expired.
+ */
 final class LeaseReleaser {
 
   private record Lease(WorkerId worker, String id) {}
 
-  private record Effort(long sinceNanos, long sentNanos) {}
+  private record PendingRelease(long sinceNanos, long sentNanos) {}
 
-  private final Duration effortLimit;
-  private final Map<Lease, Effort> efforts = new LinkedHashMap<>();
+  private final Duration leaseTtl;
+  private final Map<Lease, PendingRelease> pendingReleases = new LinkedHashMap<>();
 
   /**
-   * Creates a releaser without work.
+   * Creates a releaser without pending releases.
    *
-   * @param effortLimit time after which a lease that nobody renews has lapsed
+   * @param leaseTtl time after which a lease that is not renewed has expired
    */
-  LeaseReleaser(Duration effortLimit) {
-    this.effortLimit = effortLimit;
+  LeaseReleaser(Duration leaseTtl) {
+    this.leaseTtl = leaseTtl;
   }
 
-  /** Releases a lease; does nothing if that is under way. Implements {@code Release}. */
-  void release(WorkerId worker, String id, Turn turn) {
+  /**
+   * Releases a lease; does nothing if its release is already pending. Implements the action {@code
+   * Release} of the module Gang.
+   */
+  void release(WorkerId worker, String id, DecisionContext context) {
     Lease lease = new Lease(worker, id);
-    if (efforts.containsKey(lease)) {
+    if (pendingReleases.containsKey(lease)) {
       return;
     }
-    efforts.put(lease, new Effort(turn.now(), turn.now()));
-    turn.send(worker, new WorkerCommand.Release(id));
+    pendingReleases.put(lease, new PendingRelease(context.nowNanos(), context.nowNanos()));
+    context.send(worker, new WorkerCommand.Release(id));
   }
 
-  /** A lease is gone by its worker's word. */
+  /** Handles that the worker reported a lease as gone. */
   void gone(WorkerId worker, String id) {
-    efforts.remove(new Lease(worker, id));
+    pendingReleases.remove(new Lease(worker, id));
   }
 
-  /** Forgets all. */
+  /** Forgets all pending releases. */
   void clear() {
-    efforts.clear();
+    pendingReleases.clear();
   }
 
-  /** Repeats what was not answered. */
-  void step(Turn turn) {
-    Iterator<Map.Entry<Lease, Effort>> entries = efforts.entrySet().iterator();
+  /** Repeats the releases that were not answered. */
+  void step(DecisionContext context) {
+    Iterator<Map.Entry<Lease, PendingRelease>> entries = pendingReleases.entrySet().iterator();
     while (entries.hasNext()) {
-      Map.Entry<Lease, Effort> entry = entries.next();
-      Effort effort = entry.getValue();
-      if (turn.passed(effort.sinceNanos(), effortLimit)) {
+      Map.Entry<Lease, PendingRelease> entry = entries.next();
+      PendingRelease pending = entry.getValue();
+      if (context.hasElapsed(pending.sinceNanos(), leaseTtl)) {
         entries.remove();
-      } else if (turn.passed(effort.sentNanos(), ControlLimits.COMMAND_RETRY.multipliedBy(2))) {
+      } else if (context.hasElapsed(
+          pending.sentNanos(), ControlLimits.COMMAND_RETRY_INTERVAL.multipliedBy(2))) {
         Lease lease = entry.getKey();
-        entry.setValue(new Effort(effort.sinceNanos(), turn.now()));
-        turn.send(lease.worker(), new WorkerCommand.Release(lease.id()));
+        entry.setValue(new PendingRelease(pending.sinceNanos(), context.nowNanos()));
+        context.send(lease.worker(), new WorkerCommand.Release(lease.id()));
       }
     }
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/OwnerDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/ownership/OwnerDuty.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import org.fescuehook.logic.control.ControlLimits;
 import org.fescuehook.logic.control.ControlLogEvent;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.control.append.RecordWriter;
 import org.fescuehook.logic.control.state.ControlState;
 import org.fescuehook.model.configuration.Configuration;
@@ -15,143 +15,162 @@
 import org.fescuehook.wire.OwnerHeartbeat;
 import org.fescuehook.wire.OwnerRelease;
 
-/**
- * Claims ownership when the owner is silent, holds it by heartbeats, and gives it up when asked.
- */
+/** Claims ownership if the owner is silent, keeps it by heartbeats, and releases it on request. */
 public final class OwnerDuty {
   private final VmId vm;
   private final String incarnation;
   private final ControlPreferences preferences;
   private final RecordWriter writer;
-  private final ReaderWatch reader;
-  private final PeerWatch peers;
-  private long lastSignNanos = Long.MIN_VALUE / 2;
-  private long claim;
-  private long release;
+  private final CatchUpTracker catchUp;
+  private final PeerTracker peers;
+  private long lastOwnerSeenNanos = Long.MIN_VALUE / 2;
+  private long claimSequence;
+  private long releaseSequence;
   private boolean handingOver;
-  private long yieldedRevision = Configuration.NO_REVISION;
+  private long releasedAtRevision = Configuration.NO_REVISION;
 
-  /** Creates the duty of a VM that owns nothing. */
+  /** Creates the duty of a VM that is not the owner. */
   public OwnerDuty(
       VmId vm,
       String incarnation,
       ControlPreferences preferences,
       RecordWriter writer,
-      ReaderWatch reader,
-      PeerWatch peers) {
+      CatchUpTracker catchUp,
+      PeerTracker peers) {
     this.vm = vm;
     this.incarnation = incarnation;
     this.preferences = preferences;
     this.writer = writer;
-    this.reader = reader;
+    this.catchUp = catchUp;
     this.peers = peers;
   }
 
-  /** A record that counted under the epoch in force, or changed it, was read. */
-  public void sign(Turn turn) {
-    lastSignNanos = turn.now();
+  /**
+   * Records a sign of life of the owner: a record that took effect under the epoch in force, or
+   * changed the epoch.
+   */
+  public void ownerSeen(DecisionContext context) {
+    lastOwnerSeenNanos = context.nowNanos();
   }
 
-  /** Tells whether this VM is the owner as far as it has read. */
+  /** Returns whether this VM is the owner according to the records read so far. */
   public boolean owns(ControlState state) {
     return state.ownedBy(vm, incarnation);
   }
 
-  /** Tells whether this VM may decide now: it owns, has read to the end, and stays owner. */
-  public boolean decides(ControlState state, Turn turn) {
-    return owns(state) && !handingOver && reader.current(turn);
+  /**
+   * Returns whether this VM may decide now: it is the owner, has read to the end of the log, and is
+   * not handing ownership over.
+   */
+  public boolean decides(ControlState state, DecisionContext context) {
+    return owns(state) && !handingOver && catchUp.current(context);
   }
 
-  /** Gives ownership up for good; this VM never claims again. */
+  /** Releases ownership for good; this process never claims it again. */
   public void handOver() {
     handingOver = true;
   }
 
-  /** Tells whether ownership was given up and nothing is left to do. */
+  /** Returns whether a requested hand-over is complete. */
   public boolean handedOver(ControlState state) {
     return handingOver && !owns(state);
   }
 
   /**
-   * Claims, holds or releases ownership as is due. Implements {@code Claim}.
+   * Claims, keeps or releases ownership, whichever is due. Implements the action {@code Claim} of
+   * the module Ownership.
    *
-   * @param understanding how far this VM understands the state
+   * @param compatibility how much of the log this version can interpret
    */
-  public void step(ControlState state, Understanding understanding, Turn turn) {
-    if (!reader.current(turn)) {
+  public void step(ControlState state, LogCompatibility compatibility, DecisionContext context) {
+    if (!catchUp.current(context)) {
       return;
     }
     if (owns(state)) {
-      hold(state, understanding, turn);
+      keepOwnership(state, compatibility, context);
       return;
     }
-    boolean free = !writer.isUnread(claim) && writer.hasRoom(turn);
-    boolean may = !handingOver && understanding != Understanding.PARTIAL;
-    if (may && free && silent(state, understanding, turn)) {
-      claim(state, turn);
+    boolean noClaimPending = !writer.isPending(claimSequence) && writer.hasCapacity(context);
+    boolean mayClaim = !handingOver && compatibility != LogCompatibility.PARTIAL;
+    if (mayClaim && noClaimPending && ownerTimedOut(state, compatibility, context)) {
+      claim(state, context);
     }
   }
 
-  /** A record on its way will show that the owner lives, so a slow log is not filled up. */
-  private void hold(ControlState state, Understanding understanding, Turn turn) {
-    if (handingOver || yields(state, understanding)) {
-      releaseOnce(state, turn);
+  /**
+   * Appends a heartbeat if one is due. While another append is in flight none is added: that record
+   * will show that the owner is alive, and a slow log is not loaded further.
+   */
+  private void keepOwnership(
+      ControlState state, LogCompatibility compatibility, DecisionContext context) {
+    if (handingOver || mustRelease(state, compatibility)) {
+      releaseOnce(state, context);
       return;
     }
-    boolean due = turn.passed(writer.lastAppendNanos(), preferences.ownerHeartbeat());
-    if (due && !writer.onItsWay() && writer.hasRoom(turn)) {
+    boolean due = context.hasElapsed(writer.lastAppendNanos(), preferences.ownerHeartbeat());
+    if (due && !writer.hasAppendInFlight() && writer.hasCapacity(context)) {
       writer.append(
           ControlRecord.newBuilder().setOwnerHeartbeat(OwnerHeartbeat.getDefaultInstance()),
           state.epoch(),
-          turn);
+          context);
     }
   }
 
-  /** An unreadable configuration is a reason to yield once: if nobody took over, nobody can. */
-  private boolean yields(ControlState state, Understanding understanding) {
-    return switch (understanding) {
+  /**
+   * Returns whether this VM has to release ownership. Because of a configuration that cannot be
+   * parsed it does so once per revision: if no other VM claims ownership then, none can parse the
+   * configuration either.
+   */
+  private boolean mustRelease(ControlState state, LogCompatibility compatibility) {
+    return switch (compatibility) {
       case WHOLE -> false;
       case PARTIAL -> true;
-      case NO_CONFIGURATION -> yieldedRevision != state.revision();
+      case NO_CONFIGURATION -> releasedAtRevision != state.revision();
     };
   }
 
-  /** Implements {@code HandOver}. */
-  private void releaseOnce(ControlState state, Turn turn) {
-    if (writer.isUnread(release) || !writer.hasRoom(turn)) {
+  /**
+   * Releases ownership, unless a release is pending. Implements the action {@code HandOver} of the
+   * module Ownership.
+   */
+  private void releaseOnce(ControlState state, DecisionContext context) {
+    if (writer.isPending(releaseSequence) || !writer.hasCapacity(context)) {
       return;
     }
-    yieldedRevision = state.revision();
-    turn.note(ControlLogEvent.RELEASED_OWNERSHIP, state.epoch());
-    release =
+    releasedAtRevision = state.revision();
+    context.note(ControlLogEvent.RELEASED_OWNERSHIP, state.epoch());
+    releaseSequence =
         writer.append(
             ControlRecord.newBuilder().setOwnerRelease(OwnerRelease.getDefaultInstance()),
             state.epoch(),
-            turn);
+            context);
   }
 
-  private boolean silent(ControlState state, Understanding understanding, Turn turn) {
+  private boolean ownerTimedOut(
+      ControlState state, LogCompatibility compatibility, DecisionContext context) {
     Optional<VmId> owner = state.owner();
-    long since = Math.max(lastSignNanos, reader.currentSince());
+    long silentSinceNanos = Math.max(lastOwnerSeenNanos, catchUp.currentSinceNanos());
     Duration delay =
-        understanding == Understanding.WHOLE ? Duration.ZERO : ControlLimits.UNREADABLE_DELAY;
+        compatibility == LogCompatibility.WHOLE
+            ? Duration.ZERO
+            : ControlLimits.UNREADABLE_CONFIGURATION_DELAY;
     if (owner.isEmpty()) {
       Duration stagger = preferences.claimStagger().multipliedBy(peers.rank(vm));
-      return turn.passed(since, delay.plus(stagger));
+      return context.hasElapsed(silentSinceNanos, delay.plus(stagger));
     }
     Duration timeout = preferences.ownerTimeout().plus(delay);
     if (peers.reachesLog(owner.get())) {
-      timeout = timeout.multipliedBy(ControlLimits.HEARD_OWNER_FACTOR);
+      timeout = timeout.multipliedBy(ControlLimits.HEARD_OWNER_TIMEOUT_FACTOR);
     }
     Duration stagger = preferences.claimStagger().multipliedBy(peers.rank(owner.get()));
-    return turn.passed(since, timeout.plus(stagger));
+    return context.hasElapsed(silentSinceNanos, timeout.plus(stagger));
   }
 
-  private void claim(ControlState state, Turn turn) {
+  private void claim(ControlState state, DecisionContext context) {
     String owner = state.owner().map(VmId::value).orElse("none");
-    turn.note(ControlLogEvent.CLAIMING, state.epoch(), owner);
-    turn.count("fescuehook.control.claims");
+    context.note(ControlLogEvent.CLAIMING, state.epoch(), owner);
+    context.count("fescuehook.control.claims");
     OwnerClaim body = OwnerClaim.newBuilder().setBasedOnEpochPlusOne(state.epoch() + 1).build();
-    claim = writer.append(ControlRecord.newBuilder().setOwnerClaim(body), turn);
+    claimSequence = writer.append(ControlRecord.newBuilder().setOwnerClaim(body), context);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/planning/PlanDuty.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/planning/PlanDuty.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import org.fescuehook.logic.control.ControlLimits;
 import org.fescuehook.logic.control.ControlLogEvent;
-import org.fescuehook.logic.control.Turn;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.control.append.RecordWriter;
 import org.fescuehook.logic.control.gang.GangDuty;
 import org.fescuehook.logic.control.state.ControlState;
@@ -22,78 +22,83 @@
 import org.fescuehook.wire.WorkerJudged;
 
 /**
- * Asks the scheduling policy what to do and appends it. While a decision of the last plan is unread
- * no new plan is made, so that the books of a plan always hold the plans before it.
+ * Runs the scheduling policy and appends its decisions. No new plan is made while a decision of the
+ * previous plan has not been read back, so that a plan always starts from a state that includes the
+ * plans before it.
  */
 public final class PlanDuty {
   private final Scheduler scheduler;
-  private final FaultyWorkerDetector judge;
+  private final FaultyWorkerDetector detector;
   private final RecordWriter writer;
   private final GangDuty gangs;
-  private final Set<Long> unread = new HashSet<>();
+  private final Set<Long> pendingSequences = new HashSet<>();
   private long lastPlanNanos = Long.MIN_VALUE / 2;
   private boolean changed = true;
 
-  /** Creates a duty that has planned nothing. */
+  /** Creates a duty that has made no plan. */
   public PlanDuty(
-      Scheduler scheduler, FaultyWorkerDetector judge, RecordWriter writer, GangDuty gangs) {
+      Scheduler scheduler, FaultyWorkerDetector detector, RecordWriter writer, GangDuty gangs) {
     this.scheduler = scheduler;
-    this.judge = judge;
+    this.detector = detector;
     this.writer = writer;
     this.gangs = gangs;
   }
 
-  /** The state changed in a way that may allow new decisions. */
+  /** Handles that the state changed in a way that may allow new decisions. */
   public void stateChanged() {
     changed = true;
   }
 
-  /** Plans if that is due. */
+  /** Makes a plan if one is due. */
   public void step(
-      ControlState state, Declarations declarations, Set<WorkerId> unavailable, Turn turn) {
-    unread.removeIf(sequence -> !writer.isUnread(sequence));
-    if (!unread.isEmpty() || !due(state, turn)) {
+      ControlState state,
+      Declarations declarations,
+      Set<WorkerId> unavailable,
+      DecisionContext context) {
+    pendingSequences.removeIf(sequence -> !writer.isPending(sequence));
+    if (!pendingSequences.isEmpty() || !due(state, context)) {
       return;
     }
-    lastPlanNanos = turn.now();
+    lastPlanNanos = context.nowNanos();
     changed = false;
-    Scheduler.View view = ViewBuilder.build(state, declarations, unavailable, turn.wallMillis());
+    Scheduler.View view = ViewBuilder.build(state, declarations, unavailable, context.wallMillis());
     try {
-      decide(scheduler.plan(view), state, turn);
-      judge.judge(view).forEach(judgement -> quarantine(judgement, state, turn));
+      decide(scheduler.plan(view), state, context);
+      detector.detect(view).forEach(quarantine -> quarantine(quarantine, state, context));
     } catch (RuntimeException e) {
-      // A fault of the policy must not keep the leases of running gangs from being renewed.
-      turn.note(ControlLogEvent.PLAN_FAILED, e.toString());
-      turn.count("fescuehook.control.plans.failed");
+      // A failure of the policy must not prevent the leases of running gangs from being renewed.
+      context.note(ControlLogEvent.PLAN_FAILED, e.toString());
+      context.count("fescuehook.control.plans.failed");
     }
   }
 
-  private void decide(Scheduler.Plan plan, ControlState state, Turn turn) {
+  private void decide(Scheduler.Plan plan, ControlState state, DecisionContext context) {
     for (Scheduler.Stop stop : plan.stops()) {
-      stop(stop, state, turn);
+      stop(stop, state, context);
     }
     for (Scheduler.Start start : plan.starts()) {
-      start(start, state, turn);
+      start(start, state, context);
     }
   }
 
-  private boolean due(ControlState state, Turn turn) {
+  private boolean due(ControlState state, DecisionContext context) {
     if (changed) {
-      return turn.passed(lastPlanNanos, ControlLimits.FASTEST_PLAN);
+      return context.hasElapsed(lastPlanNanos, ControlLimits.MIN_PLAN_INTERVAL);
     }
     boolean waiting = state.jobs().waitingCount() > 0;
-    Duration interval = waiting ? ControlLimits.SLOWEST_PLAN : ControlLimits.IDLE_PLAN;
-    return turn.passed(lastPlanNanos, interval);
+    Duration interval =
+        waiting ? ControlLimits.MAX_PLAN_INTERVAL : ControlLimits.IDLE_PLAN_INTERVAL;
+    return context.hasElapsed(lastPlanNanos, interval);
   }
 
-  private void append(ControlRecord.Builder record, ControlState state, Turn turn) {
-    if (writer.hasRoom(turn)) {
-      unread.add(writer.append(record, state.epoch(), turn));
+  private void append(ControlRecord.Builder record, ControlState state, DecisionContext context) {
+    if (writer.hasCapacity(context)) {
+      pendingSequences.add(writer.append(record, state.epoch(), context));
     }
   }
 
-  /** Implements {@code Plan}. */
-  private void start(Scheduler.Start start, ControlState state, Turn turn) {
+  /** Appends the plan of an attempt. Implements the action {@code Plan} of the module Gang. */
+  private void start(Scheduler.Start start, ControlState state, DecisionContext context) {
     Optional<JobState> job = state.jobs().find(start.job()).filter(JobState::waiting);
     if (job.isEmpty()) {
       return;
@@ -105,10 +110,10 @@
             .setRule(start.rule())
             .setBorrowed(start.borrowed());
     start.placement().members().forEach(worker -> planned.addWorkers(worker.value()));
-    append(ControlRecord.newBuilder().setAttemptPlanned(planned), state, turn);
+    append(ControlRecord.newBuilder().setAttemptPlanned(planned), state, context);
   }
 
-  private void stop(Scheduler.Stop stop, ControlState state, Turn turn) {
+  private void stop(Scheduler.Stop stop, ControlState state, DecisionContext context) {
     Optional<JobState> job =
         state
             .jobs()
@@ -130,7 +135,7 @@
             .setReason(reason)
             .setCheckpointFirst(stop.checkpointFirst())
             .setNoticeMillis(stop.noticeMillis());
-    append(ControlRecord.newBuilder().setAttemptStopping(stopping), state, turn);
+    append(ControlRecord.newBuilder().setAttemptStopping(stopping), state, context);
   }
 
   private static StopReason reason(Scheduler.StopCause cause) {
@@ -142,19 +147,19 @@
   }
 
   private void quarantine(
-      FaultyWorkerDetector.Quarantine judgement, ControlState state, Turn turn) {
-    turn.note(
+      FaultyWorkerDetector.Quarantine quarantine, ControlState state, DecisionContext context) {
+    context.note(
         ControlLogEvent.WORKER_QUARANTINED,
-        judgement.worker(),
-        judgement.untilMillis(),
-        judgement.evidence());
+        quarantine.worker(),
+        quarantine.untilMillis(),
+        quarantine.evidence());
     WorkerJudged judged =
         WorkerJudged.newBuilder()
-            .setWorker(judgement.worker().value())
+            .setWorker(quarantine.worker().value())
             .setQuarantined(true)
-            .setUntilMillis(judgement.untilMillis())
-            .setEvidence(judgement.evidence())
+            .setUntilMillis(quarantine.untilMillis())
+            .setEvidence(quarantine.evidence())
             .build();
-    append(ControlRecord.newBuilder().setWorkerJudged(judged), state, turn);
+    append(ControlRecord.newBuilder().setWorkerJudged(judged), state, context);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/planning/ViewBuilder.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/planning/ViewBuilder.java
@@ -12,12 +12,12 @@
 import org.fescuehook.wire.AttemptResult;
 import org.fescuehook.wire.WorkerJudged;
 
-/** Shows the state of the log to the scheduling policy. */
+/** Builds the scheduling policy's view of the state. */
 public final class ViewBuilder {
 
   private ViewBuilder() {}
 
-  /** Builds the view; {@code unavailable} workers get nothing new, nor do quarantined ones. */
+  /** Builds the view. Neither {@code unavailable} nor quarantined workers can be given new work. */
   public static Scheduler.View build(
       ControlState state, Declarations declarations, Set<WorkerId> unavailable, long wallMillis) {
     List<Scheduler.WaitingJob> waiting = new ArrayList<>();
@@ -31,7 +31,7 @@
       running.add(job.asRunning());
     }
     Set<WorkerId> unusable = new HashSet<>(unavailable);
-    for (WorkerJudged judged : state.judgements()) {
+    for (WorkerJudged judged : state.quarantines()) {
       if (judged.getUntilMillis() > wallMillis) {
         unusable.add(new WorkerId(judged.getWorker()));
       }
@@ -40,13 +40,16 @@
         wallMillis, declarations, waiting, running, unusable, state.history());
   }
 
-  /** Tells whether a waiting job is to have a further attempt. */
+  /** Returns whether a waiting job may get another attempt. */
   static boolean runnable(JobState job, Declarations declarations) {
-    boolean finished = job.facts().getEnded().getResult() == AttemptResult.ATTEMPT_RESULT_FINISHED;
-    return !job.facts().getCancelRequested() && !finished && !gaveUp(job, declarations);
+    boolean finished =
+        job.snapshot().getEnded().getResult() == AttemptResult.ATTEMPT_RESULT_FINISHED;
+    return !job.snapshot().getCancelRequested()
+        && !finished
+        && !attemptsExhausted(job, declarations);
   }
 
-  static boolean gaveUp(JobState job, Declarations declarations) {
-    return job.facts().getFailures() >= declarations.policy().maxAttempts();
+  static boolean attemptsExhausted(JobState job, Declarations declarations) {
+    return job.snapshot().getFailures() >= declarations.policy().maxAttempts();
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/AdmissionChecker.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/AdmissionChecker.java
@@ -11,18 +11,18 @@
 import org.fescuehook.model.request.RefusalReason;
 import org.fescuehook.model.rule.Verdict;
 
-/** Decides at submission whether a job is taken. */
+/** Decides at submission whether a job is accepted. */
 final class AdmissionChecker {
   private final FeasibilityChecker feasibility = new FeasibilityChecker();
   private final RuleMatcher rules = new RuleMatcher();
 
-  /** Outcome of the check. */
+  /** Result of the check. */
   sealed interface Admission {
 
-    /** The job is taken; the rule with this number counted. */
+    /** The job is accepted; {@code rule} is the number of the rule that decided. */
     record Admitted(int rule) implements Admission {}
 
-    /** The job is not taken. */
+    /** The job is refused. */
     record Denied(RefusalReason reason, String detail) implements Admission {}
   }
 
@@ -34,7 +34,8 @@
       return new Admission.Denied(
           RefusalReason.UNKNOWN_ORGANISATION, "no organisation " + job.organisation());
     }
-    Optional<String> never = feasibility.whyNever(declarations, job.organisation(), job.shape());
+    Optional<String> never =
+        feasibility.infeasibilityReason(declarations, job.organisation(), job.shape());
     if (never.isPresent()) {
       return new Admission.Denied(RefusalReason.NEVER_RUNNABLE, never.get());
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/request/PublicationDesk.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/request/PublicationHandler.java
@@ -2,35 +2,36 @@
 
 import org.fescuehook.logic.control.ControlPort.Answer;
 import org.fescuehook.logic.control.ControlPort.Request;
+import org.fescuehook.logic.control.DecisionContext;
 import org.fescuehook.logic.control.DeclarationsReader;
 import org.fescuehook.logic.control.DeclarationsReader.InvalidDeclarationsException;
-import org.fescuehook.logic.control.Turn;
 import org.fescuehook.logic.control.state.ControlState;
 import org.fescuehook.model.request.RefusalReason;
 import org.fescuehook.wire.ConfigurationPublished;
 import org.fescuehook.wire.ControlRecord;
 
-/** Takes publications of configurations. */
-public final class PublicationDesk {
+/** Handles publications of configurations. */
+public final class PublicationHandler {
   private final DeclarationsReader reader;
-  private final RequestDesk desk;
+  private final RequestAppender appender;
 
-  /** Creates a desk. */
-  public PublicationDesk(DeclarationsReader reader, RequestDesk desk) {
+  /** Creates a handler. */
+  public PublicationHandler(DeclarationsReader reader, RequestAppender appender) {
     this.reader = reader;
-    this.desk = desk;
+    this.appender = appender;
   }
 
   /**
-   * Takes a publication. The declarations in force published again change nothing. Implements
-   * {@code Publish}.
+   * Handles a publication. Publishing the declarations that are in force again has no effect.
+   * Implements the action {@code Publish} of the module Configuration.
    */
-  public void publish(long ticket, Request.Publish publish, ControlState state, Turn turn) {
+  public void publish(
+      long ticket, Request.Publish publish, ControlState state, DecisionContext context) {
     try {
       reader.check(publish.declarations());
     } catch (InvalidDeclarationsException e) {
       String faults = String.valueOf(e.getMessage());
-      Refusals.refuse(ticket, RefusalReason.BAD_REQUEST, faults, turn);
+      Refusals.refuse(ticket, RefusalReason.BAD_REQUEST, faults, context);
       return;
     }
     ConfigurationPublished body =
@@ -41,11 +42,11 @@
             .setDeclarations(publish.declarations())
             .build();
     boolean stale = publish.baseRevision() != state.revision();
-    boolean same = RequestDesk.winner(body, state) instanceof Answer.Published;
+    boolean same = RequestAppender.publicationAnswer(body, state) instanceof Answer.Published;
     if (stale || same) {
-      turn.reply(ticket, RequestDesk.winner(body, state));
+      context.reply(ticket, RequestAppender.publicationAnswer(body, state));
       return;
     }
-    desk.take(ticket, ControlRecord.newBuilder().setConfigurationPublished(body), turn);
+    appender.accept(ticket, ControlRecord.newBuilder().setConfigurationPublished(body), context);
   }
 }
--- a/fescuehook/src/main/java/org/fescuehook/logic/control/trace/TraceFields.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/control/trace/TraceFields.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Reads the fields of one line, which are separated by single spaces. */
+/** Reads the fields of one line of a trace, which are separated by single spaces. */
 final class TraceFields {
   private static final String EMPTY = "%";
 
@@ -17,9 +17,9 @@
     this.fields = List.of(text.split(" ", -1)).iterator();
   }
 
-  /** Encodes text so that it holds no space and is not empty. */
+  /** Encodes text so that it contains no space and is not empty. */
   static String encode(String text) {
-    return text.isEmpty() ? EMPTY : PercentCode.encode(text);
+    return text.isEmpty() ? EMPTY : PercentCodec.encode(text);
   }
 
   static String encode(byte[] data) {
@@ -55,7 +55,7 @@
       return "";
     }
     try {
-      return PercentCode.decode(text);
+      return PercentCodec.decode(text);
     } catch (IllegalArgumentException e) {
       throw fault(field, "is not percent-encoded");
     }
@@ -69,7 +69,7 @@
     }
   }
 
-  int small(String field) throws InvalidTraceException {
+  int intNumber(String field) throws InvalidTraceException {
     long number = number(field);
     if (number != (int) number) {
       throw fault(field, "is out of range");
@@ -78,7 +78,7 @@
   }
 
   int count(String field) throws InvalidTraceException {
-    int count = small(field);
+    int count = intNumber(field);
     if (count < 0) {
       throw fault(field, "is negative");
     }
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/LineScan.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/LineScanner.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Finds the lines of section headers and keys, which the INI library does not tell. */
-final class LineScan {
+/** Finds the line numbers of section headers and keys, which the INI library does not report. */
+final class LineScanner {
 
   private final String file;
   private final List<Header> headers = new ArrayList<>();
@@ -13,13 +13,13 @@
   /**
    * A section header.
    *
-   * @param place where it stands
-   * @param keys places of the keys up to the next header
+   * @param location location of the header
+   * @param keys locations of the keys up to the next header
    */
-  record Header(SourceLocation place, List<SourceLocation> keys) {}
+  record Header(SourceLocation location, List<SourceLocation> keys) {}
 
   /** Scans the text. */
-  LineScan(String file, String text) {
+  LineScanner(String file, String text) {
     this.file = file;
     scan(text);
   }
@@ -38,7 +38,7 @@
     int number = 0;
     for (String raw : text.lines().toList()) {
       number++;
-      // the same blanks as the INI library cuts off
+      // trim() removes the same characters as the INI library
       String line = raw.trim();
       if (line.isEmpty() || line.startsWith("#") || line.startsWith(";")) {
         continue;
@@ -53,14 +53,14 @@
   }
 
   private void scanKey(int number, String line) {
-    String section = headers.isEmpty() ? "" : headers.getLast().place().section();
-    SourceLocation place = new SourceLocation(file, number, section, "");
+    String section = headers.isEmpty() ? "" : headers.getLast().location().section();
+    SourceLocation location = new SourceLocation(file, number, section, "");
     int separator = line.indexOf('=');
     if (separator <= 0) {
-      faults.add(new Fault(place, "", "\"" + line + "\" is no key with a value", "key = value"));
+      faults.add(new Fault(location, "", "\"" + line + "\" is no key with a value", "key = value"));
       return;
     }
-    SourceLocation key = place.withKey(line.substring(0, separator).trim());
+    SourceLocation key = location.withKey(line.substring(0, separator).trim());
     if (headers.isEmpty()) {
       faults.add(new Fault(key, "", "stands before any section", "a [section] line above it"));
       return;
@@ -69,7 +69,10 @@
     scanValue(key, line.substring(separator + 1).trim());
   }
 
-  /** Refuses what the INI library would read as more or less than the line shows. */
+  /**
+   * Adds a fault for values that the INI library would not take literally: those that continue on
+   * the next line, and quoted ones.
+   */
   private void scanValue(SourceLocation key, String value) {
     if (value.endsWith("\\")) {
       faults.add(new Fault(key, value, "goes on in the next line", "each value on one line"));
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/SourceLocation.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/SourceLocation.java
@@ -1,21 +1,21 @@
 package org.fescuehook.logic.ini;
 
 /**
- * A place in an INI file.
+ * A location in an INI file.
  *
  * @param file name of the file
- * @param line line number from 1; 0 for the file as a whole
+ * @param line line number from 1; 0 if the file as a whole is meant
  * @param section name of the section; empty if none is meant
  * @param key name of the key; empty if none is meant
  */
 public record SourceLocation(String file, int line, String section, String key) {
 
-  /** Returns the place of a file as a whole. */
+  /** Returns the location that stands for a whole file. */
   public static SourceLocation ofFile(String file) {
     return new SourceLocation(file, 0, "", "");
   }
 
-  /** Returns the place of another key of the same section, on the same line. */
+  /** Returns the location of another key in the same section and on the same line. */
   public SourceLocation withKey(String other) {
     return new SourceLocation(file, line, section, other);
   }
--- a/fescuehook/src/main/java/org/fescuehook/logic/ini/package-info.java
+++ b/fescuehook/src/main/java/org/fescuehook/logic/ini/package-info.java
@@ -1,5 +1,5 @@
 /**
- * INI text with the place of each section and key, typed values, and faults that name their place.
+ * Parses INI text into sections and typed values; every section, key and fault has its location.
  */
 @NullMarked
 package org.fescuehook.logic.ini;
--- a/fescuehook/src/main/java/org/fescuehook/net/caller/OpenExchange.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/caller/OpenExchange.java
@@ -3,13 +3,13 @@
 import java.util.Optional;
 import org.fescuehook.net.executor.SentRequest;
 
-/** A request at the dispatch thread, with what is needed to send and answer it. */
+/** Holds what is needed to dispatch and answer a request that the dispatch thread handles. */
 final class OpenExchange {
   private final CallerExchange caller;
-  private final ServiceRequest.Pass request;
+  private final ServiceRequest.Forward request;
   private Optional<SentRequest> sent = Optional.empty();
 
-  OpenExchange(CallerExchange caller, ServiceRequest.Pass request) {
+  OpenExchange(CallerExchange caller, ServiceRequest.Forward request) {
     this.caller = caller;
     this.request = request;
   }
@@ -18,7 +18,7 @@
     return caller;
   }
 
-  ServiceRequest.Pass request() {
+  ServiceRequest.Forward request() {
     return request;
   }
 
@@ -26,7 +26,7 @@
     sent = Optional.of(newlySent);
   }
 
-  /** Takes the dispatch in progress out, if there is one. */
+  /** Removes and returns the dispatch in progress, if there is one. */
   Optional<SentRequest> takeSent() {
     Optional<SentRequest> taken = sent;
     sent = Optional.empty();
--- a/fescuehook/src/main/java/org/fescuehook/net/worker/HttpWorkerPort.java
+++ b/fescuehook/src/main/java/org/fescuehook/net/worker/HttpWorkerPort.java
@@ -20,8 +20,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Commands to workers over HTTP. A command without a usable answer in time is reported as {@link
- * WorkerPort.WorkerReply.Silent}; it is never repeated here.
+ * Sends commands to workers over HTTP. A command without a usable answer in time is reported as
+ * {@link WorkerPort.WorkerReply.Silent} and never retried by this class.
  */
 public final class HttpWorkerPort implements WorkerPort {
 
@@ -37,8 +37,8 @@
   /**
    * Creates the adapter without any worker.
    *
-   * @param timeout longest time from a command to its answer
-   * @param sink where replies go; called on Netty's loops
+   * @param timeout time within which a command must be answered
+   * @param sink receives the replies; called on Netty's event loops
    */
   public HttpWorkerPort(
       EventLoopGroup loops, Duration timeout, Consumer<WorkerReply> sink, MeterRegistry meters) {
@@ -48,15 +48,15 @@
     this.meters = meters;
   }
 
-  /** Takes over the workers of a configuration; connections to others are closed. */
+  /** Applies the workers of a configuration; closes the connections to all others. */
   public void configurationInForce(Configuration configuration) {
     Map<WorkerId, Worker> declared =
         configuration.declarations().fleet().workers().stream()
             .collect(Collectors.toMap(Worker::id, worker -> worker));
     declared.values().forEach(worker -> retain(worker.id(), worker.address()));
-    for (WorkerId known : workers.keySet()) {
-      if (!declared.containsKey(known)) {
-        Optional.ofNullable(workers.remove(known)).ifPresent(WorkerConnections::close);
+    for (WorkerId existing : workers.keySet()) {
+      if (!declared.containsKey(existing)) {
+        Optional.ofNullable(workers.remove(existing)).ifPresent(WorkerConnections::close);
       }
     }
   }
@@ -77,13 +77,13 @@
   }
 
   private void retain(WorkerId worker, InetSocketAddress address) {
-    WorkerConnections known = workers.get(worker);
-    if (known != null && known.address().equals(address)) {
+    WorkerConnections existing = workers.get(worker);
+    if (existing != null && existing.address().equals(address)) {
       return;
     }
     workers.put(worker, new WorkerConnections(loops.next(), address, timeout));
-    if (known != null) {
-      known.close();
+    if (existing != null) {
+      existing.close();
     }
   }
 
@@ -100,7 +100,7 @@
     try {
       reply = codec.decode(worker, command, answer);
     } catch (IOException e) {
-      EventLog.warn(LOGGER, WorkerEvent.BAD_ANSWER, stepOf(command), worker, e.getMessage());
+      EventLog.warn(LOGGER, WorkerEvent.BAD_ANSWER, commandName(command), worker, e.getMessage());
       silent(worker, command, String.valueOf(e.getMessage()));
       return;
     }
@@ -108,13 +108,13 @@
   }
 
   private void silent(WorkerId worker, WorkerCommand command, String cause) {
-    String step = stepOf(command);
-    meters.counter("fescuehook.worker.silent", "command", step).increment();
-    EventLog.info(LOGGER, WorkerEvent.SILENT, step, worker, cause);
-    sink.accept(new WorkerReply.Silent(worker, command, step + ": " + cause));
+    String name = commandName(command);
+    meters.counter("fescuehook.worker.silent", "command", name).increment();
+    EventLog.info(LOGGER, WorkerEvent.SILENT, name, worker, cause);
+    sink.accept(new WorkerReply.Silent(worker, command, name + ": " + cause));
   }
 
-  private static String stepOf(WorkerCommand command) {
+  private static String commandName(WorkerCommand command) {
     return switch (command) {
       case WorkerCommand.Grant grant -> "grant";
       case WorkerCommand.Start start -> "start";
--- a/fescuehook/src/main/java/org/fescuehook/platform/PlatformStore.java
+++ b/fescuehook/src/main/java/org/fescuehook/platform/PlatformStore.java
@@ -21,41 +21,50 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The platform's store as the decisions about batch jobs use it. */
+/**
+ * The platform's store as the scheduler of batch jobs uses it: reads ownership, configuration and
+ * executors, and appends to and loads the job state.
+ */
 public final class PlatformStore {
 
   private static final Logger LOGGER = LoggerFactory.getLogger(PlatformStore.class);
 
-  /** A read of the owner's heartbeats waits for one or two of them. */
-  private static final StreamFollower.Pace OWNERSHIP_PACE =
-      new StreamFollower.Pace(Duration.ofMillis(1000), Duration.ofMillis(400));
+  /**
+   * The pause is a little shorter than the interval of the owner's heartbeats, so a read returns
+   * one or two of them.
+   */
+  private static final StreamFollower.ReadTiming OWNERSHIP_TIMING =
+      new StreamFollower.ReadTiming(Duration.ofMillis(1000), Duration.ofMillis(400));
 
-  /** Changes are due in force within 2 s, also where a connection went silent. */
-  private static final StreamFollower.Pace CONFIGURATION_PACE =
-      new StreamFollower.Pace(Duration.ofMillis(1000), Duration.ZERO);
+  /**
+   * Configuration changes must take effect within 2 s, even if a connection has stopped responding.
+   */
+  private static final StreamFollower.ReadTiming CONFIGURATION_TIMING =
+      new StreamFollower.ReadTiming(Duration.ofMillis(1000), Duration.ZERO);
 
   /**
-   * Some twenty entries a second change. A leaving executor gets nothing new after 2 s, and one
-   * that is taken away at short notice should get none from the first moment.
+   * About twenty entries change per second; the pause collects several of them per read. A leaving
+   * executor must get no new run after 2 s, and one that is withdrawn at short notice should get
+   * none from the start.
    */
-  private static final StreamFollower.Pace EXECUTORS_PACE =
-      new StreamFollower.Pace(Duration.ofMillis(1000), Duration.ofMillis(150));
+  private static final StreamFollower.ReadTiming EXECUTORS_TIMING =
+      new StreamFollower.ReadTiming(Duration.ofMillis(1000), Duration.ofMillis(150));
 
   private final EventLoop loop;
   private final Consumer<BatchEvent> events;
   private final Consumer<RouteTable> routes;
-  private final Map<StreamName, StreamAppender> writers = new EnumMap<>(StreamName.class);
-  private final StoreReader loader;
+  private final Map<StreamName, StreamAppender> appenders = new EnumMap<>(StreamName.class);
+  private final StoreReader stateReader;
   private final StreamFollower ownership;
   private final StreamFollower configuration;
   private final StreamFollower executors;
   private final ConfigurationEntries configurations = new ConfigurationEntries();
 
   /**
-   * Creates the store's side of a VM; nothing is called yet.
+   * Creates the adapter without sending any request.
    *
-   * @param events takes what was read and what became of appends, on the event loop
-   * @param routes takes each newer table of routes, on the event loop
+   * @param events receives what was read and the outcomes of appends, on the event loop
+   * @param routes receives each newer table of routes, on the event loop
    */
   public PlatformStore(
       EventLoop loop,
@@ -65,36 +74,41 @@
     this.loop = loop;
     this.events = events;
     this.routes = routes;
-    ResponseTimeEstimator reads = new ResponseTimeEstimator(RepeatedRead.NEVER_LATE);
+    ResponseTimeEstimator readTimes = new ResponseTimeEstimator(RepeatedRead.NEVER_LATE);
     for (StreamName stream : StreamName.values()) {
-      writers.put(stream, new StreamAppender(loop, address, Topic.of(stream), reads));
+      appenders.put(stream, new StreamAppender(loop, address, Topic.of(stream), readTimes));
     }
-    this.loader = new StoreReader(loop, address, reads);
+    this.stateReader = new StoreReader(loop, address, readTimes);
     this.ownership =
         new StreamFollower(
-            loop, address, reads, Topic.OWNERSHIP, OWNERSHIP_PACE, new OwnershipListener());
+            loop, address, readTimes, Topic.OWNERSHIP, OWNERSHIP_TIMING, new OwnershipListener());
     this.configuration =
         new StreamFollower(
-            loop, address, reads, Topic.OPERATORS, CONFIGURATION_PACE, new ConfigurationListener());
+            loop,
+            address,
+            readTimes,
+            Topic.OPERATORS,
+            CONFIGURATION_TIMING,
+            new ConfigurationListener());
     this.executors =
         new StreamFollower(
-            loop, address, reads, Topic.EXECUTORS, EXECUTORS_PACE, new ExecutorsListener());
+            loop, address, readTimes, Topic.EXECUTORS, EXECUTORS_TIMING, new ExecutorsListener());
   }
 
-  /** Begins to follow the configuration and the owner. */
+  /** Starts following the configuration and the ownership records. */
   public void start() {
     configuration.start();
     ownership.start();
   }
 
-  /** Stops following. */
+  /** Stops following all topics. */
   public void stop() {
     configuration.stop();
     ownership.stop();
     executors.stop();
   }
 
-  /** Begins or ends to follow the executors. */
+  /** Starts or stops following the executors' entries. */
   public void followExecutors(boolean following) {
     if (following) {
       executors.start();
@@ -103,15 +117,15 @@
     }
   }
 
-  /** Appends records. */
+  /** Appends records; the outcome is reported as an event. */
   public void append(BatchCommand.Append append) {
     loop.execute(
-        () -> writers.get(append.stream()).append(append, outcome -> appended(append, outcome)));
+        () -> appenders.get(append.stream()).append(append, outcome -> appended(append, outcome)));
   }
 
-  /** Returns how many appends were sent once more since their answers were late. */
+  /** Returns how many times an append was sent again because its answer was late. */
   public long repeatedAppends() {
-    return writers.values().stream().mapToLong(StreamAppender::repeated).sum();
+    return appenders.values().stream().mapToLong(StreamAppender::repeatedSends).sum();
   }
 
   private void appended(BatchCommand.Append append, AppendOutcome outcome) {
@@ -127,16 +141,18 @@
     events.accept(new BatchEvent.Appended(append.stream(), append.position(), outcome));
   }
 
-  /** Reads a page of the jobs' stream. */
+  /** Reads a page of the job state; the records are reported as an event. */
   public void loadState(BatchCommand.LoadState load) {
-    loop.execute(() -> loader.newest(Topic.STATE, load.afterKey(), new Loading(load.epoch())));
+    loop.execute(
+        () ->
+            stateReader.newest(Topic.STATE, load.afterKey(), new StatePageListener(load.epoch())));
   }
 
-  /** A page of the jobs' stream under way. */
-  private final class Loading implements RepeatedRead.Listener {
+  /** Reports the outcome of reading a page of the job state. */
+  private final class StatePageListener implements RepeatedRead.Listener {
     private final long epoch;
 
-    Loading(long epoch) {
+    StatePageListener(long epoch) {
       this.epoch = epoch;
     }
 
@@ -165,7 +181,7 @@
     events.accept(new BatchEvent.StateUnreadable(epoch));
   }
 
-  static void unreadable(Topic topic, String key, Exception cause) {
+  static void logUnreadable(Topic topic, String key, Exception cause) {
     EventLog.warn(LOGGER, PlatformEvent.RECORD_UNREADABLE, key, topic, cause.getMessage());
   }
 
@@ -191,7 +207,7 @@
       try {
         return Optional.of(OwnerCodec.decode(record.value().orElseThrow(), record.offset()));
       } catch (UnreadableRecordException e) {
-        unreadable(Topic.OWNERSHIP, record.key(), e);
+        logUnreadable(Topic.OWNERSHIP, record.key(), e);
         return Optional.empty();
       }
     }
@@ -221,7 +237,7 @@
 
     @Override
     public void failed() {
-      // The configuration in force stays in force while the store is away.
+      // The current configuration stays in force while the store is unreachable.
     }
   }
 
@@ -238,7 +254,8 @@
 
     @Override
     public void failed() {
-      // Executors are polled directly; the list matters again once the store is back.
+      // Executors are polled directly, so their list is not needed until the store is reachable
+      // again.
     }
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/entry/scheduler/RingOverflowTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/entry/scheduler/RingOverflowTest.java
@@ -12,22 +12,21 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seen: an owner whose decisions were behind for some seconds stores nothing more, polls some
- * executors no more, or never ends its take-over, long after it has caught up. Outcomes that came
- * while the ring was full were dropped, and each of them is told only once. Cause: the ring treats
- * what the decisions have asked for like calls, which can be refused.
+ * Guards against dropping outcomes of commands while the queue is full. Calls can be refused, but
+ * each outcome is reported only once: without it, an owner whose decisions had been late for some
+ * seconds no longer appended, no longer polled some executors or never finished its take-over.
  */
 class RingOverflowTest {
 
-  private static final int EVENTS = 4200;
-  private static final long PATIENCE_SECONDS = 20;
+  private static final int OUTCOMES = 4200;
+  private static final long TIMEOUT_SECONDS = 20;
 
   private final BatchRing ring = new BatchRing(Duration.ofSeconds(60), new SimpleMeterRegistry());
 
-  /** Waits at the first item, and counts all. */
-  private static final class SlowHandler implements DutyRing.Handler<BatchRing.Item> {
+  /** Blocks at the first item until released, and counts all items. */
+  private static final class BlockingHandler implements DutyRing.Handler<BatchRing.Item> {
     private final CountDownLatch released = new CountDownLatch(1);
-    private final AtomicInteger taken = new AtomicInteger();
+    private final AtomicInteger count = new AtomicInteger();
 
     @Override
     public void accept(BatchRing.Item item) {
@@ -36,12 +35,12 @@
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
-      taken.incrementAndGet();
+      count.incrementAndGet();
     }
 
     @Override
     public void idle() {
-      // Only items count.
+      // This test checks the items only.
     }
   }
 
@@ -52,13 +51,13 @@
 
   @Test
   void noOutcomeIsDroppedWhileDecisionsAreBehind() {
-    SlowHandler handler = new SlowHandler();
+    BlockingHandler handler = new BlockingHandler();
     ring.start(handler);
-    for (int i = 0; i < EVENTS; i++) {
+    for (int i = 0; i < OUTCOMES; i++) {
       ring.publish(new BatchEvent.StateUnreadable(1));
     }
     handler.released.countDown();
-    ring.stop(Duration.ofSeconds(PATIENCE_SECONDS));
-    assertEquals(EVENTS, handler.taken.get());
+    ring.stop(Duration.ofSeconds(TIMEOUT_SECONDS));
+    assertEquals(OUTCOMES, handler.count.get());
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/BatchCluster.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/BatchCluster.java
@@ -24,30 +24,31 @@
 import org.fescuehook.model.fleet.ExecutorId;
 import org.fescuehook.model.fleet.VmId;
 
-/** VMs, store and executors on a virtual clock, with faults between them. */
+/** VMs, the shared store and executors on a virtual clock, with faults injected between them. */
 final class BatchCluster {
 
-  static final String KEY = Declared.KEY;
-  static final String URGENT = Declared.URGENT;
-  static final String NORMAL = Declared.NORMAL;
-  static final String BULK = Declared.BULK;
+  static final String KEY = TestFixtures.KEY;
+  static final String URGENT = TestFixtures.URGENT;
+  static final String NORMAL = TestFixtures.NORMAL;
+  static final String BULK = TestFixtures.BULK;
 
   private static final long STEP_MILLIS = 20;
   private static final long ANSWER_LIMIT_MILLIS = 1000;
 
-  /** Time between two reads of ownership, and how long each waits for a record. */
+  /** Pause between two reads of the ownership stream, and how long each waits for a new record. */
   private static final long READ_PAUSE_MILLIS = 400;
 
   private static final long READ_WAIT_MILLIS = 1000;
-  private static final long UNREAD = -1;
 
-  /** How long callers wait, as told to the owner. */
-  static final Duration PATIENCE = Duration.ofMillis(2800);
+  private static final long NO_KNOWN_END = -1;
+
+  /** How long callers wait for an answer; each call passes it to the owner. */
+  static final Duration CALLER_TIMEOUT = Duration.ofMillis(2800);
 
   private static final long WALL_START = 1_700_000_000_000L;
 
   final FakeStore store = new FakeStore();
-  final VirtualWork work = new VirtualWork();
+  final TaskSimulation work = new TaskSimulation();
   final Map<Long, CallAnswer> answers = new HashMap<>();
   final Map<String, CallAnswer> submissions = new LinkedHashMap<>();
   final Map<VmId, Vm> vms = new LinkedHashMap<>();
@@ -55,11 +56,11 @@
   final ClusterFaults faults = new ClusterFaults();
   final ClusterOrders orders = new ClusterOrders(this);
   final ClusterCrashes crashes = new ClusterCrashes(this);
-  private final ClusterCalm calm = new ClusterCalm(this);
+  private final FaultFreePeriod faultFreePeriod = new FaultFreePeriod(this);
   private final ClusterAppends appends = new ClusterAppends(this);
   final Random random;
-  private final PriorityQueue<Due> queue = new PriorityQueue<>();
-  private final CallLedger calls = new CallLedger(work, submissions);
+  private final PriorityQueue<ScheduledAction> queue = new PriorityQueue<>();
+  private final CallTracker calls = new CallTracker(work, submissions);
   private final BatchConfiguration configuration;
   private long nowMillis;
   private long order;
@@ -67,7 +68,7 @@
   private int starts;
   private final List<BatchCommand.Note> notes = new ArrayList<>();
 
-  /** One VM. */
+  /** One start of a VM. */
   final class Vm {
     final VmId id;
     final int start;
@@ -79,7 +80,7 @@
         new ResponseTimeEstimator(RepeatedAppend.NEVER_LATE);
     private boolean following;
     private long busyUntil;
-    private final List<BatchEvent> held = new ArrayList<>();
+    private final List<BatchEvent> heldEvents = new ArrayList<>();
 
     Vm(VmId id) {
       this.id = id;
@@ -89,8 +90,8 @@
         answerTimes.put(stream, new ResponseTimeEstimator(RepeatedAppend.NEVER_LATE, readTimes));
       }
       OwnerIdentity self =
-          new OwnerIdentity(id, "start-" + start, "10.0.0.1:7000", Declared.milliCores(id));
-      core = new BatchCore(self, Declared.preferences());
+          new OwnerIdentity(id, "start-" + start, "10.0.0.1:7000", TestFixtures.milliCores(id));
+      core = new BatchCore(self, TestFixtures.preferences());
     }
 
     void deliver(BatchEvent event) {
@@ -98,35 +99,36 @@
         return;
       }
       if (frozen) {
-        held.add(event);
+        heldEvents.add(event);
         return;
       }
       for (BatchCommand command :
-          core.apply(event, nowMillis * 1_000_000, WALL_START + nowMillis + faults.wallAhead)) {
-        carryOut(this, command);
+          core.apply(
+              event, nowMillis * 1_000_000, WALL_START + nowMillis + faults.wallClockAheadMillis)) {
+        execute(this, command);
       }
     }
 
-    /** Returns how long it takes until this VM has time for something. */
+    /** Returns how long this VM is still busy with earlier work. */
     long backlogMillis() {
       return Math.max(0, busyUntil - nowMillis);
     }
 
-    /** Works on an exchange with an executor after all that it has to do before. */
-    void workOnExchange() {
+    /** Occupies this VM's only thread with an exchange with an executor, after its earlier work. */
+    void occupyForExchange() {
       busyUntil = Math.max(busyUntil, nowMillis) + faults.exchangeMillis;
     }
 
-    void thaw() {
+    void unfreeze() {
       frozen = false;
-      List<BatchEvent> late = List.copyOf(held);
-      held.clear();
+      List<BatchEvent> late = List.copyOf(heldEvents);
+      heldEvents.clear();
       late.forEach(this::deliver);
     }
   }
 
   BatchCluster(int vmCount, int executorCount, long seed) {
-    this(vmCount, executorCount, seed, Declared.configuration());
+    this(vmCount, executorCount, seed, TestFixtures.configuration());
   }
 
   BatchCluster(int vmCount, int executorCount, long seed, BatchConfiguration declared) {
@@ -141,7 +143,7 @@
   }
 
   void addExecutor(String name, String rack) {
-    addExecutor(Declared.executor(name, rack));
+    addExecutor(TestFixtures.executor(name, rack));
   }
 
   void addExecutor(ExecutorProfile profile) {
@@ -149,7 +151,7 @@
     list(profile.id());
   }
 
-  /** Has an executor answer that the list does not name yet. */
+  /** Adds an executor that answers orders but is not listed yet. */
   void addExecutor(FakeExecutor executor) {
     executors.put(executor.profile().id(), executor);
     work.add(executor);
@@ -159,38 +161,38 @@
     return WALL_START + nowMillis;
   }
 
-  /** An executor tells that it leaves after a while. */
+  /** Announces that an executor leaves in {@code remainingMillis}. */
   void leave(ExecutorId id, long remainingMillis) {
-    ExecutorProfile leaving = Declared.leaving(executors.get(id).profile(), remainingMillis);
-    executors.get(id).describe(leaving);
+    ExecutorProfile leaving = TestFixtures.leaving(executors.get(id).profile(), remainingMillis);
+    executors.get(id).setProfile(leaving);
     vms.values().stream()
         .filter(vm -> vm.following)
         .forEach(vm -> vm.deliver(new BatchEvent.ExecutorSeen(leaving)));
   }
 
-  /** An executor loses all its runs and ends; the list tells it a few seconds later. */
+  /** Ends an executor and loses its runs; the list drops its entry 4.5 s later. */
   void crash(ExecutorId id) {
     FakeExecutor executor = executors.remove(id);
     executor.crash(nowMillis);
-    work.forget(id);
+    work.forgetEnds(id);
     in(4500, () -> unlist(id));
   }
 
-  /** The list names an executor again. */
+  /** Reports an executor as listed to the VMs that follow the list of executors. */
   void list(ExecutorId id) {
     vms.values().stream()
         .filter(vm -> vm.following)
         .forEach(vm -> vm.deliver(new BatchEvent.ExecutorSeen(executors.get(id).profile())));
   }
 
-  /** The list names an executor no longer. */
+  /** Reports an executor as no longer listed to the VMs that follow the list of executors. */
   void unlist(ExecutorId id) {
     vms.values().stream()
         .filter(vm -> vm.following)
         .forEach(vm -> vm.deliver(new BatchEvent.ExecutorUnlisted(id)));
   }
 
-  /** Starts a VM; one that runs again already stays as it is. */
+  /** Starts a VM and returns it; returns a VM that is running unchanged. */
   Vm start(VmId id) {
     Vm earlier = vms.get(id);
     if (earlier != null && earlier.running) {
@@ -200,19 +202,19 @@
     vms.put(id, vm);
     vm.deliver(new BatchEvent.ConfigurationRead(configuration));
     tick(vm);
-    readOwnership(vm, UNREAD, nowMillis);
+    readOwnership(vm, NO_KNOWN_END, nowMillis);
     BatchEvent late = new BatchEvent.OwnershipUnreadable();
     faults.firstReadLateAt().forEach(at -> in(at, () -> vm.deliver(late)));
     return vm;
   }
 
-  /** Kills a VM and starts it again after a while. */
+  /** Kills a VM and starts it again after {@code downMillis}. */
   void restart(VmId id, long downMillis) {
     vms.get(id).running = false;
     in(downMillis, () -> start(id));
   }
 
-  /** Puts a configuration in force on all VMs. */
+  /** Delivers a configuration to all VMs. */
   void configure(BatchConfiguration newer) {
     vms.values().forEach(vm -> vm.deliver(new BatchEvent.ConfigurationRead(newer)));
   }
@@ -228,7 +230,7 @@
     return !faults.storeDown && !faults.cutFromStore.contains(vm.id);
   }
 
-  /** Reads the stream of ownership; the store answers once there is news, or after a while. */
+  /** Reads the ownership stream; the store answers once there is a record, or after a while. */
   private void readOwnership(Vm vm, long knownEnd, long until) {
     if (!vm.running) {
       return;
@@ -239,12 +241,12 @@
       return;
     }
     BatchEvent read = reachesStore(vm) ? store.ownership() : new BatchEvent.OwnershipUnreadable();
-    in(faults.storeDelay, () -> ownershipRead(vm, read, end));
+    in(faults.storeDelayMillis, () -> ownershipRead(vm, read, end));
   }
 
   private void ownershipRead(Vm vm, BatchEvent read, long end) {
     if (reachesStore(vm)) {
-      vm.readTimes.answered(Duration.ofMillis(faults.storeDelay).toNanos());
+      vm.readTimes.answered(Duration.ofMillis(faults.storeDelayMillis).toNanos());
     }
     if (!vm.frozen) {
       vm.deliver(read);
@@ -252,14 +254,14 @@
     in(READ_PAUSE_MILLIS, () -> readOwnership(vm, end, nowMillis + READ_WAIT_MILLIS));
   }
 
-  private void carryOut(Vm vm, BatchCommand command) {
+  private void execute(Vm vm, BatchCommand command) {
     switch (command) {
       case BatchCommand.Answer(long number, CallAnswer answer) -> answered(number, answer);
       case BatchCommand.Append append -> appends.send(vm, append);
       case BatchCommand.LoadState load -> load(vm, load.epoch());
       case BatchCommand.FollowExecutors(boolean following) -> follow(vm, following);
       case BatchCommand.Order order -> orders.send(vm, order);
-      case BatchCommand.AskAdvice question -> orders.ask(vm, question);
+      case BatchCommand.AskAdvice question -> orders.askAdvice(vm, question);
       case BatchCommand.ForgetExecutor forget -> {}
       case BatchCommand.Note note -> notes.add(note);
       case BatchCommand.Measure _, BatchCommand.Count _ -> {}
@@ -268,7 +270,7 @@
 
   private void load(Vm vm, long epoch) {
     in(
-        faults.storeDelay,
+        faults.storeDelayMillis,
         () ->
             vm.deliver(
                 reachesStore(vm) && !faults.cannotLoad.contains(vm.id)
@@ -281,7 +283,7 @@
     vm.following = following;
     if (following) {
       in(
-          faults.storeDelay,
+          faults.storeDelayMillis,
           () ->
               vm.deliver(
                   new BatchEvent.ExecutorsListed(
@@ -294,23 +296,23 @@
 
   private void answered(long number, CallAnswer answer) {
     answers.put(number, answer);
-    calls.answered(number, answer, nowMillis);
+    calls.recordAnswer(number, answer, nowMillis);
   }
 
-  /** Calls the VM that decides; absent if none does. */
+  /** Sends a call to the owner and returns its ticket; empty if no VM decides. */
   Optional<Long> call(BatchCall call) {
     Optional<Vm> owner = owner();
     if (owner.isEmpty()) {
       return Optional.empty();
     }
     ticket++;
-    calls.asked(ticket, call);
-    owner.get().deliver(new BatchEvent.Called(ticket, call, PATIENCE));
+    calls.recordCall(ticket, call);
+    owner.get().deliver(new BatchEvent.Called(ticket, call, CALLER_TIMEOUT));
     return Optional.of(ticket);
   }
 
-  boolean cancelAsked(String job) {
-    return calls.cancelAsked(job);
+  boolean cancelSent(String job) {
+    return calls.cancelSent(job);
   }
 
   Optional<Vm> owner() {
@@ -319,24 +321,21 @@
         .reduce((first, second) -> second);
   }
 
-  /** Submits a job and returns its id. */
+  /** Submits a job with the default API key and returns the job's id. */
   String submit(String queueName, Submission submission) {
     return submit(queueName, KEY, submission);
   }
 
-  /** Submits a job of the organisation that holds a key and returns its id. */
+  /** Submits a job with an organisation's API key and returns the job's id. */
   String submit(String queueName, String key, Submission submission) {
     String id = "%016x".formatted(0xa000L + submissions.size() + ticket);
     call(new BatchCall.Submit(queueName, key, id, submission));
     return id;
   }
 
-  /**
-   * Returns what callers are told of a job. The answer that there is none waits for a word of the
-   * store.
-   */
+  /** Returns the answer to a status call, which may have to wait for the store; empty if late. */
   Optional<CallAnswer> status(String job) {
-    String key = configuration.holders().getFirst().apiKeys().iterator().next();
+    String key = configuration.organisations().getFirst().apiKeys().iterator().next();
     Optional<Long> asked = call(new BatchCall.Status(NORMAL, key, job));
     long limit = nowMillis + ANSWER_LIMIT_MILLIS;
     while (asked.isPresent() && !answers.containsKey(asked.get()) && nowMillis < limit) {
@@ -345,29 +344,30 @@
     return asked.map(answers::get);
   }
 
+  /** Schedules an action after a delay. */
   void in(long millis, Runnable action) {
     order++;
-    queue.add(new Due(nowMillis + millis, order, action));
+    queue.add(new ScheduledAction(nowMillis + millis, order, action));
   }
 
-  /** Lets time pass. */
+  /** Lets virtual time pass and runs the actions that become due. */
   void run(long millis) {
     long until = nowMillis + millis;
     while (nowMillis < until) {
       long next = Math.min(until, nowMillis + STEP_MILLIS);
       while (!queue.isEmpty() && queue.peek().at() <= next) {
-        Due due = queue.remove();
+        ScheduledAction due = queue.remove();
         nowMillis = Math.max(nowMillis, due.at());
         due.action().run();
       }
       nowMillis = next;
-      List.copyOf(executors.values()).forEach(executor -> executor.pass(nowMillis, STEP_MILLIS));
-      crashes.bringBack();
-      calm.look();
+      List.copyOf(executors.values()).forEach(executor -> executor.advance(nowMillis, STEP_MILLIS));
+      crashes.restartCrashed();
+      faultFreePeriod.update();
     }
   }
 
-  /** Runs until a condition holds, and fails if it does not in time. */
+  /** Lets time pass until a condition holds; fails if it does not hold within the limit. */
   void runUntil(String what, long limitMillis, java.util.function.BooleanSupplier condition) {
     long until = nowMillis + limitMillis;
     while (!condition.getAsBoolean()) {
@@ -384,12 +384,12 @@
     return appends.claims();
   }
 
-  /** Returns how many owners there have been. */
+  /** Returns how many times a VM has become owner. */
   int ownershipsWon() {
     return notes(BatchLogEvent.OWNERSHIP_WON).size();
   }
 
-  /** Returns what all VMs have logged of a kind. */
+  /** Returns the log events of one kind from all VMs. */
   List<BatchCommand.Note> notes(BatchLogEvent event) {
     return notes.stream().filter(note -> note.event() == event).toList();
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/BusyOwnerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/BusyOwnerTest.java
@@ -14,12 +14,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seen: an owner on a third of a core fell behind at a take-over with 65 open jobs and stayed
- * behind for the rest of the day, with some hundred events in front of it, while others of its kind
- * that had not fallen behind kept up with the same load.
- *
- * <p>Cause: each event that changed something was followed by a plan, and plans cost more the more
- * tasks wait. Once behind, the owner spent its time on plans that the next event made obsolete.
+ * Guards against an owner that falls behind its events and never catches up, as seen on a third of
+ * a core with 65 open jobs: each event that changed something was followed by a plan, and a plan
+ * takes longer the more tasks are waiting. An owner that was behind spent its time on plans that
+ * the next event made obsolete.
  */
 class BusyOwnerTest {
 
@@ -39,38 +37,39 @@
     apply(new BatchEvent.Tick(), false);
   }
 
-  private List<BatchCommand> apply(BatchEvent event, boolean more) {
-    return core.apply(event, Duration.ofMillis(nowMillis).toNanos(), WALL + nowMillis, more);
+  private List<BatchCommand> apply(BatchEvent event, boolean moreQueued) {
+    return core.apply(event, Duration.ofMillis(nowMillis).toNanos(), WALL + nowMillis, moreQueued);
   }
 
-  /** Hands a job in that is due after a while. */
+  /** Submits a job that becomes due after a while. */
   private void dueIn(long millis) {
     Submission.Schedule once = new Submission.Schedule(WALL + nowMillis + millis, 1000, 1);
     accept(new Submission("spec", List.of(Jobs.tasks(1, 1, 60_000)), Optional.of(once)), false);
   }
 
-  /** Hands a job in and returns what the turn commands in which it is stored. */
-  private List<BatchCommand> accept(boolean more) {
-    return accept(Jobs.of(Jobs.tasks(1, 1, 60_000)), more);
+  /** Submits a job and returns the commands that follow the event by which it is stored. */
+  private List<BatchCommand> accept(boolean moreQueued) {
+    return accept(Jobs.of(Jobs.tasks(1, 1, 60_000)), moreQueued);
   }
 
-  private List<BatchCommand> accept(Submission submission, boolean more) {
+  private List<BatchCommand> accept(Submission submission, boolean moreQueued) {
     jobs++;
     BatchCall call =
         new BatchCall.Submit(
             BatchCluster.NORMAL, BatchCluster.KEY, "%016x".formatted(jobs), submission);
-    List<BatchCommand> sent = apply(new BatchEvent.Called(1, call, BatchCluster.PATIENCE), true);
-    List<BatchCommand> stored = store(sent, more);
+    List<BatchCommand> sent =
+        apply(new BatchEvent.Called(1, call, BatchCluster.CALLER_TIMEOUT), true);
+    List<BatchCommand> stored = store(sent, moreQueued);
     for (List<BatchCommand> next = stored; append(next).isPresent(); ) {
       next = store(next, true);
     }
     return stored;
   }
 
-  private List<BatchCommand> store(List<BatchCommand> commands, boolean more) {
+  private List<BatchCommand> store(List<BatchCommand> commands, boolean moreQueued) {
     BatchCommand.Append append = append(commands).orElseThrow();
     AppendOutcome stored = new AppendOutcome.Stored(1);
-    return apply(new BatchEvent.Appended(append.stream(), append.position(), stored), more);
+    return apply(new BatchEvent.Appended(append.stream(), append.position(), stored), moreQueued);
   }
 
   private static Optional<BatchCommand.Append> append(List<BatchCommand> commands) {
@@ -90,7 +89,7 @@
   }
 
   @Test
-  void plansWaitForTheEventsThatHaveComeAlready() {
+  void planningWaitsForEventsThatAreAlreadyQueued() {
     assertEquals(1, placed(accept(true)));
     assertEquals(0, placed(accept(true)));
     assertEquals(1, placed(apply(new BatchEvent.Tick(), false)));
@@ -103,22 +102,22 @@
   }
 
   @Test
-  void anOwnerThatStaysBehindPlansAllTheSame() {
+  void anOwnerThatStaysBehindStillPlans() {
     assertEquals(1, placed(accept(true)));
     assertEquals(0, placed(accept(true)));
     nowMillis += 60;
     assertEquals(1, placed(apply(new BatchEvent.Tick(), true)));
   }
 
-  /** Executors write their entries each second or two, mostly the same. */
+  /** Executors write their list entries every second or two, mostly unchanged. */
   @Test
-  void anEntryOfAnExecutorThatChangesNothingIsFollowedByNoPlan() {
+  void anUnchangedListEntryCausesNoPlan() {
     ExecutorProfile entry = cluster.executors.values().iterator().next().profile();
     dueIn(100);
     apply(new BatchEvent.Tick(), false);
     nowMillis += 150;
     assertEquals(0, placed(apply(new BatchEvent.ExecutorSeen(entry), false)));
-    ExecutorProfile leaving = Declared.leaving(entry, 5000);
+    ExecutorProfile leaving = TestFixtures.leaving(entry, 5000);
     assertEquals(1, placed(apply(new BatchEvent.ExecutorSeen(leaving), false)));
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/CrashVictimsTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/CrashAttributionTest.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Executors that crash by themselves, are cut off, or leave: a task that can be done must not be
- * given up for what was not its doing.
+ * Guards against a task that is given up because its executors crashed by themselves, were cut off,
+ * or left.
  */
-class CrashVictimsTest {
+class CrashAttributionTest {
 
   private static final Optional<CallAnswer> COMPLETED =
       Optional.of(new CallAnswer.Phase(JobPhase.COMPLETED));
@@ -36,38 +36,38 @@
         .toList();
   }
 
-  /** Lets the task run for a while on the next executor, and returns that. */
-  private ExecutorId atWork(int starts, long millis) {
+  /** Lets the task run for a while after the given number of starts, and returns its executor. */
+  private ExecutorId runOnNextExecutor(int starts, long millis) {
     cluster.runUntil("a start", 15_000, () -> cluster.work.starts().size() >= starts);
     cluster.run(millis);
     return used().getFirst();
   }
 
   @Test
-  void aTaskThatWasAtWorkForAWhileWhenThreeOfItsExecutorsCrashedIsDone() {
+  void aTaskThatRanForAWhileBeforeEachOfThreeCrashesCompletes() {
     String job = submitted(6000);
     for (int crash = 1; crash <= 3; crash++) {
-      cluster.crashes.restart(atWork(crash, 3000), DOWN_MILLIS);
+      cluster.crashes.restart(runOnNextExecutor(crash, 3000), DOWN_MILLIS);
     }
     cluster.runUntil("the end", 15_000, () -> cluster.status(job).equals(COMPLETED));
   }
 
-  /** Pattern: one executor crashes again and again by itself; whatever it starts is lost early. */
+  /** One executor crashes repeatedly by itself, so that every run on it is lost early. */
   @Test
-  void twoCrashesOfOneExecutorDoNotEndATask() {
+  void twoCrashesOfOneExecutorDoNotFailATask() {
     cluster.executors.keySet().stream()
         .filter(id -> !id.value().equals("e0"))
         .toList()
         .forEach(id -> cluster.leave(id, 600_000));
     String job = submitted(4000);
-    cluster.crashes.restart(atWork(1, 300), DOWN_MILLIS);
-    cluster.crashes.restart(atWork(2, 300), DOWN_MILLIS);
+    cluster.crashes.restart(runOnNextExecutor(1, 300), DOWN_MILLIS);
+    cluster.crashes.restart(runOnNextExecutor(2, 300), DOWN_MILLIS);
     cluster.runUntil("the end", 20_000, () -> cluster.status(job).equals(COMPLETED));
   }
 
   /**
-   * Seen: a gang lost two of its executors at once, twice, and its job was given up. The one whose
-   * crash became known first was blamed, though each of the others may have ended the gang before.
+   * A gang loses two of its executors at once, twice. Guards against blaming the member whose
+   * executor's crash became known first, although each other member may have ended the gang before.
    */
   @Test
   void noMemberIsBlamedWhereSeveralExecutorsOfAGangAreLostTogether() {
@@ -75,7 +75,7 @@
     cluster.run(200);
     String job = cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.gang(2, 8, 4000)));
     for (int loss = 1; loss <= 2; loss++) {
-      atWork(2 * loss, 300);
+      runOnNextExecutor(2 * loss, 300);
       List<ExecutorId> lost = used();
       lost.forEach(id -> cluster.crashes.restart(id, DOWN_MILLIS));
     }
@@ -83,19 +83,19 @@
   }
 
   /**
-   * Pattern: a rack loses power. The first crash ends the whole gang, so that the other members had
-   * ended when their executors crashed.
+   * A rack loses power. The first crash ends the whole gang, so the other members had already ended
+   * when their executors crashed.
    */
   @Test
   void aMemberIsNotBlamedForACrashAfterItsGangWasBroken() {
     cluster.awaitOwner();
     cluster.run(200);
     String job = cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.gang(2, 8, 4000)));
-    atWork(2, 300);
+    runOnNextExecutor(2, 300);
     ExecutorId second = runs(new TaskName(job, 0, 0, 1));
     cluster.crashes.restart(runs(new TaskName(job, 0, 0, 0)), DOWN_MILLIS);
     cluster.crashes.restart(second, DOWN_MILLIS);
-    atWork(4, 300);
+    runOnNextExecutor(4, 300);
     cluster.crashes.restart(runs(new TaskName(job, 0, 0, 1)), DOWN_MILLIS);
     cluster.runUntil("the end", 20_000, () -> cluster.status(job).equals(COMPLETED));
   }
@@ -109,10 +109,10 @@
   }
 
   @Test
-  void aTaskWhoseExecutorsLeaveIsDone() {
+  void aTaskWhoseExecutorsLeaveCompletes() {
     String job = submitted(4000);
     for (int left = 1; left <= 4; left++) {
-      ExecutorId id = atWork(left, 300);
+      ExecutorId id = runOnNextExecutor(left, 300);
       cluster.leave(id, 60_000);
       cluster.run(100);
       cluster.crashes.restart(id, DOWN_MILLIS);
@@ -120,7 +120,7 @@
     cluster.runUntil("the end", 20_000, () -> cluster.status(job).equals(COMPLETED));
   }
 
-  /** The start is the first order that the next incarnation gets: nothing has run. */
+  /** The start is the first order that the new incarnation gets, so nothing has run. */
   @Test
   void aStartThatFindsItsExecutorRestartedDoesNotCountAgainstTheTask() {
     cluster.awaitOwner();
@@ -133,14 +133,14 @@
     assertEquals(1, cluster.work.starts().size());
   }
 
-  /** It runs for months, in which many executors are lost under it. */
+  /** A long-running task runs for months, during which many of its executors are lost. */
   @Test
-  void aTaskThatLastsAndWasAtWorkSurvivesAnyNumberOfCrashes() {
+  void aLongRunningTaskThatHasStartedUpSurvivesAnyNumberOfCrashes() {
     cluster.awaitOwner();
     cluster.run(200);
-    String job = cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.lasting(1, 1, 1, 0)));
+    String job = cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.longRunning(1, 1, 1, 0)));
     for (int crash = 1; crash <= 8; crash++) {
-      cluster.crashes.restart(atWork(crash, 5000), DOWN_MILLIS);
+      cluster.crashes.restart(runOnNextExecutor(crash, 5000), DOWN_MILLIS);
     }
     cluster.run(8000);
     assertEquals(Optional.of(new CallAnswer.Phase(JobPhase.IN_PROGRESS)), cluster.status(job));
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/OrphanedRunTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/OrphanedRunTest.java
@@ -22,31 +22,31 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Runs of a job that has ended, while their owner is replaced: all are gone within the time that
- * the users give a cancel and a stop, counted from the acknowledgement of the cancel, or from the
- * end of the last fault if that is later.
+ * Runs of a job that has ended, or was cancelled, must be gone in time although their owner is
+ * replaced: within the time that the users allow for a cancel and a stop, counted from the
+ * acknowledgement of the cancel, or from the end of the last fault if that is later.
  */
 class OrphanedRunTest {
 
   private static final long GONE_WITHIN_MILLIS = 3200;
 
-  /** Time after a confirmed cancel from which on nothing may start. */
+  /** Time after an acknowledged cancel from which on nothing may start. */
   private static final long CANCEL_MILLIS = 3000;
 
-  /** A run that an executor started late may live this much longer, from its start on. */
+  /** Additional lifetime of a run that its executor started late, counted from its start. */
   private static final long LATE_START_MILLIS = 3000;
 
   private static final String LATE_JOB = "00000000000000aa";
   private static final String SIDE = "side";
 
-  /** How long runs were alive that outlived the bound, by case. */
+  /** How long runs survived that outlived the bound, by case. */
   private final Map<String, Long> tooLong = new LinkedHashMap<>();
 
-  private void measure(String name, OrphanedRun history, String job) {
+  private void measure(String name, OrphanedRunFixture history, String job) {
     measure(name, GONE_WITHIN_MILLIS, history, job);
   }
 
-  private void measure(String name, long bound, OrphanedRun history, String job) {
+  private void measure(String name, long bound, OrphanedRunFixture history, String job) {
     long millis = history.millisUntilGone(job);
     if (millis > bound) {
       tooLong.put(name, millis);
@@ -56,21 +56,21 @@
   private void assertAllGoneInTime() {
     Map<String, Long> found = Map.copyOf(tooLong);
     tooLong.clear();
-    assertEquals(Map.of(), found, "alive for too many ms");
+    assertEquals(Map.of(), found, "runs that survived too long, in ms");
   }
 
-  private static String submitLong(OrphanedRun history) {
-    return history.submit(BatchCluster.NORMAL, Jobs.tasks(1, 8, OrphanedRun.LONG_MILLIS));
+  private static String submitLong(OrphanedRunFixture history) {
+    return history.submit(BatchCluster.NORMAL, Jobs.tasks(1, 8, OrphanedRunFixture.LONG_MILLIS));
   }
 
-  // Guards against: a stop that only the lost owner owed, and a next owner that is slow to look.
+  // Guards against: a stop that only the lost owner had to send, and a next owner that looks late.
   @Test
   void aRunIsGoneInTimeThoughItsOwnerDiesAndTheStoreIsSlow() {
     for (long storeMillis : new long[] {300, 600, 900}) {
       for (long slowBefore : new long[] {0, 3000}) {
-        OrphanedRun history = new OrphanedRun();
+        OrphanedRunFixture history = new OrphanedRunFixture();
         String job = submitLong(history);
-        history.cluster.faults.storeDelay = storeMillis;
+        history.cluster.faults.storeDelayMillis = storeMillis;
         history.cluster.run(slowBefore);
         history.cancelAndKillOwner(job);
         measure("store " + storeMillis + " since " + slowBefore, history, job);
@@ -79,15 +79,16 @@
     assertAllGoneInTime();
   }
 
-  // Guards against: a cancel that is confirmed by time while other work keeps the lease alive.
+  // Guards against: a cancel acknowledged after a time in which other work kept the lease alive.
   @Test
   void aRunBesideOtherWorkIsGoneInTimeThoughItsOwnerDiesAndTheStoreIsSlow() {
     for (long storeMillis : new long[] {300, 600, 900}) {
-      OrphanedRun history = new OrphanedRun();
-      String job = history.submit(BatchCluster.NORMAL, Jobs.tasks(1, 4, OrphanedRun.LONG_MILLIS));
-      history.submit(BatchCluster.NORMAL, Jobs.tasks(7, 4, OrphanedRun.LONG_MILLIS));
+      OrphanedRunFixture history = new OrphanedRunFixture();
+      String job =
+          history.submit(BatchCluster.NORMAL, Jobs.tasks(1, 4, OrphanedRunFixture.LONG_MILLIS));
+      history.submit(BatchCluster.NORMAL, Jobs.tasks(7, 4, OrphanedRunFixture.LONG_MILLIS));
       history.cluster.run(300);
-      history.cluster.faults.storeDelay = storeMillis;
+      history.cluster.faults.storeDelayMillis = storeMillis;
       history.cluster.run(3000);
       history.cluster.faults.lostStops = true;
       history.cluster.call(new BatchCall.Cancel(BatchCluster.NORMAL, BatchCluster.KEY, job));
@@ -100,14 +101,14 @@
     assertAllGoneInTime();
   }
 
-  // Guards against: a stop that is handed on once, and not by the owner after the next.
+  // Guards against: a stop that is passed on to the next owner, but not to the one after it.
   @Test
   void aRunIsGoneInTimeThoughSeveralOwnersDieOneAfterTheOther() {
     for (long storeMillis : new long[] {4, 100, 300}) {
       for (int owners = 2; owners <= 3; owners++) {
-        OrphanedRun history = new OrphanedRun();
+        OrphanedRunFixture history = new OrphanedRunFixture();
         String job = submitLong(history);
-        history.cluster.faults.storeDelay = storeMillis;
+        history.cluster.faults.storeDelayMillis = storeMillis;
         history.cancelAndKillOwner(job);
         history.killNextOwners(owners - 1);
         measure(owners + " owners, store " + storeMillis, history, job);
@@ -116,17 +117,18 @@
     assertAllGoneInTime();
   }
 
-  // Guards against: a pool that the next owner does not look at, as no queue names it any more.
+  // Guards against: a next owner that ignores a pool since no queue names it any more.
   @Test
   void aRunInAPoolWhoseLastQueueIsRemovedIsGoneInTimeThoughItsOwnerDies() {
-    BatchConfiguration without = Declared.configuration();
+    BatchConfiguration without = TestFixtures.configuration();
     Map<String, JobQueue> queues = new HashMap<>(without.queues());
     queues.put(SIDE, new JobQueue(SIDE, SIDE, 1, 3, 3, 1000, false, false));
-    OrphanedRun history = new OrphanedRun(5, new BatchConfiguration(1, queues, without.holders()));
-    history.cluster.addExecutor(Declared.ofPool("side-0", "r1", SIDE));
+    OrphanedRunFixture history =
+        new OrphanedRunFixture(5, new BatchConfiguration(1, queues, without.organisations()));
+    history.cluster.addExecutor(TestFixtures.ofPool("side-0", "r1", SIDE));
     history.cluster.run(500);
-    String job = history.submit(SIDE, Jobs.tasks(1, 8, OrphanedRun.LONG_MILLIS));
-    history.cluster.configure(new BatchConfiguration(2, without.queues(), without.holders()));
+    String job = history.submit(SIDE, Jobs.tasks(1, 8, OrphanedRunFixture.LONG_MILLIS));
+    history.cluster.configure(new BatchConfiguration(2, without.queues(), without.organisations()));
     history.cluster.run(500);
     history.cancelAndKillOwner(job);
     measure("pool of no queue", history, job);
@@ -136,26 +138,26 @@
   // Guards against: a cancel that is acknowledged and forgotten before its submission arrives.
   @Test
   void aSubmissionThatComesAfterItsCancelDoesNotRun() {
-    OrphanedRun history = new OrphanedRun();
+    OrphanedRunFixture history = new OrphanedRunFixture();
     cancelUnknown(history);
     assertSubmissionDoesNotRun(history);
   }
 
-  // Guards against: a cancel that only the owner remembers that acknowledged it.
+  // Guards against: a cancel that only the owner that acknowledged it remembers.
   @Test
   void aSubmissionThatComesAfterItsCancelDoesNotRunAtTheNextOwner() {
-    OrphanedRun history = new OrphanedRun();
+    OrphanedRunFixture history = new OrphanedRunFixture();
     cancelUnknown(history);
     history.killOwner();
     history.cluster.awaitOwner();
     assertSubmissionDoesNotRun(history);
   }
 
-  // Guards against: "no such job" said of one that is on its way to the store.
+  // Guards against: "no such job" for a job that is on its way to the store.
   @Test
   void aSubmissionThatComesBeforeTheAnswerToItsCancelDoesNotRun() {
     for (long between = 0; between <= 400; between += 20) {
-      OrphanedRun history = new OrphanedRun();
+      OrphanedRunFixture history = new OrphanedRunFixture();
       BatchCall cancel = new BatchCall.Cancel(BatchCluster.NORMAL, BatchCluster.KEY, LATE_JOB);
       long ticket = history.cluster.call(cancel).orElseThrow();
       history.cluster.run(between);
@@ -171,35 +173,37 @@
         BatchCluster.NORMAL,
         BatchCluster.KEY,
         LATE_JOB,
-        Jobs.of(Jobs.tasks(1, 8, OrphanedRun.LONG_MILLIS)));
+        Jobs.of(Jobs.tasks(1, 8, OrphanedRunFixture.LONG_MILLIS)));
   }
 
-  private static void cancelUnknown(OrphanedRun history) {
+  private static void cancelUnknown(OrphanedRunFixture history) {
     BatchCall cancel = new BatchCall.Cancel(BatchCluster.NORMAL, BatchCluster.KEY, LATE_JOB);
     assertEquals(new CallAnswer.NoSuchJob(), history.answer(cancel));
   }
 
-  private static void assertSubmissionDoesNotRun(OrphanedRun history) {
+  private static void assertSubmissionDoesNotRun(OrphanedRunFixture history) {
     BatchCall status = new BatchCall.Status(BatchCluster.NORMAL, BatchCluster.KEY, LATE_JOB);
-    assertEquals(new CallAnswer.NoSuchJob(), history.answer(status), "nobody has submitted it");
+    assertEquals(
+        new CallAnswer.NoSuchJob(), history.answer(status), "the job was not submitted yet");
     CallAnswer answer = history.answer(submission());
     long until = history.cluster.nowMillis() + GONE_WITHIN_MILLIS;
     while (history.cluster.nowMillis() < until) {
       if (answer instanceof CallAnswer.Accepted) {
-        assertInstanceOf(CallAnswer.Phase.class, history.answer(status), "it was accepted");
+        assertInstanceOf(CallAnswer.Phase.class, history.answer(status), "the job was accepted");
       }
       history.cluster.run(200);
     }
-    assertFalse(history.runs(LATE_JOB), "it runs, and its cancel was acknowledged before");
+    assertFalse(history.runs(LATE_JOB), "the job runs although its cancel was acknowledged before");
   }
 
-  // Guards against: a stop that counts as answered by the answer to the start before it.
+  // Guards against: the answer to the earlier start counting as the answer to the stop.
   @Test
   void aRunWhoseStopIsLostIsGoneInTimeThoughItsStartIsAnsweredAfterTheCancel() {
-    OrphanedRun history = new OrphanedRun();
+    OrphanedRunFixture history = new OrphanedRunFixture();
     BatchCluster cluster = history.cluster;
     String job =
-        cluster.submit(BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 8, OrphanedRun.LONG_MILLIS)));
+        cluster.submit(
+            BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 8, OrphanedRunFixture.LONG_MILLIS)));
     List<Long> cancels = new ArrayList<>();
     cluster.faults.dropped =
         (vm, event) -> {
@@ -223,11 +227,11 @@
         && ended.outcome() instanceof OrderOutcome.Done;
   }
 
-  // Guards against: a stop that counts as carried out because it was confirmed.
+  // Guards against: a stop that counts as carried out because it was acknowledged.
   @Test
   void aStopThatIsConfirmedAndNotCarriedOutIsSentAgain() {
     for (int ignored = 1; ignored <= 3; ignored++) {
-      OrphanedRun history = new OrphanedRun();
+      OrphanedRunFixture history = new OrphanedRunFixture();
       String job = submitLong(history);
       history.cluster.executors.get(history.executorOf(job)).ignoreStops(ignored);
       history.cancel(job);
@@ -236,15 +240,16 @@
     assertAllGoneInTime();
   }
 
-  // Guards against: stops that the next owner takes over for cancels only, not for failed jobs.
+  // Guards against: a next owner that takes over the stops of cancelled jobs, not of failed ones.
   @Test
   void theOtherRunsOfAFailedJobAreGoneInTimeThoughTheirOwnerDies() {
-    OrphanedRun history = new OrphanedRun();
-    String job = history.submit(BatchCluster.NORMAL, Jobs.tasks(2, 4, OrphanedRun.LONG_MILLIS));
+    OrphanedRunFixture history = new OrphanedRunFixture();
+    String job =
+        history.submit(BatchCluster.NORMAL, Jobs.tasks(2, 4, OrphanedRunFixture.LONG_MILLIS));
     history.cluster.run(200);
     TaskName task = new TaskName(job, 0, 0, 0);
     history.cluster.work.failAlways(task);
-    history.cluster.work.lasts(task, 300);
+    history.cluster.work.setWorkMillis(task, 300);
     history.cluster.faults.lostStops = true;
     history.awaitEnd(job);
     history.killOwner();
@@ -254,15 +259,15 @@
     assertEquals(new CallAnswer.Phase(JobPhase.FAILED), history.cluster.status(job).orElseThrow());
   }
 
-  // Guards against: a second run of a task that goes on after the first turned out to be done.
+  // Guards against: a second run that goes on although the first turned out to be done.
   @Test
   void theSecondRunOfATaskThatWasDoneIsGoneInTimeThoughItsOwnerDies() {
-    OrphanedRun history = new OrphanedRun();
+    OrphanedRunFixture history = new OrphanedRunFixture();
     String job = history.submit(BatchCluster.NORMAL, Jobs.tasks(1, 8, 1000));
     ExecutorId first = history.executorOf(job);
     history.cluster.faults.silent.add(first);
     history.cluster.runUntil("the end", 2000, () -> !history.runs(job));
-    history.cluster.work.lasts(new TaskName(job, 0, 0, 0), OrphanedRun.LONG_MILLIS);
+    history.cluster.work.setWorkMillis(new TaskName(job, 0, 0, 0), OrphanedRunFixture.LONG_MILLIS);
     history.cluster.runUntil("the second run", 12_000, () -> history.runs(job));
     history.cluster.faults.lostStops = true;
     history.cluster.faults.silent.clear();
@@ -275,10 +280,10 @@
         new CallAnswer.Phase(JobPhase.COMPLETED), history.cluster.status(job).orElseThrow());
   }
 
-  // Guards against: a planned stop of the owner that drops the stops it still owes.
+  // Guards against: an owner whose planned stop drops the stops that it still has to send.
   @Test
   void aRunIsGoneInTimeThoughItsOwnerStopsAsPlannedBeforeItRepeatsTheStop() {
-    OrphanedRun history = new OrphanedRun();
+    OrphanedRunFixture history = new OrphanedRunFixture();
     String job = submitLong(history);
     history.cluster.faults.lostStops = true;
     history.cancel(job);
@@ -288,10 +293,10 @@
     assertAllGoneInTime();
   }
 
-  // Guards against: a next owner that looks only at executors that are listed as it begins.
+  // Guards against: a next owner that asks only executors that are listed when it takes over.
   @Test
-  void aRunOnAnExecutorThatIsListedAgainAfterTheTakeOverIsGoneInTime() {
-    OrphanedRun history = new OrphanedRun();
+  void aRunOnAnExecutorThatIsListedAgainAfterTheTakeoverIsGoneInTime() {
+    OrphanedRunFixture history = new OrphanedRunFixture();
     String job = submitLong(history);
     ExecutorId executor = history.executorOf(job);
     history.cluster.faults.unlisted.add(executor);
@@ -305,20 +310,20 @@
     assertAllGoneInTime();
   }
 
-  // Guards against: a start that an executor carries out after the next owner has looked at it.
+  // Guards against: a start that an executor carries out after the next owner has polled it.
   @Test
-  void aLateStartAcrossACancelAndATakeOverIsGoneInTime() {
+  void aLateStartAcrossACancelAndATakeoverIsGoneInTime() {
     for (long storeMillis : new long[] {4, 300, 600}) {
       for (long late = 2000; late <= 5000; late += 250) {
-        OrphanedRun history = new OrphanedRun();
-        history.cluster.faults.lateOrders = 1;
-        history.cluster.faults.lateMillis = OptionalLong.of(late);
+        OrphanedRunFixture history = new OrphanedRunFixture();
+        history.cluster.faults.lateOrderRate = 1;
+        history.cluster.faults.lateOrderMillis = OptionalLong.of(late);
         String job =
             history.cluster.submit(
-                BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 8, OrphanedRun.LONG_MILLIS)));
+                BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 8, OrphanedRunFixture.LONG_MILLIS)));
         history.cluster.run(100);
-        history.cluster.faults.lateOrders = 0;
-        history.cluster.faults.storeDelay = storeMillis;
+        history.cluster.faults.lateOrderRate = 0;
+        history.cluster.faults.storeDelayMillis = storeMillis;
         history.cancelAndKillOwner(job);
         long until = history.cluster.nowMillis() + 6000;
         while (!history.runs(job) && history.cluster.nowMillis() < until) {
@@ -331,23 +336,24 @@
     assertAllGoneInTime();
   }
 
-  // Guards against: a cancel that is confirmed while a start may come much later, and go on.
+  // Guards against: a cancel acknowledged while a start may arrive much later and go on.
   @Test
   void aStartThatIsCarriedOutAfterTheCancelComesSoonAndEndsWithItsLease() {
-    OrphanedRun history = new OrphanedRun();
+    OrphanedRunFixture history = new OrphanedRunFixture();
     BatchCluster cluster = history.cluster;
-    cluster.faults.lateOrders = 1;
-    cluster.faults.lateMillis = OptionalLong.of(5500);
+    cluster.faults.lateOrderRate = 1;
+    cluster.faults.lateOrderMillis = OptionalLong.of(5500);
     String job =
-        cluster.submit(BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 8, OrphanedRun.LONG_MILLIS)));
+        cluster.submit(
+            BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 8, OrphanedRunFixture.LONG_MILLIS)));
     cluster.run(1800);
     history.cancelAndKillOwner(job);
     long cancelledAt = cluster.nowMillis();
-    cluster.faults.lateOrders = 0;
+    cluster.faults.lateOrderRate = 0;
     cluster.faults.storeDown = true;
     cluster.in(3000, () -> cluster.faults.storeDown = false);
     cluster.runUntil("the late start", 6000, () -> history.runs(job));
-    assertTrue(cluster.nowMillis() - cancelledAt <= CANCEL_MILLIS, "it came too late");
+    assertTrue(cluster.nowMillis() - cancelledAt <= CANCEL_MILLIS, "the start came too late");
     measure("late start", history, job);
     assertAllGoneInTime();
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/SwallowedReleaseTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ReleaseAfterLostHeartbeatTest.java
@@ -14,11 +14,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Pattern: a heartbeat is stored and its answer is lost, and then ownership is given up. The
- * release goes out under the sequence of that heartbeat, so the store answers it as it answered
- * that one and stores nothing. The VM takes it for stored, and the others wait for 2 s of silence.
+ * Guards against a release of ownership that is not stored. A heartbeat is stored and its answer is
+ * lost; if the release used the sequence number of that heartbeat, the store would repeat the
+ * earlier answer and store nothing. The VM would take the release for stored, and the others would
+ * wait for 2 s of silence.
  */
-class SwallowedReleaseTest {
+class ReleaseAfterLostHeartbeatTest {
 
   private final FakeStore store = new FakeStore();
   private final OwnershipDuty duty =
@@ -28,7 +29,7 @@
     return new BatchContext(Duration.ofMillis(millis).toNanos(), millis);
   }
 
-  /** Has the duty do what is due and returns the append, stored, with its outcome. */
+  /** Makes the duty do what is due and returns the append that it sends. */
   private BatchCommand.Append step(long millis) {
     BatchContext context = at(millis);
     duty.step(context);
@@ -51,19 +52,19 @@
   }
 
   @Test
-  void aVmThatTakesItsReleaseForStoredHasStoredIt() {
+  void aReleaseThatCountsAsStoredIsStored() {
     duty.read(Optional.empty(), 0, at(0));
     BatchCommand.Append claim = step(0);
-    duty.answered(claim.position(), stored(claim), at(5));
+    duty.appendCompleted(claim.position(), stored(claim), at(5));
     BatchCommand.Append heartbeat = step(505);
     stored(heartbeat);
-    duty.answered(heartbeat.position(), new AppendOutcome.Unanswered("timeout"), at(1505));
+    duty.appendCompleted(heartbeat.position(), new AppendOutcome.Unanswered("timeout"), at(1505));
     duty.yield(at(1510));
     for (long millis = 1700; millis < 4000 && duty.epoch().isPresent(); millis += 600) {
       BatchCommand.Append append = step(millis);
-      duty.answered(append.position(), stored(append), at(millis + 5));
+      duty.appendCompleted(append.position(), stored(append), at(millis + 5));
     }
-    assertTrue(duty.epoch().isEmpty(), "ownership is not given up");
+    assertTrue(duty.epoch().isEmpty(), "the VM has not given up ownership");
     assertEquals(OwnerRecord.Kind.RELEASE, newestStored());
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/OvertakenOwnerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/ReplacedOwnerAnswersTest.java
@@ -9,13 +9,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seen: a job is accepted, and a question about it right afterwards, through another VM, is
- * answered that there is no such job. The second VM still passes calls to the former owner, which
- * does not know yet that it was overtaken. Cause: an owner says that a job does not exist for 1.8 s
- * after the store's last word, as others claimed only after 2 s of silence. Since then VMs also
- * claim from an owner that lives, if they are much stronger, and after 1 s if it is doubted.
+ * Guards against "no such job" for a job that was just accepted. Another VM still forwards a status
+ * call to the previous owner, which does not know yet that it was replaced. That owner denied jobs
+ * for 1.8 s after the store's last answer, which is safe only if others claim after 2 s of silence;
+ * but VMs also claim from a live owner if they have much more CPU, and after 1 s if the owner is
+ * suspected.
  */
-class OvertakenOwnerTest {
+class ReplacedOwnerAnswersTest {
 
   private static final long TICKET = 1_000_000;
 
@@ -30,24 +30,24 @@
     return job;
   }
 
-  private CallAnswer told(BatchCluster.Vm vm, String job) {
+  private CallAnswer statusFrom(BatchCluster.Vm vm, String job) {
     BatchCall question = new BatchCall.Status(BatchCluster.NORMAL, BatchCluster.KEY, job);
-    vm.deliver(new BatchEvent.Called(TICKET, question, BatchCluster.PATIENCE));
+    vm.deliver(new BatchEvent.Called(TICKET, question, BatchCluster.CALLER_TIMEOUT));
     return cluster.answers.get(TICKET);
   }
 
   @Test
-  void anOwnerThatAStrongerVmOvertookDoesNotDenyTheJobsOfThatOne() {
+  void anOwnerReplacedByAStrongerVmDoesNotDenyJobsAcceptedByIt() {
     BatchCluster.Vm former = cluster.start(new VmId("weak-1"));
     cluster.awaitOwner();
     cluster.run(1000);
     VmId next = new VmId("vm-1");
     cluster.start(next);
-    assertNotEquals(new CallAnswer.NoSuchJob(), told(former, acceptedBy(next)));
+    assertNotEquals(new CallAnswer.NoSuchJob(), statusFrom(former, acceptedBy(next)));
   }
 
   @Test
-  void anOwnerThatWasDoubtedDoesNotDenyTheJobsOfTheNext() {
+  void aSuspectedOwnerDoesNotDenyJobsAcceptedByTheNext() {
     BatchCluster.Vm former = cluster.start(new VmId("vm-1"));
     cluster.awaitOwner();
     VmId next = new VmId("vm-2");
@@ -57,6 +57,6 @@
     for (int i = 0; i < 10; i++) {
       cluster.in(200 * i, () -> cluster.vms.get(next).deliver(new BatchEvent.OwnerDoubted()));
     }
-    assertNotEquals(new CallAnswer.NoSuchJob(), told(former, acceptedBy(next)));
+    assertNotEquals(new CallAnswer.NoSuchJob(), statusFrom(former, acceptedBy(next)));
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/StopLogTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/StopLogTest.java
@@ -6,7 +6,7 @@
 import org.fescuehook.logic.batch.call.BatchCall;
 import org.junit.jupiter.api.Test;
 
-/** What the log tells of runs that may outlive their job. */
+/** Log events about runs that may outlive their job. */
 class StopLogTest {
 
   private final BatchCluster cluster = new BatchCluster(2, 2, 5);
@@ -18,7 +18,7 @@
   }
 
   @Test
-  void itTellsWhetherAStopWasAnswered() {
+  void theLogTellsWhetherAStopWasAnswered() {
     cluster.awaitOwner();
     cluster.run(200);
     String job = cluster.submit(BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 8, 60_000)));
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void itTellsThatACancelCameForAJobThatIsNotKnown() {
+  void theLogReportsACancelOfAnUnknownJob() {
     cluster.awaitOwner();
     cluster.call(new BatchCall.Cancel(BatchCluster.NORMAL, BatchCluster.KEY, "00000000000000aa"));
     assertEquals(1, cluster.notes(BatchLogEvent.UNKNOWN_JOB_CANCELLED).size());
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/StrayRunTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/StrayRunTest.java
@@ -12,9 +12,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Pattern: an executor runs something whose job was cancelled, since a start arrived late, or since
- * the VM that gave it, and was to stop it, is gone. The users' bound counts from 3 s after such a
- * start.
+ * An executor runs a task of a cancelled job because the start arrived late, or because the VM that
+ * sent it and had to stop it is gone. The users' bound counts from 3 s after such a start.
  */
 class StrayRunTest {
 
@@ -44,10 +43,10 @@
   @Test
   void aStartThatArrivesAfterTheCancelIsStoppedByTheNextOwner() {
     BatchCluster cluster = cluster();
-    cluster.faults.lateOrders = 1;
+    cluster.faults.lateOrderRate = 1;
     String job = cluster.submit(BatchCluster.NORMAL, Jobs.of(Jobs.tasks(1, 8, 60_000)));
     cluster.run(100);
-    cluster.faults.lateOrders = 0;
+    cluster.faults.lateOrderRate = 0;
     cancel(cluster, job);
     VmId former = cluster.owner().orElseThrow().id;
     cluster.vms.get(former).running = false;
@@ -56,7 +55,9 @@
     assertFalse(anythingRuns(cluster));
   }
 
-  /** The stop that the next owner sends is lost too; it looks again until nothing runs there. */
+  /**
+   * The stop that the next owner sends is lost too; it polls the executor until the run has ended.
+   */
   @Test
   void aRunWhoseVmWasRemovedRightAfterTheCancelIsStoppedThoughAStopIsLost() {
     BatchCluster cluster = cluster();
@@ -66,13 +67,13 @@
     cancel(cluster, job);
     VmId former = cluster.owner().orElseThrow().id;
     cluster.vms.get(former).running = false;
-    cluster.runUntil("the next owner's first stop", 9000, () -> cluster.faults.stopsLost > 1);
+    cluster.runUntil("the next owner's first stop", 9000, () -> cluster.faults.lostStopCount > 1);
     assertTrue(anythingRuns(cluster));
     cluster.faults.lostStops = false;
     cluster.runUntil("the end of the run", 1500, () -> !anythingRuns(cluster));
   }
 
-  /** No stop of it ever arrives: it ends with the last lease that its own owner gave. */
+  /** No stop ever arrives: the run ends with the last lease that its own owner gave. */
   @Test
   void theLeaseOfARunThatItsOwnerDoesNotKnowIsNotExtended() {
     BatchCluster cluster = cluster();
@@ -83,7 +84,7 @@
     VmId former = cluster.owner().orElseThrow().id;
     cluster.vms.get(former).running = false;
     cluster.run(LONGEST_LEASE_MILLIS);
-    assertTrue(cluster.faults.stopsLost > 1, "the next owner has seen the run");
+    assertTrue(cluster.faults.lostStopCount > 1, "the next owner sent no stop for the run");
     cluster.run(200);
     assertFalse(anythingRuns(cluster));
   }
@@ -106,14 +107,14 @@
   void anExecutorOfAPoolThatNoQueueNamesIsNotContacted() {
     BatchCluster cluster = new BatchCluster(1, 0, 5);
     cluster.awaitOwner();
-    cluster.addExecutor(Declared.ofPool("e9", "r1", "another"));
-    cluster.addExecutor(Declared.executor("e8", "r1"));
+    cluster.addExecutor(TestFixtures.ofPool("e9", "r1", "another"));
+    cluster.addExecutor(TestFixtures.executor("e8", "r1"));
     cluster.run(1000);
     assertEquals(0, cluster.orders.sent.getOrDefault(new ExecutorId("e9"), 0));
     assertTrue(cluster.orders.sent.getOrDefault(new ExecutorId("e8"), 0) > 0);
   }
 
-  /** An entry that became unreadable counts as not listed: see the adapter's tests. */
+  /** An entry that has become unreadable counts as not listed; see the tests of the adapter. */
   @Test
   void anExecutorThatIsNoLongerListedKeepsItsRunsAndGetsNoNewOnes() {
     BatchCluster cluster = new BatchCluster(1, 1, 5);
@@ -130,7 +131,7 @@
     cluster
         .owner()
         .orElseThrow()
-        .deliver(new BatchEvent.ExecutorSeen(Declared.executor("e0", "r0")));
+        .deliver(new BatchEvent.ExecutorSeen(TestFixtures.executor("e0", "r0")));
     cluster.runUntil("the second job", 3000, () -> cluster.work.starts().size() == 2);
     assertEquals(second, cluster.work.starts().getLast().task().job());
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/Declared.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/TestFixtures.java
@@ -22,25 +22,25 @@
 import org.fescuehook.model.preferences.BatchPreferences;
 import org.fescuehook.model.preferences.WorkPreferences;
 
-/** What operators and executors have declared in tests. */
-final class Declared {
+/** Configurations, preferences and executor profiles for tests. */
+final class TestFixtures {
 
   static final String KEY = "key-of-north";
   static final String URGENT = "urgent";
   static final String NORMAL = "normal";
   static final String BULK = "bulk";
 
-  /** A queue whose steps run only where the advice service allows it. */
+  /** A queue whose steps run only where the advice service allows them to. */
   static final String ADVISED = "advised";
 
   static final String POOL = "pool";
 
-  /** An executor as the users have them. */
+  /** Capacity of an executor as the users run them. */
   static final ResourceVector CAPACITY = new ResourceVector(64_000, 262_144, 8);
 
-  private Declared() {}
+  private TestFixtures() {}
 
-  /** Bounds as {@link FakeExecutor} keeps them. */
+  /** Returns preferences with the time limits that {@link FakeExecutor} keeps. */
   static BatchPreferences preferences() {
     WorkPreferences work =
         new WorkPreferences(
@@ -51,7 +51,10 @@
     return new BatchPreferences(Duration.ofSeconds(6), Duration.ofSeconds(120), work, true);
   }
 
-  /** VMs whose names begin with "weak" have a quarter of the power of the others. */
+  /**
+   * Returns the CPU capacity of a VM: VMs whose names begin with "weak" have a quarter of that of
+   * the others.
+   */
   static int milliCores(VmId id) {
     return id.value().startsWith("weak") ? 250 : 1000;
   }
@@ -66,21 +69,24 @@
         1, queues, List.of(new BatchOrganisation("north", Set.of(KEY), 24)));
   }
 
-  /** The same queues, and several organisations with as many guaranteed accelerators each. */
+  /**
+   * Returns the same queues with several organisations, each with the same number of guaranteed
+   * accelerators.
+   */
   static BatchConfiguration configuration(int organisations, int guaranteedEach) {
-    List<BatchOrganisation> holders = new ArrayList<>();
+    List<BatchOrganisation> batchOrganisations = new ArrayList<>();
     for (int i = 0; i < organisations; i++) {
-      holders.add(new BatchOrganisation("org-" + i, Set.of(keyOf(i)), guaranteedEach));
+      batchOrganisations.add(new BatchOrganisation("org-" + i, Set.of(keyOf(i)), guaranteedEach));
     }
-    return new BatchConfiguration(1, configuration().queues(), holders);
+    return new BatchConfiguration(1, configuration().queues(), batchOrganisations);
   }
 
-  /** Returns the key of one of several organisations. */
+  /** Returns the API key of one of several organisations. */
   static String keyOf(int organisation) {
     return "key-of-org-" + organisation;
   }
 
-  /** The same queues after all keys were taken away. */
+  /** Returns the same queues without organisations, as after all API keys were removed. */
   static BatchConfiguration withoutKeys(long version) {
     return new BatchConfiguration(version, configuration().queues(), List.of());
   }
@@ -91,7 +97,7 @@
 
   static ExecutorProfile ofPool(String name, String rack, String pool) {
     return new ExecutorProfile(
-        Incarnation.undated(new ExecutorId(name)),
+        Incarnation.ofUnknownStart(new ExecutorId(name)),
         new InetSocketAddress(InetAddress.getLoopbackAddress(), port(name)),
         pool,
         new FailureDomain("a"),
@@ -106,19 +112,19 @@
     return 1 + Math.floorMod(name.hashCode(), 60_000);
   }
 
-  /** The same executor, which tells when it started. */
-  static ExecutorProfile born(ExecutorProfile profile, long bornMillis) {
-    return inLife(profile, new Incarnation(profile.id(), OptionalLong.of(bornMillis)));
+  /** Returns the same executor, reporting when it started. */
+  static ExecutorProfile withStartTime(ExecutorProfile profile, long bornMillis) {
+    return withIncarnation(profile, new Incarnation(profile.id(), OptionalLong.of(bornMillis)));
   }
 
-  /** The same executor in another life. */
-  static ExecutorProfile renamed(ExecutorProfile profile, String name) {
-    return inLife(profile, Incarnation.undated(new ExecutorId(name)));
+  /** Returns the same executor as another incarnation, under another id. */
+  static ExecutorProfile withId(ExecutorProfile profile, String name) {
+    return withIncarnation(profile, Incarnation.ofUnknownStart(new ExecutorId(name)));
   }
 
-  private static ExecutorProfile inLife(ExecutorProfile profile, Incarnation life) {
+  private static ExecutorProfile withIncarnation(ExecutorProfile profile, Incarnation incarnation) {
     return new ExecutorProfile(
-        life,
+        incarnation,
         profile.address(),
         profile.pool(),
         profile.domain(),
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/UnknownRunRoomTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/UnknownRunCapacityTest.java
@@ -8,19 +8,20 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What is being stopped still takes room. A new owner does not load jobs that have ended, so it
- * knows of their last runs only by the reports of executors; it placed work into the room of these.
+ * Guards against a new owner that places work in capacity that is still occupied by runs being
+ * stopped. It does not load jobs that have ended, so it knows their last runs only from the reports
+ * of executors.
  */
-class UnknownRunRoomTest {
+class UnknownRunCapacityTest {
 
   @Test
-  void aRunThatANewOwnerDoesNotKnowKeepsItsRoomUntilItHasEnded() {
+  void aRunThatANewOwnerDoesNotKnowOccupiesCapacityUntilItHasEnded() {
     BatchCluster cluster = new BatchCluster(2, 1, 1);
     cluster.awaitOwner();
     cluster.run(500);
     FakeExecutor executor = cluster.executors.get(new ExecutorId("e0"));
-    executor.startAnything();
-    cluster.work.stopsTake(4000);
+    executor.skipCapacityCheck();
+    cluster.work.setStopMillis(4000);
     String job = cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.tasks(1, 6, 60_000)));
     cluster.runUntil("the start", 1000, () -> cluster.work.starts().size() == 1);
     cluster.call(new BatchCall.Cancel(BatchCluster.URGENT, BatchCluster.KEY, job));
@@ -32,7 +33,7 @@
         10_000,
         () -> cluster.owner().filter(vm -> !vm.id.equals(former)).isPresent());
     cluster.submit(BatchCluster.URGENT, Jobs.of(Jobs.tasks(1, 6, 1000)));
-    assertTrue(executor.running().size() == 1, "the first run has ended before the test begins");
+    assertTrue(executor.running().size() == 1, "the first run ended too early for this test");
     cluster.runUntil("the next start", 10_000, () -> cluster.work.starts().size() == 2);
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/store/ResponseTimeEstimatorTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/store/ResponseTimeEstimatorTest.java
@@ -8,7 +8,7 @@
 
 class ResponseTimeEstimatorTest {
 
-  private static final Duration USUAL = Duration.ofMillis(4);
+  private static final Duration FAST = Duration.ofMillis(4);
   private static final Duration SLOW = Duration.ofMillis(240);
 
   private final ResponseTimeEstimator times = new ResponseTimeEstimator(RepeatedAppend.NEVER_LATE);
@@ -20,46 +20,51 @@
   }
 
   @Test
-  void aQuickStoreIsAskedAgainSoonAndNotForAPauseOfThisVm() {
-    assertEquals(Duration.ofMillis(60), times.late());
-    answered(USUAL, 50);
-    assertEquals(Duration.ofMillis(60), times.late());
+  void thresholdOfAFastStoreIsShortButToleratesAPauseOfThisVm() {
+    assertEquals(Duration.ofMillis(60), times.lateAfter());
+    answered(FAST, 50);
+    assertEquals(Duration.ofMillis(60), times.lateAfter());
   }
 
-  /** Pattern: the store turns 60 times slower; it must not be asked again for each answer. */
+  /** Guards against repeating every call when the store becomes 60 times slower. */
   @Test
-  void theFirstAnswersOfASlowStoreShowThatItIsNotLate() {
-    answered(USUAL, 50);
+  void thresholdExceedsResponseTimeFromTheFirstSlowAnswerOn() {
+    answered(FAST, 50);
     answered(SLOW, 1);
-    assertTrue(times.late().compareTo(SLOW) > 0, () -> "late after " + times.late());
+    assertTrue(times.lateAfter().compareTo(SLOW) > 0, () -> "late after " + times.lateAfter());
     answered(SLOW, 100);
-    assertTrue(times.late().compareTo(SLOW) >= 0, () -> "late after " + times.late());
+    assertTrue(times.lateAfter().compareTo(SLOW) >= 0, () -> "late after " + times.lateAfter());
   }
 
   @Test
-  void aStoreThatIsQuickAgainIsAskedAgainSoon() {
+  void thresholdFallsOnceTheStoreIsFastAgain() {
     answered(SLOW, 20);
-    answered(USUAL, 60);
-    assertEquals(Duration.ofMillis(60), times.late());
+    answered(FAST, 60);
+    assertEquals(Duration.ofMillis(60), times.lateAfter());
   }
 
-  /** Pattern: a VM has come back to a slow store, and its first append was sent 12 times. */
+  /**
+   * Guards against repeating the first append many times while the store is slow: it was sent 12
+   * times by a VM that had just reached the store again.
+   */
   @Test
-  void whatReadsHaveShownOfASlowStoreCountsForTheFirstAppend() {
+  void slowReadsRaiseTheThresholdOfTheFirstAppend() {
     Duration append = SLOW.multipliedBy(2);
     ResponseTimeEstimator appends = new ResponseTimeEstimator(RepeatedAppend.NEVER_LATE, times);
-    assertEquals(RepeatedAppend.NEVER_LATE, appends.late());
+    assertEquals(RepeatedAppend.NEVER_LATE, appends.lateAfter());
     answered(SLOW, 3);
-    assertTrue(appends.late().compareTo(append) > 0, () -> "late after " + appends.late());
-    appends.answered(USUAL.toNanos());
-    assertEquals(RepeatedAppend.NEVER_LATE, appends.late());
+    assertTrue(
+        appends.lateAfter().compareTo(append) > 0, () -> "late after " + appends.lateAfter());
+    appends.answered(FAST.toNanos());
+    assertEquals(RepeatedAppend.NEVER_LATE, appends.lateAfter());
   }
 
   @Test
-  void anAnswerSoonerThanUsualDoesNotMakeLaterOnesSeemLessLate() {
+  void fastAnswerDoesNotRaiseTheThreshold() {
     answered(SLOW, 20);
-    Duration before = times.late();
-    answered(USUAL, 1);
-    assertTrue(times.late().compareTo(before) <= 0, () -> before + " became " + times.late());
+    Duration before = times.lateAfter();
+    answered(FAST, 1);
+    assertTrue(
+        times.lateAfter().compareTo(before) <= 0, () -> before + " became " + times.lateAfter());
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/store/SlowStoreDetectorTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/store/SlowStoreDetectorTest.java
@@ -8,17 +8,20 @@
 import org.fescuehook.logic.batch.store.SlowStoreDetector.Transition;
 import org.junit.jupiter.api.Test;
 
-/** Pattern: the store takes 0.7 s for each append for six seconds, and nothing fails. */
+/**
+ * Guards against a store that is slow without being noticed: it takes 0.7 s for each append for six
+ * seconds, and nothing fails.
+ */
 class SlowStoreDetectorTest {
 
-  private final SlowStoreDetector watch = new SlowStoreDetector();
+  private final SlowStoreDetector detector = new SlowStoreDetector();
 
   private List<Transition> changes(Integer... millis) {
-    return Stream.of(millis).map(one -> watch.stored(Duration.ofMillis(one))).toList();
+    return Stream.of(millis).map(time -> detector.stored(Duration.ofMillis(time))).toList();
   }
 
   @Test
-  void theBeginningAndTheEndOfATimeOfSlownessAreToldOnce() {
+  void startAndEndOfSlownessAreReportedOnce() {
     assertEquals(
         List.of(
             Transition.NONE,
@@ -31,7 +34,7 @@
   }
 
   @Test
-  void aTimeBetweenTheBoundsChangesNothing() {
+  void timeBetweenTheThresholdsChangesNothing() {
     assertEquals(
         List.of(Transition.NONE, Transition.SLOWER, Transition.NONE, Transition.QUICKER),
         changes(100, 200, 100, 4));
--- a/fescuehook/src/test/java/org/fescuehook/logic/dispatch/CoreFixture.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/dispatch/DispatchFixture.java
@@ -28,8 +28,8 @@
 import org.fescuehook.wire.SlotShare;
 import org.fescuehook.wire.SlotShares;
 
-/** A dispatch core on a virtual clock, which keeps what it commands. */
-final class CoreFixture {
+/** A dispatch core with a virtual clock; collects the commands of the core. */
+final class DispatchFixture {
   static final RequestPreferences PREFERENCES =
       new RequestPreferences(
           Duration.ofSeconds(10),
@@ -47,26 +47,29 @@
 
   final List<DispatchCommand> commands = new ArrayList<>();
   final DispatchCore core;
-  final LocalOutcomes own = new LocalOutcomes();
+  final LocalOutcomes localOutcomes = new LocalOutcomes();
   final String vm;
   long now = 1_000_000;
   private int slots = 4;
 
-  CoreFixture(String vm, String incarnation, long seed) {
+  DispatchFixture(String vm, String incarnation, long seed) {
     this.vm = vm;
     this.core =
         new DispatchCore(
             new IdentityPreferences(new VmId(vm), new FailureDomain("d1")),
             incarnation,
             PREFERENCES,
-            own,
+            localOutcomes,
             new Random(seed),
             commands::add);
   }
 
-  /** Returns a core that is ready, with executors {@code e0} and on, and organisations a and b. */
-  static CoreFixture ready(int executors, int slots) {
-    CoreFixture fixture = new CoreFixture("vm-1", "inc-1", 7);
+  /**
+   * Returns a core that accepts requests, with executors {@code e0}, {@code e1} and so on, and
+   * organisations a and b.
+   */
+  static DispatchFixture ready(int executors, int slots) {
+    DispatchFixture fixture = new DispatchFixture("vm-1", "inc-1", 7);
     fixture.makeReady(executors, slots);
     return fixture;
   }
@@ -117,15 +120,15 @@
     core.handle(event, now);
   }
 
-  /** Lets time pass, with ticks. */
-  void pass(long millis) {
-    for (long end = now + millis; now < end; ) {
-      now = Math.min(end, now + 5);
+  /** Advances the clock, with a tick every 5 ms. */
+  void advanceTime(long millis) {
+    for (long endMillis = now + millis; now < endMillis; ) {
+      now = Math.min(endMillis, now + 5);
       handle(new DispatchEvent.Tick());
     }
   }
 
-  RequestAttributes facts(String organisation, boolean urgent, boolean repeatable) {
+  RequestAttributes attributes(String organisation, boolean urgent, boolean repeatable) {
     return new RequestAttributes(
         new OrganisationId(organisation),
         Optional.empty(),
@@ -145,16 +148,16 @@
         now + 10_000);
   }
 
-  void arrive(long ticket, RequestAttributes facts) {
-    handle(new DispatchEvent.Arrived(ticket, facts));
+  void arrive(long ticket, RequestAttributes attributes) {
+    handle(new DispatchEvent.Arrived(ticket, attributes));
   }
 
-  void end(long ticket, DispatchResult end) {
-    handle(new DispatchEvent.DispatchEnded(ticket, end, 5));
+  void endDispatch(long ticket, DispatchResult result) {
+    handle(new DispatchEvent.DispatchEnded(ticket, result, 5));
   }
 
   void answer(long ticket) {
-    end(ticket, answered("done"));
+    endDispatch(ticket, answered("done"));
   }
 
   static DispatchResult answered(String body) {
@@ -162,7 +165,7 @@
         200, "text/plain", body.getBytes(StandardCharsets.UTF_8), true);
   }
 
-  static DispatchResult lost() {
+  static DispatchResult connectionLost() {
     return new DispatchResult.Failed(DispatchResult.FailureKind.CONNECTION_LOST, false, true);
   }
 
@@ -171,19 +174,19 @@
         new DispatchEvent.RecordRead(new LogRecord(offset, appendedMillis, record.toByteArray())));
   }
 
-  /** Ends the last append begun, and reads its record at an offset. */
+  /** Acknowledges the last append and reads its record back at an offset. */
   void appendAndRead(long offset, long appendedMillis) {
     DispatchCommand.Append append = last(DispatchCommand.Append.class).orElseThrow();
     handle(new DispatchEvent.AppendEnded(append.append(), new AppendResult.Appended(offset)));
     readRecord(offset, appendedMillis, append.record());
   }
 
-  void leave(String... executors) {
-    Set<ExecutorId> leaving = new java.util.HashSet<>();
+  void setLeaving(String... executors) {
+    Set<ExecutorId> leavingIds = new java.util.HashSet<>();
     for (String executor : executors) {
-      leaving.add(new ExecutorId(executor));
+      leavingIds.add(new ExecutorId(executor));
     }
-    handle(new DispatchEvent.Leaving(leaving));
+    handle(new DispatchEvent.Leaving(leavingIds));
   }
 
   <T extends DispatchCommand> List<T> all(Class<T> type) {
@@ -202,7 +205,7 @@
         .toList();
   }
 
-  /** Returns the tickets in the order in which they were sent. */
+  /** Returns the tickets of the dispatched requests in the order of their dispatches. */
   List<Long> sentTickets() {
     return all(DispatchCommand.Send.class).stream().map(DispatchCommand.Send::ticket).toList();
   }
--- a/fescuehook/src/test/java/org/fescuehook/logic/ini/IniParserTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/ini/IniParserTest.java
@@ -19,7 +19,7 @@
 class IniParserTest {
 
   @Test
-  void valuesAreTakenAsTheyStand() {
+  void valuesAreTakenLiterally() {
     IniDocument document = parse("[a.b c]\nx.y = ${env:HOME}, 1:2 = 3 # comment\n");
 
     assertEquals(List.of(), document.faults());
@@ -28,15 +28,15 @@
   }
 
   @Test
-  void linesAreCountedOverComments() {
+  void lineNumbersCountCommentsAndBlankLines() {
     IniDocument document = parse("# one \\\r\n[s]\r\na = 1\r\n\r\n; five\r\nb = 4\r\n");
 
     IniSection section = document.section("s").orElseThrow();
-    assertEquals(List.of(3, 6), section.entries().stream().map(e -> e.place().line()).toList());
+    assertEquals(List.of(3, 6), section.entries().stream().map(e -> e.location().line()).toList());
   }
 
   @Test
-  void valueThatGoesOnInTheNextLineIsRefused() {
+  void valueThatContinuesOnTheNextLineIsRejected() {
     IniDocument document = parse("[s]\na = 1 \\\n# of 2\n");
 
     assertEquals(
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void textThatIsNotUtf8IsRefusedWithItsPlace() {
+  void textThatIsNotUtf8IsRejectedWithItsPlace() {
     byte[] latin = "[s]\na = Évora\n".getBytes(StandardCharsets.ISO_8859_1);
 
     IniDocument document = new IniParser().parse(List.of(new IniSource("f.ini", latin)));
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void sectionThatStandsInTwoFilesIsAFault() {
+  void sectionThatOccursInTwoFilesIsAFault() {
     IniDocument document =
         new IniParser()
             .parse(List.of(IniSource.of("a.ini", "[s]\n"), IniSource.of("b.ini", "\n[s]\n")));
@@ -68,7 +68,8 @@
   }
 
   @Property(tries = 5000, seed = "20261202")
-  void everyKeyOfAnyTextIsReadOrNamedAsAFault(@ForAll("iniLikeText") String text) throws Exception {
+  void everyKeyOfAnyTextIsParsedOrReportedAsAFault(@ForAll("iniLikeText") String text)
+      throws Exception {
     IniDocument document = parse(text);
 
     if (document.faults().isEmpty()) {
@@ -76,7 +77,7 @@
     }
     for (IniSection section : document.sections()) {
       for (IniEntry entry : section.entries()) {
-        String line = text.lines().toList().get(entry.place().line() - 1);
+        String line = text.lines().toList().get(entry.location().line() - 1);
         assertTrue(line.trim().startsWith(entry.key()), line);
       }
     }
--- a/fescuehook/src/test/java/org/fescuehook/logic/trace/ReplayTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/trace/ReplayTest.java
@@ -12,18 +12,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Small traces whose outcomes can be checked by hand; each begins with what is expected. */
+/**
+ * Replays small traces whose outcomes can be checked by hand. Each trace file begins with a comment
+ * that states the expected outcome.
+ */
 class ReplayTest {
 
   @ParameterizedTest
   @ValueSource(
       strings = {
         "reclaim-frees-the-shape",
-        "several-holders-return-at-once",
+        "several-holders-reclaim-at-once",
         "urgent-starts-in-a-full-fleet",
-        "backfill-keeps-off-a-reservation",
+        "backfill-respects-a-reservation",
         "failing-worker-is-quarantined",
-        "hopeless-job-harms-no-worker"
+        "always-failing-job-quarantines-no-worker"
       })
   void everySmallTraceEndsAsApproved(String name) throws Exception {
     Trace trace = new TraceParser(name + ".trace").parse(lines(name));
