--- a/fescuehook/src/test/java/org/fescuehook/net/batch/SlowOwnerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/net/batch/SlowOwnerTest.java
@@ -20,15 +20,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seen: a cancel that the owner acknowledges after 1 s, as its store is slow, is answered as
- * undecided by the VM that passed it on. Cause: the link gave an answer 0.9 s, closed the
- * connection if nothing had come over it meanwhile, and dropped what came later; the same call was
- * sent once more and given up again.
+ * Guards against answering a forwarded call as undecided although the owner is alive and only its
+ * store is slow. That happens if the link treats a connection as silent when an answer takes long
+ * (a cancel acknowledged after 1 s with a limit of 0.9 s), closes it and drops the late answer.
  */
 class SlowOwnerTest {
 
   private static final BatchCall CALL = new BatchCall.Cancel("q", "key", "a1");
-  private static final Duration PATIENCE = Duration.ofMillis(2800);
+  private static final Duration TIMEOUT = Duration.ofMillis(2800);
   private static final CallAnswer SILENT = new CallAnswer.Undecided(UndecidedCause.OWNER_SILENT);
 
   private final EmbeddedChannel clock = new EmbeddedChannel();
@@ -43,7 +42,7 @@
             clock.eventLoop(), InetSocketAddress.createUnresolved("owner", 1), peer, new NoHints());
   }
 
-  /** Tells nothing. */
+  /** Knows no owner and ignores hints. */
   private static final class NoHints implements OwnerHints {
     @Override
     public Optional<OwnerHint> known() {
@@ -52,11 +51,11 @@
 
     @Override
     public void hinted(OwnerHint hint) {
-      // Not looked at.
+      // These tests don't check hints.
     }
   }
 
-  /** The owner's VM: answers probes while it is alive, and calls when the test says so. */
+  /** Fake of the owner's VM: answers probes while alive, and calls only when the test says so. */
   private static final class FakePeer implements PeerConnector {
     private final List<FakeConnection> connections = new ArrayList<>();
     private Optional<Listener> listener = Optional.empty();
@@ -72,7 +71,7 @@
         if (!CallCodec.isProbe(message)) {
           calls.add(message);
         } else if (alive) {
-          tell(this, CallCodec.alive());
+          deliver(this, CallCodec.probeAnswer());
         }
       }
 
@@ -83,17 +82,17 @@
     }
 
     @Override
-    public void connect(Listener to) {
-      listener = Optional.of(to);
+    public void connect(Listener target) {
+      listener = Optional.of(target);
       if (!reachable) {
-        to.failed("refused");
+        target.failed("refused");
         return;
       }
       connections.add(new FakeConnection());
-      to.opened(connections.getLast());
+      target.opened(connections.getLast());
     }
 
-    private void tell(FakeConnection over, ForwardedAnswer message) {
+    private void deliver(FakeConnection over, ForwardedAnswer message) {
       if (!over.closed) {
         listener.orElseThrow().received(over, message);
       }
@@ -101,34 +100,34 @@
 
     private void answer(int connection, CallAnswer answer) {
       FakeConnection over = connections.get(connection);
-      tell(over, CallCodec.encode(over.calls.getFirst().getCall(), answer));
+      deliver(over, CallCodec.encode(over.calls.getFirst().getCall(), answer));
     }
 
-    private void breakOff(int connection) {
+    private void breakConnection(int connection) {
       listener.orElseThrow().closed(connections.get(connection), "reset");
     }
   }
 
   private void call() {
-    link.call(CALL, PATIENCE, answers::add);
-    pass(0);
+    link.call(CALL, TIMEOUT, answers::add);
+    advance(0);
   }
 
-  private void pass(long millis) {
-    long left = millis;
-    while (left > 0) {
-      long step = Math.min(50, left);
+  private void advance(long millis) {
+    long remaining = millis;
+    while (remaining > 0) {
+      long step = Math.min(50, remaining);
       clock.advanceTimeBy(step, TimeUnit.MILLISECONDS);
       clock.runPendingTasks();
-      left -= step;
+      remaining -= step;
     }
     clock.runPendingTasks();
   }
 
   @Test
-  void anAnswerThatASlowStoreDelaysReachesItsCaller() {
+  void anAnswerDelayedByASlowStoreReachesItsCaller() {
     call();
-    pass(2500);
+    advance(2500);
     peer.answer(0, new CallAnswer.Cancelled());
     assertEquals(List.of(new CallAnswer.Cancelled()), answers);
     assertEquals(1, peer.connections.size(), "an owner that lives keeps its connection");
@@ -136,72 +135,72 @@
   }
 
   @Test
-  void callsOfASilentConnectionAreSentAgainOverANewOne() {
+  void resendsCallsOfASilentConnectionOverANewOne() {
     call();
     peer.alive = false;
-    pass(1000);
+    advance(1000);
     assertEquals(2, peer.connections.size());
     peer.answer(1, new CallAnswer.Cancelled());
     assertEquals(List.of(new CallAnswer.Cancelled()), answers);
   }
 
   @Test
-  void aConnectionThatFallsSilentLaterIsReplacedAsWell() {
+  void replacesAConnectionThatFallsSilentAfterAnsweringProbes() {
     call();
-    pass(1500);
+    advance(1500);
     assertEquals(1, peer.connections.size());
     peer.alive = false;
-    pass(1000);
+    advance(1000);
     assertEquals(2, peer.connections.size());
   }
 
   @Test
-  void whatComesLateOverTheFormerConnectionCountsToo() {
+  void acceptsALateAnswerOverThePreviousConnection() {
     call();
     peer.alive = false;
-    pass(1000);
+    advance(1000);
     peer.answer(0, new CallAnswer.Cancelled());
     assertEquals(List.of(new CallAnswer.Cancelled()), answers);
     assertTrue(peer.connections.getFirst().closed, "nothing more is awaited over it");
   }
 
   @Test
-  void aRefusalOfOneOfTwoSendsLeavesTheCallUndecided() {
+  void answersUndecidedWhenOnlyOneOfTwoSendsIsRefused() {
     call();
     peer.alive = false;
-    pass(1000);
+    advance(1000);
     peer.answer(1, new CallAnswer.Refused(RefusalCause.STORE_AWAY, 1000));
     assertEquals(List.of(SILENT), answers);
   }
 
   @Test
-  void aCallIsGivenUpWhenItsAnswerIsOfNoUseAnyMore() {
+  void answersUndecidedWhenTheCallTimesOut() {
     call();
-    pass(2750);
+    advance(2750);
     assertEquals(List.of(), answers);
-    pass(50);
+    advance(50);
     assertEquals(List.of(SILENT), answers);
   }
 
   @Test
-  void aCallThatWasNeverSentIsRefused() {
+  void refusesACallThatWasNeverSent() {
     peer.reachable = false;
     call();
     assertEquals(List.of(new CallAnswer.Refused(RefusalCause.NO_OWNER, 1000)), answers);
   }
 
   @Test
-  void aCallWhoseConnectionBreaksIsUndecidedAtOnce() {
+  void answersUndecidedAtOnceWhenTheConnectionBreaks() {
     call();
-    peer.breakOff(0);
+    peer.breakConnection(0);
     assertEquals(List.of(SILENT), answers);
   }
 
   @Test
-  void aNewerOwnerEndsTheCallsOfTheFormerOne() {
+  void answersUndecidedWhenTheLinkClosesForANewerOwner() {
     call();
     link.close(Optional.empty());
-    pass(0);
+    advance(0);
     assertEquals(List.of(SILENT), answers);
     assertTrue(peer.connections.getFirst().closed);
   }
--- a/fescuehook/src/test/java/org/fescuehook/platform/ConfigurationParserTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/ConfigurationParserTest.java
@@ -34,13 +34,13 @@
         Optional.of(new JobQueue("q1", "p", 2, 2, 3.0, 3000, false, false)),
         parsed.configuration().queue("q1"));
     assertTrue(parsed.configuration().queue("q2").orElseThrow().advised());
-    assertEquals("t", parsed.configuration().holder("k2").orElseThrow().name());
+    assertEquals("t", parsed.configuration().organisation("k2").orElseThrow().name());
     assertEquals(48, parsed.configuration().guaranteedAccelerators("t"));
-    assertEquals(Optional.empty(), parsed.configuration().holder("k3"));
+    assertEquals(Optional.empty(), parsed.configuration().organisation("k3"));
   }
 
   @Test
-  void theLongestPrefixOfTheHostCounts() throws MalformedMessageException {
+  void theRouteWithTheLongestMatchingPrefixIsFound() throws MalformedMessageException {
     RouteTable routes = parse(TEXT).routes();
 
     assertEquals("q1", routes.find("a.example", "/x/1").orElseThrow().queue().name());
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void aConfigurationWithoutAVersionIsRefused() {
+  void aConfigurationWithoutAVersionIsRejected() {
     assertThrows(MalformedMessageException.class, () -> parse("{\"routes\":[],\"tenants\":[]}"));
     assertThrows(MalformedMessageException.class, () -> parse("nothing"));
   }
--- a/fescuehook/src/test/java/org/fescuehook/platform/FaultyListenerTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/FaultyListenerTest.java
@@ -17,15 +17,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seen: a VM reads nothing more of a topic until it is started anew, and logs nothing of it; of the
- * topic of owners it then knows none, of that of executors it never decides. Memory ran out once
- * while an answer was taken in. Cause: the next read is asked for only after the one before was
- * taken in without a fault; the fault closes the connection, and no request is under way that could
- * fail.
+ * Guards against a topic that is never read again, without a log line, after its listener has
+ * thrown an error, such as {@link OutOfMemoryError}. Without the topic of ownership a VM knows no
+ * owner, and without that of executors it cannot decide. It happened because the next read was
+ * requested only after the listener had returned normally: the error closed the connection, and no
+ * pending request was left that could fail and be retried.
  */
 class FaultyListenerTest {
 
-  private static final long PATIENCE_SECONDS = 5;
+  private static final long TIMEOUT_SECONDS = 5;
   private static final String PAGE = "{\"items\":[],\"hasMore\":false,\"endOffset\":0}";
 
   private final EventLoopGroup loops =
@@ -42,9 +42,9 @@
     loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
   }
 
-  /** Has no memory for the first answer. */
+  /** Throws an {@link OutOfMemoryError} for the first answer. */
   private static final class Listener implements StreamFollower.Listener {
-    private final BlockingQueue<Long> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Long> reportedEnds = new LinkedBlockingQueue<>();
     private boolean faulty = true;
 
     @Override
@@ -58,31 +58,32 @@
         faulty = false;
         throw new OutOfMemoryError("on purpose");
       }
-      told.add(end);
+      reportedEnds.add(end);
     }
 
     @Override
     public void failed() {
-      // The next read tells.
+      // The next read shows whether the topic is still read.
     }
   }
 
   @Test
-  void aTopicIsReadOnAfterAFaultOfItsListener() throws Exception {
+  void aTopicIsStillReadAfterItsListenerThrows() throws Exception {
     for (int i = 0; i < 50; i++) {
       server.then(new ScriptedServer.Act.Answer(200, PAGE));
     }
     Listener listener = new Listener();
-    StreamFollower.Pace pace =
-        new StreamFollower.Pace(Duration.ofMillis(100), Duration.ofMillis(10));
+    StreamFollower.ReadTiming timing =
+        new StreamFollower.ReadTiming(Duration.ofMillis(100), Duration.ofMillis(10));
     new StreamFollower(
             loops.next(),
             server.address(),
             new ResponseTimeEstimator(RepeatedRead.NEVER_LATE),
             Topic.OWNERSHIP,
-            pace,
+            timing,
             listener)
         .start();
-    assertNotNull(listener.told.poll(PATIENCE_SECONDS, TimeUnit.SECONDS), "nothing more was read");
+    assertNotNull(
+        listener.reportedEnds.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS), "nothing more was read");
   }
 }
--- a/fescuehook/src/test/java/org/fescuehook/platform/SlowAnswersTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/platform/SlowAnswersTest.java
@@ -17,14 +17,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seen: while each answer of the store took 0.9 s, VMs that had come back asked for the first page
- * of each stream again and again; some knew no configuration and no owner for 16 s. Cause: a page
- * had 0.7 s, and each try closed the connection on which the answer was on its way.
+ * Guards against requesting the first page of a topic over and over while the store takes longer
+ * for each answer than the timeout of a request. With answers after 0.9 s and a timeout of 0.7 s,
+ * each timeout closed the connection on which the answer was about to arrive, so restarted VMs knew
+ * no configuration and no owner for up to 16 s.
  */
 class SlowAnswersTest {
 
-  private static final Duration ANSWER = Duration.ofMillis(1000);
-  private static final long PATIENCE_SECONDS = 20;
+  private static final Duration ANSWER_DELAY = Duration.ofMillis(1000);
+  private static final long TIMEOUT_SECONDS = 20;
   private static final int ANSWERS = 50;
   private static final String PAGE = "{\"items\":[],\"hasMore\":false,\"endOffset\":0}";
 
@@ -43,22 +44,22 @@
   }
 
   @Test
-  void aStoreThatIsSlowForEachAnswerIsReadAllTheSame() throws Exception {
+  void aTopicIsReadFromAStoreThatIsSlowForEachAnswer() throws Exception {
     for (int i = 0; i < ANSWERS; i++) {
-      server.then(new ScriptedServer.Act.LateAnswer(ANSWER, 200, PAGE));
+      server.then(new ScriptedServer.Act.LateAnswer(ANSWER_DELAY, 200, PAGE));
     }
     BlockingQueue<Long> ends = new LinkedBlockingQueue<>();
-    StreamFollower.Pace pace =
-        new StreamFollower.Pace(Duration.ofMillis(100), Duration.ofMillis(10));
+    StreamFollower.ReadTiming timing =
+        new StreamFollower.ReadTiming(Duration.ofMillis(100), Duration.ofMillis(10));
     new StreamFollower(
             loops.next(),
             server.address(),
             new ResponseTimeEstimator(RepeatedRead.NEVER_LATE),
             Topic.OWNERSHIP,
-            pace,
+            timing,
             new Listener(ends))
         .start();
-    assertNotNull(ends.poll(PATIENCE_SECONDS, TimeUnit.SECONDS), "the topic was not read");
+    assertNotNull(ends.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS), "the topic was not read");
   }
 
   private record Listener(BlockingQueue<Long> ends) implements StreamFollower.Listener {
@@ -69,12 +70,12 @@
 
     @Override
     public void records(List<StreamRecord> records, long end) {
-      // Only the first page matters here.
+      // Only the first page matters to this test.
     }
 
     @Override
     public void failed() {
-      // A late answer may still come.
+      // A late answer may still arrive.
     }
   }
 }
