--- a/fescuehook/src/main/java/org/fescuehook/entry/EntryProgram.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/EntryProgram.java
@@ -217,10 +217,10 @@
     }
   }
 
-  private static InetSocketAddress open(String step, InetSocketAddress address, PortOpener opening)
+  private static InetSocketAddress open(String step, InetSocketAddress address, PortOpener opener)
       throws EntryStartException {
     try {
-      return opening.open();
+      return opener.open();
     } catch (IOException e) {
       throw new EntryStartException(step, address, e);
     }
--- a/fescuehook/src/main/java/org/fescuehook/entry/scheduler/OpenCall.java
+++ b/fescuehook/src/main/java/org/fescuehook/entry/scheduler/OpenCall.java
@@ -80,11 +80,11 @@
     }
     deadlineTimer.ifPresent(timer -> timer.cancel(false));
     onAnswered.accept(this);
-    record(answer, ticker.nanoTime() - startNanos);
+    recordAnswer(answer, ticker.nanoTime() - startNanos);
     sink.accept(answer);
   }
 
-  private void record(CallAnswer answer, long nanos) {
+  private void recordAnswer(CallAnswer answer, long nanos) {
     Timer.builder("fescuehook.batch.calls")
         .tag("call", call.getClass().getSimpleName())
         .tag("outcome", answer.getClass().getSimpleName())
--- a/fescuehook/src/test/java/org/fescuehook/entry/scheduler/LogUnderLoadTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/entry/scheduler/LogUnderLoadTest.java
@@ -53,7 +53,7 @@
     final CountDownLatch reached = new CountDownLatch(1);
     final CountDownLatch reported = new CountDownLatch(1);
     final Semaphore written = new Semaphore(0);
-    private final Semaphore permits = new Semaphore(0);
+    private final Semaphore allowedLines = new Semaphore(0);
     private final List<String> lines = new ArrayList<>();
 
     @Override
@@ -64,7 +64,7 @@
     @Override
     public void write(byte[] bytes, int offset, int length) {
       reached.countDown();
-      permits.acquireUninterruptibly();
+      allowedLines.acquireUninterruptibly();
       String line = new String(bytes, offset, length, StandardCharsets.UTF_8);
       synchronized (lines) {
         lines.add(line);
@@ -75,12 +75,12 @@
       written.release();
     }
 
-    void permits(int more) {
-      permits.release(more);
+    void allowLines(int more) {
+      allowedLines.release(more);
     }
 
     void unblock() {
-      permits.release(UNLIMITED);
+      allowedLines.release(UNLIMITED);
     }
 
     List<String> lines() {
@@ -219,19 +219,19 @@
   void lossesDuringAPersistentOverloadAreReportedRepeatedlyButRarely() throws InterruptedException {
     logMany(this::callAnswered);
     for (int i = 0; i < MANY_LINES; i++) {
-      pipe.permits(1);
+      pipe.allowLines(1);
       assertTrue(pipe.written.tryAcquire(TIMEOUT_SECONDS, TimeUnit.SECONDS), "nothing is written");
       callAnswered();
       callAnswered();
     }
     int notices = events(LOG_LINES_DROPPED).size();
-    assertTrue(notices > 1, () -> "told " + notices + " times");
-    assertTrue(notices <= 1 + MANY_LINES / 500, () -> "told " + notices + " times");
+    assertTrue(notices > 1, () -> "reported " + notices + " times");
+    assertTrue(notices <= 1 + MANY_LINES / 500, () -> "reported " + notices + " times");
   }
 
   @Test
   void eachLineIsFlushedAtOnce() throws InterruptedException {
-    pipe.permits(1);
+    pipe.allowLines(1);
     assertTrue(
         pipe.written.tryAcquire(TIMEOUT_SECONDS, TimeUnit.SECONDS), "the line was not flushed");
   }
