--- a/fescuehook/src/test/java/org/fescuehook/entry/scheduler/CountingLogAppenderTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/entry/scheduler/CountingLogAppenderTest.java
@@ -43,8 +43,12 @@
     }
   }
 
-  /** Standard output that throws an {@link OutOfMemoryError} for the first line. */
+  /**
+   * Standard output that throws an {@link OutOfMemoryError} for the first line, once it is
+   * released.
+   */
   private static final class OutOfMemoryOutput extends AppenderBase<ILoggingEvent> {
+    final CountDownLatch released = new CountDownLatch(1);
     private final Queue<String> written;
     private boolean failed;
 
@@ -57,10 +61,19 @@
     protected void append(ILoggingEvent event) {
       if (!failed) {
         failed = true;
+        awaitRelease();
         throw new OutOfMemoryError("on purpose");
       }
       written.add(event.getFormattedMessage());
     }
+
+    private void awaitRelease() {
+      try {
+        released.await();
+      } catch (InterruptedException e) {
+        Thread.currentThread().interrupt();
+      }
+    }
   }
 
   @BeforeEach
@@ -113,10 +126,13 @@
     BlockingQueue<String> written = new LinkedBlockingQueue<>();
     CountingLogAppender failingAppender = new CountingLogAppender();
     failingAppender.setContext(context);
-    failingAppender.addAppender(new OutOfMemoryOutput(written));
+    OutOfMemoryOutput failingOutput = new OutOfMemoryOutput(written);
+    failingAppender.addAppender(failingOutput);
     failingAppender.start();
     failingAppender.doAppend(event(Level.INFO));
     failingAppender.doAppend(event(Level.INFO));
+    // Both lines wait by now, so that the report of the lost line comes after the second one.
+    failingOutput.released.countDown();
     assertEquals("message", written.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
     failingAppender.stop();
     assertEquals(1, CountingLogAppender.dropped() - before);
