--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/CrashingTaskTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/CrashingTaskTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against a task that crashes one executor after the other, a few milliseconds after each of
- * its starts, and with each of them all other runs there. One such task was started 26 times, since
- * a run that was lost with its executor did not count against its task, neither for the next
+ * Guards against a task that crashes one executor after the other, 3 to 11 ms after each of its
+ * starts, and with each of them all other runs there. One such task was started 26 times, since a
+ * run that was lost with its executor did not count against its task, neither for the next
  * placement nor in the store, where the next owner would find it. {@link CrashingTasks} fails a
  * history that starts such a task a third time after three executors have crashed under it.
  */
--- a/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/FilledFleetTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/logic/batch/plan/FilledFleetTest.java
@@ -29,9 +29,9 @@
 /**
  * Guards against preemption for the remaining tasks of a step that has just filled an idle fleet.
  * Two of three executors are free and one is half used. Of three tasks that have waited for the
- * rack with their data, two start elsewhere, which is allowed in an idle fleet. The third must then
- * not be planned as if the fleet were still idle: that preempted work of others away from the data
- * and took the capacity that the next step needed.
+ * rack with their data, two start elsewhere, which is allowed after 12 s in an idle fleet. The
+ * third must then not be planned as if the fleet were still idle: that preempted work of others
+ * away from the data and took the capacity that the next step needed.
  */
 class FilledFleetTest {
 
