--- a/fescuehook/src/test/java/org/fescuehook/entry/scheduler/CountingLogAppenderTest.java
+++ b/fescuehook/src/test/java/org/fescuehook/entry/scheduler/CountingLogAppenderTest.java
@@ -35,11 +35,7 @@
     @Override
     protected void append(ILoggingEvent event) {
       reached.countDown();
-      try {
-        released.await();
-      } catch (InterruptedException e) {
-        Thread.currentThread().interrupt();
-      }
+      awaitRelease(released);
     }
   }
 
@@ -61,18 +57,18 @@
     protected void append(ILoggingEvent event) {
       if (!failed) {
         failed = true;
-        awaitRelease();
+        awaitRelease(released);
         throw new OutOfMemoryError("on purpose");
       }
       written.add(event.getFormattedMessage());
     }
+  }
 
-    private void awaitRelease() {
-      try {
-        released.await();
-      } catch (InterruptedException e) {
-        Thread.currentThread().interrupt();
-      }
+  private static void awaitRelease(CountDownLatch released) {
+    try {
+      released.await();
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
     }
   }
 
